--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -201,7 +201,7 @@
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
 		Controls: role.NewControls(s.ControlAddresses(), p.identity),
 		Settings: agent.Settings{
-			Admission:      admission.Settings{CreditLife: s.Agent.CreditLife, AnnounceSilence: s.Agent.AnnounceLimit},
+			Admission:      admission.Settings{CreditLife: s.Agent.CreditLife, AnnounceTimeout: s.Agent.AnnounceLimit},
 			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetSilence: s.Agent.TargetSilence,
 		},
 		Logs: p.logs, Dump: p.dump,
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/routing.go
@@ -39,7 +39,7 @@
 		Relay: s.Process.AdminAddress, EngineAt: platform.Engine, Internal: p.internal,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Ready: ready,
 		Seeds: p.seeds(), Dialect: platform.Dialect(), Readiness: platform.Readiness,
-		Budget:     &retries.Share{Ratio: s.Routing.RetryRatio, Slack: s.Routing.RetrySlack, Window: s.Routing.RetryWindow},
+		Budget:     &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.RetrySlack, Window: s.Routing.RetryWindow},
 		StopWithin: s.Routing.Stop, Logs: p.logs, Dump: p.dump,
 	}
 
@@ -130,7 +130,7 @@
 }
 
 func operatorsOf(server *control.Server, p *process) http.Handler {
-	calls := &platform.Control{
+	calls := &platform.ControlAPI{
 		Adopt: server.Adopt, Document: server.Document, OrderZone: server.OrderZone,
 		Announce: server.Announce, Leave: server.Leave, Logger: p.logs.Logger("operators"),
 	}
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -14,8 +14,8 @@
 	maxTurn  = time.Second
 )
 
-// Arrive decides about one request.
-func (c *Core) Arrive(now time.Time, r Arrival) Decision {
+// Admit decides about one request.
+func (c *Core) Admit(now time.Time, r Request) Decision {
 	c.prepare()
 	c.memory.forget(now)
 	c.unknown.expire(now)
@@ -57,7 +57,7 @@
 
 // Reject refuses a request that the shell found unfit, for the given cause. It
 // goes through the core so that a fit duplicate of it isn't let in later.
-func (c *Core) Reject(now time.Time, r Arrival, cause verdict.Cause) Decision {
+func (c *Core) Reject(now time.Time, r Request, cause verdict.Cause) Decision {
 	c.prepare()
 	c.memory.forget(now)
 
@@ -93,7 +93,7 @@
 }
 
 // badCredit refuses what this incarnation never granted or no longer honours.
-func (c *Core) badCredit(now time.Time, r Arrival, expiresAt time.Time) (Decision, bool) {
+func (c *Core) badCredit(now time.Time, r Request, expiresAt time.Time) (Decision, bool) {
 	cr := r.Credit
 
 	switch {
@@ -113,7 +113,7 @@
 }
 
 // refuse says why a request with a good credit is not let in.
-func (c *Core) refuse(now time.Time, r Arrival) (verdict.Cause, bool) {
+func (c *Core) refuse(now time.Time, r Request) (verdict.Cause, bool) {
 	switch {
 	case c.leaving:
 		return verdict.CauseStopping, true
@@ -138,7 +138,7 @@
 // zone was taken out. A stale agent relies on the entry's word, which can't be
 // older than the credit that the agent itself dated; where both are stale nobody
 // can tell, and the request is refused.
-func (c *Core) fresh(now time.Time, r Arrival) bool {
+func (c *Core) fresh(now time.Time, r Request) bool {
 	if now.Before(c.view.FreshUntil) {
 		return true
 	}
@@ -148,7 +148,7 @@
 
 // silent reports whether the target's announcements have stopped.
 func (c *Core) silent(now time.Time) bool {
-	return !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceSilence))
+	return !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceTimeout))
 }
 
 // full reports whether the target has no room for a request on this credit.
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -41,7 +41,7 @@
 				}
 
 				c := &credits[i%entries]
-				if !bn.core.Arrive(bn.now, Arrival{AttemptID: ids[i], Credit: *c, Service: "assist"}).Admitted {
+				if !bn.core.Admit(bn.now, Request{AttemptID: ids[i], Credit: *c, Service: "assist"}).Admitted {
 					refused++
 				}
 
@@ -74,7 +74,7 @@
 			for i := range b.N {
 				bn.now = bn.now.Add(50 * time.Millisecond / time.Duration(entries))
 				bn.core.target.announcedAt = bn.now
-				bn.core.Grant(bn.now, GrantAsk{EntryID: ids[i%entries], Wanted: 1})
+				bn.core.Grant(bn.now, GrantRequest{EntryID: ids[i%entries], Wanted: 1})
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 		for range n {
 			r := bn.arrival(bn.grant("entry-1", 8))
 			r.AttemptID = fmt.Sprintf("00000000-0000-0000-0000-%012d", bn.n)
-			bn.core.Arrive(bn.now, r)
+			bn.core.Admit(bn.now, r)
 			bn.ran(r, nil)
 		}
 
@@ -115,7 +115,7 @@
 				bn.announce("boot-2", false)
 
 				begun := bn.now
-				ends := map[time.Time][]Arrival{}
+				ends := map[time.Time][]Request{}
 
 				for bn.core.Load().Cold {
 					for _, r := range ends[bn.now] {
@@ -127,7 +127,7 @@
 
 					for {
 						r := bn.arrival(bn.grant("entry-1", 64))
-						if !bn.core.Arrive(bn.now, r).Admitted {
+						if !bn.core.Admit(bn.now, r).Admitted {
 							break
 						}
 
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -86,7 +86,7 @@
 	c.Tick(now)
 
 	first := !c.target.seen
-	counted := a.Counted && a.BootID == c.target.bootID
+	counted := a.InFlightKnown && a.BootID == c.target.bootID
 	cold := !c.target.up || a.BootID != c.target.bootID || (a.Cold && !c.ramp.held)
 	before := c.target.announcedAt
 
@@ -99,7 +99,7 @@
 	}
 
 	if first {
-		c.unknown.inherit(c.Started, now.Add(c.Settings.UnknownFor))
+		c.unknown.inherit(c.Started, now.Add(c.Settings.UnknownWorkTTL))
 	}
 
 	// A first count may have been taken before the work was sent that it would deny.
@@ -108,10 +108,10 @@
 	}
 }
 
-// ToldCold takes the target's word, on the head of an answer, that it is cold. It
+// ReportCold takes the target's word, on the head of an answer, that it is cold. It
 // guards against an engine that turns cold between two announcements: for up to
 // a second it would get as much as a warm one. The next announcement may lift it.
-func (c *Core) ToldCold(now time.Time) {
+func (c *Core) ReportCold(now time.Time) {
 	c.prepare()
 
 	if !c.target.up || c.ramp.held {
@@ -147,8 +147,8 @@
 	c.ramp.fall(now, c.Settings.RampInterval)
 }
 
-// Leave stops grants and admissions for good; work in flight finishes.
-func (c *Core) Leave() {
+// Drain stops grants and admissions for good; work in flight finishes.
+func (c *Core) Drain() {
 	c.prepare()
 	c.leaving = true
 }
@@ -163,7 +163,7 @@
 	c.unknown.expire(now)
 	c.share.sweep(now)
 
-	if c.target.up && !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceSilence)) {
+	if c.target.up && !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceTimeout)) {
 		c.TargetDown(now)
 	}
 
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -38,8 +38,8 @@
 	// Cold is the engine's own word that it is cold.
 	Cold bool
 	// InFlight is how many requests the target holds, where Counted says that it reports this.
-	InFlight uint32
-	Counted  bool
+	InFlight      uint32
+	InFlightKnown bool
 }
 
 // Credit is the permission of one entry to send work, dated by the agent's own clock.
@@ -53,8 +53,8 @@
 	Slots         uint32
 }
 
-// Arrival is a request that asks to be let in.
-type Arrival struct {
+// Request is a request that asks to be let in.
+type Request struct {
 	AttemptID   string
 	Credit      Credit
 	Service     string
@@ -70,8 +70,8 @@
 	RetryAt  time.Time
 }
 
-// GrantAsk is an entry's request for a credit.
-type GrantAsk struct {
+// GrantRequest is an entry's request for a credit.
+type GrantRequest struct {
 	EntryID string
 	// Wanted is how many requests the entry would like to have in flight.
 	Wanted uint32
@@ -88,8 +88,8 @@
 	RetryAt time.Time
 }
 
-// Question asks what became of an attempt.
-type Question struct {
+// AttemptQuery asks what became of an attempt.
+type AttemptQuery struct {
 	AttemptID           string
 	Incarnation         uint64
 	CreditExpiresAtTick uint64
@@ -97,8 +97,8 @@
 	Close bool
 }
 
-// Fate is the answer to a Question.
-type Fate struct {
+// AttemptStatus is the answer to a Question.
+type AttemptStatus struct {
 	State wire.AskState
 	// Answer is set for a recorded answer that is still held whole.
 	Answer *wire.Answer
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -18,22 +18,22 @@
 	// The second announcement shows that an earlier agent left nothing behind.
 	for range 2 {
 		now = now.Add(time.Second)
-		c.Announce(now, admission.Announcement{BootID: "boot-1", Service: "assist", Capacity: 8, Counted: true})
+		c.Announce(now, admission.Announcement{BootID: "boot-1", Service: "assist", Capacity: 8, InFlightKnown: true})
 	}
 
-	credit := c.Grant(now, admission.GrantAsk{EntryID: "entry-1", Wanted: 4}).Credit
-	first := admission.Arrival{AttemptID: "first", Credit: credit, Service: "assist"}
-	second := admission.Arrival{AttemptID: "second", Credit: credit, Service: "assist"}
+	credit := c.Grant(now, admission.GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
+	first := admission.Request{AttemptID: "first", Credit: credit, Service: "assist"}
+	second := admission.Request{AttemptID: "second", Credit: credit, Service: "assist"}
 
 	fmt.Println("slots:", credit.Slots)
-	fmt.Println("first:", c.Arrive(now, first).Admitted)
+	fmt.Println("first:", c.Admit(now, first).Admitted)
 
-	d := c.Arrive(now, second)
+	d := c.Admit(now, second)
 	fmt.Println("second:", d.Cause, d.Verdict)
 
 	c.Finish(now, "first", admission.Outcome{Verdict: verdict.Ran})
 
-	d = c.Arrive(now, first)
+	d = c.Admit(now, first)
 	fmt.Println("copy:", d.Cause, d.Verdict)
 	// Output:
 	// slots: 1
--- a/internal/admission/finish.go
+++ b/internal/admission/finish.go
@@ -40,7 +40,7 @@
 	}
 
 	if o.Abandoned {
-		c.unknown.abandon(a.admittedAt, now.Add(c.Settings.SettleFor))
+		c.unknown.abandon(a.admittedAt, now.Add(c.Settings.CanceledWorkTTL))
 	}
 
 	delete(c.running, attemptID)
@@ -64,7 +64,7 @@
 		now = a.expiresAt
 	}
 
-	return now.Add(c.Settings.RememberFor)
+	return now.Add(c.Settings.AttemptRetention)
 }
 
 // observeTime learns how long requests take, for Retry-After.
@@ -77,33 +77,33 @@
 	c.meanTime += (d - c.meanTime) / 16
 }
 
-// Ask answers what became of an attempt, and closes it where q asks for that.
-func (c *Core) Ask(now time.Time, q Question) Fate {
+// QueryAttempt answers what became of an attempt, and closes it where q asks for that.
+func (c *Core) QueryAttempt(now time.Time, q AttemptQuery) AttemptStatus {
 	c.prepare()
 	c.memory.forget(now)
 
 	if q.Incarnation != c.Incarnation || q.AttemptID == "" {
-		return Fate{State: wire.AskState_AskUnknown}
+		return AttemptStatus{State: wire.AskState_AskUnknown}
 	}
 
 	if a := c.memory.byID[q.AttemptID]; a != nil {
-		return Fate{State: askState(a.state), Answer: a.answer}
+		return AttemptStatus{State: askState(a.state), Answer: a.answer}
 	}
 
 	expiresAt := c.tickTime(q.CreditExpiresAtTick)
 
 	switch {
 	case c.memory.mayHaveForgotten(expiresAt):
-		return Fate{State: wire.AskState_AskUnknown}
+		return AttemptStatus{State: wire.AskState_AskUnknown}
 	case c.expired(now, expiresAt):
-		return Fate{State: wire.AskState_AskClosed}
+		return AttemptStatus{State: wire.AskState_AskClosed}
 	case !q.Close || expiresAt.After(c.lastExpiry):
-		return Fate{State: wire.AskState_AskUnknown}
+		return AttemptStatus{State: wire.AskState_AskUnknown}
 	}
 
 	c.close(now, q.AttemptID, expiresAt)
 
-	return Fate{State: wire.AskState_AskClosed}
+	return AttemptStatus{State: wire.AskState_AskClosed}
 }
 
 func askState(s attemptState) wire.AskState {
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -39,7 +39,7 @@
 
 func (b *bench) announce(boot string, cold bool) {
 	b.core.Announce(b.now, Announcement{
-		BootID: boot, Service: "assist", Cold: cold, InFlight: b.core.Load().InFlight, Counted: true,
+		BootID: boot, Service: "assist", Cold: cold, InFlight: b.core.Load().InFlight, InFlightKnown: true,
 	})
 }
 
@@ -55,22 +55,22 @@
 }
 
 func (b *bench) grant(entryID string, wanted uint32) Credit {
-	return b.core.Grant(b.now, GrantAsk{EntryID: entryID, Wanted: wanted}).Credit
+	return b.core.Grant(b.now, GrantRequest{EntryID: entryID, Wanted: wanted}).Credit
 }
 
 // arrival makes a request with a fresh attempt ID on c.
-func (b *bench) arrival(c Credit) Arrival {
+func (b *bench) arrival(c Credit) Request {
 	b.n++
 
-	return Arrival{AttemptID: "a" + strconv.Itoa(b.n), Credit: c, Service: "assist", ViewVersion: 1, ViewFresh: true}
+	return Request{AttemptID: "a" + strconv.Itoa(b.n), Credit: c, Service: "assist", ViewVersion: 1, ViewFresh: true}
 }
 
 // admit lets one request in, on a fresh credit.
-func (b *bench) admit() Arrival {
+func (b *bench) admit() Request {
 	b.t.Helper()
 
 	r := b.arrival(b.grant("entry-1", 64))
-	d := b.core.Arrive(b.now, r)
+	d := b.core.Admit(b.now, r)
 	require.True(b.t, d.Admitted, "%+v", d)
 
 	return r
@@ -80,11 +80,11 @@
 func (b *bench) serve(n int, d time.Duration) {
 	b.t.Helper()
 
-	var in []Arrival
+	var in []Request
 
 	for range n {
 		r := b.arrival(b.grant("entry-1", 64))
-		if b.core.Arrive(b.now, r).Admitted {
+		if b.core.Admit(b.now, r).Admitted {
 			in = append(in, r)
 		}
 	}
@@ -98,12 +98,12 @@
 	}
 }
 
-func (b *bench) ran(r Arrival, answer *wire.Answer) {
+func (b *bench) ran(r Request, answer *wire.Answer) {
 	b.core.Finish(b.now, r.AttemptID, Outcome{Verdict: verdict.Ran, Answer: answer})
 }
 
-func (b *bench) ask(r Arrival, closeIt bool) Fate {
-	return b.core.Ask(b.now, Question{
+func (b *bench) ask(r Request, closeIt bool) AttemptStatus {
+	return b.core.QueryAttempt(b.now, AttemptQuery{
 		AttemptID:           r.AttemptID,
 		Incarnation:         r.Credit.Incarnation,
 		CreditExpiresAtTick: r.Credit.ExpiresAtTick,
@@ -112,10 +112,10 @@
 }
 
 // requireRefused sends r and checks how it is refused.
-func (b *bench) requireRefused(r Arrival, v verdict.Verdict, cause verdict.Cause) {
+func (b *bench) requireRefused(r Request, v verdict.Verdict, cause verdict.Cause) {
 	b.t.Helper()
 
-	d := b.core.Arrive(b.now, r)
+	d := b.core.Admit(b.now, r)
 	require.False(b.t, d.Admitted)
 	require.Equal(b.t, cause, d.Cause)
 	require.Equal(b.t, v, d.Verdict)
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -4,7 +4,7 @@
 
 // Grant gives an entry a credit. Without room the credit has no slots; a request
 // on it is let in only where room turns up that nobody else has reserved.
-func (c *Core) Grant(now time.Time, q GrantAsk) Grant {
+func (c *Core) Grant(now time.Time, q GrantRequest) Grant {
 	c.prepare()
 	c.unknown.expire(now)
 	c.share.sweep(now)
@@ -22,7 +22,7 @@
 	if !c.share.full(q.EntryID) {
 		e := c.share.of(q.EntryID)
 		c.share.lapse(e, now)
-		c.share.see(e, now.Add(c.Settings.ActiveFor))
+		c.share.see(e, now.Add(c.Settings.ActiveTimeout))
 		e.wanted = int(q.Wanted)
 		slots = c.allot(now, e, q.renewal)
 
@@ -62,14 +62,14 @@
 // returns when e should ask again.
 func (c *Core) reserve(now time.Time, e *entry, slots int) time.Time {
 	c.share.change(e, func(e *entry) { e.reserved = max(slots-e.inFlight, 0) })
-	e.reservedUntil = now.Add(c.Settings.ReserveFor)
+	e.reservedUntil = now.Add(c.Settings.ReservationTTL)
 
 	switch {
 	case slots > e.inFlight:
 		c.share.served(e)
 	case e.wanted > 0:
 		retryAt := now.Add(c.turnIn(e))
-		c.share.wait(e, retryAt.Add(c.Settings.WaitLife))
+		c.share.wait(e, retryAt.Add(c.Settings.WaitTimeout))
 
 		return retryAt
 	case e.asks > 0:
@@ -97,5 +97,5 @@
 		wanted = max(e.wanted, 1)
 	}
 
-	return c.Grant(now, GrantAsk{EntryID: entryID, Wanted: uint32(wanted), renewal: true})
+	return c.Grant(now, GrantRequest{EntryID: entryID, Wanted: uint32(wanted), renewal: true})
 }
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -18,28 +18,28 @@
 
 	cases := []struct {
 		name  string
-		first func(b *bench, r Arrival)
+		first func(b *bench, r Request)
 		want  verdict.Verdict
 		cause verdict.Cause
 		state wire.AskState
 	}{
-		{"while it runs", func(*bench, Arrival) {}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning},
+		{"while it runs", func(*bench, Request) {}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning},
 		{
-			"while it runs past its credit", func(b *bench, _ Arrival) { b.pass(10 * time.Minute) },
+			"while it runs past its credit", func(b *bench, _ Request) { b.pass(10 * time.Minute) },
 			verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning,
 		},
-		{"after it ran", func(b *bench, r Arrival) { b.ran(r, nil) }, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
-		{"after it ran, past its credit", func(b *bench, r Arrival) {
+		{"after it ran", func(b *bench, r Request) { b.ran(r, nil) }, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
+		{"after it ran, past its credit", func(b *bench, r Request) {
 			b.ran(r, nil)
 			b.pass(10 * time.Second)
 		}, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
-		{"after its answer broke", func(b *bench, r Arrival) {
+		{"after its answer broke", func(b *bench, r Request) {
 			b.core.Finish(b.now, r.AttemptID, Outcome{Abandoned: true})
 		}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskUnknown},
-		{"after the target refused to connect", func(b *bench, r Arrival) {
+		{"after the target refused to connect", func(b *bench, r Request) {
 			b.core.Finish(b.now, r.AttemptID, Outcome{Verdict: verdict.NotRun})
 		}, verdict.NotRun, verdict.CauseClosed, wire.AskState_AskClosed},
-		{"after it was forgotten", func(b *bench, r Arrival) {
+		{"after it was forgotten", func(b *bench, r Request) {
 			b.ran(r, nil)
 			b.pass(2 * time.Minute)
 		}, verdict.MayHaveRun, verdict.CauseCredit, wire.AskState_AskUnknown},
@@ -171,7 +171,7 @@
 	require.Equal(t, body, b.ask(old, false).Answer.GetBody())
 	b.ran(fresh, &wire.Answer{Status: 201, Body: body})
 
-	require.Equal(t, Fate{State: wire.AskState_AskRan}, b.ask(old, false))
+	require.Equal(t, AttemptStatus{State: wire.AskState_AskRan}, b.ask(old, false))
 	require.Equal(t, body, b.ask(fresh, false).Answer.GetBody())
 
 	b.pass(2 * time.Minute)
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -42,7 +42,7 @@
 	view    View
 	target  modelTarget
 	credits []Credit
-	sent    []Arrival
+	sent    []Request
 	// open are attempts that the present incarnation has admitted and not ended.
 	open []string
 	// ran and never record what is true for good; admitted counts per attempt.
@@ -63,7 +63,7 @@
 
 // settings make memory short and small, so that schedules go past both bounds.
 func (s *schedule) settings() Settings {
-	return Settings{RememberFor: 3 * time.Second, MaxAttempts: 8}
+	return Settings{AttemptRetention: 3 * time.Second, MaxAttempts: 8}
 }
 
 func (s *schedule) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(s.t, what) }
@@ -90,7 +90,7 @@
 func (s *schedule) announce() {
 	s.core.Announce(s.now, Announcement{
 		BootID: s.target.bootID, Service: "assist", Cold: s.target.cold,
-		InFlight: uint32(s.target.reported), Counted: s.pick(4, "counted") > 0,
+		InFlight: uint32(s.target.reported), InFlightKnown: s.pick(4, "counted") > 0,
 	})
 	s.count()
 }
@@ -100,7 +100,7 @@
 
 func (s *schedule) grant() {
 	id := fmt.Sprintf("entry-%d", s.pick(20, "entry"))
-	g := s.core.Grant(s.now, GrantAsk{EntryID: id, Wanted: uint32(s.pick(6, "wanted"))})
+	g := s.core.Grant(s.now, GrantRequest{EntryID: id, Wanted: uint32(s.pick(6, "wanted"))})
 	s.credits = append(s.credits, g.Credit)
 }
 
@@ -110,23 +110,23 @@
 		return
 	}
 
-	var r Arrival
+	var r Request
 	if len(s.sent) > 0 && s.pick(4, "again") == 0 {
 		r = s.sent[len(s.sent)-1-s.pick(min(len(s.sent), 20), "old")]
 	} else {
 		s.n++
 		c := s.credits[len(s.credits)-1-s.pick(min(len(s.credits), 4), "credit")]
-		r = Arrival{AttemptID: fmt.Sprint(s.n), Credit: c, Service: "assist", ViewVersion: s.view.Version}
+		r = Request{AttemptID: fmt.Sprint(s.n), Credit: c, Service: "assist", ViewVersion: s.view.Version}
 		s.sent = append(s.sent, r)
 	}
 
 	s.arrive(r)
 }
 
-func (s *schedule) arrive(r Arrival) {
+func (s *schedule) arrive(r Request) {
 	id := r.AttemptID
 	cold := s.core.Load().Cold
-	d := s.core.Arrive(s.now, r)
+	d := s.core.Admit(s.now, r)
 
 	if !d.Admitted {
 		sameAgent := r.Credit.Incarnation == s.core.Incarnation
@@ -203,16 +203,16 @@
 		return
 	}
 
-	var r Arrival
+	var r Request
 	if len(s.sent) > 0 && s.pick(2, "known") == 0 {
 		r = s.sent[s.pick(len(s.sent), "sent")]
 	} else {
 		s.n++
-		r = Arrival{AttemptID: fmt.Sprint(s.n), Credit: s.credits[len(s.credits)-1], Service: "assist"}
+		r = Request{AttemptID: fmt.Sprint(s.n), Credit: s.credits[len(s.credits)-1], Service: "assist"}
 		s.sent = append(s.sent, r)
 	}
 
-	f := s.core.Ask(s.now, Question{
+	f := s.core.QueryAttempt(s.now, AttemptQuery{
 		AttemptID: r.AttemptID, Incarnation: r.Credit.Incarnation,
 		CreditExpiresAtTick: r.Credit.ExpiresAtTick, Close: s.pick(2, "close") == 0,
 	})
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -34,9 +34,9 @@
 	}{
 		{"new boot", func(b *bench) { b.announce("boot-2", false) }, true},
 		{"engine's own word", func(b *bench) { b.announce("boot-1", true) }, true},
-		{"engine's word on an answer", func(b *bench) { b.core.ToldCold(b.now) }, true},
+		{"engine's word on an answer", func(b *bench) { b.core.ReportCold(b.now) }, true},
 		{"target silent", func(b *bench) {
-			b.now = b.now.Add(DefaultAnnounceSilence)
+			b.now = b.now.Add(DefaultAnnounceTimeout)
 			b.core.Tick(b.now)
 			b.announce("boot-1", false)
 		}, true},
@@ -72,7 +72,7 @@
 				b.serve(1, usual)
 			}
 
-			var in []Arrival
+			var in []Request
 			for range 32 {
 				in = append(in, b.admit())
 			}
@@ -166,7 +166,7 @@
 	b.announce("boot-2", false)
 	require.EqualValues(t, 8, b.core.Load().Limit)
 
-	in := []Arrival{b.admit(), b.admit(), b.admit()}
+	in := []Request{b.admit(), b.admit(), b.admit()}
 	b.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
 	require.EqualValues(t, 2, b.core.Load().Limit)
 
@@ -190,7 +190,7 @@
 	t.Parallel()
 
 	word := func(inFlight uint32, counted bool) Announcement {
-		return Announcement{BootID: "boot-1", Service: "assist", InFlight: inFlight, Counted: counted}
+		return Announcement{BootID: "boot-1", Service: "assist", InFlight: inFlight, InFlightKnown: counted}
 	}
 	restart := func(t *testing.T) *bench {
 		t.Helper()
@@ -213,7 +213,7 @@
 		b := restart(t)
 		b.core.Announce(b.now, word(0, false))
 		full(b)
-		b.pass(DefaultUnknownFor - time.Second)
+		b.pass(DefaultUnknownWorkTTL - time.Second)
 		full(b)
 		b.pass(time.Second)
 		b.admit()
@@ -243,7 +243,7 @@
 		r := b.admit()
 		b.core.Finish(b.now, r.AttemptID, Outcome{Abandoned: true})
 		full(b)
-		b.pass(DefaultSettleFor)
+		b.pass(DefaultCanceledWorkTTL)
 		b.admit()
 	})
 	t.Run("cancelled on a warm target", func(t *testing.T) {
--- a/internal/admission/share_test.go
+++ b/internal/admission/share_test.go
@@ -50,7 +50,7 @@
 			b := newBench(t, 2, 2)
 			served := make([]int, entries)
 			asksAt := make([]int, entries)
-			ends := map[int][]Arrival{}
+			ends := map[int][]Request{}
 			busy, asks := 0, 0
 
 			for e := range entries {
@@ -70,10 +70,10 @@
 
 					asks++
 
-					g := b.core.Grant(b.now, GrantAsk{EntryID: fmt.Sprintf("entry-%d", e), Wanted: 1})
+					g := b.core.Grant(b.now, GrantRequest{EntryID: fmt.Sprintf("entry-%d", e), Wanted: 1})
 					asksAt[e] = tc.next(now, e, g.RetryAt.Sub(b.now))
 
-					if r := b.arrival(g.Credit); g.Credit.Slots > 0 && b.core.Arrive(b.now, r).Admitted {
+					if r := b.arrival(g.Credit); g.Credit.Slots > 0 && b.core.Admit(b.now, r).Admitted {
 						served[e]++
 						ends[now+takes] = append(ends[now+takes], r)
 						asksAt[e] = now + takes + tc.rest
@@ -106,7 +106,7 @@
 		require.EqualValues(t, 14, b.grant("greedy", 64).Slots)
 		require.EqualValues(t, 2, b.grant("late", 8).Slots)
 
-		b.pass(DefaultReserveFor)
+		b.pass(DefaultReservationTTL)
 		greedy, late := b.grant("greedy", 64).Slots, b.grant("late", 8).Slots
 		require.LessOrEqual(t, greedy+late, uint32(16))
 		require.Positive(t, late)
@@ -117,7 +117,7 @@
 		b := newBench(t, 4, 4)
 		b.grant("gone", 4)
 		require.Zero(t, b.grant("entry-1", 4).Slots)
-		b.pass(DefaultReserveFor)
+		b.pass(DefaultReservationTTL)
 		require.EqualValues(t, 4, b.grant("entry-1", 4).Slots)
 	})
 	t.Run("an entry may give its credit back", func(t *testing.T) {
@@ -134,11 +134,11 @@
 		b := newBench(t, 4, 4)
 		one := b.grant("entry-1", 1)
 		two := b.grant("entry-2", 1)
-		require.True(t, b.core.Arrive(b.now, b.arrival(one)).Admitted)
-		require.True(t, b.core.Arrive(b.now, b.arrival(one)).Admitted)
-		require.True(t, b.core.Arrive(b.now, b.arrival(one)).Admitted)
+		require.True(t, b.core.Admit(b.now, b.arrival(one)).Admitted)
+		require.True(t, b.core.Admit(b.now, b.arrival(one)).Admitted)
+		require.True(t, b.core.Admit(b.now, b.arrival(one)).Admitted)
 		b.requireRefused(b.arrival(one), verdict.NotRun, verdict.CauseOverload)
-		require.True(t, b.core.Arrive(b.now, b.arrival(two)).Admitted, "reserved for the other entry")
+		require.True(t, b.core.Admit(b.now, b.arrival(two)).Admitted, "reserved for the other entry")
 	})
 	t.Run("credits that ride on answers keep nobody else out", func(t *testing.T) {
 		t.Parallel()
@@ -153,7 +153,7 @@
 			}
 
 			r := b.arrival(credits[id])
-			require.True(t, b.core.Arrive(b.now, r).Admitted, "refused with nothing in flight")
+			require.True(t, b.core.Admit(b.now, r).Admitted, "refused with nothing in flight")
 			b.ran(r, nil)
 			credits[id] = b.core.Renew(b.now, id).Credit
 			require.Positive(t, credits[id].Slots)
@@ -165,8 +165,8 @@
 
 		b := newBench(t, 4, 4)
 		r := b.arrival(b.grant("entry-1", 1))
-		b.core.Grant(b.now.Add(-time.Millisecond), GrantAsk{EntryID: "entry-2", Wanted: 1})
-		require.True(t, b.core.Arrive(b.now, r).Admitted)
+		b.core.Grant(b.now.Add(-time.Millisecond), GrantRequest{EntryID: "entry-2", Wanted: 1})
+		require.True(t, b.core.Admit(b.now, r).Admitted)
 	})
 	t.Run("a flood of entry IDs is bounded", func(t *testing.T) {
 		t.Parallel()
--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -53,11 +53,11 @@
 			b.view(tc.view)
 
 			if tc.leave {
-				b.core.Leave()
+				b.core.Drain()
 			}
 
 			if tc.want == "" {
-				require.True(t, b.core.Arrive(b.now, r).Admitted)
+				require.True(t, b.core.Admit(b.now, r).Admitted)
 				return
 			}
 
@@ -95,8 +95,8 @@
 	other.Service = "desk"
 	b.requireRefused(other, verdict.NotRun, verdict.CauseUnknownService)
 
-	b.now = b.now.Add(DefaultAnnounceSilence)
-	c = b.core.Grant(b.now, GrantAsk{EntryID: "entry-1", Wanted: 4}).Credit
+	b.now = b.now.Add(DefaultAnnounceTimeout)
+	c = b.core.Grant(b.now, GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
 	b.requireRefused(b.arrival(c), verdict.NotRun, verdict.CauseTargetDown)
 	b.core.Tick(b.now)
 	require.Zero(t, b.core.Load().Limit)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -106,7 +106,7 @@
 			Started:     a.Now(),
 			Settings:    a.Settings.Admission,
 		}
-		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, SettleFor: a.Settings.OrderSettle}
+		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.OrderSettle}
 	})
 }
 
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -58,7 +58,7 @@
 		a.View = func() admission.View {
 			return admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1024, WarmLimit: 1024}
 		}
-		a.Settings.Admission.RememberFor = time.Second
+		a.Settings.Admission.AttemptRetention = time.Second
 	})
 	r.post(AnnouncePath, `{"BootID":"boot-1","Address":"`+target.String()+`","Service":"`+testService+`","Capacity":1024,"InFlight":0}`, 204)
 
--- a/internal/agent/cold_test.go
+++ b/internal/agent/cold_test.go
@@ -53,7 +53,7 @@
 		t.Parallel()
 
 		g := newGate()
-		r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) { a.Settings.Admission.SettleFor = time.Hour })
+		r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) { a.Settings.Admission.CanceledWorkTTL = time.Hour })
 		r.view.Store(&admission.View{Version: 8, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1, WarmLimit: 2})
 		r.announce("boot-2")
 
--- a/internal/agent/door.go
+++ b/internal/agent/door.go
@@ -40,18 +40,18 @@
 	defer d.mu.Unlock()
 
 	core, now := d.lock(now)
-	core.ToldCold(now)
+	core.ReportCold(now)
 }
 
-func (d *door) arrive(now time.Time, r admission.Arrival) admission.Decision {
+func (d *door) arrive(now time.Time, r admission.Request) admission.Decision {
 	defer d.mu.Unlock()
 
 	c, now := d.lock(now)
 
-	return c.Arrive(now, r)
+	return c.Admit(now, r)
 }
 
-func (d *door) reject(now time.Time, r admission.Arrival, refusal *refusal) admission.Decision {
+func (d *door) reject(now time.Time, r admission.Request, refusal *refusal) admission.Decision {
 	defer d.mu.Unlock()
 
 	c, now := d.lock(now)
@@ -59,7 +59,7 @@
 	return c.Reject(now, r, refusal.cause)
 }
 
-func (d *door) grant(now time.Time, q admission.GrantAsk) (admission.Grant, admission.Load) {
+func (d *door) grant(now time.Time, q admission.GrantRequest) (admission.Grant, admission.Load) {
 	defer d.mu.Unlock()
 
 	c, now := d.lock(now)
@@ -67,12 +67,12 @@
 	return c.Grant(now, q), c.Load()
 }
 
-func (d *door) ask(now time.Time, q admission.Question) admission.Fate {
+func (d *door) ask(now time.Time, q admission.AttemptQuery) admission.AttemptStatus {
 	defer d.mu.Unlock()
 
 	c, now := d.lock(now)
 
-	return c.Ask(now, q)
+	return c.QueryAttempt(now, q)
 }
 
 func (d *door) firstToken(now time.Time, attemptID string) {
@@ -142,7 +142,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	d.core.Leave()
+	d.core.Drain()
 }
 
 func (d *door) leaving() bool {
--- a/internal/agent/entry_fault_test.go
+++ b/internal/agent/entry_fault_test.go
@@ -362,7 +362,7 @@
 	old := r.agent
 	r.agent = &Agent{
 		ID: old.ID, Zone: old.Zone, Incarnation: old.Incarnation + 1, Address: old.Address, View: old.View,
-		Settings: Settings{Admission: admission.Settings{AnnounceSilence: time.Hour}},
+		Settings: Settings{Admission: admission.Settings{AnnounceTimeout: time.Hour}},
 	}
 	r.start()
 
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -58,7 +58,7 @@
 		Address:     netip.MustParseAddrPort("127.0.0.1:0"),
 		View:        func() admission.View { return *r.view.Load() },
 	}
-	r.agent.Settings.Admission.AnnounceSilence = time.Hour
+	r.agent.Settings.Admission.AnnounceTimeout = time.Hour
 
 	if change != nil {
 		change(r.agent)
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -103,11 +103,11 @@
 
 	if a.HighestOrder != nil {
 		if n, known := a.HighestOrder(); known {
-			desk.core.Learn(n)
+			desk.core.ObserveNumber(n)
 		}
 	}
 
-	d := desk.core.Give(a.Now(), o)
+	d := desk.core.Submit(a.Now(), o)
 	if d.Action == orders.ActionSend {
 		desk.run = &orderRun{done: make(chan struct{})}
 	}
@@ -155,8 +155,8 @@
 		r = orders.Result{Cause: causeEngineDown, Detail: err.Error()}
 		desk.core.Completed(now, o.FencingNumber, r)
 	default:
-		r = orders.Result{Cause: orders.CauseLost, Detail: err.Error()}
-		desk.core.Lost(now, o.FencingNumber)
+		r = orders.Result{Cause: orders.CauseUnanswered, Detail: err.Error()}
+		desk.core.Unanswered(now, o.FencingNumber)
 	}
 
 	a.Logger.Info("Order ended.", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
@@ -219,11 +219,11 @@
 
 // report passes the target's word on to the core.
 func (d *orderDesk) report(now time.Time, an *Announcement) {
-	r := orders.Report{BootID: an.BootID, Enforces: an.Fences, Idle: an.OrdersIdle}
+	r := orders.Report{BootID: an.BootID, EnforcesFencing: an.Fences, Idle: an.OrdersIdle}
 
 	if an.FencingNumber != nil {
 		r.Highest = *an.FencingNumber
-		r.Counts = true
+		r.HasHighest = true
 	}
 
 	d.mu.Lock()
@@ -236,7 +236,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	d.core.Leave()
+	d.core.Drain()
 }
 
 // state is the highest number seen and that of the order at the engine.
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -187,8 +187,8 @@
 	return len(id) <= maxIDBytes && isFieldValue(id)
 }
 
-func arrivalOf(req *wire.Request) admission.Arrival {
-	return admission.Arrival{
+func arrivalOf(req *wire.Request) admission.Request {
+	return admission.Request{
 		AttemptID:   req.GetAttemptID(),
 		Credit:      creditFromWire(req.GetCredit()),
 		Service:     req.GetService(),
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -110,7 +110,7 @@
 
 	if an.InFlight != nil {
 		ev.InFlight = *an.InFlight
-		ev.Counted = true
+		ev.InFlightKnown = true
 	}
 
 	now := a.Now()
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -23,7 +23,7 @@
 
 	a := s.agent
 	now := a.Now()
-	g, l := a.door.grant(now, admission.GrantAsk{EntryID: r.GetEntryID(), Wanted: r.GetWanted()})
+	g, l := a.door.grant(now, admission.GrantRequest{EntryID: r.GetEntryID(), Wanted: r.GetWanted()})
 	a.counters.granted.Inc(1)
 
 	credit := creditToWire(g, now)
@@ -43,7 +43,7 @@
 
 	a := s.agent
 	a.counters.asked.Inc(1)
-	f := a.door.ask(a.Now(), admission.Question{
+	f := a.door.ask(a.Now(), admission.AttemptQuery{
 		AttemptID:           r.GetAttemptID(),
 		Incarnation:         r.GetIncarnation(),
 		CreditExpiresAtTick: r.GetCreditExpiresAtTick(),
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -61,7 +61,7 @@
 	DefaultHeartbeatEvery = time.Second
 	DefaultTickEvery      = 100 * time.Millisecond
 	DefaultOrderTimeout   = 5 * time.Minute
-	DefaultOrderSettle    = orders.DefaultSettleFor
+	DefaultOrderSettle    = orders.DefaultUnsettledTimeout
 	DefaultAskWait        = 5 * time.Second
 )
 
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -133,7 +133,7 @@
 	t.Run("announcements stop", func(t *testing.T) {
 		t.Parallel()
 
-		r := newRig(t, httpTarget(t, ok), func(a *Agent) { a.Settings.Admission.AnnounceSilence = time.Millisecond })
+		r := newRig(t, httpTarget(t, ok), func(a *Agent) { a.Settings.Admission.AnnounceTimeout = time.Millisecond })
 		time.Sleep(2 * time.Millisecond)
 
 		a := r.do(r.booking("/book", "x"))
--- a/internal/agentlink/ask.go
+++ b/internal/agentclient/ask.go
@@ -1,4 +1,4 @@
-package agentlink
+package agentclient
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 // Ask asks the agent at address what became of an attempt. It dials a new
 // connection each time, because the one that carried the attempt may be silent
 // for good while new ones work.
-func (l *Link) Ask(ctx context.Context, address netip.AddrPort, q *wire.AskRequest) (*wire.AskResponse, error) {
+func (l *Client) Ask(ctx context.Context, address netip.AddrPort, q *wire.AskRequest) (*wire.AskResponse, error) {
 	l.init()
 
-	ctx, cancel := context.WithTimeout(ctx, l.Silence)
+	ctx, cancel := context.WithTimeout(ctx, l.ReadTimeout)
 	defer cancel()
 
 	client := wire.NewAgentProtobufClient("http://"+address.String(), &http.Client{Transport: l.fresh})
@@ -27,10 +27,10 @@
 }
 
 // Grant asks the agent at address for a credit.
-func (l *Link) Grant(ctx context.Context, address netip.AddrPort, q *wire.GrantRequest) (*wire.GrantResponse, error) {
+func (l *Client) Grant(ctx context.Context, address netip.AddrPort, q *wire.GrantRequest) (*wire.GrantResponse, error) {
 	l.init()
 
-	ctx, cancel := context.WithTimeout(ctx, l.Silence)
+	ctx, cancel := context.WithTimeout(ctx, l.ReadTimeout)
 	defer cancel()
 
 	client := wire.NewAgentProtobufClient("http://"+address.String(), &http.Client{Transport: l.transport})
--- a/internal/agentlink/link.go
+++ b/internal/agentclient/link.go
@@ -1,7 +1,7 @@
-// Package agentlink is the entry's side of the connection to agents: it sends
+// Package agentclient is the entry's side of the connection to agents: it sends
 // requests, reads the framed answers, and asks about attempts over new
 // connections. A connection that fell silent or broke is closed and never used again.
-package agentlink
+package agentclient
 
 import (
 	"bufio"
@@ -37,14 +37,14 @@
 	maxIdlePerAgent = 64
 )
 
-// Link holds the connections of one entry to all agents. Its fields are set before use.
-type Link struct {
-	// Silence is how long an agent may send nothing before its connection counts
+// Client holds the connections of one entry to all agents. Its fields are set before use.
+type Client struct {
+	// ReadTimeout is how long an agent may send nothing before its connection counts
 	// as silent. Agents send a heartbeat each second.
-	Silence time.Duration
+	ReadTimeout time.Duration
 	// DialTimeout bounds a dial; IdleFor is how long an idle connection is kept.
-	DialTimeout time.Duration
-	IdleFor     time.Duration
+	DialTimeout     time.Duration
+	IdleConnTimeout time.Duration
 	// Dial replaces the dialer, for tests and TLS.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -68,7 +68,7 @@
 	Load *wire.Load
 }
 
-func (l *Link) init() {
+func (l *Client) init() {
 	l.once.Do(func() {
 		if l.Dial == nil {
 			l.Dial = (&net.Dialer{Timeout: l.DialTimeout, KeepAlive: -1}).DialContext
@@ -77,7 +77,7 @@
 		l.transport = &http.Transport{
 			DialContext:         l.Dial,
 			MaxIdleConnsPerHost: maxIdlePerAgent,
-			IdleConnTimeout:     l.IdleFor,
+			IdleConnTimeout:     l.IdleConnTimeout,
 			DisableCompression:  true,
 		}
 		l.fresh = &http.Transport{DialContext: l.Dial, DisableKeepAlives: true, DisableCompression: true}
@@ -85,7 +85,7 @@
 }
 
 // Send sends req to the agent at address and passes its answer on to rc.
-func (l *Link) Send(ctx context.Context, address netip.AddrPort, req *wire.Request, rc Receiver) Result {
+func (l *Client) Send(ctx context.Context, address netip.AddrPort, req *wire.Request, rc Receiver) Result {
 	l.init()
 
 	body, err := proto.Marshal(req)
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 
-	watch := time.AfterFunc(l.Silence, func() { cancel(errSilent) })
+	watch := time.AfterFunc(l.ReadTimeout, func() { cancel(errSilent) })
 	defer watch.Stop()
 
 	var conn net.Conn
@@ -122,7 +122,7 @@
 
 	in := &reader{
 		attempt: req.GetAttemptID(), receiver: rc, digest: xxhash.New(),
-		in: bufio.NewReaderSize(resp.Body, readBuffer), watch: watch, silence: l.Silence,
+		in: bufio.NewReaderSize(resp.Body, readBuffer), watch: watch, silence: l.ReadTimeout,
 	}
 
 	res, err := in.run(resp.StatusCode)
@@ -144,7 +144,7 @@
 }
 
 // fault names the verdict of a connection's fault.
-func (l *Link) fault(ctx context.Context, err error) *verdict.Error {
+func (l *Client) fault(ctx context.Context, err error) *verdict.Error {
 	var known *verdict.Error
 
 	switch {
@@ -163,7 +163,7 @@
 
 // silent closes the idle connections too: what lost track of one connection to
 // an agent has often lost its sisters, and each would cost a caller the wait again.
-func (l *Link) silent(err error) *verdict.Error {
+func (l *Client) silent(err error) *verdict.Error {
 	l.transport.CloseIdleConnections()
 
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, Err: err}
@@ -315,7 +315,7 @@
 }
 
 // Close closes the idle connections.
-func (l *Link) Close() {
+func (l *Client) Close() {
 	l.init()
 	l.transport.CloseIdleConnections()
 }
--- a/internal/agentlink/link_test.go
+++ b/internal/agentclient/link_test.go
@@ -1,4 +1,4 @@
-package agentlink_test
+package agentclient_test
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/loopback"
 	"github.com/parsleygate/parsleygate/internal/wire"
 	"github.com/parsleygate/parsleygate/pkg/verdict"
@@ -78,7 +78,7 @@
 func newAgent(t *testing.T, answer func(s *stream)) *agent {
 	a := &agent{}
 	web := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == agentlink.RequestPath {
+		if r.URL.Path == agentclient.RequestPath {
 			_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the other end go
 		}
 
@@ -96,8 +96,8 @@
 	return a
 }
 
-func newLink(t *testing.T) *agentlink.Link {
-	l := &agentlink.Link{Silence: patience, DialTimeout: time.Second, IdleFor: time.Minute}
+func newLink(t *testing.T) *agentclient.Client {
+	l := &agentclient.Client{ReadTimeout: patience, DialTimeout: time.Second, IdleConnTimeout: time.Minute}
 	t.Cleanup(l.Close)
 
 	return l
@@ -109,8 +109,8 @@
 	pause time.Duration
 }
 
-func (c *caller) receiver() agentlink.Receiver {
-	return agentlink.Receiver{
+func (c *caller) receiver() agentclient.Receiver {
+	return agentclient.Receiver{
 		Head: func(*wire.Head) error { return nil },
 		Data: func(b []byte) error {
 			time.Sleep(c.pause)
@@ -171,7 +171,7 @@
 
 			a, l, got := newAgent(t, c.answer), newLink(t), &caller{}
 			if c.cause == verdict.CauseSilent {
-				l.Silence = silence
+				l.ReadTimeout = silence
 			}
 
 			res := l.Send(t.Context(), a.address, &wire.Request{AttemptID: mine}, got.receiver())
@@ -200,7 +200,7 @@
 	a := newAgent(t, func(s *stream) { s.frames(head(mine), data("ab"), data("cd"), end(mine, "abcd")) })
 	got := &caller{pause: 2 * silence}
 	l := newLink(t)
-	l.Silence = silence
+	l.ReadTimeout = silence
 	res := l.Send(t.Context(), a.address, &wire.Request{AttemptID: mine}, got.receiver())
 	require.Nil(t, res.Err)
 	require.Equal(t, "abcd", got.got)
@@ -257,7 +257,7 @@
 		peers[s.r.RemoteAddr] = true
 		mu.Unlock()
 
-		if s.r.URL.Path == agentlink.RequestPath {
+		if s.r.URL.Path == agentclient.RequestPath {
 			s.frames(head(mine), end(mine, ""))
 
 			return
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -22,13 +22,13 @@
 		all[i] = dispatch.Target{ID: fmt.Sprintf("t%d", i), Service: "drafts", Slots: 12}
 	}
 
-	d.Change(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, all)
+	d.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, all)
 
 	now, n := begin, 0
 
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond / targets)
-		d.Report(now, "drafts", all[n%targets].ID, dispatch.Load{Running: 4, Pace: 1})
+		d.ReportLoad(now, "drafts", all[n%targets].ID, dispatch.Load{Running: 4, Slowdown: 1})
 
 		n++
 	}
--- a/internal/dispatch/crowding.go
+++ b/internal/dispatch/crowding.go
@@ -26,7 +26,7 @@
 
 	c.pauses = append(c.pauses, part)
 
-	if now.Sub(c.decided) < cfg.CrowdingEvery || len(c.pauses) < leastPauses {
+	if now.Sub(c.decided) < cfg.LimitUpdateInterval || len(c.pauses) < leastPauses {
 		return
 	}
 
@@ -40,17 +40,17 @@
 	}
 
 	switch {
-	case high > cfg.PauseHigh:
-		c.bound = max(c.bound*max(cfg.PauseHigh/high, sharpestFall), leastCrowding)
-	case high < cfg.PauseLow:
-		c.bound = min(c.bound+c.rise(high, cfg), float64(slots)+cfg.QueueAhead)
+	case high > cfg.HighEventGap:
+		c.bound = max(c.bound*max(cfg.HighEventGap/high, sharpestFall), leastCrowding)
+	case high < cfg.LowEventGap:
+		c.bound = min(c.bound+c.rise(high, cfg), float64(slots)+cfg.MaxQueuedPerTarget)
 	}
 }
 
 // rise is how far the bound goes up where pauses are high parts of what callers accept:
 // the further below the more, as it falls.
 func (c *crowding) rise(high float64, cfg *Settings) float64 {
-	return max(riseStep, c.bound*(min(cfg.PauseLow/high, sharpestRise)-1))
+	return max(riseStep, c.bound*(min(cfg.LowEventGap/high, sharpestRise)-1))
 }
 
 const (
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -20,10 +20,10 @@
 	Zone    string
 	Group   string
 	Slots   int
-	// Leaving targets, and those of a zone that is out, get no new work.
-	Leaving bool
-	// Silent targets have not announced themselves lately; they are the last choice.
-	Silent bool
+	// Draining targets, and those of a zone that is out, get no new work.
+	Draining bool
+	// Unresponsive targets have not announced themselves lately; they are the last choice.
+	Unresponsive bool
 	// Broken is set while the target's group cannot make a step.
 	Broken    bool
 	ColdUntil time.Time
@@ -37,8 +37,8 @@
 	// ColdPerSecond is how many requests a cold target bears in a second, from all
 	// entries together; zero: no bound.
 	ColdPerSecond float64
-	// MostConnections is how many connections a target takes from all entries together.
-	MostConnections int
+	// MaxConnections is how many connections a target takes from all entries together.
+	MaxConnections int
 	// Streams says that its targets are engines that stream, and slow each other down.
 	Streams bool
 }
@@ -48,16 +48,16 @@
 	ID        uint64
 	Service   string
 	Workspace string
-	// Rank orders requests, 0 first.
-	Rank uint32
-	// AimAt is until when the first answer is of full use, GiveUpAt when the caller
+	// Priority orders requests, 0 first.
+	Priority uint32
+	// SoftDeadline is until when the first answer is of full use, GiveUpAt when the caller
 	// is gone.
-	AimAt    time.Time
-	GiveUpAt time.Time
+	SoftDeadline time.Time
+	Deadline     time.Time
 	// Work is the expected work against that of a usual request; below 0 or zero counts as 1.
 	Work float64
-	// Tried are targets that this request must not be sent to again.
-	Tried []string
+	// Excluded are targets that this request must not be sent to again.
+	Excluded []string
 }
 
 // Action places or refuses one request.
@@ -69,8 +69,8 @@
 	// Cause and RetryAt say why a request was refused, and when to come back.
 	Cause   verdict.Cause
 	RetryAt time.Time
-	// Room is the state of the targets at a refusal.
-	Room Room
+	// Capacity is the state of the targets at a refusal.
+	Capacity CapacitySummary
 }
 
 // Load is what a target says of itself on an answer.
@@ -78,24 +78,24 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how many times longer than usual it takes; 0 where it does not say.
-	Pace float64
+	// Slowdown is how many times longer than usual it takes; 0 where it does not say.
+	Slowdown float64
 }
 
 // Outcome is how a request ended at a target.
 type Outcome uint8
 
 const (
-	// Served means that the target answered, whatever it said.
-	Served Outcome = iota
-	// Shed means that the target said that it did not run the request.
-	Shed
+	// Completed means that the target answered, whatever it said.
+	Completed Outcome = iota
+	// Rejected means that the target said that it did not run the request.
+	Rejected
 	// Failed means that the connection could not be opened, broke, or brought nothing usable.
 	Failed
-	// Left means that the caller went away, or its time ran out. It says nothing of the target.
-	Left
-	// Moved means that another target answers at the address.
-	Moved
+	// Canceled means that the caller went away, or its time ran out. It says nothing of the target.
+	Canceled
+	// Misdirected means that another target answers at the address.
+	Misdirected
 )
 
 // Dispatcher decides for all services of one entry. Its fields are set before the
@@ -111,8 +111,8 @@
 	newUntil time.Time
 }
 
-// Change takes in the targets and services as they are now.
-func (d *Dispatcher) Change(now time.Time, services []Service, targets []Target) []Action {
+// Update takes in the targets and services as they are now.
+func (d *Dispatcher) Update(now time.Time, services []Service, targets []Target) []Action {
 	if d.newUntil.IsZero() {
 		d.newUntil = now.Add(newFor)
 	}
@@ -151,18 +151,18 @@
 
 	for name, s := range known {
 		if d.services[name] == nil {
-			out = append(out, s.refuseAll(now, verdict.CauseUnknownService, d.Settings.ShortestRetry)...)
+			out = append(out, s.refuseAll(now, verdict.CauseUnknownService, d.Settings.MinRetryAfter)...)
 		}
 	}
 
 	return out
 }
 
-// Offer brings in a request. Without an action for it, it waits.
-func (d *Dispatcher) Offer(now time.Time, r Request) []Action {
+// Submit brings in a request. Without an action for it, it waits.
+func (d *Dispatcher) Submit(now time.Time, r Request) []Action {
 	s := d.services[r.Service]
 	if s == nil {
-		return []Action{{ID: r.ID, Cause: verdict.CauseNoTarget, RetryAt: now.Add(d.Settings.NoTargetRetry)}}
+		return []Action{{ID: r.ID, Cause: verdict.CauseNoTarget, RetryAt: now.Add(d.Settings.NoTargetRetryAfter)}}
 	}
 
 	if r.Work <= 0 {
@@ -170,7 +170,7 @@
 	}
 
 	if _, ok := s.opensAt(now, &r); !ok {
-		return []Action{{ID: r.ID, Cause: s.absence(&r), RetryAt: now.Add(d.Settings.NoTargetRetry)}}
+		return []Action{{ID: r.ID, Cause: s.absence(&r), RetryAt: now.Add(d.Settings.NoTargetRetryAfter)}}
 	}
 
 	s.waiting = append(s.waiting, waiting{Request: r, since: now})
@@ -185,8 +185,8 @@
 	}
 }
 
-// Report takes in what a target, or the agent beside it, said of its load.
-func (d *Dispatcher) Report(now time.Time, serviceName, targetID string, l Load) []Action {
+// ReportLoad takes in what a target, or the agent beside it, said of its load.
+func (d *Dispatcher) ReportLoad(now time.Time, serviceName, targetID string, l Load) []Action {
 	s := d.services[serviceName]
 	if s == nil || s.targets[targetID] == nil {
 		return nil
@@ -197,19 +197,19 @@
 	return d.place(now, s)
 }
 
-// Pause takes in a pause between two events of a stream, in parts of what its
+// ReportEventGap takes in a pause between two events of a stream, in parts of what its
 // caller accepts.
-func (d *Dispatcher) Pause(now time.Time, placed Action, part float64) {
+func (d *Dispatcher) ReportEventGap(now time.Time, placed Action, part float64) {
 	if s := d.services[placed.Target.Service]; s != nil && placed.Target.Slots > 0 {
 		s.crowding.pause(now, part*s.crowdedPart(), placed.Target.Slots, &d.Settings)
 		s.surge.pause(now, part, &d.Settings)
 	}
 }
 
-// First takes in how long a placed request waited for its first answer.
-func (d *Dispatcher) First(placed Action, took time.Duration) {
+// ReportFirstAnswer takes in how long a placed request waited for its first answer.
+func (d *Dispatcher) ReportFirstAnswer(placed Action, took time.Duration) {
 	if s := d.services[placed.Target.Service]; s != nil {
-		s.firstAnswer += (min(took, d.Settings.MostFirstAnswer) - s.firstAnswer) / firstMemory
+		s.firstAnswer += (min(took, d.Settings.MaxFirstAnswerTime) - s.firstAnswer) / firstMemory
 	}
 }
 
@@ -227,15 +227,15 @@
 		t.finish(now, work, o, &d.Settings)
 	}
 
-	if o == Served {
+	if o == Completed {
 		s.ends.add(now)
 	}
 
 	return d.place(now, s)
 }
 
-// Fault takes in that a target made another one fail: its group waits for it.
-func (d *Dispatcher) Fault(now time.Time, serviceName, targetID string) {
+// ReportFault takes in that a target made another one fail: its group waits for it.
+func (d *Dispatcher) ReportFault(now time.Time, serviceName, targetID string) {
 	if s := d.services[serviceName]; s != nil {
 		s.faultAt(now, targetID, &d.Settings)
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -39,16 +39,16 @@
 	for i := range targets {
 		b.targets = append(b.targets, dispatch.Target{
 			ID: fmt.Sprintf("t%d", i), Service: "drafts", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80),
-			Zone: "a", Group: "g", Slots: slots, Share: shares.Share{Of: entries},
+			Zone: "a", Group: "g", Slots: slots, Share: shares.Share{Entries: entries},
 		})
 	}
 
-	s := dispatch.Service{Name: "drafts", MostConnections: 298}
+	s := dispatch.Service{Name: "drafts", MaxConnections: 298}
 	if edit != nil {
 		edit(&s)
 	}
 
-	b.take(b.Change(begin, []dispatch.Service{s}, b.targets))
+	b.take(b.Update(begin, []dispatch.Service{s}, b.targets))
 
 	return b
 }
@@ -69,13 +69,13 @@
 	b.id++
 
 	r := dispatch.Request{
-		ID: b.id, Service: "drafts", AimAt: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(2 * time.Second),
+		ID: b.id, Service: "drafts", SoftDeadline: now.Add(500 * time.Millisecond), Deadline: now.Add(2 * time.Second),
 	}
 	if edit != nil {
 		edit(&r)
 	}
 
-	b.take(b.Offer(now, r))
+	b.take(b.Submit(now, r))
 
 	return b.id
 }
@@ -122,7 +122,7 @@
 						inTime++
 					}
 
-					b.end(now, id, dispatch.Served)
+					b.end(now, id, dispatch.Completed)
 				}
 			}
 		}
@@ -161,10 +161,10 @@
 	late := b.offer(begin, nil)
 	now := begin.Add(600 * time.Millisecond)
 	fresh := b.offer(now, nil)
-	urgent := b.offer(now, func(r *dispatch.Request) { r.Rank = 0; r.AimAt = now.Add(time.Second) })
+	urgent := b.offer(now, func(r *dispatch.Request) { r.Priority = 0; r.SoftDeadline = now.Add(time.Second) })
 
-	b.end(now, first, dispatch.Served)
-	b.end(now, second, dispatch.Served)
+	b.end(now, first, dispatch.Completed)
+	b.end(now, second, dispatch.Completed)
 	require.Contains(t, b.placed, fresh)
 	require.Contains(t, b.placed, urgent)
 	require.NotContains(t, b.placed, late)
@@ -180,12 +180,12 @@
 	b := newBench(t, 1, 1, 1, nil)
 	running := b.offer(begin, nil)
 	ahead := b.offer(begin, nil)
-	low := b.offer(begin, func(r *dispatch.Request) { r.Rank = 2 })
-	high := b.offer(begin, func(r *dispatch.Request) { r.Rank = 1 })
+	low := b.offer(begin, func(r *dispatch.Request) { r.Priority = 2 })
+	high := b.offer(begin, func(r *dispatch.Request) { r.Priority = 1 })
 
-	b.end(begin, running, dispatch.Served)
+	b.end(begin, running, dispatch.Completed)
 	require.Contains(t, b.placed, high)
-	b.end(begin, ahead, dispatch.Served)
+	b.end(begin, ahead, dispatch.Completed)
 	require.Contains(t, b.placed, low)
 }
 
@@ -199,8 +199,8 @@
 
 	for range 8 {
 		id := b.offer(begin, nil)
-		b.First(b.placed[id], 5*time.Second)
-		b.end(begin, id, dispatch.Served)
+		b.ReportFirstAnswer(b.placed[id], 5*time.Second)
+		b.end(begin, id, dispatch.Completed)
 	}
 
 	id := b.offer(begin.Add(time.Second), nil)
@@ -215,7 +215,7 @@
 
 	b := newBench(t, 2, 4, 7, nil)
 	for _, target := range b.targets {
-		b.take(b.Report(begin, "drafts", target.ID, dispatch.Load{Running: 4, Waiting: 4}))
+		b.take(b.ReportLoad(begin, "drafts", target.ID, dispatch.Load{Running: 4, Waiting: 4}))
 	}
 
 	id := b.offer(begin, nil)
@@ -233,7 +233,7 @@
 
 	b := newBench(t, 3, 12, 7, nil)
 	for i, running := range []int{6, 2, 6} {
-		b.take(b.Report(begin, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Running: running}))
+		b.take(b.ReportLoad(begin, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Running: running}))
 	}
 
 	for range 3 {
@@ -279,9 +279,9 @@
 		if a := b.placed[id]; a.Target.ID == "t0" {
 			shed++
 
-			b.end(now, id, dispatch.Shed)
+			b.end(now, id, dispatch.Rejected)
 		} else if a.Placed {
-			b.end(now, id, dispatch.Served)
+			b.end(now, id, dispatch.Completed)
 		}
 	}
 
@@ -297,22 +297,22 @@
 	now := begin
 
 	for _, want := range []time.Duration{300, 600, 1200, 2400, 4000, 4000} {
-		id := b.offer(now, func(r *dispatch.Request) { r.GiveUpAt = now.Add(time.Minute) })
+		id := b.offer(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
 		require.Contains(t, b.placed, id)
 		b.end(now, id, dispatch.Failed)
 
-		next := b.offer(now, func(r *dispatch.Request) { r.GiveUpAt = now.Add(time.Minute) })
+		next := b.offer(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
 		b.take(b.Tick(now.Add((want - 1) * time.Millisecond)))
 		require.NotContains(t, b.placed, next)
 
 		now = now.Add(want * time.Millisecond)
 		b.take(b.Tick(now))
 		require.Contains(t, b.placed, next)
-		b.end(now, next, dispatch.Left)
+		b.end(now, next, dispatch.Canceled)
 	}
 
 	id := b.offer(now, nil)
-	b.end(now, id, dispatch.Served)
+	b.end(now, id, dispatch.Completed)
 	require.Contains(t, b.placed, b.offer(now, nil))
 }
 
@@ -322,17 +322,17 @@
 	t.Parallel()
 
 	b := newBench(t, 2, 4, 1, nil)
-	id := b.offer(begin, func(r *dispatch.Request) { r.Tried = []string{"t0", "t1"} })
+	id := b.offer(begin, func(r *dispatch.Request) { r.Excluded = []string{"t0", "t1"} })
 	require.Equal(t, verdict.CauseTargetDown, b.refused[id].Cause)
 
 	id = b.offer(begin, func(r *dispatch.Request) { r.Service = "gone" })
 	require.Equal(t, verdict.CauseNoTarget, b.refused[id].Cause)
 
 	for i := range b.targets {
-		b.targets[i].Leaving = true
+		b.targets[i].Draining = true
 	}
 
-	b.take(b.Change(begin, []dispatch.Service{{Name: "drafts"}}, b.targets))
+	b.take(b.Update(begin, []dispatch.Service{{Name: "drafts"}}, b.targets))
 	id = b.offer(begin, nil)
 	require.Equal(t, verdict.CauseNoTarget, b.refused[id].Cause)
 }
@@ -358,7 +358,7 @@
 			b.targets[i].Share.Index = index
 		}
 
-		b.take(b.Change(begin, []dispatch.Service{{Name: "drafts", ColdPerSecond: perSecond}}, b.targets))
+		b.take(b.Update(begin, []dispatch.Service{{Name: "drafts", ColdPerSecond: perSecond}}, b.targets))
 		benches = append(benches, b)
 	}
 
@@ -373,7 +373,7 @@
 
 			for _, id := range b.order {
 				sent[b.placed[id].Target.ID] = append(sent[b.placed[id].Target.ID], now)
-				b.end(now, id, dispatch.Served)
+				b.end(now, id, dispatch.Completed)
 			}
 
 			b.order = nil
@@ -417,7 +417,7 @@
 	pauses := func(part float64, times int) {
 		for range times {
 			now = now.Add(20 * time.Millisecond)
-			b.Pause(now, b.placed[one], part)
+			b.ReportEventGap(now, b.placed[one], part)
 		}
 	}
 
@@ -427,7 +427,7 @@
 
 	for id := range b.placed {
 		if id != one {
-			b.end(now, id, dispatch.Served)
+			b.end(now, id, dispatch.Completed)
 		}
 	}
 
@@ -447,11 +447,11 @@
 
 	b := newBench(t, 1, 1, 1, nil)
 	first, second := b.offer(begin, nil), b.offer(begin, nil)
-	gone, next := b.offer(begin, nil), b.offer(begin, func(r *dispatch.Request) { r.AimAt = begin.Add(400 * time.Millisecond) })
+	gone, next := b.offer(begin, nil), b.offer(begin, func(r *dispatch.Request) { r.SoftDeadline = begin.Add(400 * time.Millisecond) })
 	b.Cancel("drafts", gone)
-	b.end(begin, first, dispatch.Left)
+	b.end(begin, first, dispatch.Canceled)
 	require.Contains(t, b.placed, next)
-	b.end(begin, second, dispatch.Left)
+	b.end(begin, second, dispatch.Canceled)
 	require.Zero(t, b.Waiting())
 }
 
@@ -463,7 +463,7 @@
 	b.offer(begin, nil)
 	b.offer(begin, nil)
 	waits := b.offer(begin, nil)
-	b.take(b.Change(begin, nil, nil))
+	b.take(b.Update(begin, nil, nil))
 	require.Equal(t, verdict.CauseUnknownService, b.refused[waits].Cause)
 }
 
@@ -473,7 +473,7 @@
 	t.Parallel()
 
 	b := newBench(t, 3, 4, 1, nil)
-	b.Fault(begin, "drafts", "t1")
+	b.ReportFault(begin, "drafts", "t1")
 
 	id := b.offer(begin, nil)
 	require.NotContains(t, b.placed, id)
@@ -489,12 +489,12 @@
 		targets = append(targets, dispatch.Target{ID: fmt.Sprint(i), Service: "drafts", Slots: 10})
 	}
 
-	d.Change(begin, []dispatch.Service{{Name: "drafts"}}, targets)
+	d.Update(begin, []dispatch.Service{{Name: "drafts"}}, targets)
 
 	for i := range b.N {
 		now := begin.Add(time.Duration(i) * time.Millisecond)
-		for _, a := range d.Offer(now, dispatch.Request{ID: uint64(i), Service: "drafts", AimAt: now.Add(time.Second), GiveUpAt: now.Add(time.Second)}) {
-			d.Finish(now, a, 1, dispatch.Served)
+		for _, a := range d.Submit(now, dispatch.Request{ID: uint64(i), Service: "drafts", SoftDeadline: now.Add(time.Second), Deadline: now.Add(time.Second)}) {
+			d.Finish(now, a, 1, dispatch.Completed)
 		}
 	}
 }
@@ -525,7 +525,7 @@
 	require.Equal(t, verdict.CauseTargetDown, b.refused[late].Cause)
 	require.Equal(t, now.Add(3*time.Second), b.refused[late].RetryAt, "no more than the longest retry")
 
-	patient := b.offer(now, func(r *dispatch.Request) { r.GiveUpAt = now.Add(5 * time.Second) })
+	patient := b.offer(now, func(r *dispatch.Request) { r.Deadline = now.Add(5 * time.Second) })
 	require.NotContains(t, b.refused, patient)
 	b.take(b.Tick(now.Add(4 * time.Second)))
 	require.Contains(t, b.placed, patient)
@@ -572,7 +572,7 @@
 	fill := func(paces ...float64) map[string]int {
 		b := newBench(t, len(paces), 10, 1, engines)
 		for i, p := range paces {
-			b.take(b.Report(begin, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Pace: p}))
+			b.take(b.ReportLoad(begin, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Slowdown: p}))
 		}
 
 		for range 40 {
@@ -589,11 +589,11 @@
 	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(4, 4, 4), "there is no better one")
 
 	b := newBench(t, 2, 10, 1, engines)
-	b.take(b.Report(begin, "drafts", "t0", dispatch.Load{Pace: 1}))
-	b.take(b.Report(begin, "drafts", "t1", dispatch.Load{Pace: 5}))
+	b.take(b.ReportLoad(begin, "drafts", "t0", dispatch.Load{Slowdown: 1}))
+	b.take(b.ReportLoad(begin, "drafts", "t1", dispatch.Load{Slowdown: 5}))
 
 	for range 12 {
-		b.offer(begin, func(r *dispatch.Request) { r.GiveUpAt = begin.Add(time.Minute) })
+		b.offer(begin, func(r *dispatch.Request) { r.Deadline = begin.Add(time.Minute) })
 	}
 
 	require.Equal(t, map[string]int{"t0": 6}, b.perTarget())
@@ -609,13 +609,13 @@
 
 	full := func(pace float64) int {
 		b := newBench(t, 3, 10, 1, func(s *dispatch.Service) { s.Streams = true })
-		b.take(b.Report(begin, "drafts", "t0", dispatch.Load{Pace: 1}))
-		b.take(b.Report(begin, "drafts", "t1", dispatch.Load{Pace: 1}))
-		b.take(b.Report(begin, "drafts", "t2", dispatch.Load{Pace: pace}))
+		b.take(b.ReportLoad(begin, "drafts", "t0", dispatch.Load{Slowdown: 1}))
+		b.take(b.ReportLoad(begin, "drafts", "t1", dispatch.Load{Slowdown: 1}))
+		b.take(b.ReportLoad(begin, "drafts", "t2", dispatch.Load{Slowdown: pace}))
 
 		stream := dispatch.Action{Target: b.targets[0]}
 		for i := range 100 { // somewhat longer than callers accept, for a second
-			b.Pause(begin.Add(time.Duration(i)*10*time.Millisecond), stream, 1.2)
+			b.ReportEventGap(begin.Add(time.Duration(i)*10*time.Millisecond), stream, 1.2)
 		}
 
 		for range 40 {
@@ -657,7 +657,7 @@
 			for _, target := range []string{"t0", "t1"} {
 				if id, ok := b.oldestAt(target); ok {
 					served[of[id]]++
-					b.end(now, id, dispatch.Served)
+					b.end(now, id, dispatch.Completed)
 				}
 			}
 		}
@@ -696,7 +696,7 @@
 			b.targets[i].Share.Index = index
 		}
 
-		b.take(b.Change(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
+		b.take(b.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
 
 		now := begin.Add(1300 * time.Millisecond)
 		for range waiting {
@@ -709,7 +709,7 @@
 			b.targets[i].Broken = false
 		}
 
-		b.take(b.Change(now, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
+		b.take(b.Update(now, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
 		sent += len(b.placed)
 	}
 
@@ -730,7 +730,7 @@
 		b.targets[2+i].Zone = "b"
 	}
 
-	b.take(b.Change(begin, []dispatch.Service{{Name: "drafts"}}, b.targets))
+	b.take(b.Update(begin, []dispatch.Service{{Name: "drafts"}}, b.targets))
 
 	for range 10 {
 		b.offer(begin, nil)
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -93,7 +93,7 @@
 	for _, p := range entries {
 		e := &fleetEntry{
 			zone: p.Zone, weight: math.Exp(f.unevenness * x.r.NormFloat64()), waiting: map[uint64]*job{},
-			uses:       shares.Subsets{Degree: f.degree}.Of(p, entries, places),
+			uses:       shares.Subsetter{Size: f.degree}.Targets(p, entries, places),
 			Dispatcher: &dispatch.Dispatcher{Settings: f.settings, Zone: p.Zone, Rand: rand.New(rand.NewPCG(seed, x.r.Uint64()))},
 		}
 
@@ -109,7 +109,7 @@
 		}
 
 		x.entry = append(x.entry, e)
-		x.take(begin, e, e.Change(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
+		x.take(begin, e, e.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
 	}
 
 	x.run()
@@ -117,10 +117,10 @@
 	return x
 }
 
-func (x *fleetRun) places(kind string, n int) []shares.Place {
-	var out []shares.Place
+func (x *fleetRun) places(kind string, n int) []shares.Node {
+	var out []shares.Node
 	for i := range n {
-		out = append(out, shares.Place{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint(i % x.zones)})
+		out = append(out, shares.Node{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint(i % x.zones)})
 	}
 
 	return out
@@ -190,7 +190,7 @@
 	x.arrived++
 	prompt := 2 + x.r.IntN(2)
 	e.waiting[x.id] = &job{entry: e, arrived: now, prompt: prompt, passes: prompt + 1 + int(min(37, 12*math.Exp(0.7*x.r.NormFloat64())))}
-	x.take(now, e, e.Offer(now, dispatch.Request{ID: x.id, Service: "drafts", AimAt: now.Add(x.aim), GiveUpAt: now.Add(x.patience)}))
+	x.take(now, e, e.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.aim), Deadline: now.Add(x.patience)}))
 }
 
 func (x *fleetRun) take(now time.Time, e *fleetEntry, actions []dispatch.Action) {
@@ -244,7 +244,7 @@
 	}
 
 	x.left++
-	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Left))
+	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Canceled))
 
 	return true
 }
@@ -266,11 +266,11 @@
 
 	if j.begun {
 		j.late = j.late || pause > x.gap+50*time.Millisecond
-		j.entry.Pause(now, j.placed, float64(pause)/float64(x.gap))
+		j.entry.ReportEventGap(now, j.placed, float64(pause)/float64(x.gap))
 	} else {
 		j.begun = true
 		j.late = now.Sub(j.arrived) > x.aim
-		j.entry.First(j.placed, pause)
+		j.entry.ReportFirstAnswer(j.placed, pause)
 	}
 
 	j.eventAt = now
@@ -285,7 +285,7 @@
 		x.inTime++
 	}
 
-	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Served))
+	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Completed))
 
 	return false
 }
@@ -298,7 +298,7 @@
 		}
 
 		for _, e := range t.users {
-			x.take(now, e, e.Report(now, "drafts", t.ID, dispatch.Load{Running: len(t.running), Waiting: len(t.queued), Pace: 1}))
+			x.take(now, e, e.ReportLoad(now, "drafts", t.ID, dispatch.Load{Running: len(t.running), Waiting: len(t.queued), Slowdown: 1}))
 		}
 	}
 }
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -75,7 +75,7 @@
 		targets = append(targets, dispatch.Target{ID: string(rune('a' + i)), Service: "drafts", Group: "g", Slots: g.slots})
 	}
 
-	x.take(begin, x.d.Change(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
+	x.take(begin, x.d.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
 	x.run()
 
 	return x
@@ -111,7 +111,7 @@
 	x.waiting[x.id] = &draft{
 		arrived: now, tokens: min(3000, 550*math.Exp(0.9*x.r.NormFloat64())), events: 1 + int(min(66, 20*math.Exp(0.7*x.r.NormFloat64()))),
 	}
-	x.take(now, x.d.Offer(now, dispatch.Request{ID: x.id, Service: "drafts", AimAt: now.Add(x.aim), GiveUpAt: now.Add(x.patience)}))
+	x.take(now, x.d.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.aim), Deadline: now.Add(x.patience)}))
 }
 
 func (x *groupRun) take(now time.Time, actions []dispatch.Action) {
@@ -159,11 +159,11 @@
 
 		if w.read {
 			w.late = w.late || pause > x.gap
-			x.d.Pause(now, w.placed, float64(pause)/float64(x.gap))
+			x.d.ReportEventGap(now, w.placed, float64(pause)/float64(x.gap))
 		} else {
 			w.read = true
 			w.late = now.Sub(w.arrived) > x.aim
-			x.d.First(w.placed, pause)
+			x.d.ReportFirstAnswer(w.placed, pause)
 		}
 
 		w.eventAt = now
@@ -186,7 +186,7 @@
 
 	for _, w := range ended {
 		if w.events == 0 {
-			x.take(now, x.d.Finish(now, w.placed, 1, dispatch.Served))
+			x.take(now, x.d.Finish(now, w.placed, 1, dispatch.Completed))
 		}
 	}
 }
@@ -207,7 +207,7 @@
 
 // unheld is the same day where no starts are held back.
 func (g groupDay) unheld() groupDay {
-	g.settings.LongStep, g.settings.FullStep = math.MaxFloat64/2, math.MaxFloat64
+	g.settings.LongStepGap, g.settings.NoStartGap = math.MaxFloat64/2, math.MaxFloat64
 
 	return g
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -28,7 +28,7 @@
 type crowd struct {
 	service dispatch.Service
 	targets []dispatch.Target
-	places  []shares.Place
+	places  []shares.Node
 	entries []*crowdEntry
 	id      uint64
 	sent    map[string][]time.Time
@@ -37,7 +37,7 @@
 type crowdEntry struct {
 	*dispatch.Dispatcher
 
-	place  shares.Place
+	place  shares.Node
 	placed []dispatch.Action
 }
 
@@ -51,7 +51,7 @@
 		}
 
 		c.targets = append(c.targets, t)
-		c.places = append(c.places, shares.Place{ID: t.ID, Zone: t.Zone})
+		c.places = append(c.places, shares.Node{ID: t.ID, Zone: t.Zone})
 	}
 
 	for range entries {
@@ -67,8 +67,8 @@
 }
 
 // match matches the entries of a roster with the targets.
-func (c *crowd) match(roster []shares.Place) *shares.Matching {
-	return shares.Subsets{Degree: shares.Degree(len(roster), len(c.targets))}.Match(roster, c.places)
+func (c *crowd) match(roster []shares.Node) *shares.Matching {
+	return shares.Subsetter{Size: shares.SubsetSize(len(roster), len(c.targets))}.Match(roster, c.places)
 }
 
 // join adds an entry.
@@ -76,15 +76,15 @@
 	c.id++
 	e := &crowdEntry{
 		Dispatcher: &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(c.id, 2))},
-		place:      shares.Place{ID: fmt.Sprintf("e%04d", c.id), Zone: fmt.Sprint(c.id % 5)},
+		place:      shares.Node{ID: fmt.Sprintf("e%04d", c.id), Zone: fmt.Sprint(c.id % 5)},
 	}
 	c.entries = append(c.entries, e)
 
 	return e
 }
 
-func (c *crowd) roster() []shares.Place {
-	out := make([]shares.Place, 0, len(c.entries))
+func (c *crowd) roster() []shares.Node {
+	out := make([]shares.Node, 0, len(c.entries))
 	for _, e := range c.entries {
 		out = append(out, e.place)
 	}
@@ -94,7 +94,7 @@
 
 // tell lets an entry know its targets by a matching, which may be of a wrong roster.
 func (c *crowd) tell(now time.Time, e *crowdEntry, by *shares.Matching) {
-	mine := by.Of(e.place.ID)
+	mine := by.Targets(e.place.ID)
 
 	var targets []dispatch.Target
 
@@ -105,7 +105,7 @@
 		}
 	}
 
-	c.take(now, e, e.Change(now, []dispatch.Service{c.service}, targets))
+	c.take(now, e, e.Update(now, []dispatch.Service{c.service}, targets))
 }
 
 func (c *crowd) take(now time.Time, e *crowdEntry, actions []dispatch.Action) bool {
@@ -126,9 +126,9 @@
 func (c *crowd) fill(now time.Time, e *crowdEntry) {
 	for {
 		c.id++
-		r := dispatch.Request{ID: c.id, Service: c.service.Name, AimAt: now.Add(time.Second), GiveUpAt: now.Add(time.Second)}
+		r := dispatch.Request{ID: c.id, Service: c.service.Name, SoftDeadline: now.Add(time.Second), Deadline: now.Add(time.Second)}
 
-		if !c.take(now, e, e.Offer(now, r)) {
+		if !c.take(now, e, e.Submit(now, r)) {
 			e.Cancel(c.service.Name, c.id)
 
 			return
@@ -139,7 +139,7 @@
 // end ends all requests of an entry.
 func (c *crowd) end(now time.Time, e *crowdEntry) {
 	for _, a := range e.placed {
-		c.take(now, e, e.Finish(now, a, 1, dispatch.Served))
+		c.take(now, e, e.Finish(now, a, 1, dispatch.Completed))
 	}
 
 	e.placed = nil
@@ -270,7 +270,7 @@
 
 	for range n {
 		e := c.join()
-		half := slices.DeleteFunc(c.roster(), func(p shares.Place) bool { return p.ID != e.place.ID && r.IntN(2) == 0 })
+		half := slices.DeleteFunc(c.roster(), func(p shares.Node) bool { return p.ID != e.place.ID && r.IntN(2) == 0 })
 		c.tell(now, e, c.match(half))
 
 		told[e] = now.Add(600 * time.Millisecond)
@@ -289,7 +289,7 @@
 			t.Run(fmt.Sprintf("%d connections, %d entries", most, entries), func(t *testing.T) {
 				t.Parallel()
 
-				c := newCrowd(entries, targets, dispatch.Service{Name: "desk", MostConnections: most}, func(t *dispatch.Target) { t.Slots = 0 })
+				c := newCrowd(entries, targets, dispatch.Service{Name: "desk", MaxConnections: most}, func(t *dispatch.Target) { t.Slots = 0 })
 				for _, e := range c.entries {
 					c.fill(begin, e)
 				}
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -33,7 +33,7 @@
 	s.leastPace, s.mostPace, s.pacesUntil = math.Inf(1), 0, now.Add(paceLife)
 
 	for _, t := range s.targets {
-		if t.pace == 0 || now.Sub(t.pacedAt) > paceLife || t.Leaving {
+		if t.pace == 0 || now.Sub(t.pacedAt) > paceLife || t.Draining {
 			continue
 		}
 
--- a/internal/dispatch/room.go
+++ b/internal/dispatch/room.go
@@ -26,8 +26,8 @@
 	obstacles
 )
 
-// Room is the state of a service's targets at the time of a refusal, for logs.
-type Room struct {
+// CapacitySummary is the state of a service's targets at the time of a refusal, for logs.
+type CapacitySummary struct {
 	targets  [obstacles]int
 	waiting  int
 	bound    float64
@@ -36,8 +36,8 @@
 	firstAns time.Duration
 }
 
-func (d *Dispatcher) room(now time.Time, s *service) Room {
-	r := Room{
+func (d *Dispatcher) room(now time.Time, s *service) CapacitySummary {
+	r := CapacitySummary{
 		waiting: len(s.waiting), bound: s.crowding.bound, others: s.others.at(now),
 		perSec: s.ends.perSecond(now), firstAns: s.firstAnswer,
 	}
@@ -50,7 +50,7 @@
 }
 
 // LogValue implements slog.LogValuer.
-func (r Room) LogValue() slog.Value {
+func (r CapacitySummary) LogValue() slog.Value {
 	t := &r.targets
 
 	return slog.StringValue(fmt.Sprintf(
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -87,7 +87,7 @@
 // pause where all are left alone. It reports false if there is none to wait for.
 func (s *service) opensAt(now time.Time, r *Request) (at time.Time, ok bool) {
 	for _, t := range s.sorted {
-		if t.Leaving || slices.Contains(r.Tried, t.ID) {
+		if t.Draining || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
@@ -104,7 +104,7 @@
 }
 
 func (s *service) absence(r *Request) verdict.Cause {
-	if len(r.Tried) > 0 {
+	if len(r.Excluded) > 0 {
 		return verdict.CauseTargetDown
 	}
 
@@ -148,7 +148,7 @@
 
 // limit returns how many requests t may have.
 func (s *service) limit(now time.Time, t *target, cfg *Settings) float64 {
-	most := float64(t.Slots) + cfg.QueueAhead
+	most := float64(t.Slots) + cfg.MaxQueuedPerTarget
 	if !s.Streams {
 		return most
 	}
@@ -161,11 +161,11 @@
 // newest first: in a burst, first come, first served would make every request late. Late
 // ones follow in the order in which their callers give up.
 func order(due time.Time, a, b *waiting) int {
-	if a.Rank != b.Rank {
-		return cmp.Compare(a.Rank, b.Rank)
+	if a.Priority != b.Priority {
+		return cmp.Compare(a.Priority, b.Priority)
 	}
 
-	lateA, lateB := !due.Before(a.AimAt), !due.Before(b.AimAt)
+	lateA, lateB := !due.Before(a.SoftDeadline), !due.Before(b.SoftDeadline)
 
 	switch {
 	case lateA != lateB && lateB:
@@ -173,7 +173,7 @@
 	case lateA != lateB:
 		return 1
 	case lateA:
-		return a.GiveUpAt.Compare(b.GiveUpAt)
+		return a.Deadline.Compare(b.Deadline)
 	default:
 		return b.since.Compare(a.since)
 	}
@@ -196,20 +196,20 @@
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool {
 		opens, ok := s.opensAt(now, &w.Request)
 		closed := opens.Sub(now)
-		left := w.GiveUpAt.Sub(due) - closed
+		left := w.Deadline.Sub(due) - closed
 		queued := time.Duration(0)
 
 		if perSecond > 0 {
 			queued = time.Duration(float64(ahead) / perSecond * float64(time.Second))
 		}
 
-		late := !due.Before(w.AimAt)
+		late := !due.Before(w.SoftDeadline)
 
 		switch {
 		case !ok:
-			out = append(out, Action{ID: w.ID, Cause: s.absence(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetry), Room: d.room(now, s)})
+			out = append(out, Action{ID: w.ID, Cause: s.absence(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetryAfter), Capacity: d.room(now, s)})
 		case left <= 0, late && perSecond > 0 && queued > left:
-			out = append(out, Action{ID: w.ID, Cause: d.shortage(now, s), RetryAt: now.Add(d.retryIn(closed + queued)), Room: d.room(now, s)})
+			out = append(out, Action{ID: w.ID, Cause: d.shortage(now, s), RetryAt: now.Add(d.retryIn(closed + queued)), Capacity: d.room(now, s)})
 		default:
 			ahead++
 
@@ -240,7 +240,7 @@
 }
 
 func (d *Dispatcher) retryIn(wait time.Duration) time.Duration {
-	return min(max(wait, d.Settings.ShortestRetry), d.Settings.LongestRetry)
+	return min(max(wait, d.Settings.MinRetryAfter), d.Settings.MaxRetryAfter)
 }
 
 // choose returns the target with the least load that may take r now, or nil.
@@ -251,7 +251,7 @@
 	ties := 0
 
 	for _, t := range s.sorted {
-		if d.obstacle(now, s, t) != obstacleNone || slices.Contains(r.Tried, t.ID) {
+		if d.obstacle(now, s, t) != obstacleNone || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
@@ -279,7 +279,7 @@
 		return 0
 	}
 
-	return d.Settings.ZoneCost
+	return d.Settings.CrossZoneCost
 }
 
 // costTie is the difference in load (parts of the slots) below which targets count as equal.
@@ -288,7 +288,7 @@
 // obstacle returns why t may not get a request now; obstacleNone where it may.
 func (d *Dispatcher) obstacle(now time.Time, s *service, t *target) obstacle {
 	switch {
-	case t.Leaving:
+	case t.Draining:
 		return obstacleLeaving
 	case t.Broken:
 		return obstacleBroken
@@ -296,7 +296,7 @@
 		return obstaclePaused
 	case t.Slots > 0 && d.full(now, s, t):
 		return obstacleFull
-	case s.MostConnections > 0 && t.own >= t.Share.Units(now, float64(s.MostConnections)):
+	case s.MaxConnections > 0 && t.own >= t.Share.Units(now, float64(s.MaxConnections)):
 		return obstacleConnections
 	case s.ColdPerSecond > 0 && t.sentSince(now.Add(-d.Settings.ColdWindow)) >= d.coldShare(now, s, t):
 		return obstacleCold
@@ -324,7 +324,7 @@
 		return false
 	}
 
-	return load+1+d.Settings.BorrowReserve*float64(t.Share.Of-1) <= limit
+	return load+1+d.Settings.BorrowReserve*float64(t.Share.Entries-1) <= limit
 }
 
 // coldUnknown is how far above the declared bound of a cold target all entries
@@ -340,7 +340,7 @@
 // word, so warm ones have a bound too, which usual load does not reach. An entry that has
 // just started may know few of the others, and take too large a part.
 func (d *Dispatcher) coldShare(now time.Time, s *service, t *target) int {
-	bound := s.ColdPerSecond * d.Settings.ColdReserve
+	bound := s.ColdPerSecond * d.Settings.ColdUtilization
 	if !now.Before(t.ColdUntil) {
 		bound *= coldUnknown
 	}
--- a/internal/dispatch/surge.go
+++ b/internal/dispatch/surge.go
@@ -51,7 +51,7 @@
 
 // step takes in how long a step was.
 func (s *surge) step(now time.Time, part float64, cfg *Settings) {
-	if part < cfg.LongStep {
+	if part < cfg.LongStepGap {
 		s.usual += (s.started - s.usual) / startsMemory
 		s.since, s.left = time.Time{}, 0
 	} else {
@@ -59,7 +59,7 @@
 			s.since = now
 		}
 
-		s.left = s.usual * max(0, (cfg.FullStep-part)/(cfg.FullStep-cfg.LongStep))
+		s.left = s.usual * max(0, (cfg.NoStartGap-part)/(cfg.NoStartGap-cfg.LongStepGap))
 	}
 
 	s.started = 0
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -47,7 +47,7 @@
 		return float64(t.own) + mean
 	}
 
-	age := float64(now.Sub(t.reported)) / float64(cfg.LoadMemory)
+	age := float64(now.Sub(t.reported)) / float64(cfg.LoadDecay)
 
 	return float64(t.own) + mean + (t.others-mean)*math.Exp(-age)
 }
@@ -63,7 +63,7 @@
 	c := t.load(now, s, cfg) + workShare*(t.work-float64(t.own))
 	c /= t.slots()
 
-	if t.Silent {
+	if t.Unresponsive {
 		c += silentCost
 	}
 
@@ -93,17 +93,17 @@
 	t.work = max(0, t.work-work)
 
 	switch o {
-	case Served:
+	case Completed:
 		t.fails = 0
-	case Shed:
-		t.pause(now.Add(cfg.ShedPause), true)
+	case Rejected:
+		t.pause(now.Add(cfg.RejectionBackoff), true)
 	case Failed:
 		t.fails++
-		t.pause(now.Add(min(cfg.FirstPause<<min(t.fails-1, 8), cfg.LongestPause)), false)
-	case Moved:
+		t.pause(now.Add(min(cfg.BaseEjectionTime<<min(t.fails-1, 8), cfg.MaxEjectionTime)), false)
+	case Misdirected:
 		// The directory will name the address's new holder.
-		t.pause(now.Add(cfg.LongestPause), false)
-	case Left:
+		t.pause(now.Add(cfg.MaxEjectionTime), false)
+	case Canceled:
 	}
 }
 
@@ -119,8 +119,8 @@
 	t.reported = now
 	s.others.add(now, t.others, len(s.targets))
 
-	if l.Pace > 0 {
-		s.setPace(now, t, l.Pace)
+	if l.Slowdown > 0 {
+		s.setPace(now, t, l.Slowdown)
 	}
 }
 
@@ -133,7 +133,7 @@
 
 	for _, t := range s.targets {
 		if t.Group == culprit.Group {
-			t.pause(now.Add(cfg.GroupPause), false)
+			t.pause(now.Add(cfg.GroupEjectionTime), false)
 		}
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -16,7 +16,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/retries"
 	"github.com/parsleygate/parsleygate/internal/routing"
 	"github.com/parsleygate/parsleygate/internal/wire"
@@ -66,7 +66,7 @@
 	Region string
 	// Listener is where callers connect.
 	Listener net.Listener
-	Link     *agentlink.Link
+	Link     *agentclient.Client
 	Chooser  *routing.Chooser
 	Budget   *retries.Budget
 	Known    func() Known
@@ -160,13 +160,13 @@
 }
 
 func (e *Entry) renewCredits(ctx context.Context, now time.Time) {
-	for _, ask := range e.Chooser.CreditAsks(now) {
+	for _, ask := range e.Chooser.CreditRequests(now) {
 		go func() { _ = e.credit(ctx, ask) }()
 	}
 }
 
 // credit asks an agent for a credit and takes in what it says.
-func (e *Entry) credit(ctx context.Context, ask routing.CreditAsk) error {
+func (e *Entry) credit(ctx context.Context, ask routing.CreditRequest) error {
 	sent := time.Now()
 
 	r, err := e.Link.Grant(ctx, ask.Addr, &wire.GrantRequest{
@@ -195,8 +195,8 @@
 		return
 	}
 
-	e.Chooser.Credit(routing.CreditChanged{
-		AskAgainAt:  againAt,
+	e.Chooser.ApplyCredit(routing.CreditChanged{
+		RetryAt:     againAt,
 		AgentID:     c.GetAgentID(),
 		Incarnation: c.GetIncarnation(),
 		Slots:       int(c.GetSlots()),
@@ -206,7 +206,7 @@
 
 	if c.GetSlots() > 0 {
 		now := time.Now()
-		e.queue(service).changeRoom(now, e.Chooser.Room(now, service))
+		e.queue(service).changeRoom(now, e.Chooser.Capacity(now, service))
 	}
 }
 
@@ -215,7 +215,7 @@
 		return
 	}
 
-	e.Chooser.Report(routing.ReportReceived{
+	e.Chooser.ApplyReport(routing.ReportReceived{
 		AgentID: agentID, Incarnation: l.GetCredit().GetIncarnation(), TakenAt: taken,
 		InFlight: int(l.GetInFlight()), Limit: int(l.GetLimit()), Queued: int(l.GetQueued()),
 		Cold: l.GetCold(), Leaving: l.GetLeaving(),
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/control"
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/retries"
@@ -36,7 +36,7 @@
 )
 
 // impatient makes an entry wait for a silent agent no longer than testSilence.
-func impatient(e *Entry) { e.Link.Silence = testSilence }
+func impatient(e *Entry) { e.Link.ReadTimeout = testSilence }
 
 // fakeAgent answers requests by a script: one behaviour for each request that it
 // or one of its siblings gets.
@@ -82,7 +82,7 @@
 
 	a := &fakeAgent{id: id, scripted: x}
 	mux := http.NewServeMux()
-	mux.HandleFunc(agentlink.RequestPath, a.serve)
+	mux.HandleFunc(agentclient.RequestPath, a.serve)
 	mux.Handle(wire.AgentPathPrefix, wire.NewAgentServer(a))
 	a.server = httptest.NewServer(mux)
 	t.Cleanup(func() {
@@ -203,7 +203,7 @@
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(1, 1))}
 	e := &Entry{
 		ID: "entry-1", Zone: "muscat-a", Listener: listener, Seed: 1,
-		Link:    &agentlink.Link{Silence: testPatience, DialTimeout: time.Second, IdleFor: time.Second},
+		Link:    &agentclient.Client{ReadTimeout: testPatience, DialTimeout: time.Second, IdleConnTimeout: time.Second},
 		Chooser: chooser, Budget: &retries.Budget{Rand: rand.New(rand.NewPCG(1, 2))},
 		Claim: claims.Claim, Settle: claims.Settle, Limits: DefaultLimits(), Logger: logs.Discard(),
 		Known: func() Known {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -52,7 +52,7 @@
 		return
 	}
 
-	e.Budget.Fresh(time.Now())
+	e.Budget.RecordRequest(time.Now())
 	e.run(w, r, c)
 }
 
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -36,14 +36,14 @@
 		core:    &fairness.Queue{Rand: e.newRand(uint64(len(e.queues)) + 1)},
 		waiting: make(map[uint64]chan fairness.Action),
 	}
-	q.core.SetCapacity(time.Now(), e.Chooser.Room(time.Now(), service).Slots)
+	q.core.SetCapacity(time.Now(), e.Chooser.Capacity(time.Now(), service).Slots)
 	e.queues[service] = q
 
 	return q
 }
 
 // changeRoom lets waiting requests start where there is room for them now.
-func (q *queue) changeRoom(now time.Time, r routing.Room) {
+func (q *queue) changeRoom(now time.Time, r routing.Capacity) {
 	q.deliver(q.core.SetCapacity(now, r.Slots))
 }
 
@@ -54,10 +54,10 @@
 
 	for name, q := range queues {
 		if q.core.State().Waiting > 0 {
-			e.Chooser.Demand(now, name)
+			e.Chooser.RecordDemand(now, name)
 		}
 
-		q.changeRoom(now, e.Chooser.Room(now, name))
+		q.changeRoom(now, e.Chooser.Capacity(now, name))
 		q.deliver(q.core.Tick(now))
 	}
 }
@@ -108,7 +108,7 @@
 	q.waiting[id] = turn
 	q.mu.Unlock()
 
-	q.deliver(q.core.PutBack(time.Now(), id))
+	q.deliver(q.core.Requeue(time.Now(), id))
 
 	return q.turn(ctx, id, turn)
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/wire"
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
@@ -33,8 +33,8 @@
 
 // relay passes an answer on as it comes. resuming says that the caller has its
 // beginning already.
-func (p *reply) relay(resumable, resuming bool) agentlink.Receiver {
-	return agentlink.Receiver{
+func (p *reply) relay(resumable, resuming bool) agentclient.Receiver {
+	return agentclient.Receiver{
 		Head: func(h *wire.Head) error {
 			if resuming {
 				return p.resumeHead(h)
@@ -194,8 +194,8 @@
 	spill  *reply
 }
 
-func (c *collector) receiver() agentlink.Receiver {
-	return agentlink.Receiver{
+func (c *collector) receiver() agentclient.Receiver {
+	return agentclient.Receiver{
 		Head: func(h *wire.Head) error {
 			c.answer = &wire.Answer{Status: h.GetStatus(), Headers: h.GetHeaders()}
 
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -133,8 +133,8 @@
 
 	d := k.entry.Budget.Decide(now, retries.Failure{
 		Verdict: err.Verdict, Cause: err.Cause, RetryAt: err.RetryAt, Idempotent: k.call.idempotent,
-		Tries: tries, Deadline: k.call.deadline,
-		OtherTargets: k.entry.Chooser.Room(now, k.call.service.GetName()).Targets > len(k.tried()),
+		Attempts: tries, Deadline: k.call.deadline,
+		OtherTargets: k.entry.Chooser.Capacity(now, k.call.service.GetName()).Targets > len(k.tried()),
 	})
 
 	return d.At, d.Retry
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/exchange"
 	"github.com/parsleygate/parsleygate/internal/routing"
 	"github.com/parsleygate/parsleygate/internal/wire"
@@ -87,7 +87,7 @@
 }
 
 // watch notes the answer's status and the time to its first byte.
-func (k *course) watch(start time.Time, rc *agentlink.Receiver) *int32 {
+func (k *course) watch(start time.Time, rc *agentclient.Receiver) *int32 {
 	var (
 		status int32
 		begun  bool
@@ -102,7 +102,7 @@
 	rc.Data = func(b []byte) error {
 		if !begun {
 			begun = true
-			k.entry.Chooser.Begin(routing.FirstByte{
+			k.entry.Chooser.RecordFirstByte(routing.FirstByte{
 				AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation, Wait: time.Since(start),
 			})
 		}
@@ -125,7 +125,7 @@
 }
 
 // learn tells the chooser how the attempt ended.
-func (k *course) learn(start time.Time, res agentlink.Result, status int32) {
+func (k *course) learn(start time.Time, res agentclient.Result, status int32) {
 	now := time.Now()
 	ev := routing.Finished{
 		AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation, Verdict: verdict.Ran,
@@ -138,7 +138,7 @@
 	}
 
 	if ev.Cause == verdict.CauseSilent {
-		k.entry.Chooser.Silence(now, routing.TargetSilent{AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation})
+		k.entry.Chooser.RecordUnresponsive(now, routing.ConnectionUnresponsive{AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation})
 	}
 
 	k.entry.Chooser.Finish(now, ev)
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -30,9 +30,9 @@
 func (k *course) choose(ctx context.Context, at time.Time) exchange.Action {
 	wait(ctx, at)
 
-	k.entry.Chooser.Demand(time.Now(), k.call.service.GetName())
+	k.entry.Chooser.RecordDemand(time.Now(), k.call.service.GetName())
 
-	if gone := k.entry.Chooser.Gone(time.Now(), k.call.service.GetName()); gone != nil {
+	if gone := k.entry.Chooser.Unavailable(time.Now(), k.call.service.GetName()); gone != nil {
 		return k.ex.NoTarget(gone.Refusal())
 	}
 
@@ -93,7 +93,7 @@
 
 // triedAll reports whether every target has failed this request, or refused it as stale.
 func (k *course) triedAll() bool {
-	n := k.entry.Chooser.Room(time.Now(), k.call.service.GetName()).Targets
+	n := k.entry.Chooser.Capacity(time.Now(), k.call.service.GetName()).Targets
 
 	return len(k.tried()) >= n
 }
@@ -142,7 +142,7 @@
 	e := k.entry
 
 	for {
-		choice, none := e.Chooser.Choose(time.Now(), routing.Ask{
+		choice, none := e.Chooser.Choose(time.Now(), routing.Request{
 			Service: k.call.service.GetName(), Zone: e.Zone, Region: e.Region,
 			Excluded: k.tried(), Idempotent: k.call.idempotent, Prefixes: k.call.prefixes(),
 		})
@@ -174,7 +174,7 @@
 // credit returns the credit in force for a choice, asking for one if need be.
 func (k *course) credit(ctx context.Context, c routing.Choice) (*wire.Credit, error) {
 	if c.NeedsCredit {
-		ask := routing.CreditAsk{Service: k.call.service.GetName(), AgentID: c.AgentID, Addr: c.Addr, Incarnation: c.Incarnation, Wanted: 1}
+		ask := routing.CreditRequest{Service: k.call.service.GetName(), AgentID: c.AgentID, Addr: c.Addr, Incarnation: c.Incarnation, Wanted: 1}
 		if err := k.entry.credit(ctx, ask); err != nil {
 			return nil, err
 		}
--- a/internal/fairness/decisions_test.go
+++ b/internal/fairness/decisions_test.go
@@ -59,7 +59,7 @@
 			case "cancel":
 				out = q.Cancel(now, id)
 			case "putback":
-				out = q.PutBack(now, id)
+				out = q.Requeue(now, id)
 			case "tick":
 				out = q.Tick(now)
 			}
--- a/internal/fairness/queue.go
+++ b/internal/fairness/queue.go
@@ -151,10 +151,10 @@
 // gone, or it was not run after all. Nothing is learned from it.
 func (q *Queue) Cancel(now time.Time, id uint64) []Action { return q.end(now, id, false) }
 
-// PutBack lets a running item that was not run after all, for want of room at
+// Requeue lets a running item that was not run after all, for want of room at
 // the targets, wait again before the others of its workspace and priority. Its
 // action comes with the rest: it may start again at once, or be refused.
-func (q *Queue) PutBack(now time.Time, id uint64) []Action {
+func (q *Queue) Requeue(now time.Time, id uint64) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.start()
--- a/internal/fairness/queue_test.go
+++ b/internal/fairness/queue_test.go
@@ -140,7 +140,7 @@
 		delete(c.running, id)
 		c.waiting[id] = deadline
 		c.maxRun = max(c.cap, len(c.running))
-		c.take(t, now, c.q.PutBack(now, id))
+		c.take(t, now, c.q.Requeue(now, id))
 
 		return
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/latency/spread_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package latency_test
 
 import (
 	"fmt"
@@ -8,18 +8,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/parsleygate/parsleygate/internal/spread"
+	"github.com/parsleygate/parsleygate/internal/latency"
 )
 
-func ExampleSpread() {
-	var s spread.Spread
+func ExampleEstimator() {
+	var s latency.Estimator
 
 	for range 10 {
-		s.Learn(90*time.Millisecond, 4)
-		s.Learn(110*time.Millisecond, 4)
+		s.Observe(90*time.Millisecond, 4)
+		s.Observe(110*time.Millisecond, 4)
 	}
 
-	within, known := s.Within(3)
+	within, known := s.UpperBound(3)
 	fmt.Println(s.Mean.Round(10*time.Millisecond), within > 120*time.Millisecond, known)
 	// Output: 100ms true true
 }
@@ -32,18 +32,18 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	over := 0
 
-	var s spread.Spread
+	var s latency.Estimator
 
 	const samples = 20_000
 
 	for range samples {
 		d := time.Duration(r.ExpFloat64() * float64(time.Second))
 
-		if within, known := s.Within(3); known && d > within {
+		if within, known := s.UpperBound(3); known && d > within {
 			over++
 		}
 
-		s.Learn(d, 32)
+		s.Observe(d, 32)
 	}
 
 	require.Less(t, over, samples/20)
--- a/internal/loads/loads.go
+++ b/internal/loadreport/loads.go
@@ -1,8 +1,8 @@
-// Package loads tells entries how loaded engines are. The agent beside an engine
+// Package loadreport tells entries how loaded engines are. The agent beside an engine
 // sees its load fresh and for free; an entry sees its own requests only, and those
 // of the other entries where an answer happens to tell. Datagrams do: a lost one is
 // made good by the next, a tenth of a second later.
-package loads
+package loadreport
 
 import (
 	"context"
@@ -39,13 +39,13 @@
 // Load is how many requests an engine runs, how many wait at it, and how many times
 // longer than usual it takes for them.
 type Load struct {
-	Running int
-	Waiting int
-	Pace    float64
+	Running  int
+	Waiting  int
+	Slowdown float64
 }
 
-// Teller tells entries the load of the engine on this VM. Set its fields before Run.
-type Teller struct {
+// Publisher tells entries the load of the engine on this VM. Set its fields before Run.
+type Publisher struct {
 	Cluster string
 	Conn    net.PacketConn
 	Load    func(ctx context.Context) (Load, error)
@@ -56,7 +56,7 @@
 }
 
 // Run tells until ctx ends.
-func (t *Teller) Run(ctx context.Context) error {
+func (t *Publisher) Run(ctx context.Context) error {
 	t.askers = make(map[netip.AddrPort]time.Time)
 
 	go t.hear()
@@ -93,11 +93,11 @@
 
 		last, told = l, now
 		seq++
-		t.tell(askers, &wire.LoadWord{Cluster: t.Cluster, Sequence: seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting), Pace: l.Pace})
+		t.tell(askers, &wire.LoadWord{Cluster: t.Cluster, Sequence: seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting), Pace: l.Slowdown})
 	}
 }
 
-func (t *Teller) tell(askers []netip.AddrPort, w *wire.LoadWord) {
+func (t *Publisher) tell(askers []netip.AddrPort, w *wire.LoadWord) {
 	data, err := proto.Marshal(w)
 	if err != nil {
 		t.Logger.Error("Load not told.", "error", err)
@@ -111,7 +111,7 @@
 	}
 }
 
-func (t *Teller) current(now time.Time) []netip.AddrPort {
+func (t *Publisher) current(now time.Time) []netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -131,7 +131,7 @@
 }
 
 // hear takes in asks until the connection is closed.
-func (t *Teller) hear() {
+func (t *Publisher) hear() {
 	receive(t.Conn, func(from netip.AddrPort, data []byte) {
 		var ask wire.LoadAsk
 		if proto.Unmarshal(data, &ask) != nil || ask.GetCluster() != t.Cluster {
@@ -163,14 +163,14 @@
 	}
 }
 
-// Listener asks agents for loads. Set its fields before Run.
-type Listener struct {
+// Subscriber asks agents for loads. Set its fields before Run.
+type Subscriber struct {
 	Cluster string
 	Conn    net.PacketConn
 	// Agents returns where the agents beside engines listen.
 	Agents func() []netip.AddrPort
-	// Heard is called with each load, by the agent's address.
-	Heard func(agent netip.AddrPort, l Load)
+	// OnLoad is called with each load, by the agent's address.
+	OnLoad func(agent netip.AddrPort, l Load)
 
 	mu   sync.Mutex
 	last map[netip.AddrPort]heard
@@ -185,7 +185,7 @@
 }
 
 // Run asks and listens until ctx ends.
-func (l *Listener) Run(ctx context.Context) error {
+func (l *Subscriber) Run(ctx context.Context) error {
 	l.last = make(map[netip.AddrPort]heard)
 	l.asked = make(map[netip.AddrPort]time.Time)
 
@@ -214,7 +214,7 @@
 
 // ask asks the agents whose turn it is, sooner those that are silent: they may have
 // started anew, and forgotten who asked.
-func (l *Listener) ask(now time.Time, ask []byte) {
+func (l *Subscriber) ask(now time.Time, ask []byte) {
 	agents := l.Agents()
 	asked := make(map[netip.AddrPort]time.Time, len(agents))
 
@@ -238,7 +238,7 @@
 	l.asked = asked
 }
 
-func (l *Listener) silent(now time.Time, agent netip.AddrPort) bool {
+func (l *Subscriber) silent(now time.Time, agent netip.AddrPort) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -249,7 +249,7 @@
 // VM whose clock was set back, and not merely been overtaken.
 const restarted = 1000
 
-func (l *Listener) take(from netip.AddrPort, data []byte) {
+func (l *Subscriber) take(from netip.AddrPort, data []byte) {
 	var w wire.LoadWord
 	if proto.Unmarshal(data, &w) != nil || w.GetCluster() != l.Cluster {
 		return
@@ -259,11 +259,11 @@
 		return
 	}
 
-	l.Heard(from, Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Pace: w.GetPace()})
+	l.OnLoad(from, Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slowdown: w.GetPace()})
 }
 
 // isNew notes a word, and reports whether it is later than the last one.
-func (l *Listener) isNew(from netip.AddrPort, sequence uint64) bool {
+func (l *Subscriber) isNew(from netip.AddrPort, sequence uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/internal/loads/loads_test.go
+++ b/internal/loadreport/loads_test.go
@@ -1,4 +1,4 @@
-package loads_test
+package loadreport_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/parsleygate/parsleygate/internal/loads"
+	"github.com/parsleygate/parsleygate/internal/loadreport"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -39,43 +39,43 @@
 
 	var (
 		mu   sync.Mutex
-		load = loads.Load{Running: 3, Waiting: 1}
+		load = loadreport.Load{Running: 3, Waiting: 1}
 		runs sync.WaitGroup
 	)
 
-	heard := make(chan loads.Load, 100)
-	teller := &loads.Teller{
+	heard := make(chan loadreport.Load, 100)
+	teller := &loadreport.Publisher{
 		Cluster: "trust", Conn: agentConn, Logger: slog.New(slog.DiscardHandler),
-		Load: func(context.Context) (loads.Load, error) {
+		Load: func(context.Context) (loadreport.Load, error) {
 			mu.Lock()
 			defer mu.Unlock()
 
 			return load, nil
 		},
 	}
-	listener := func(cluster string, conn net.PacketConn, heard func(netip.AddrPort, loads.Load)) {
-		l := &loads.Listener{Cluster: cluster, Conn: conn, Agents: func() []netip.AddrPort { return []netip.AddrPort{agent} }, Heard: heard}
+	listener := func(cluster string, conn net.PacketConn, heard func(netip.AddrPort, loadreport.Load)) {
+		l := &loadreport.Subscriber{Cluster: cluster, Conn: conn, Agents: func() []netip.AddrPort { return []netip.AddrPort{agent} }, OnLoad: heard}
 
 		runs.Go(func() { _ = l.Run(ctx) })
 	}
 
 	runs.Go(func() { _ = teller.Run(ctx) })
-	listener("trust", entryConn, func(from netip.AddrPort, l loads.Load) {
+	listener("trust", entryConn, func(from netip.AddrPort, l loadreport.Load) {
 		if from == agent {
 			heard <- l
 		}
 	})
-	listener("qurum", strangerConn, func(netip.AddrPort, loads.Load) { t.Error("another deployment heard a load") })
+	listener("qurum", strangerConn, func(netip.AddrPort, loadreport.Load) { t.Error("another deployment heard a load") })
 
 	_, err := strangerConn.WriteTo([]byte("\xff\xffnonsense"), net.UDPAddrFromAddrPort(agent))
 	require.NoError(t, err)
-	require.Equal(t, loads.Load{Running: 3, Waiting: 1}, <-heard)
+	require.Equal(t, loadreport.Load{Running: 3, Waiting: 1}, <-heard)
 
 	mu.Lock()
-	load = loads.Load{Running: 7}
+	load = loadreport.Load{Running: 7}
 	mu.Unlock()
 
-	require.Eventually(t, func() bool { return <-heard == loads.Load{Running: 7} }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return <-heard == loadreport.Load{Running: 7} }, 10*time.Second, time.Millisecond)
 	stop()
 	runs.Wait()
 }
@@ -142,9 +142,9 @@
 		conn := &fakeConn{from: net.UDPAddrFromAddrPort(agent), words: make(chan []byte), closed: make(chan struct{})}
 
 		ctx, stop := context.WithCancel(t.Context())
-		l := &loads.Listener{
+		l := &loadreport.Subscriber{
 			Cluster: "trust", Conn: conn, Agents: func() []netip.AddrPort { return []netip.AddrPort{agent} },
-			Heard: func(netip.AddrPort, loads.Load) {},
+			OnLoad: func(netip.AddrPort, loadreport.Load) {},
 		}
 
 		go func() { _ = l.Run(ctx) }()
--- a/internal/lockstep/answers.go
+++ b/internal/lockstep/answers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/parsleygate/parsleygate/internal/spread"
+	"github.com/parsleygate/parsleygate/internal/latency"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 // given again. Ranks take an order that they have already as done, or refuse it, so that
 // one more of them does no harm.
 type answers struct {
-	kinds spread.Table[wire.EngineOrderKind]
+	kinds latency.Estimators[wire.EngineOrderKind]
 }
 
 const (
@@ -34,14 +34,14 @@
 
 // learn takes in how long the answer to an order took.
 func (a *answers) learn(kind wire.EngineOrderKind, took time.Duration) {
-	a.kinds.Learn(kind, took, answerMemory)
+	a.kinds.Observe(kind, took, answerMemory)
 }
 
 // timeout says how long the answer to an order that got none so many times before is
 // waited for: twice as long each time, since ranks may have become slower, and never
 // longer than most.
 func (a *answers) timeout(kind wire.EngineOrderKind, ranks int, most time.Duration, unanswered int) time.Duration {
-	within, known := a.kinds.Within(kind, answerMargin)
+	within, known := a.kinds.UpperBound(kind, answerMargin)
 	if !known {
 		return most
 	}
--- a/internal/lockstep/demand.go
+++ b/internal/lockstep/demand.go
@@ -34,7 +34,7 @@
 )
 
 // observe takes in all ranks' counts at now. It returns how many choices were new.
-func (c *counter) observe(now time.Time, looks []Look) float64 {
+func (c *counter) observe(now time.Time, looks []PollResult) float64 {
 	fresh := newDemand(c.shape)
 	total := 0.0
 
--- a/internal/lockstep/demand_test.go
+++ b/internal/lockstep/demand_test.go
@@ -74,8 +74,8 @@
 
 // look returns the ranks' counts after one more step, in which a part of the requests
 // was replaced by others.
-func (x *readers) look(replaced int) []Look {
-	looks := make([]Look, x.shape.Ranks)
+func (x *readers) look(replaced int) []PollResult {
+	looks := make([]PollResult, x.shape.Ranks)
 
 	for range replaced {
 		x.now[x.r.IntN(len(x.now))] = x.request()
@@ -98,7 +98,7 @@
 	return looks
 }
 
-var largeGroup = Shape{Sets: 2, Experts: 252, Ranks: 63, Places: 5, Spare: 3}
+var largeGroup = Shape{Sets: 2, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 3}
 
 // A group of 63 ranks reads a few hundred requests, and some of the most liked experts
 // give way to others: a fifth of all choices move. That was taken for requests that come
@@ -137,7 +137,7 @@
 func TestRequestsThatComeAndGoAreNoShift(t *testing.T) {
 	t.Parallel()
 
-	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Places: 8, Spare: 3}
+	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, SpareSlots: 3}
 
 	for seed := range uint64(10) {
 		x := newReaders(shape, 40, seed)
--- a/internal/lockstep/director.go
+++ b/internal/lockstep/director.go
@@ -14,16 +14,16 @@
 // Director keeps the map of one group in one epoch. Its fields are set before Run.
 type Director struct {
 	Shape    Shape
-	Ranks    Ranks
+	Group    GroupClient
 	Settings Settings
 	Logger   *slog.Logger
-	// Tried is the highest version that a switch was tried with, also in earlier
+	// HighestAttempted is the highest version that a switch was tried with, also in earlier
 	// epochs: ranks that outlived them take only higher ones.
-	Tried uint64
+	HighestAttempted uint64
 
 	switcher *Switcher
 	counter  *counter
-	paces    Paces
+	paces    Slowdowns
 	current  Map
 	version  uint64
 	// searched is what the last search for a better map found.
@@ -38,14 +38,14 @@
 // Run directs until ctx ends or the group has another epoch. A switch that has
 // begun is finished first.
 func (d *Director) Run(ctx context.Context) {
-	d.switcher = &Switcher{Ranks: d.Ranks, Settings: d.Settings, Logger: d.Logger}
-	d.counter = newCounter(d.Shape, d.Settings.Memory)
-	d.paces = make(Paces, d.Shape.Ranks)
+	d.switcher = &Switcher{Group: d.Group, Settings: d.Settings, Logger: d.Logger}
+	d.counter = newCounter(d.Shape, d.Settings.DemandDecay)
+	d.paces = make(Slowdowns, d.Shape.Ranks)
 
-	d.Logger.Info("Directing.", "epoch", d.Ranks.Epoch, "ranks", d.Ranks.Size)
-	defer d.Logger.Info("Directing ended.", "epoch", d.Ranks.Epoch)
+	d.Logger.Info("Directing.", "epoch", d.Group.Epoch, "ranks", d.Group.Size)
+	defer d.Logger.Info("Directing ended.", "epoch", d.Group.Epoch)
 
-	for pauses.For(ctx, d.Settings.LookEvery) {
+	for pauses.For(ctx, d.Settings.PollInterval) {
 		d.turn(context.WithoutCancel(ctx))
 	}
 }
@@ -63,14 +63,14 @@
 
 	own := looks[0].Report
 
-	if slices.ContainsFunc(looks, func(l Look) bool { return l.Report.Holds }) {
+	if slices.ContainsFunc(looks, func(l PollResult) bool { return l.Report.Holds }) {
 		d.free(ctx)
 
 		return
 	}
 
 	highest := highestVersion(reportsOf(looks))
-	d.Tried = max(d.Tried, highest)
+	d.HighestAttempted = max(d.HighestAttempted, highest)
 
 	if d.current == nil && !d.learn(looks, highest) {
 		return
@@ -90,28 +90,28 @@
 // look looks at all ranks while the map in use is not known, and then at those that
 // add up the counts. The first one and the holder are always among them. A few may be
 // missing then.
-func (d *Director) look(ctx context.Context) ([]Look, error) {
-	sum := (d.Ranks.Size + d.Settings.CountRanks - 1) / d.Settings.CountRanks
+func (d *Director) look(ctx context.Context) ([]PollResult, error) {
+	sum := (d.Group.Size + d.Settings.CountAggregators - 1) / d.Settings.CountAggregators
 
 	if d.current == nil {
-		return d.switcher.LookAll(ctx, Question{Counts: sum == 1, Lists: true})
+		return d.switcher.PollAll(ctx, PollRequest{Counts: sum == 1, Experts: true})
 	}
 
-	return d.switcher.LookMost(ctx, func(rank int) (Question, bool) {
+	return d.switcher.PollMost(ctx, func(rank int) (PollRequest, bool) {
 		adds := rank%sum == 0
 
-		return Question{Counts: adds, Sum: min(sum, d.Ranks.Size-rank)}, adds || rank == d.switcher.holder()
+		return PollRequest{Counts: adds, SumRanks: min(sum, d.Group.Size-rank)}, adds || rank == d.switcher.holder()
 	})
 }
 
 func (d *Director) free(ctx context.Context) {
-	if err := d.switcher.Free(ctx); err != nil {
+	if err := d.switcher.ReleaseHolds(ctx); err != nil {
 		d.Logger.Warn("A step is held, and not freed yet.", "error", err)
 	}
 }
 
 // learn takes the map in use from the ranks' own lists.
-func (d *Director) learn(looks []Look, highest uint64) bool {
+func (d *Director) learn(looks []PollResult, highest uint64) bool {
 	m, err := mapOf(looks)
 	if err != nil || len(m) != d.Shape.Sets {
 		d.Logger.Info("The map in use is not known yet.", "error", err)
@@ -119,8 +119,8 @@
 		return false
 	}
 
-	d.current, d.version = m, looks[0].ListsOf
-	d.switcher.Begin(highest)
+	d.current, d.version = m, looks[0].MapVersion
+	d.switcher.RaiseFence(highest)
 
 	return true
 }
@@ -130,16 +130,16 @@
 func (d *Director) improve(ctx context.Context) {
 	began := time.Now()
 	demand := d.counter.demand()
-	before := d.current.SkewAt(demand, d.paces)
+	before := d.current.SkewWithSlowdowns(demand, d.paces)
 
-	if !d.searched.mayGain(began, before, d.Settings.LeastGain) {
+	if !d.searched.mayGain(began, before, d.Settings.MinGain) {
 		return
 	}
 
 	next, after, least := d.best(demand, before)
 	d.searched = search{least: least, again: began.Add(searchLife)}
 
-	if (before-after)/before < d.Settings.LeastGain {
+	if (before-after)/before < d.Settings.MinGain {
 		return
 	}
 
@@ -149,7 +149,7 @@
 
 	// A skew of the last look far above that of the expected demand is a shift that
 	// was not seen. The map is still the one from before the switch here.
-	latest := d.current.SkewAt(d.counter.fresh, d.paces)
+	latest := d.current.SkewWithSlowdowns(d.counter.fresh, d.paces)
 	d.Logger.Info("Map switch.", "version", version, "skewNow", fmt.Sprintf("%.2f", latest), "skewBefore", fmt.Sprintf("%.2f", before), "skewAfter", fmt.Sprintf("%.2f", after),
 		"planned", planned.Sub(began).Round(time.Millisecond), "took", time.Since(planned).Round(time.Millisecond), "error", err)
 
@@ -159,7 +159,7 @@
 	case errors.Is(err, errPrepare):
 		// Some rank has had a higher version, in an epoch that this agent has not seen.
 		d.refused++
-		d.Tried += 1 << min(d.refused, versionJump)
+		d.HighestAttempted += 1 << min(d.refused, versionJump)
 	}
 }
 
@@ -188,16 +188,16 @@
 	bestSaved := 0.0
 	plan := newPlan(d.Shape, d.current, demand, d.paces)
 
-	for i, most := range d.Settings.MostNew {
+	for i, most := range d.Settings.CopyBudgets {
 		// A rank cannot get more than its spare experts of all sets.
-		if i > 0 && d.Settings.MostNew[i-1] >= d.Shape.Sets*d.Shape.Spare {
+		if i > 0 && d.Settings.CopyBudgets[i-1] >= d.Shape.Sets*d.Shape.SpareSlots {
 			break
 		}
 
-		m := plan.improve(Copies{Most: most, Least: d.Settings.LeastCopyGain})
-		after := m.SkewAt(demand, d.paces)
+		m := plan.improve(CopyLimits{MaxPerRank: most, MinGain: d.Settings.MinCopyGain})
+		after := m.SkewWithSlowdowns(demand, d.paces)
 		least = min(least, after)
-		lasts := d.Settings.Horizon - d.Settings.SwitchTime - time.Duration(most)*d.Shape.Copy
+		lasts := d.Settings.Horizon - d.Settings.SwitchTime - time.Duration(most)*d.Shape.CopyTime
 
 		if saved := (before - after) * lasts.Seconds(); saved > bestSaved {
 			best, bestAfter, bestSaved = m, after, saved
@@ -209,7 +209,7 @@
 
 // nextVersion returns a version that no rank has had.
 func (d *Director) nextVersion() uint64 {
-	d.Tried = max(d.Tried, d.version) + 1
+	d.HighestAttempted = max(d.HighestAttempted, d.version) + 1
 
-	return d.Tried
+	return d.HighestAttempted
 }
--- a/internal/lockstep/director_test.go
+++ b/internal/lockstep/director_test.go
@@ -30,7 +30,7 @@
 func TestFewCopiesGoFirstAfterAShift(t *testing.T) {
 	t.Parallel()
 
-	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Places: 8, Spare: 3, Copy: 98 * time.Millisecond}
+	shape := Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, SpareSlots: 3, CopyTime: 98 * time.Millisecond}
 
 	for seed := range uint64(10) {
 		x := newReaders(shape, 100, seed)
--- a/internal/lockstep/engine.go
+++ b/internal/lockstep/engine.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// First returns the map with which a group begins: experts in turn over the ranks.
-func First(sets, experts, ranks int) Map {
+// InitialMap returns the map with which a group begins: experts in turn over the ranks.
+func InitialMap(sets, experts, ranks int) Map {
 	m := make(Map, sets)
 
 	for s := range m {
@@ -84,8 +84,8 @@
 	// Report and Counts are fresh and cost the group nothing from its own VM.
 	Report func(ctx context.Context) (Report, error)
 	Counts func(ctx context.Context) ([]uint64, error)
-	// Lists returns the version of the map in use and this rank's experts, set by set.
-	Lists func(ctx context.Context) (uint64, [][]uint16, error)
+	// Experts returns the version of the map in use and this rank's experts, set by set.
+	Experts func(ctx context.Context) (uint64, [][]uint16, error)
 	// Order gives an order. It never fails: what nobody knows is EngineUnknown.
 	Order func(ctx context.Context, o *wire.EngineOrder) wire.EngineResult
 }
@@ -108,49 +108,49 @@
 	}
 }
 
-// Look is a rank's report and, where they were asked for, its counts.
-type Look struct {
+// PollResult is a rank's report and, where they were asked for, its counts.
+type PollResult struct {
 	Report Report
 	Counts []uint64
-	// Lists are the experts of the rank in map ListsOf, set by set.
-	Lists   [][]uint16
-	ListsOf uint64
-	// Paces are those of the ranks whose counts are added up, but for this one's.
-	Paces map[int]float64
-}
-
-// Question says what a look is to bring beside the report.
-type Question struct {
-	Counts bool
-	Lists  bool
-	// Sum is for how many ranks, from this one on, Counts are added up; 0 and 1 mean
+	// Experts are the experts of the rank in map ListsOf, set by set.
+	Experts    [][]uint16
+	MapVersion uint64
+	// Slowdowns are those of the ranks whose counts are added up, but for this one's.
+	Slowdowns map[int]float64
+}
+
+// PollRequest says what a look is to bring beside the report.
+type PollRequest struct {
+	Counts  bool
+	Experts bool
+	// SumRanks is for how many ranks, from this one on, Counts are added up; 0 and 1 mean
 	// this one alone.
-	Sum int
+	SumRanks int
 }
 
-// Ranks is the way to all ranks of the group that is directed.
-type Ranks struct {
+// GroupClient is the way to all ranks of the group that is directed.
+type GroupClient struct {
 	// Size is how many there are. The directing agent's own is rank 0.
 	Size  int
 	Epoch uint64
-	Look  func(ctx context.Context, rank int, q Question) (Look, error)
+	Poll  func(ctx context.Context, rank int, q PollRequest) (PollResult, error)
 	Order func(ctx context.Context, rank int, o *wire.EngineOrder) wire.EngineResult
-	// Spread brings an errand to some ranks by way of some of their agents, and returns what
+	// FanOut brings an errand to some ranks by way of some of their agents, and returns what
 	// became of it, in the order of the ranks; nil where each rank is spoken to directly.
-	Spread func(ctx context.Context, ranks []int, e Errand) []Told
+	FanOut func(ctx context.Context, ranks []int, e FanOutRequest) []FanOutResult
 }
 
-// Errand is what is brought to a rank: an order, where there is one, and then a look.
-type Errand struct {
+// FanOutRequest is what is brought to a rank: an order, where there is one, and then a look.
+type FanOutRequest struct {
 	// Order returns the order for a rank. Those for all ranks differ in their version only.
-	Order func(rank int) *wire.EngineOrder
-	Lists bool
+	Order   func(rank int) *wire.EngineOrder
+	Experts bool
 }
 
-// Told is what became of an errand at one rank.
-type Told struct {
+// FanOutResult is what became of an errand at one rank.
+type FanOutResult struct {
 	Result wire.EngineResult
-	Look   Look
+	Poll   PollResult
 	// Err says why the rank was not seen.
 	Err error
 }
@@ -160,27 +160,27 @@
 const leastSpread = 24
 
 // spreads reports whether an errand to so many ranks goes by way of agents.
-func (r *Ranks) spreads(n int) bool { return r.Spread != nil && n >= leastSpread }
+func (r *GroupClient) spreads(n int) bool { return r.FanOut != nil && n >= leastSpread }
 
 // Shape is how experts may be placed.
 type Shape struct {
 	Sets    int
 	Experts int
 	Ranks   int
-	// Places is how many experts of a set fit on a rank, Spare how many of a set one
+	// Slots is how many experts of a set fit on a rank, Spare how many of a set one
 	// preparation may bring to it.
-	Places int
-	Spare  int
-	// Copy is how long a rank copies one expert.
-	Copy time.Duration
+	Slots      int
+	SpareSlots int
+	// CopyTime is how long a rank copies one expert.
+	CopyTime time.Duration
 }
 
 // Settings are the intervals and weights of a directing agent.
 type Settings struct {
-	// LookEvery is how often counts are read.
-	LookEvery time.Duration
-	// PollEvery is how often ranks are looked at while a switch goes on.
-	PollEvery time.Duration
+	// PollInterval is how often counts are read.
+	PollInterval time.Duration
+	// SwitchPollInterval is how often ranks are looked at while a switch goes on.
+	SwitchPollInterval time.Duration
 	// PrepareTimeout bounds the copying of experts, ArmTimeout the arming of all ranks.
 	PrepareTimeout time.Duration
 	ArmTimeout     time.Duration
@@ -188,48 +188,48 @@
 	GoTimeout time.Duration
 	// OrderTimeout bounds one order or look, with RankTime more for each rank that is
 	// asked beside it; an order that carries a map has MapTime more for each rank.
-	OrderTimeout time.Duration
-	RankTime     time.Duration
-	MapTime      time.Duration
-	// Ahead is how far away the step of a switch is at least, and MostAhead at most:
+	OrderTimeout      time.Duration
+	PerRankTimeout    time.Duration
+	PerRankMapTimeout time.Duration
+	// MinStepLead is how far away the step of a switch is at least, and MostAhead at most:
 	// where all ranks are armed and let go on before it comes, its hold costs nothing.
-	Ahead     time.Duration
-	MostAhead time.Duration
-	// LeastGain is the part of the present load of the most loaded ranks that a new
+	MinStepLead time.Duration
+	MaxStepLead time.Duration
+	// MinGain is the part of the present load of the most loaded ranks that a new
 	// map must save to be worth its copies.
-	LeastGain float64
-	// LeastCopyGain is the same for one copy, in parts of the mean load of a rank.
-	LeastCopyGain float64
-	// MostNew are the numbers of experts that one switch may bring to a rank, over
+	MinGain float64
+	// MinCopyGain is the same for one copy, in parts of the mean load of a rank.
+	MinCopyGain float64
+	// CopyBudgets are the numbers of experts that one switch may bring to a rank, over
 	// all sets, that are weighed against each other: fewer are copied sooner.
-	MostNew []int
+	CopyBudgets []int
 	// SwitchTime is what a switch takes beside copies, and Horizon for how long a map's
 	// gain counts. It is short against how long demand stays: steps are too long for
 	// callers right after a shift alone, so a map of few copies that comes soon goes
 	// before a better one.
 	SwitchTime time.Duration
 	Horizon    time.Duration
-	// Memory is over how long chosen experts are counted.
-	Memory time.Duration
-	// CountRanks is of how many ranks the counts are read in one look. In a larger
+	// DemandDecay is over how long chosen experts are counted.
+	DemandDecay time.Duration
+	// CountAggregators is of how many ranks the counts are read in one look. In a larger
 	// group each of these adds up those of its neighbours: the counts of all ranks
 	// would fill the directing VM's link.
-	CountRanks int
+	CountAggregators int
 }
 
 // askTimeout bounds an order or look that goes to a group of so many ranks. A standby
 // that has no connections yet needs longer the more ranks there are: with one bound for
 // all sizes it heard from too few ranks of a large group, and could not free it.
 func (s *Settings) askTimeout(ranks int) time.Duration {
-	return s.OrderTimeout + time.Duration(ranks)*s.RankTime
+	return s.OrderTimeout + time.Duration(ranks)*s.PerRankTimeout
 }
 
 // DefaultSettings returns numbers for demand that shifts every few seconds.
 func DefaultSettings() Settings {
 	return Settings{
-		LookEvery: 100 * time.Millisecond, PollEvery: 15 * time.Millisecond,
-		PrepareTimeout: 3 * time.Second, ArmTimeout: time.Second, GoTimeout: 2 * time.Second, OrderTimeout: 150 * time.Millisecond, RankTime: 3 * time.Millisecond, MapTime: 8 * time.Millisecond,
-		Ahead: 30 * time.Millisecond, MostAhead: 250 * time.Millisecond, LeastGain: 0.09, LeastCopyGain: 0.01, MostNew: []int{1, 3, 8, 16}, Memory: time.Second, CountRanks: 12,
+		PollInterval: 100 * time.Millisecond, SwitchPollInterval: 15 * time.Millisecond,
+		PrepareTimeout: 3 * time.Second, ArmTimeout: time.Second, GoTimeout: 2 * time.Second, OrderTimeout: 150 * time.Millisecond, PerRankTimeout: 3 * time.Millisecond, PerRankMapTimeout: 8 * time.Millisecond,
+		MinStepLead: 30 * time.Millisecond, MaxStepLead: 250 * time.Millisecond, MinGain: 0.09, MinCopyGain: 0.01, CopyBudgets: []int{1, 3, 8, 16}, DemandDecay: time.Second, CountAggregators: 12,
 		SwitchTime: 200 * time.Millisecond, Horizon: 900 * time.Millisecond,
 	}
 }
--- a/internal/lockstep/fence.go
+++ b/internal/lockstep/fence.go
@@ -8,9 +8,9 @@
 // does not know its predecessor's numbers, and must not use an equal one.
 const fenceShift = 24
 
-// Begin sets the first fencing number above all that a predecessor can have used
+// RaiseFence sets the first fencing number above all that a predecessor can have used
 // for maps up to version: it used two for each at most.
-func (s *Switcher) Begin(version uint64) {
+func (s *Switcher) RaiseFence(version uint64) {
 	s.fence = max(s.fence, (version*fencesPerMap+fenceMargin)<<fenceShift)
 }
 
--- a/internal/lockstep/free.go
+++ b/internal/lockstep/free.go
@@ -10,17 +10,17 @@
 )
 
 // guard is the rank that holds a step beside the holder while ranks are disarmed.
-func (s *Switcher) guard() int { return min(2, s.Ranks.Size-1) }
+func (s *Switcher) guard() int { return min(2, s.Group.Size-1) }
 
-// Free lifts holds that no switch needs any more. Before that, all ranks are
+// ReleaseHolds lifts holds that no switch needs any more. Before that, all ranks are
 // disarmed under a higher fencing number, so that arms on their way no longer
 // count. A group that is not held is left alone: its ranks are all armed, or none.
-func (s *Switcher) Free(ctx context.Context) error {
+func (s *Switcher) ReleaseHolds(ctx context.Context) error {
 	for {
 		err := s.freeOnce(ctx)
 		// Another agent's numbers may be higher than can be known. Each refusal
 		// doubles them, so a few tries are enough.
-		if err == nil || !s.fenced.Load() || !pauses.For(ctx, s.Settings.PollEvery) {
+		if err == nil || !s.fenced.Load() || !pauses.For(ctx, s.Settings.SwitchPollInterval) {
 			return err
 		}
 	}
@@ -32,7 +32,7 @@
 		return err
 	}
 
-	s.Begin(highestVersion(reports))
+	s.RaiseFence(highestVersion(reports))
 
 	fence := s.nextFence()
 
@@ -80,7 +80,7 @@
 			return fmt.Errorf("%w: rank %d: %s", errNotFreed, rank, got)
 		}
 
-		look, err := s.Ranks.Look(ctx, rank, Question{})
+		look, err := s.Group.Poll(ctx, rank, PollRequest{})
 		if err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 // copies nothing. An arm on its way that an engine took in before it saw the higher
 // fencing number, and carries out later, then no longer finds its version prepared.
 func (s *Switcher) supersede(ctx context.Context, fence uint64, reports []Report) error {
-	looks, err := s.LookAll(ctx, Question{Lists: true})
+	looks, err := s.PollAll(ctx, PollRequest{Experts: true})
 	if err != nil {
 		return err
 	}
--- a/internal/lockstep/group_test.go
+++ b/internal/lockstep/group_test.go
@@ -89,8 +89,8 @@
 )
 
 func newGroup(shape lockstep.Shape, weight [][]float64) *fakeGroup {
-	g := &fakeGroup{shape: shape, epoch: 1, weight: weight, pass: stepTime, logs: io.Discard, countRanks: lockstep.DefaultSettings().CountRanks, lateBy: 2300 * time.Millisecond, fault: func(int) fault { return faultNone }, lost: func(int) bool { return false }}
-	first := lockstep.First(shape.Sets, shape.Experts, shape.Ranks)
+	g := &fakeGroup{shape: shape, epoch: 1, weight: weight, pass: stepTime, logs: io.Discard, countRanks: lockstep.DefaultSettings().CountAggregators, lateBy: 2300 * time.Millisecond, fault: func(int) fault { return faultNone }, lost: func(int) bool { return false }}
+	first := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 
 	for r := range shape.Ranks {
 		k := &fakeRank{counts: make([]uint64, shape.Sets*shape.Experts)}
@@ -208,17 +208,17 @@
 	return !a.dead
 }
 
-func (a *agent) ranks() lockstep.Ranks {
+func (a *agent) ranks() lockstep.GroupClient {
 	a.group.mu.Lock()
 	defer a.group.mu.Unlock()
 
-	return lockstep.Ranks{Size: a.group.shape.Ranks, Epoch: a.group.epoch, Look: a.look, Order: a.order, Spread: a.spread}
+	return lockstep.GroupClient{Size: a.group.shape.Ranks, Epoch: a.group.epoch, Poll: a.look, Order: a.order, FanOut: a.spread}
 }
 
 // spread brings an errand to the ranks by way of an agent for each part of them. One that
 // is lost leaves its part untold.
-func (a *agent) spread(ctx context.Context, ranks []int, e lockstep.Errand) []lockstep.Told {
-	out := make([]lockstep.Told, len(ranks))
+func (a *agent) spread(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
+	out := make([]lockstep.FanOutResult, len(ranks))
 	size := int(math.Ceil(math.Sqrt(float64(len(ranks)))))
 
 	var g sync.WaitGroup
@@ -240,7 +240,7 @@
 					out[i].Result = a.order(ctx, ranks[i], e.Order(ranks[i]))
 				}
 
-				out[i].Look, out[i].Err = a.look(ctx, ranks[i], lockstep.Question{Lists: e.Lists})
+				out[i].Poll, out[i].Err = a.look(ctx, ranks[i], lockstep.PollRequest{Experts: e.Experts})
 			})
 		}
 	}
@@ -259,9 +259,9 @@
 	return g.lostErrand != nil && g.lostErrand(g.errands)
 }
 
-func (a *agent) look(ctx context.Context, rank int, q lockstep.Question) (lockstep.Look, error) {
+func (a *agent) look(ctx context.Context, rank int, q lockstep.PollRequest) (lockstep.PollResult, error) {
 	if !a.alive(false) {
-		return lockstep.Look{}, errKilled
+		return lockstep.PollResult{}, errKilled
 	}
 
 	g := a.group
@@ -282,7 +282,7 @@
 		g.mu.Lock()
 
 		if ctx.Err() != nil {
-			return lockstep.Look{}, ctx.Err()
+			return lockstep.PollResult{}, ctx.Err()
 		}
 	}
 
@@ -294,14 +294,14 @@
 		<-ctx.Done()
 		g.mu.Lock()
 
-		return lockstep.Look{}, ctx.Err()
+		return lockstep.PollResult{}, ctx.Err()
 	}
 
 	k := g.ranks[rank]
-	l := lockstep.Look{Report: lockstep.Report{
+	l := lockstep.PollResult{Report: lockstep.Report{
 		Group: "g", Epoch: g.epoch, Rank: rank, Size: len(g.ranks), Open: true, Step: g.step,
 		Map: k.version, Armed: k.armed, Held: k.held, Holds: k.holds, Pace: k.pace,
-	}, Paces: map[int]float64{}}
+	}, Slowdowns: map[int]float64{}}
 
 	if k.prepared != 0 && !time.Now().Before(k.readyAt) {
 		l.Report.Prepared = k.prepared
@@ -310,17 +310,17 @@
 	if q.Counts {
 		l.Counts = append(l.Counts, k.counts...)
 
-		for other := rank + 1; other < rank+q.Sum; other++ {
+		for other := rank + 1; other < rank+q.SumRanks; other++ {
 			for i, n := range g.ranks[other].counts {
 				l.Counts[i] += n
 			}
 
-			l.Paces[other] = g.ranks[other].pace
+			l.Slowdowns[other] = g.ranks[other].pace
 		}
 	}
 
-	if q.Lists {
-		l.Lists, l.ListsOf = k.lists, k.version
+	if q.Experts {
+		l.Experts, l.MapVersion = k.lists, k.version
 	}
 
 	return l, nil
@@ -454,7 +454,7 @@
 			}
 		}
 
-		if here > shape.Spare || len(experts) > shape.Places {
+		if here > shape.SpareSlots || len(experts) > shape.Slots {
 			return wire.EngineResult_EngineMisfit
 		}
 
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -17,7 +17,7 @@
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 )
 
-var small = lockstep.Shape{Sets: 2, Experts: 12, Ranks: 4, Places: 5, Spare: 2}
+var small = lockstep.Shape{Sets: 2, Experts: 12, Ranks: 4, Slots: 5, SpareSlots: 2}
 
 // direct runs a directing agent until it is killed or d has passed.
 func direct(g *fakeGroup, killAt int, d time.Duration) {
@@ -31,8 +31,8 @@
 		defer close(done)
 
 		cfg := lockstep.DefaultSettings()
-		cfg.CountRanks = g.countRanks
-		(&lockstep.Director{Shape: g.shape, Ranks: a.ranks(), Settings: cfg, Logger: slog.New(slog.NewTextHandler(g.logs, nil))}).Run(ctx)
+		cfg.CountAggregators = g.countRanks
+		(&lockstep.Director{Shape: g.shape, Group: a.ranks(), Settings: cfg, Logger: slog.New(slog.NewTextHandler(g.logs, nil))}).Run(ctx)
 	}()
 
 	for a.alive(false) && ctx.Err() == nil {
@@ -76,7 +76,7 @@
 		g.settled(t, "after 5 s")
 
 		m := g.inUse()
-		before := lockstep.First(small.Sets, small.Experts, small.Ranks).Skew(g.weight)
+		before := lockstep.InitialMap(small.Sets, small.Experts, small.Ranks).Skew(g.weight)
 		require.Greater(t, before, 1.4)
 		require.Less(t, m.Skew(g.weight), 1.1)
 		require.NotZero(t, g.ranks[0].version)
@@ -100,7 +100,7 @@
 			var said bytes.Buffer
 
 			g.logs = &said
-			paces := make(lockstep.Paces, small.Ranks)
+			paces := make(lockstep.Slowdowns, small.Ranks)
 			paces[rank] = 5
 
 			ctx, stop := context.WithCancel(t.Context())
@@ -120,7 +120,7 @@
 			g.settled(t, "slow")
 			require.Equal(t, 1, strings.Count(said.String(), "A rank is slow"), "told once, by its number")
 			require.Contains(t, said.String(), fmt.Sprintf("rank=%d pace=5", rank))
-			require.Less(t, g.inUse().SkewAt(g.weight, paces), balanced.SkewAt(g.weight, paces)*0.75)
+			require.Less(t, g.inUse().SkewWithSlowdowns(g.weight, paces), balanced.SkewWithSlowdowns(g.weight, paces)*0.75)
 			stop()
 			time.Sleep(10 * time.Second)
 		})
--- a/internal/lockstep/looks.go
+++ b/internal/lockstep/looks.go
@@ -10,17 +10,17 @@
 )
 
 // mapOf returns the map in use by the ranks' own lists.
-func mapOf(looks []Look) (Map, error) {
-	m := make(Map, len(looks[0].Lists))
+func mapOf(looks []PollResult) (Map, error) {
+	m := make(Map, len(looks[0].Experts))
 
 	for r := range looks {
 		l := &looks[r]
-		if l.ListsOf != looks[0].ListsOf || len(l.Lists) != len(m) || len(m) == 0 {
+		if l.MapVersion != looks[0].MapVersion || len(l.Experts) != len(m) || len(m) == 0 {
 			return nil, fmt.Errorf("%w: rank %d does not tell its experts", errState, r)
 		}
 
 		for s := range m {
-			m[s] = append(m[s], slices.Sorted(slices.Values(l.Lists[s])))
+			m[s] = append(m[s], slices.Sorted(slices.Values(l.Experts[s])))
 		}
 	}
 
@@ -29,7 +29,7 @@
 
 // lookAll returns all ranks' reports of the epoch.
 func (s *Switcher) lookAll(ctx context.Context) ([]Report, error) {
-	looks, err := s.LookAll(ctx, Question{})
+	looks, err := s.PollAll(ctx, PollRequest{})
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 	return reportsOf(looks), nil
 }
 
-func reportsOf(looks []Look) []Report {
+func reportsOf(looks []PollResult) []Report {
 	out := make([]Report, 0, len(looks))
 	for _, l := range looks {
 		out = append(out, l.Report)
@@ -46,11 +46,11 @@
 	return out
 }
 
-// LookAll looks at all ranks at once, and again at those that do not answer in time. All
+// PollAll looks at all ranks at once, and again at those that do not answer in time. All
 // must answer in the end, in the same epoch.
-func (s *Switcher) LookAll(ctx context.Context, q Question) ([]Look, error) {
+func (s *Switcher) PollAll(ctx context.Context, q PollRequest) ([]PollResult, error) {
 	var (
-		looks []Look
+		looks []PollResult
 		r     round
 		err   error
 	)
@@ -58,7 +58,7 @@
 	for try := range lookTries {
 		missing := r.errs
 
-		r, err = s.lookEach(ctx, s.Settings.askTimeout(s.Ranks.Size), func(rank int) (Question, bool) { return q, try == 0 || missing[rank] != nil })
+		r, err = s.lookEach(ctx, s.Settings.askTimeout(s.Group.Size), func(rank int) (PollRequest, bool) { return q, try == 0 || missing[rank] != nil })
 		if err != nil {
 			return nil, err
 		}
@@ -81,10 +81,10 @@
 	return nil, r.notAll()
 }
 
-// LookMost looks at some ranks at once, in the same epoch. A few of them need not
+// PollMost looks at some ranks at once, in the same epoch. A few of them need not
 // answer: where packets are lost, nearly every look would miss one, and what most ranks
 // counted tells enough. The looks of the others are empty.
-func (s *Switcher) LookMost(ctx context.Context, ask func(rank int) (Question, bool)) ([]Look, error) {
+func (s *Switcher) PollMost(ctx context.Context, ask func(rank int) (PollRequest, bool)) ([]PollResult, error) {
 	r, err := s.lookEach(ctx, s.lookTimeout(), ask)
 	if err != nil {
 		return nil, err
@@ -108,14 +108,14 @@
 // after each look that most ranks did not answer in time: what it is learnt from are
 // answers alone, and where all became slower than it none would ever come again.
 func (s *Switcher) lookTimeout() time.Duration {
-	most := s.Settings.askTimeout(s.Ranks.Size)
+	most := s.Settings.askTimeout(s.Group.Size)
 
-	within, known := s.looks.Within(lookMargin)
+	within, known := s.looks.UpperBound(lookMargin)
 	if !known {
 		return most
 	}
 
-	least := leastAnswer + time.Duration(s.Ranks.Size)*leastPerRank
+	least := leastAnswer + time.Duration(s.Group.Size)*leastPerRank
 
 	return min(max(within, least)<<min(s.unseen, mostDoublings), most)
 }
@@ -125,15 +125,15 @@
 
 // lookAgain looks at one rank, again where no answer comes in time: a lost packet is no
 // reason to give up a switch for which all ranks are armed.
-func (s *Switcher) lookAgain(ctx context.Context, rank int) (Look, error) {
+func (s *Switcher) lookAgain(ctx context.Context, rank int) (PollResult, error) {
 	var (
-		look Look
+		look PollResult
 		err  error
 	)
 
 	for range lookTries {
-		one, cancel := context.WithTimeout(ctx, s.Settings.askTimeout(s.Ranks.Size))
-		look, err = s.Ranks.Look(one, rank, Question{})
+		one, cancel := context.WithTimeout(ctx, s.Settings.askTimeout(s.Group.Size))
+		look, err = s.Group.Poll(one, rank, PollRequest{})
 
 		cancel()
 
@@ -148,7 +148,7 @@
 // oneLook is a look at one rank.
 type oneLook struct {
 	rank int
-	look Look
+	look PollResult
 	err  error
 	at   time.Time
 }
@@ -157,7 +157,7 @@
 type round struct {
 	// looks are by rank, empty for those that were not asked or did not answer in time;
 	// errs is why they did not.
-	looks []Look
+	looks []PollResult
 	errs  map[int]error
 	asked int
 }
@@ -169,17 +169,17 @@
 }
 
 // lookEach looks at some ranks at once. An answer of another epoch fails all.
-func (s *Switcher) lookEach(ctx context.Context, within time.Duration, ask func(rank int) (Question, bool)) (round, error) {
+func (s *Switcher) lookEach(ctx context.Context, within time.Duration, ask func(rank int) (PollRequest, bool)) (round, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 
 	began := time.Now()
-	answers := make(chan oneLook, s.Ranks.Size)
-	r := round{looks: make([]Look, s.Ranks.Size), errs: make(map[int]error)}
+	answers := make(chan oneLook, s.Group.Size)
+	r := round{looks: make([]PollResult, s.Group.Size), errs: make(map[int]error)}
 
-	asked := make(map[int]Question, s.Ranks.Size)
+	asked := make(map[int]PollRequest, s.Group.Size)
 
-	for rank := range s.Ranks.Size {
+	for rank := range s.Group.Size {
 		if q, ok := ask(rank); ok {
 			asked[rank] = q
 		}
@@ -197,12 +197,12 @@
 			s.Logger.Debug("Rank not seen.", "rank", a.rank, "error", a.err)
 
 			continue
-		case a.look.Report.Epoch != s.Ranks.Epoch:
+		case a.look.Report.Epoch != s.Group.Epoch:
 			return round{}, fmt.Errorf("%w: another epoch has begun", errState)
 		}
 
 		r.looks[a.rank] = a.look
-		s.looks.Learn(a.at.Sub(began), lookMemory)
+		s.looks.Observe(a.at.Sub(began), lookMemory)
 
 		if a.rank == 0 {
 			s.steps.saw(a.at, a.look.Report.Step)
@@ -219,9 +219,9 @@
 }
 
 // askRanks asks ranks, each directly or many of them by way of some, and brings the answers.
-func (s *Switcher) askRanks(ctx context.Context, asked map[int]Question, answers chan<- oneLook) {
+func (s *Switcher) askRanks(ctx context.Context, asked map[int]PollRequest, answers chan<- oneLook) {
 	direct := func(rank int) {
-		look, err := s.Ranks.Look(ctx, rank, asked[rank])
+		look, err := s.Group.Poll(ctx, rank, asked[rank])
 		answers <- oneLook{rank: rank, look: look, err: err, at: time.Now()}
 	}
 
@@ -237,7 +237,7 @@
 
 	slices.Sort(many)
 
-	if !s.Ranks.spreads(len(many)) {
+	if !s.Group.spreads(len(many)) {
 		for _, rank := range many {
 			go direct(rank)
 		}
@@ -246,9 +246,9 @@
 	}
 
 	go func() {
-		told := s.Ranks.Spread(ctx, many, Errand{Lists: asked[many[0]].Lists})
+		told := s.Group.FanOut(ctx, many, FanOutRequest{Experts: asked[many[0]].Experts})
 		for i, rank := range many {
-			answers <- oneLook{rank: rank, look: told[i].Look, err: told[i].Err, at: time.Now()}
+			answers <- oneLook{rank: rank, look: told[i].Poll, err: told[i].Err, at: time.Now()}
 		}
 	}()
 }
--- a/internal/lockstep/maps_bench_test.go
+++ b/internal/lockstep/maps_bench_test.go
@@ -30,7 +30,7 @@
 	c := newCounter(d.shape, time.Second)
 	now := c.at
 	total := 0.0
-	m := First(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
+	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
 	for look := range dayLooks {
 		if look%shiftLooks == shiftLooks-1 {
@@ -48,14 +48,14 @@
 
 // kept is the first map for the whole day.
 func (d day) kept() strategy {
-	m := First(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
+	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
 	return func(int, *counter) Map { return m }
 }
 
 // packed packs all experts anew each ten looks, as if copies took no time.
 func (d day) packed() strategy {
-	m := First(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
+	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
 	return func(look int, c *counter) Map {
 		if look%10 == 0 {
@@ -74,14 +74,14 @@
 
 func (d day) pack(demand Demand) Map {
 	free := d.shape
-	free.Spare = free.Places
+	free.SpareSlots = free.Slots
 
-	return Improve(free, First(free.Sets, free.Experts, free.Ranks), demand, Copies{Most: free.Places * free.Sets, Least: 0.001})
+	return ImproveMap(free, InitialMap(free.Sets, free.Experts, free.Ranks), demand, CopyLimits{MaxPerRank: free.Slots * free.Sets, MinGain: 0.001})
 }
 
 // directed is what the director does: a map that is worth its copies, some looks later.
 func (d day) directed() strategy {
-	director := &Director{Shape: d.shape, Settings: DefaultSettings(), current: First(d.shape.Sets, d.shape.Experts, d.shape.Ranks)}
+	director := &Director{Shape: d.shape, Settings: DefaultSettings(), current: InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)}
 	next, due := director.current, 0
 
 	return func(look int, c *counter) Map {
@@ -93,7 +93,7 @@
 			demand := c.demand()
 			before := director.current.Skew(demand)
 
-			if m, after, _ := director.best(demand, before); (before-after)/before >= director.Settings.LeastGain {
+			if m, after, _ := director.best(demand, before); (before-after)/before >= director.Settings.MinGain {
 				next, due = m, look+switchLooks
 			}
 		}
@@ -113,14 +113,14 @@
 
 func BenchmarkMapsToday(b *testing.B) {
 	benchmarkMaps(b, day{
-		shape:    Shape{Sets: 4, Experts: 72, Ranks: 12, Places: 8, Spare: 3, Copy: 98 * time.Millisecond},
+		shape:    Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, SpareSlots: 3, CopyTime: 98 * time.Millisecond},
 		requests: 70, replaced: 6, moved: 4, every: 100 * time.Millisecond,
 	})
 }
 
 func BenchmarkMapsGrown(b *testing.B) {
 	benchmarkMaps(b, day{
-		shape:    Shape{Sets: 8, Experts: 252, Ranks: 63, Places: 5, Spare: 2, Copy: 14 * time.Millisecond},
+		shape:    Shape{Sets: 8, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 2, CopyTime: 14 * time.Millisecond},
 		requests: 300, replaced: 40, moved: 2, every: 180 * time.Millisecond,
 	})
 }
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -15,7 +15,7 @@
 // already, or be carried out seconds later: it is given again, and what the reports
 // say counts. A rank that refuses the first one that reaches it will not take it.
 func (s *Switcher) drive(ctx context.Context, failure error, order func(rank int) *wire.EngineOrder, seen func(*Report) bool) error {
-	ranks := make([]driven, s.Ranks.Size)
+	ranks := make([]driven, s.Group.Size)
 
 	for {
 		if refused := s.orderMissing(ctx, ranks, order, seen); len(refused) > 0 {
@@ -37,7 +37,7 @@
 		switch {
 		case missing == 0:
 			return nil
-		case !pauses.For(ctx, s.Settings.PollEvery):
+		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
 			return fmt.Errorf("%w: %d ranks are missing", failure, missing)
 		}
 	}
@@ -56,8 +56,8 @@
 		return nil
 	}
 
-	r, err := s.lookEach(ctx, s.lookTimeout(), func(rank int) (Question, bool) {
-		return Question{}, ranks[rank].taken && !ranks[rank].seen
+	r, err := s.lookEach(ctx, s.lookTimeout(), func(rank int) (PollRequest, bool) {
+		return PollRequest{}, ranks[rank].taken && !ranks[rank].seen
 	})
 	if err != nil {
 		return err
@@ -96,12 +96,12 @@
 		}
 	}
 
-	if s.Ranks.spreads(len(missing)) {
+	if s.Group.spreads(len(missing)) {
 		for i, told := range s.orderMany(ctx, missing, order) {
 			rank := missing[i]
 			results[rank] = told.Result
 			ranks[rank].seen = seen != nil && told.Err == nil && told.Result == wire.EngineResult_EngineDone &&
-				told.Look.Report.Epoch == s.Ranks.Epoch && seen(&told.Look.Report)
+				told.Poll.Report.Epoch == s.Group.Epoch && seen(&told.Poll.Report)
 		}
 	} else {
 		var g sync.WaitGroup
@@ -134,14 +134,14 @@
 }
 
 // orderMany gives an order to many ranks at once.
-func (s *Switcher) orderMany(ctx context.Context, ranks []int, order func(rank int) *wire.EngineOrder) []Told {
+func (s *Switcher) orderMany(ctx context.Context, ranks []int, order func(rank int) *wire.EngineOrder) []FanOutResult {
 	o := order(ranks[0])
 	began := time.Now()
 
 	ctx, cancel := context.WithTimeout(ctx, s.spread.timeout(o.GetKind(), len(ranks), s.mostTime(o, len(ranks)), 0))
 	defer cancel()
 
-	out := s.Ranks.Spread(ctx, ranks, Errand{Order: order})
+	out := s.Group.FanOut(ctx, ranks, FanOutRequest{Order: order})
 	known := 0
 
 	for i, told := range out {
@@ -175,7 +175,7 @@
 const orderTries = 4
 
 func (s *Switcher) order(kind wire.EngineOrderKind, fence, version, step uint64) *wire.EngineOrder {
-	return &wire.EngineOrder{Kind: kind, Epoch: s.Ranks.Epoch, Fence: fence, Version: version, Step: step}
+	return &wire.EngineOrder{Kind: kind, Epoch: s.Group.Epoch, Fence: fence, Version: version, Step: step}
 }
 
 // orderAt gives an order, again while nobody can tell what became of it.
@@ -183,7 +183,7 @@
 	got := wire.EngineResult_EngineUnknown
 
 	for try := range tries {
-		got = s.orderOnce(ctx, rank, o, try, s.Ranks.Size)
+		got = s.orderOnce(ctx, rank, o, try, s.Group.Size)
 		if got != wire.EngineResult_EngineUnknown || ctx.Err() != nil {
 			break
 		}
@@ -200,7 +200,7 @@
 	one, cancel := context.WithTimeout(ctx, s.answers.timeout(o.GetKind(), atOnce, s.mostTime(o, atOnce), unanswered))
 	defer cancel()
 
-	got := s.Ranks.Order(one, rank, o)
+	got := s.Group.Order(one, rank, o)
 
 	if got != wire.EngineResult_EngineUnknown && got != wire.EngineResult_EngineFenced {
 		s.answers.learn(o.GetKind(), time.Since(began))
@@ -218,5 +218,5 @@
 	}
 
 	// The maps share the directing VM's link.
-	return s.Settings.OrderTimeout + time.Duration(atOnce)*s.Settings.MapTime
+	return s.Settings.OrderTimeout + time.Duration(atOnce)*s.Settings.PerRankMapTimeout
 }
--- a/internal/lockstep/paces.go
+++ b/internal/lockstep/paces.go
@@ -1,14 +1,14 @@
 package lockstep
 
-// Paces are how many times longer than usual each rank takes, by rank; nil stands
+// Slowdowns are how many times longer than usual each rank takes, by rank; nil stands
 // for ranks that are all alike.
-type Paces []float64
+type Slowdowns []float64
 
 // leastSlow is the pace from which a rank counts as slow: a copy of experts makes
 // steps 15 in 100 longer at ranks that are well.
 const leastSlow = 1.25
 
-func (p Paces) at(rank int) float64 {
+func (p Slowdowns) at(rank int) float64 {
 	if rank >= len(p) || p[rank] < leastSlow {
 		return 1
 	}
@@ -18,11 +18,11 @@
 
 // seePaces takes in the paces of all ranks that were looked at, by the director or by
 // a rank that adds up counts. Others keep what was seen last.
-func (d *Director) seePaces(looks []Look) {
+func (d *Director) seePaces(looks []PollResult) {
 	for r := range looks {
 		d.seePace(r, looks[r].Report.Pace)
 
-		for other, pace := range looks[r].Paces {
+		for other, pace := range looks[r].Slowdowns {
 			d.seePace(other, pace)
 		}
 	}
--- a/internal/lockstep/pack.go
+++ b/internal/lockstep/pack.go
@@ -127,8 +127,8 @@
 	return out
 }
 
-// Changed returns m after changes.
-func (m Map) Changed(changes []byte) (Map, error) {
+// Apply returns m after changes.
+func (m Map) Apply(changes []byte) (Map, error) {
 	u := &unpacker{data: changes}
 	out := m.Clone()
 
@@ -148,8 +148,8 @@
 	return out, nil
 }
 
-// MapOf returns the map of an order.
-func MapOf(o *wire.EngineOrder) Map {
+// MapFromOrder returns the map of an order.
+func MapFromOrder(o *wire.EngineOrder) Map {
 	var out Map
 
 	ranks := max(1, int(o.GetRanks()))
@@ -183,9 +183,9 @@
 // prepared and given up.
 const mostMaps = 4
 
-// Maps are the maps that an agent knows, by version, the latest last. One goroutine
+// MapCache are the maps that an agent knows, by version, the latest last. One goroutine
 // at a time uses it.
-type Maps struct {
+type MapCache struct {
 	known []knownMap
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Put remembers a map.
-func (k *Maps) Put(version uint64, m Map) {
+func (k *MapCache) Put(version uint64, m Map) {
 	k.known = slices.DeleteFunc(k.known, func(o knownMap) bool { return o.version == version })
 
 	if len(k.known) == mostMaps {
@@ -206,7 +206,7 @@
 }
 
 // Get returns the map of a version, or nil.
-func (k *Maps) Get(version uint64) Map {
+func (k *MapCache) Get(version uint64) Map {
 	for _, o := range k.known {
 		if o.version == version {
 			return o.m
@@ -216,9 +216,9 @@
 	return nil
 }
 
-// Open fills in the map of an order that came packed. It reports false where the
+// UnpackOrder fills in the map of an order that came packed. It reports false where the
 // changes are from a map that is not known.
-func (k *Maps) Open(o *wire.EngineOrder) (bool, error) {
+func (k *MapCache) UnpackOrder(o *wire.EngineOrder) (bool, error) {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare || len(o.GetMap()) > 0 {
 		return true, nil
 	}
@@ -231,7 +231,7 @@
 	if len(o.GetWhole()) > 0 {
 		m, err = Unpack(o.GetWhole())
 	} else if base := k.Get(o.GetBase()); base != nil {
-		m, err = base.Changed(o.GetChanges())
+		m, err = base.Apply(o.GetChanges())
 	}
 
 	if err != nil || m == nil {
--- a/internal/lockstep/pack_test.go
+++ b/internal/lockstep/pack_test.go
@@ -14,8 +14,8 @@
 func TestMapsTravelAsChanges(t *testing.T) {
 	t.Parallel()
 
-	first := lockstep.First(grown.Sets, grown.Experts, grown.Ranks)
-	next := lockstep.Improve(grown, first, lockstep.Demand(skewed(grown, 3)), copies(3))
+	first := lockstep.InitialMap(grown.Sets, grown.Experts, grown.Ranks)
+	next := lockstep.ImproveMap(grown, first, lockstep.Demand(skewed(grown, 3)), copies(3))
 
 	whole, err := lockstep.Unpack(next.Pack())
 	require.NoError(t, err)
@@ -24,13 +24,13 @@
 	changes := first.Changes(next)
 	require.Less(t, len(changes), len(next.Pack())/2)
 
-	var agent lockstep.Maps
+	var agent lockstep.MapCache
 
 	order := func(edit func(o *wire.EngineOrder)) (*wire.EngineOrder, bool) {
 		o := &wire.EngineOrder{Kind: wire.EngineOrderKind_EngineOrderPrepare, Version: 8}
 		edit(o)
 
-		ok, err := agent.Open(o)
+		ok, err := agent.UnpackOrder(o)
 		require.NoError(t, err)
 
 		return o, ok
@@ -40,11 +40,11 @@
 
 	o, ok := order(func(o *wire.EngineOrder) { o.Version, o.Whole = 7, first.Pack() })
 	require.True(t, ok)
-	require.Equal(t, first, lockstep.MapOf(o))
+	require.Equal(t, first, lockstep.MapFromOrder(o))
 
 	o, ok = order(func(o *wire.EngineOrder) { o.Base, o.Changes = 7, changes })
 	require.True(t, ok)
-	require.Equal(t, next, lockstep.MapOf(o))
+	require.Equal(t, next, lockstep.MapFromOrder(o))
 	require.Equal(t, next, agent.Get(8))
 }
 
@@ -55,12 +55,12 @@
 	t.Parallel()
 
 	for _, shape := range []lockstep.Shape{today, grown} {
-		m := lockstep.First(shape.Sets, shape.Experts, shape.Ranks)
+		m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 
 		for seed := range uint64(20) {
-			next := lockstep.Improve(shape, m, lockstep.Demand(skewed(shape, seed)), copies(8))
+			next := lockstep.ImproveMap(shape, m, lockstep.Demand(skewed(shape, seed)), copies(8))
 
-			got, err := m.Changed(m.Changes(next))
+			got, err := m.Apply(m.Changes(next))
 			require.NoError(t, err)
 			require.Equal(t, next, got)
 
@@ -70,7 +70,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add(lockstep.First(2, 6, 3).Pack())
+	f.Add(lockstep.InitialMap(2, 6, 3).Pack())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := lockstep.Unpack(data)
 		if err != nil {
@@ -81,6 +81,6 @@
 		require.NoError(t, err)
 		require.Equal(t, m, again)
 
-		_, _ = lockstep.First(2, 6, 3).Changed(data)
+		_, _ = lockstep.InitialMap(2, 6, 3).Apply(data)
 	})
 }
--- a/internal/lockstep/plan.go
+++ b/internal/lockstep/plan.go
@@ -10,12 +10,12 @@
 type Demand [][]float64
 
 // Skew returns SkewAt where all ranks are alike.
-func (m Map) Skew(d Demand) float64 { return m.SkewAt(d, nil) }
+func (m Map) Skew(d Demand) float64 { return m.SkewWithSlowdowns(d, nil) }
 
-// SkewAt returns, in the mean over the sets, how long the last rank works on its
+// SkewWithSlowdowns returns, in the mean over the sets, how long the last rank works on its
 // experts under m, against the time that the mean load takes at a usual pace: 1 is
 // the least.
-func (m Map) SkewAt(d Demand, paces Paces) float64 {
+func (m Map) SkewWithSlowdowns(d Demand, paces Slowdowns) float64 {
 	total := 0.0
 
 	for s := range m {
@@ -57,13 +57,13 @@
 	return loads, sum
 }
 
-// Copies bound what a new map may cost.
-type Copies struct {
-	// Most is how many new experts a rank may get, over all sets.
-	Most int
-	// Least is the gain, in parts of the mean load, below which a change of one expert
+// CopyLimits bound what a new map may cost.
+type CopyLimits struct {
+	// MaxPerRank is how many new experts a rank may get, over all sets.
+	MaxPerRank int
+	// MinGain is the gain, in parts of the mean load, below which a change of one expert
 	// is not worth its copy.
-	Least float64
+	MinGain float64
 }
 
 // plan is the search for a map that is better for some demand than another one, and can
@@ -80,7 +80,7 @@
 	newAt []int
 }
 
-func newPlan(shape Shape, m Map, d Demand, paces Paces) *plan {
+func newPlan(shape Shape, m Map, d Demand, paces Slowdowns) *plan {
 	p := &plan{shape: shape, newAt: make([]int, shape.Ranks)}
 	m = m.Clone()
 
@@ -93,7 +93,7 @@
 
 // improve makes the changes that copies allow, which bound all new experts of a rank,
 // and returns the map with them.
-func (p *plan) improve(copies Copies) Map {
+func (p *plan) improve(copies CopyLimits) Map {
 	for _, set := range p.sets {
 		set.found = false
 	}
@@ -102,9 +102,9 @@
 		var best *setPlan
 
 		for _, set := range p.sets {
-			set.find(p.newAt, copies.Most)
+			set.find(p.newAt, copies.MaxPerRank)
 
-			if set.next.gain > copies.Least && (best == nil || set.next.gain > best.next.gain) {
+			if set.next.gain > copies.MinGain && (best == nil || set.next.gain > best.next.gain) {
 				best = set
 			}
 		}
@@ -117,7 +117,7 @@
 
 		for _, set := range p.sets {
 			// Others were found before this one used up a rank's copies.
-			set.found = set.found && set != best && set.allows(set.next, p.newAt, copies.Most)
+			set.found = set.found && set != best && set.allows(set.next, p.newAt, copies.MaxPerRank)
 		}
 	}
 
@@ -158,7 +158,7 @@
 	shape   Shape
 	ranks   [][]uint16
 	demand  []float64
-	paces   Paces
+	paces   Slowdowns
 	holders []int
 	has     []bool    // rank by rank, expert by expert
 	had     []bool    // the same as it was
@@ -178,7 +178,7 @@
 	next  change
 }
 
-func newSetPlan(shape Shape, ranks [][]uint16, demand []float64, paces Paces) *setPlan {
+func newSetPlan(shape Shape, ranks [][]uint16, demand []float64, paces Slowdowns) *setPlan {
 	p := &setPlan{
 		shape: shape, ranks: ranks, demand: demand, paces: paces, holders: make([]int, shape.Experts),
 		has: make([]bool, shape.Ranks*shape.Experts), loads: make([]float64, shape.Ranks),
@@ -260,7 +260,7 @@
 
 // weighAll weighs each way of bringing e from the most loaded rank to another one.
 func (p *setPlan) weighAll(e, from, to int, newAt []int, most int) {
-	if len(p.ranks[to]) < p.shape.Places {
+	if len(p.ranks[to]) < p.shape.Slots {
 		p.weigh(change{expert: e, from: from, to: to, out: none}, newAt, most)
 		p.weigh(change{expert: e, from: from, to: to, out: none, moved: true}, newAt, most)
 	}
@@ -315,7 +315,7 @@
 
 func (p *setPlan) allows(c change, newAt []int, most int) bool {
 	room := func(r, e int) bool {
-		return !p.isNew(r, e) || p.newHere[r] < p.shape.Spare && newAt[r] < most
+		return !p.isNew(r, e) || p.newHere[r] < p.shape.SpareSlots && newAt[r] < most
 	}
 
 	return (c.to == none || room(c.to, c.expert)) && (!c.swaps() || room(c.from, c.out))
--- a/internal/lockstep/plan_test.go
+++ b/internal/lockstep/plan_test.go
@@ -19,11 +19,13 @@
 }
 
 // copies lets almost any gain be worth a copy, so that the search itself is seen.
-func copies(most int) lockstep.Copies { return lockstep.Copies{Most: most, Least: 0.004} }
+func copies(most int) lockstep.CopyLimits {
+	return lockstep.CopyLimits{MaxPerRank: most, MinGain: 0.004}
+}
 
 var (
-	today = lockstep.Shape{Sets: 4, Experts: 72, Ranks: 12, Places: 8, Spare: 3}
-	grown = lockstep.Shape{Sets: 8, Experts: 252, Ranks: 63, Places: 5, Spare: 2}
+	today = lockstep.Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, SpareSlots: 3}
+	grown = lockstep.Shape{Sets: 8, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 2}
 )
 
 // checkMap holds a map against what engines take: each expert somewhere, no rank
@@ -37,7 +39,7 @@
 		held := map[uint16]bool{}
 
 		for r, experts := range to[s] {
-			require.LessOrEqual(t, len(experts), shape.Places)
+			require.LessOrEqual(t, len(experts), shape.Slots)
 
 			here, had, fresh := map[uint16]bool{}, map[uint16]bool{}, 0
 			for _, e := range from[s][r] {
@@ -53,7 +55,7 @@
 				}
 			}
 
-			require.LessOrEqual(t, fresh, shape.Spare)
+			require.LessOrEqual(t, fresh, shape.SpareSlots)
 
 			newAt[r] += fresh
 		}
@@ -70,12 +72,12 @@
 	t.Parallel()
 
 	for seed := range uint64(30) {
-		m := lockstep.First(today.Sets, today.Experts, today.Ranks)
+		m := lockstep.InitialMap(today.Sets, today.Experts, today.Ranks)
 
 		for round := range uint64(4) {
 			d := lockstep.Demand(skewed(today, seed*7+round))
 			most := []int{1, 2, 4, 8}[round]
-			next := lockstep.Improve(today, m, d, copies(most))
+			next := lockstep.ImproveMap(today, m, d, copies(most))
 			checkMap(t, today, m, next, most)
 			require.LessOrEqual(t, next.Skew(d), m.Skew(d)+1e-9)
 			m = next
@@ -88,11 +90,11 @@
 func TestImproveMendsTheWorstFirst(t *testing.T) {
 	t.Parallel()
 
-	m := lockstep.First(today.Sets, today.Experts, today.Ranks)
+	m := lockstep.InitialMap(today.Sets, today.Experts, today.Ranks)
 	d := lockstep.Demand(skewed(today, 1))
 	before := m.Skew(d)
-	one := lockstep.Improve(today, m, d, copies(1)).Skew(d)
-	eight := lockstep.Improve(today, m, d, copies(8)).Skew(d)
+	one := lockstep.ImproveMap(today, m, d, copies(1)).Skew(d)
+	eight := lockstep.ImproveMap(today, m, d, copies(8)).Skew(d)
 
 	require.Greater(t, before, 2.3)
 	require.Less(t, (one-1)/(before-1), 0.35)
@@ -103,7 +105,7 @@
 		none[s] = make([]float64, today.Experts)
 	}
 
-	require.Equal(t, m, lockstep.Improve(today, m, none, copies(8)))
+	require.Equal(t, m, lockstep.ImproveMap(today, m, none, copies(8)))
 	require.InDelta(t, 1, m.Skew(none), 0)
 }
 
@@ -114,26 +116,26 @@
 	t.Parallel()
 
 	d := lockstep.Demand(skewed(today, 1))
-	m := lockstep.First(today.Sets, today.Experts, today.Ranks)
+	m := lockstep.InitialMap(today.Sets, today.Experts, today.Ranks)
 
 	for range 4 {
-		m = lockstep.Improve(today, m, d, copies(8))
+		m = lockstep.ImproveMap(today, m, d, copies(8))
 	}
 
-	paces := make(lockstep.Paces, today.Ranks)
+	paces := make(lockstep.Slowdowns, today.Ranks)
 	paces[3] = 5
 	slow := m
 
 	for range 3 {
-		next := lockstep.ImproveAt(today, slow, d, paces, copies(8))
+		next := lockstep.ImproveMapWithSlowdowns(today, slow, d, paces, copies(8))
 		checkMap(t, today, slow, next, 8)
 		slow = next
 	}
 
-	require.Greater(t, m.SkewAt(d, paces), 4.5, "nobody has done anything yet")
-	require.Less(t, slow.SkewAt(d, paces), 1.5)
+	require.Greater(t, m.SkewWithSlowdowns(d, paces), 4.5, "nobody has done anything yet")
+	require.Less(t, slow.SkewWithSlowdowns(d, paces), 1.5)
 
-	well := lockstep.Improve(today, slow, d, copies(8))
+	well := lockstep.ImproveMap(today, slow, d, copies(8))
 	checkMap(t, today, slow, well, 8)
 	require.Less(t, well.Skew(d), 1.15)
 }
@@ -144,17 +146,17 @@
 	t.Parallel()
 
 	for _, shape := range []lockstep.Shape{today, grown} {
-		from := lockstep.First(shape.Sets, shape.Experts, shape.Ranks)
+		from := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 		anew, on := 0.0, 0.0
 
 		for seed := range uint64(8) {
 			d := lockstep.Demand(skewed(shape, seed))
 			most := []int{1, 3, 8, 16}
 
-			for i, m := range lockstep.ImproveInSteps(shape, from, d, most) {
+			for i, m := range lockstep.ImproveMapStepwise(shape, from, d, most) {
 				checkMap(t, shape, from, m, most[i])
 
-				anew += lockstep.Improve(shape, from, d, copies(most[i])).Skew(d)
+				anew += lockstep.ImproveMap(shape, from, d, copies(most[i])).Skew(d)
 				on += m.Skew(d)
 			}
 		}
@@ -164,12 +166,12 @@
 }
 
 func benchmarkImprove(b *testing.B, shape lockstep.Shape) {
-	m := lockstep.First(shape.Sets, shape.Experts, shape.Ranks)
+	m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 	d := lockstep.Demand(skewed(shape, 1))
 	after := 0.0
 
 	for b.Loop() {
-		after = lockstep.Improve(shape, m, d, copies(4)).Skew(d)
+		after = lockstep.ImproveMap(shape, m, d, copies(4)).Skew(d)
 	}
 
 	b.ReportMetric(m.Skew(d), "skew-before")
@@ -178,11 +180,11 @@
 
 // The director weighs four maps at each look that shows a skew.
 func benchmarkSteps(b *testing.B, shape lockstep.Shape) {
-	m := lockstep.First(shape.Sets, shape.Experts, shape.Ranks)
+	m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 	d := lockstep.Demand(skewed(shape, 1))
 
 	for b.Loop() {
-		lockstep.ImproveInSteps(shape, m, d, []int{1, 3, 8, 16})
+		lockstep.ImproveMapStepwise(shape, m, d, []int{1, 3, 8, 16})
 	}
 }
 
--- a/internal/lockstep/spread_test.go
+++ b/internal/lockstep/spread_test.go
@@ -13,7 +13,7 @@
 )
 
 // many is a group that is spoken to by way of some of its agents.
-var many = lockstep.Shape{Sets: 2, Experts: 54, Ranks: 27, Places: 3, Spare: 2, Copy: copyTime}
+var many = lockstep.Shape{Sets: 2, Experts: 54, Ranks: 27, Slots: 3, SpareSlots: 2, CopyTime: copyTime}
 
 // An agent that brings orders to a part of a large group is lost in each phase of a switch.
 // Guards against a part that is armed or held for good, and against a long hold meanwhile.
--- a/internal/lockstep/standby.go
+++ b/internal/lockstep/standby.go
@@ -12,11 +12,11 @@
 // nothing but free the group, which is safe beside a director that still lives:
 // the one with the lower fencing number is refused. Its fields are set before Run.
 type Standby struct {
-	Ranks    Ranks
+	Group    GroupClient
 	Settings Settings
 	Logger   *slog.Logger
-	// Director reports whether the directing agent answers.
-	Director func(ctx context.Context) bool
+	// DirectorAlive reports whether the directing agent answers.
+	DirectorAlive func(ctx context.Context) bool
 }
 
 // standbyLooks is how many times in a row the directing agent must not have
@@ -25,11 +25,11 @@
 
 // Run watches until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
-	switcher := &Switcher{Ranks: s.Ranks, Settings: s.Settings, Logger: s.Logger}
+	switcher := &Switcher{Group: s.Group, Settings: s.Settings, Logger: s.Logger}
 	missed := 0
 
-	for pauses.For(ctx, s.Settings.LookEvery) {
-		if s.Director(ctx) {
+	for pauses.For(ctx, s.Settings.PollInterval) {
+		if s.DirectorAlive(ctx) {
 			missed = 0
 
 			continue
@@ -39,7 +39,7 @@
 			continue
 		}
 
-		look, err := s.Ranks.Look(ctx, switcher.holder(), Question{})
+		look, err := s.Group.Poll(ctx, switcher.holder(), PollRequest{})
 		if err != nil || !look.Report.Holds {
 			continue
 		}
@@ -57,12 +57,12 @@
 	defer cancel()
 
 	go func() {
-		for pauses.For(ctx, s.Settings.LookEvery) {
-			if s.Director(ctx) {
+		for pauses.For(ctx, s.Settings.PollInterval) {
+			if s.DirectorAlive(ctx) {
 				cancel()
 			}
 		}
 	}()
 
-	return switcher.Free(ctx)
+	return switcher.ReleaseHolds(ctx)
 }
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/parsleygate/parsleygate/internal/latency"
 	"github.com/parsleygate/parsleygate/internal/pauses"
-	"github.com/parsleygate/parsleygate/internal/spread"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 // lifted only where every rank was seen armed, or every rank was seen disarmed
 // under a higher fencing number. So no step begins with two maps, whoever dies.
 type Switcher struct {
-	Ranks    Ranks
+	Group    GroupClient
 	Settings Settings
 	Logger   *slog.Logger
 
@@ -35,10 +35,10 @@
 	// steps is when steps begin, commits how long it takes from the order to hold a step
 	// until it is known not to be held any more.
 	steps   stepClock
-	commits spread.Spread
+	commits latency.Estimator
 	// looks is how long a look at a rank takes, unseen how many looks in a row most ranks
 	// did not answer in time.
-	looks  spread.Spread
+	looks  latency.Estimator
 	unseen int
 	// answers is how soon single ranks answer orders, spread how soon those that are
 	// brought to many of them are answered.
@@ -84,7 +84,7 @@
 	if err = s.commit(ctx, fence, version); err != nil {
 		s.Logger.Warn("Switch given up.", "version", version, "error", err)
 
-		return errors.Join(err, s.Free(ctx))
+		return errors.Join(err, s.ReleaseHolds(ctx))
 	}
 
 	return nil
@@ -124,7 +124,7 @@
 	}
 
 	err = s.goOn(ctx, s.holder(), fence, step)
-	s.commits.Learn(time.Since(began), commitMemory)
+	s.commits.Observe(time.Since(began), commitMemory)
 
 	return err
 }
@@ -140,9 +140,9 @@
 // all ranks are armed and the hold is lifted waits for that, and every stream of the
 // group with it; each further step is one more with the old map.
 func (s *Switcher) ahead() time.Duration {
-	within, _ := s.commits.Within(commitMargin)
+	within, _ := s.commits.UpperBound(commitMargin)
 
-	return min(max(within, s.Settings.Ahead), s.Settings.MostAhead)
+	return min(max(within, s.Settings.MinStepLead), s.Settings.MaxStepLead)
 }
 
 // armAll holds a step and arms all ranks for it, and returns the step once all of
@@ -178,7 +178,7 @@
 // holder is the rank that holds the step of a switch. It is not the directing
 // agent's own: the agent beside it gives these orders, and where that one dies the
 // director still lets the group go on.
-func (s *Switcher) holder() int { return min(1, s.Ranks.Size-1) }
+func (s *Switcher) holder() int { return min(1, s.Group.Size-1) }
 
 // hold lets the holder hold a step that is near, and returns it once that is seen.
 func (s *Switcher) hold(ctx context.Context, fence uint64) (uint64, error) {
@@ -228,12 +228,12 @@
 			return errNotFreed
 		}
 
-		look, err := s.Ranks.Look(ctx, rank, Question{})
+		look, err := s.Group.Poll(ctx, rank, PollRequest{})
 
 		switch {
-		case err == nil && (!look.Report.Holds || look.Report.Held != step || look.Report.Epoch != s.Ranks.Epoch):
+		case err == nil && (!look.Report.Holds || look.Report.Held != step || look.Report.Epoch != s.Group.Epoch):
 			return nil
-		case !pauses.For(ctx, s.Settings.PollEvery):
+		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
 			return errNotFreed
 		}
 	}
@@ -244,15 +244,15 @@
 
 	for _, ranks := range m {
 		for _, experts := range ranks {
-			out = append(out, SetToWire(experts))
+			out = append(out, ExpertSetToWire(experts))
 		}
 	}
 
 	return out
 }
 
-// SetToWire returns a rank's experts of a set as they travel.
-func SetToWire(experts []uint16) *wire.ExpertSet {
+// ExpertSetToWire returns a rank's experts of a set as they travel.
+func ExpertSetToWire(experts []uint16) *wire.ExpertSet {
 	set := &wire.ExpertSet{Experts: make([]uint32, 0, len(experts))}
 	for _, e := range experts {
 		set.Experts = append(set.Experts, uint32(e))
--- a/internal/lockstep/tallies.go
+++ b/internal/lockstep/tallies.go
@@ -6,10 +6,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Tallies keeps counts as they were told, so that later ones can be told as what has been
+// CountEncoder keeps counts as they were told, so that later ones can be told as what has been
 // added: counts grow for the whole life of an engine, and those of a large group filled the
 // links of the agents that add them up. One goroutine at a time uses it.
-type Tallies struct {
+type CountEncoder struct {
 	// Mark is the last one that was given. It is set before the first call to a number
 	// above those of all earlier lives, whose counts an asker may still hold.
 	Mark uint64
@@ -28,8 +28,8 @@
 // successor, and one that adds them up, with some whose answer was lost.
 const mostTallies = 6
 
-// Tell puts counts of some ranks into an answer to who holds those with the mark known.
-func (t *Tallies) Tell(out *wire.LookAnswer, ranks string, counts []uint64, known uint64) {
+// Encode puts counts of some ranks into an answer to who holds those with the mark known.
+func (t *CountEncoder) Encode(out *wire.LookAnswer, ranks string, counts []uint64, known uint64) {
 	t.Mark++
 	out.Mark = t.Mark
 	out.Counts = counts
@@ -71,14 +71,14 @@
 	return out, true
 }
 
-// Heard is the counts that an asker holds of what one agent told. The zero value holds none.
-type Heard struct {
+// CountDecoder is the counts that an asker holds of what one agent told. The zero value holds none.
+type CountDecoder struct {
 	Mark   uint64
 	Counts []uint64
 }
 
-// Take takes in an answer, and reports whether the counts are known with it.
-func (h *Heard) Take(a *wire.LookAnswer) bool {
+// Decode takes in an answer, and reports whether the counts are known with it.
+func (h *CountDecoder) Decode(a *wire.LookAnswer) bool {
 	switch {
 	case a.GetBase() == 0:
 		h.Counts = slices.Clone(a.GetCounts())
--- a/internal/lockstep/tallies_test.go
+++ b/internal/lockstep/tallies_test.go
@@ -17,10 +17,10 @@
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
-		var told lockstep.Tallies
+		var told lockstep.CountEncoder
 
 		counts := make([]uint64, 5)
-		heard := make([]lockstep.Heard, 2)
+		heard := make([]lockstep.CountDecoder, 2)
 
 		for range 40 {
 			for i := range counts {
@@ -32,20 +32,20 @@
 			}
 
 			if rapid.IntRange(0, 20).Draw(t, "agent starts anew") == 0 {
-				told = lockstep.Tallies{Mark: told.Mark + 1000}
+				told = lockstep.CountEncoder{Mark: told.Mark + 1000}
 			}
 
 			h := &heard[rapid.IntRange(0, 1).Draw(t, "asker")]
 
 			var out wire.LookAnswer
 
-			told.Tell(&out, "0", counts, h.Mark)
+			told.Encode(&out, "0", counts, h.Mark)
 
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 				continue
 			}
 
-			if h.Take(&out) {
+			if h.Decode(&out) {
 				require.Equal(t, counts, h.Counts)
 			}
 		}
@@ -60,8 +60,8 @@
 	const numbers = 16 * 258
 
 	var (
-		told lockstep.Tallies
-		h    lockstep.Heard
+		told lockstep.CountEncoder
+		h    lockstep.CountDecoder
 		size int
 	)
 
@@ -77,8 +77,8 @@
 
 		var out wire.LookAnswer
 
-		told.Tell(&out, "0", counts, h.Mark)
-		require.True(t, h.Take(&out))
+		told.Encode(&out, "0", counts, h.Mark)
+		require.True(t, h.Decode(&out))
 
 		size = proto.Size(&out)
 	}
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -7,9 +7,9 @@
 type Core struct {
 	AgentID     string
 	Incarnation uint64
-	// SettleFor is how long an order that got no answer, or one that an earlier agent
+	// UnsettledTimeout is how long an order that got no answer, or one that an earlier agent
 	// may have sent, bars later ones at an engine that ignores numbers.
-	SettleFor time.Duration
+	UnsettledTimeout time.Duration
 
 	learnt  bool
 	highest uint64
@@ -30,8 +30,8 @@
 	started        bool
 }
 
-// Give decides about one order.
-func (c *Core) Give(now time.Time, o Order) Decision {
+// Submit decides about one order.
+func (c *Core) Submit(now time.Time, o Order) Decision {
 	c.start(now)
 
 	if cause := c.refuse(o); cause != CauseNone {
@@ -69,8 +69,8 @@
 	}
 
 	c.started = true
-	if c.SettleFor == 0 {
-		c.SettleFor = DefaultSettleFor
+	if c.UnsettledTimeout == 0 {
+		c.UnsettledTimeout = DefaultUnsettledTimeout
 	}
 
 	c.unsettle(now)
@@ -79,7 +79,7 @@
 // unsettle bars other orders, as the engine may work on one that nobody waits for.
 func (c *Core) unsettle(now time.Time) {
 	c.unsettledSince = now
-	c.unsettledUntil = now.Add(c.SettleFor)
+	c.unsettledUntil = now.Add(c.UnsettledTimeout)
 }
 
 // refuse says why o is not even looked at, or CauseNone.
@@ -90,7 +90,7 @@
 	case o.AgentID != c.AgentID || o.Incarnation != c.Incarnation:
 		return CauseIncarnation
 	case !c.learnt:
-		return CauseUnlearnt
+		return CauseHighestUnknown
 	case o.FencingNumber < c.highest:
 		return CauseFenced
 	case c.leaving && o.FencingNumber != c.running:
@@ -133,13 +133,13 @@
 	c.unsettledUntil = now
 }
 
-// Lost takes the end of an order without the engine's answer. The engine may
+// Unanswered takes the end of an order without the engine's answer. The engine may
 // still carry it out, so one that ignores numbers gets no other order for a while:
 // the late effect of this one would undo the later one's.
-func (c *Core) Lost(now time.Time, number uint64) {
+func (c *Core) Unanswered(now time.Time, number uint64) {
 	c.start(now)
 
-	if c.end(number, Result{Cause: CauseLost}) {
+	if c.end(number, Result{Cause: CauseUnanswered}) {
 		c.unsettle(now)
 	}
 }
@@ -171,10 +171,10 @@
 	}
 
 	c.bootID = r.BootID
-	c.enforces = r.Enforces
+	c.enforces = r.EnforcesFencing
 
-	if r.Counts {
-		c.Learn(r.Highest)
+	if r.HasHighest {
+		c.ObserveNumber(r.Highest)
 	}
 
 	// A report that was on its way may be older than the order. The engine writes one
@@ -186,10 +186,10 @@
 	c.reportedAt = now
 }
 
-// Learn takes a number that was used before, from the engine or from the control
+// ObserveNumber takes a number that was used before, from the engine or from the control
 // configuration. Until then a restarted agent takes no order: it could be one that
 // a later one has replaced.
-func (c *Core) Learn(number uint64) {
+func (c *Core) ObserveNumber(number uint64) {
 	c.learnt = true
 
 	if number > c.highest {
@@ -199,8 +199,8 @@
 	}
 }
 
-// Leave refuses new orders for good; a running one ends.
-func (c *Core) Leave() { c.leaving = true }
+// Drain refuses new orders for good; a running one ends.
+func (c *Core) Drain() { c.leaving = true }
 
 // Running is the number of the order at the engine, 0 for none.
 func (c *Core) Running() uint64 { return c.running }
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -49,15 +49,15 @@
 	}
 	// ran has order 5 sent and answered.
 	ran := func(c *Core) {
-		c.Learn(4)
-		c.Give(start, order(5, "v5"))
+		c.ObserveNumber(4)
+		c.Submit(start, order(5, "v5"))
 		c.Completed(start, 5, done)
 	}
 	running := func(c *Core) {
-		c.Learn(4)
-		c.Give(start, order(5, "v5"))
+		c.ObserveNumber(4)
+		c.Submit(start, order(5, "v5"))
 	}
-	late := start.Add(DefaultSettleFor)
+	late := start.Add(DefaultUnsettledTimeout)
 
 	cases := []struct {
 		name   string
@@ -66,16 +66,16 @@
 		give   Order
 		want   Decision
 	}{
-		{"number not learnt after a restart", func(*Core) {}, start, order(5, "v5"), refused(CauseUnlearnt, 0)},
-		{"learnt from control", func(c *Core) { c.Learn(4) }, start, order(5, "v5"), send},
+		{"number not learnt after a restart", func(*Core) {}, start, order(5, "v5"), refused(CauseHighestUnknown, 0)},
+		{"learnt from control", func(c *Core) { c.ObserveNumber(4) }, start, order(5, "v5"), send},
 		{"learnt from the engine", func(c *Core) {
-			c.Report(start, Report{BootID: "boot-1", Highest: 4, Counts: true})
+			c.Report(start, Report{BootID: "boot-1", Highest: 4, HasHighest: true})
 		}, start, order(5, "v5"), send},
-		{"learnt number used again", func(c *Core) { c.Learn(5) }, start, order(5, "v5"), refused(CauseAnswerLost, 5)},
-		{"lower than learnt", func(c *Core) { c.Learn(6) }, start, order(5, "v5"), refused(CauseFenced, 6)},
+		{"learnt number used again", func(c *Core) { c.ObserveNumber(5) }, start, order(5, "v5"), refused(CauseAnswerLost, 5)},
+		{"lower than learnt", func(c *Core) { c.ObserveNumber(6) }, start, order(5, "v5"), refused(CauseFenced, 6)},
 		{"control lags behind the engine", func(c *Core) {
-			c.Report(start, Report{BootID: "boot-1", Highest: 6, Counts: true})
-			c.Learn(2)
+			c.Report(start, Report{BootID: "boot-1", Highest: 6, HasHighest: true})
+			c.ObserveNumber(2)
 		}, start, order(5, "v5"), refused(CauseFenced, 6)},
 		{"lower than one that ran", ran, start, order(4, "v4"), refused(CauseFenced, 5)},
 		{"resend after it ran", ran, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: done, Highest: 5}},
@@ -85,12 +85,12 @@
 		{"higher while one runs", running, start, order(6, "v6"), refused(CauseBusy, 6)},
 		{"lower than one refused as busy", func(c *Core) {
 			running(c)
-			c.Give(start, order(7, "v7"))
+			c.Submit(start, order(7, "v7"))
 			c.Completed(start, 5, done)
 		}, start, order(6, "v6"), refused(CauseFenced, 7)},
 		{"resend of one refused as busy", func(c *Core) {
 			running(c)
-			c.Give(start, order(7, "v7"))
+			c.Submit(start, order(7, "v7"))
 			c.Completed(start, 5, done)
 		}, start, order(7, "v7"), Decision{Action: ActionSend, Highest: 7}},
 		{"earlier incarnation", ran, start, func() Order {
@@ -108,31 +108,31 @@
 		{"no number", ran, start, order(0, "v"), refused(CauseMalformed, 5)},
 		{"after an order without answer", func(c *Core) {
 			running(c)
-			c.Lost(start, 5)
+			c.Unanswered(start, 5)
 		}, late.Add(-1), order(6, "v6"), refused(CauseUnsettled, 6)},
 		{"long after an order without answer", func(c *Core) {
 			running(c)
-			c.Lost(start, 5)
+			c.Unanswered(start, 5)
 		}, late, order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
 		{"resend of an order without answer", func(c *Core) {
 			running(c)
-			c.Lost(start, 5)
-		}, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: Result{Cause: CauseLost}, Highest: 5}},
+			c.Unanswered(start, 5)
+		}, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: Result{Cause: CauseUnanswered}, Highest: 5}},
 		{"no answer, and a report on its way says idle", func(c *Core) {
 			running(c)
-			c.Lost(start.Add(1), 5)
+			c.Unanswered(start.Add(1), 5)
 			c.Report(start.Add(2), Report{BootID: "boot-1", Idle: true})
 		}, start.Add(2), order(6, "v6"), refused(CauseUnsettled, 6)},
 		{"no answer, but the engine says it is idle", func(c *Core) {
 			running(c)
-			c.Lost(start.Add(1), 5)
+			c.Unanswered(start.Add(1), 5)
 			c.Report(start.Add(2), Report{BootID: "boot-1", Idle: true})
 			c.Report(start.Add(3), Report{BootID: "boot-1", Idle: true})
 		}, start.Add(3), order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
 		{"no answer, but the engine refuses old numbers", func(c *Core) {
 			running(c)
-			c.Lost(start, 5)
-			c.Report(start, Report{BootID: "boot-1", Enforces: true})
+			c.Unanswered(start, 5)
+			c.Report(start, Report{BootID: "boot-1", EnforcesFencing: true})
 		}, start, order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
 		{"engine restarted while it ran", func(c *Core) {
 			running(c)
@@ -140,18 +140,18 @@
 		}, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: Result{Cause: CauseEngineRestarted}, Highest: 5}},
 		{"old number after the engine restarted", func(c *Core) {
 			ran(c)
-			c.Report(start, Report{BootID: "boot-2", Counts: true})
+			c.Report(start, Report{BootID: "boot-2", HasHighest: true})
 		}, start, order(4, "v4"), refused(CauseFenced, 5)},
 		{"late answer of an order given up", func(c *Core) {
 			running(c)
-			c.Lost(start, 5)
+			c.Unanswered(start, 5)
 			c.Report(start, Report{BootID: "boot-1", Idle: true})
-			c.Give(start, order(6, "v6"))
+			c.Submit(start, order(6, "v6"))
 			c.Completed(start, 5, done)
 		}, start, order(6, "v6"), Decision{Action: ActionJoin, Highest: 6}},
 		{"agent leaving", func(c *Core) {
 			ran(c)
-			c.Leave()
+			c.Drain()
 		}, start, order(6, "v6"), refused(CauseLeaving, 5)},
 	}
 
@@ -161,7 +161,7 @@
 
 			c := newCore()
 			tc.before(c)
-			require.Equal(t, tc.want, c.Give(tc.at, tc.give))
+			require.Equal(t, tc.want, c.Submit(tc.at, tc.give))
 		})
 	}
 }
@@ -173,9 +173,9 @@
 
 	c := &Core{AgentID: "agent-1", Incarnation: 3}
 	c.Report(start, Report{BootID: "boot-1"})
-	c.Learn(4)
-	require.Equal(t, CauseUnsettled, c.Give(start, order(5, "v5")).Result.Cause)
-	require.Equal(t, ActionSend, c.Give(start.Add(DefaultSettleFor), order(5, "v5")).Action)
+	c.ObserveNumber(4)
+	require.Equal(t, CauseUnsettled, c.Submit(start, order(5, "v5")).Result.Cause)
+	require.Equal(t, ActionSend, c.Submit(start.Add(DefaultUnsettledTimeout), order(5, "v5")).Action)
 }
 
 // The engine's state would go back, under any order of events. The model engine
@@ -186,7 +186,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		c := newCore()
-		c.Learn(0)
+		c.ObserveNumber(0)
 
 		var (
 			atEngine   []uint64 // sent, not carried out
@@ -213,7 +213,7 @@
 		for range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "s")) * time.Second)
 			// An order that nobody waits for is carried out within SettleFor, or never.
-			if len(atEngine) > 0 && c.Running() == 0 && now.Sub(lostAt) >= DefaultSettleFor {
+			if len(atEngine) > 0 && c.Running() == 0 && now.Sub(lostAt) >= DefaultUnsettledTimeout {
 				atEngine = nil
 			}
 
@@ -222,7 +222,7 @@
 				o := order(rapid.Uint64Range(1, 30).Draw(t, "number"), "v")
 				o.Incarnation = incarnates - rapid.Uint64Range(0, 1).Draw(t, "old")*rapid.Uint64Range(0, 1).Draw(t, "older")
 
-				if c.Give(now, o).Action == ActionSend {
+				if c.Submit(now, o).Action == ActionSend {
 					require.Empty(t, atEngine, "two orders at a time")
 					atEngine = append(atEngine, o.FencingNumber)
 				}
@@ -230,7 +230,7 @@
 				apply()
 			case 7:
 				if c.Running() != 0 {
-					c.Lost(now, c.Running())
+					c.Unanswered(now, c.Running())
 					lostAt = now
 				}
 			case 8:
@@ -247,7 +247,7 @@
 				c = &Core{AgentID: "agent-1", Incarnation: incarnates}
 				c.Report(now, Report{BootID: "boot-1", Idle: idle})
 				idle = len(atEngine) == 0
-				c.Learn(highest)
+				c.ObserveNumber(highest)
 			}
 		}
 	})
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -44,8 +44,8 @@
 	CauseNone Cause = ""
 	// CauseIncarnation: the order was meant for another agent or an earlier incarnation.
 	CauseIncarnation Cause = "EarlierIncarnation"
-	// CauseUnlearnt: after a restart the agent doesn't know the highest number yet.
-	CauseUnlearnt Cause = "HighestNumberUnknown"
+	// CauseHighestUnknown: after a restart the agent doesn't know the highest number yet.
+	CauseHighestUnknown Cause = "HighestNumberUnknown"
 	// CauseFenced: a higher number has been seen.
 	CauseFenced Cause = "FencedOff"
 	// CauseConflict: the same number came with other content.
@@ -64,8 +64,8 @@
 	CauseLeaving Cause = "Leaving"
 	// CauseEngineRestarted: the engine restarted while it carried the order out.
 	CauseEngineRestarted Cause = "EngineRestarted"
-	// CauseLost: the engine didn't answer; it may still carry the order out.
-	CauseLost Cause = "EngineSilent"
+	// CauseUnanswered: the engine didn't answer; it may still carry the order out.
+	CauseUnanswered Cause = "EngineSilent"
 )
 
 // Result is what became of an order.
@@ -101,16 +101,16 @@
 type Report struct {
 	BootID string
 	// Highest is the highest number that the engine has seen, where Counts says that it keeps one.
-	Highest uint64
-	Counts  bool
-	// Enforces says that the engine itself refuses an old number.
-	Enforces bool
+	Highest    uint64
+	HasHighest bool
+	// EnforcesFencing says that the engine itself refuses an old number.
+	EnforcesFencing bool
 	// Idle says that the engine works on no order; false says nothing.
 	Idle bool
 }
 
-// DefaultSettleFor is how long an order without an answer bars later ones.
-const DefaultSettleFor = 10 * time.Minute
+// DefaultUnsettledTimeout is how long an order without an answer bars later ones.
+const DefaultUnsettledTimeout = 10 * time.Minute
 
 // state is how far the order with the highest number has come.
 type state uint8
--- a/internal/prefix/bench_test.go
+++ b/internal/prefix/bench_test.go
@@ -19,7 +19,7 @@
 
 		x := &prefix.Index{}
 		for i := range uint64(1_000_000) {
-			x.Routed(epoch, fmt.Sprintf("target-%d", i%30), 1, []uint64{i})
+			x.RecordRouted(epoch, fmt.Sprintf("target-%d", i%30), 1, []uint64{i})
 		}
 
 		runtime.GC()
@@ -39,7 +39,7 @@
 		prompt[i] = uint64(i)
 	}
 
-	x.Routed(epoch, "t1", 1, prompt[:9])
+	x.RecordRouted(epoch, "t1", 1, prompt[:9])
 	b.ReportAllocs()
 
 	for b.Loop() {
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -13,8 +13,8 @@
 // of a prompt up to the end of a block. The index is not safe for concurrent
 // use: its owner guards it.
 type Index struct {
-	// Blocks bounds how many (target, prefix) pairs are kept (65,536).
-	Blocks int
+	// MaxBlocks bounds how many (target, prefix) pairs are kept (65,536).
+	MaxBlocks int
 	// HalfLife is the time in which what only this entry's own routing tells
 	// loses half of its certainty (2 min).
 	HalfLife time.Duration
@@ -43,8 +43,8 @@
 
 	x.targets = map[string]*holder{}
 
-	if x.Blocks == 0 {
-		x.Blocks = 1 << 16
+	if x.MaxBlocks == 0 {
+		x.MaxBlocks = 1 << 16
 	}
 
 	if x.HalfLife == 0 {
@@ -53,7 +53,7 @@
 }
 
 // room is how many prefixes are kept of one target.
-func (x *Index) room() int { return max(x.Blocks/max(len(x.targets), 1), 2) }
+func (x *Index) room() int { return max(x.MaxBlocks/max(len(x.targets), 1), 2) }
 
 // of returns what is known of a target. Another incarnation starts with nothing:
 // its engine may have restarted with it, and numbers its events anew.
@@ -69,8 +69,8 @@
 	return h
 }
 
-// Keep forgets all targets but those of which keep is true.
-func (x *Index) Keep(keep func(target string) bool) {
+// Retain forgets all targets but those of which keep is true.
+func (x *Index) Retain(keep func(target string) bool) {
 	for name := range x.targets {
 		if !keep(name) {
 			delete(x.targets, name)
@@ -78,8 +78,8 @@
 	}
 }
 
-// Routed records that a prompt was sent to a target.
-func (x *Index) Routed(now time.Time, target string, incarnation uint64, prefixes []uint64) {
+// RecordRouted records that a prompt was sent to a target.
+func (x *Index) RecordRouted(now time.Time, target string, incarnation uint64, prefixes []uint64) {
 	h := x.of(target, incarnation)
 	if h.incarnation != incarnation {
 		return
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -47,7 +47,7 @@
 				ev.Change = prefix.Cleared
 				x.Apply(ev)
 			case "routed":
-				x.Routed(now, ev.Target, ev.Incarnation, ev.Prefixes)
+				x.RecordRouted(now, ev.Target, ev.Incarnation, ev.Prefixes)
 			case "wait":
 			}
 
@@ -66,15 +66,15 @@
 func TestIndexIsBounded(t *testing.T) {
 	t.Parallel()
 
-	x := &prefix.Index{Blocks: 1000}
+	x := &prefix.Index{MaxBlocks: 1000}
 	for i := range uint64(100_000) {
-		x.Routed(epoch, fmt.Sprintf("t%d", i%10), 1, []uint64{i, i + 1})
-		x.Routed(epoch, "t0", 1, []uint64{7})
+		x.RecordRouted(epoch, fmt.Sprintf("t%d", i%10), 1, []uint64{i, i + 1})
+		x.RecordRouted(epoch, "t0", 1, []uint64{7})
 	}
 
 	require.LessOrEqual(t, x.Size(), 1000)
 	require.Equal(t, 1, x.Match(epoch, "t0", []uint64{7}).Blocks, "what is in use stays")
 
-	x.Keep(func(target string) bool { return target == "t0" })
+	x.Retain(func(target string) bool { return target == "t0" })
 	require.LessOrEqual(t, x.Size(), 100)
 }
--- a/internal/relay/again.go
+++ b/internal/relay/again.go
@@ -36,26 +36,26 @@
 
 	switch {
 	case p.req.Context().Err() != nil:
-		return retries.ReasonLeft
+		return retries.ReasonCallerCanceled
 	case ctx.Err() != nil || !now.Before(p.deadline):
 		return retries.ReasonDeadline
 	case len(p.tried)-got >= mostMissed:
-		return retries.ReasonTries
+		return retries.ReasonMaxAttempts
 	case verdict.Of(err) != verdict.NotRun && !p.mayRepeat():
-		return retries.ReasonMayRun
+		return retries.ReasonMayHaveRun
 	case p.reached == reachTarget && got >= max(1, p.route.MostTargets):
-		return retries.ReasonTries
+		return retries.ReasonMaxAttempts
 	case p.streaming && p.route.Repeat != routes.Resume:
-		return retries.ReasonMayRun
+		return retries.ReasonMayHaveRun
 	}
 
 	// Right after a restart the entries that were known as the request arrived may be few.
 	share := p.relay.parts.budget(p.service)
 
-	if p.reached != reachNone && !p.relay.Budget.Take(now, p.service, share) {
+	if p.reached != reachNone && !p.relay.Budget.Allow(now, p.service, share) {
 		p.relay.counters.spent.Add(1)
 
-		return retries.ReasonBudget
+		return retries.ReasonBudgetExhausted
 	}
 
 	return retries.ReasonNone
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -9,25 +9,25 @@
 	"time"
 
 	"github.com/parsleygate/parsleygate/internal/dispatch"
-	"github.com/parsleygate/parsleygate/internal/door"
+	"github.com/parsleygate/parsleygate/internal/targetclient"
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-func outcomeOf(w Word) dispatch.Outcome {
+func outcomeOf(w ResponseInfo) dispatch.Outcome {
 	switch {
-	case w.Moved:
-		return dispatch.Moved
+	case w.Misdirected:
+		return dispatch.Misdirected
 	case w.NotRun:
-		return dispatch.Shed
+		return dispatch.Rejected
 	default:
 		return dispatch.Failed
 	}
 }
 
 // check holds the head of an answer against the request that it must answer.
-func (p *passage) check(answer *door.Answer, word Word) error {
+func (p *passage) check(answer *targetclient.Answer, word ResponseInfo) error {
 	switch {
-	case word.Moved:
+	case word.Misdirected:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation}
 	case word.NotRun && answer.Status != http.StatusBadRequest:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}
@@ -58,15 +58,15 @@
 }
 
 // outbound is the request as it goes to a target now.
-func (p *passage) outbound(target string) *door.Call {
+func (p *passage) outbound(target string) *targetclient.Request {
 	h := p.req.Header.Clone()
 	dropHopByHop(h)
 	h.Del("Content-Length")
-	p.relay.Dialect.PutSend(h, Send{
-		TargetID: target, Workspace: p.workspaceName(), Left: time.Until(p.deadline), LastEvent: p.lastEvent,
+	p.relay.Dialect.SetForwardHeaders(h, ForwardInfo{
+		TargetID: target, Workspace: p.workspaceName(), Remaining: time.Until(p.deadline), LastEvent: p.lastEvent,
 	})
 
-	return &door.Call{
+	return &targetclient.Request{
 		Method: p.req.Method, URI: p.req.RequestURI, Host: p.req.Host, Header: h, Body: p.body, Deadline: p.deadline,
 	}
 }
@@ -75,7 +75,7 @@
 var errCallerGone = errors.New("relay: the caller left")
 
 // deliver passes an answer on.
-func (p *passage) deliver(ctx context.Context, answer *door.Answer) error {
+func (p *passage) deliver(ctx context.Context, answer *targetclient.Answer) error {
 	if p.route.Stream && isSuccess(answer.Status) {
 		return p.stream(ctx, answer)
 	}
@@ -114,7 +114,7 @@
 	p.w.WriteHeader(status)
 }
 
-func (p *passage) copyHead(answer *door.Answer) {
+func (p *passage) copyHead(answer *targetclient.Answer) {
 	copyHeader(p.w.Header(), answer.Header)
 
 	if _, stopping := p.relay.StopsAt(); stopping {
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -68,7 +68,7 @@
 func (p *passage) refuse(err error) {
 	var v *verdict.Error
 
-	wait := p.relay.Settings.ShortestRetry
+	wait := p.relay.Settings.MinRetryAfter
 	if errors.As(err, &v) && !v.RetryAt.IsZero() {
 		wait = max(time.Until(v.RetryAt), time.Millisecond)
 	}
--- a/internal/relay/passage.go
+++ b/internal/relay/passage.go
@@ -22,7 +22,7 @@
 	state *view.Followed
 	began time.Time
 
-	call      Call
+	call      RequestInfo
 	route     *routes.Route
 	workspace *routes.Workspace
 	service   string
@@ -51,7 +51,7 @@
 	status int
 	first  time.Duration
 	// room is the state of the targets when it was refused.
-	room dispatch.Room
+	room dispatch.CapacitySummary
 
 	// tried are the targets that it was sent to, reached how far the last try got.
 	tried   []string
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithDeadline(p.req.Context(), p.deadline)
 	defer cancel()
 
-	p.relay.Budget.Fresh(p.began, p.service, p.relay.parts.budget(p.service))
+	p.relay.Budget.RecordRequest(p.began, p.service, p.relay.parts.budget(p.service))
 
 	var failed error // the try before
 
@@ -115,7 +115,7 @@
 	p.waited += now.Sub(asked)
 
 	if err != nil {
-		p.room = placed.Room
+		p.room = placed.Capacity
 
 		return placed, err
 	}
@@ -127,8 +127,8 @@
 
 func (p *passage) request() dispatch.Request {
 	return dispatch.Request{
-		Service: p.service, Workspace: p.workspaceName(), Rank: p.rank(),
-		AimAt: p.aimAt, GiveUpAt: p.giveUpAt, Work: p.work(), Tried: p.tried,
+		Service: p.service, Workspace: p.workspaceName(), Priority: p.rank(),
+		SoftDeadline: p.aimAt, Deadline: p.giveUpAt, Work: p.work(), Excluded: p.tried,
 	}
 }
 
@@ -143,14 +143,14 @@
 // attempt sends the request to one target and delivers its answer. An error says
 // what became of it there.
 func (p *passage) attempt(ctx context.Context, placed dispatch.Action) error {
-	outcome := dispatch.Left
+	outcome := dispatch.Canceled
 	defer func() { p.relay.queue.finish(placed, p.work(), outcome) }()
 
 	p.tried = append(slices.Clip(p.tried), placed.Target.ID)
 	p.placed, p.placedAt, p.eventAt = placed, time.Now(), time.Time{}
 	p.reached = reachNone
 
-	answer, err := p.relay.Door.Open(ctx, placed.Target.Address, p.outbound(placed.Target.ID))
+	answer, err := p.relay.Transport.Open(ctx, placed.Target.Address, p.outbound(placed.Target.ID))
 	if err != nil {
 		if verdict.Of(err) != verdict.NotRun {
 			p.noteRead(reachTarget)
@@ -163,8 +163,8 @@
 	}
 	defer answer.Close()
 
-	word := p.relay.Dialect.ReadWord(answer.Status, answer.Header)
-	if word.Moved {
+	word := p.relay.Dialect.ReadResponse(answer.Status, answer.Header)
+	if word.Misdirected {
 		p.noteRead(reachOther)
 	} else {
 		p.noteRead(reachTarget)
@@ -186,7 +186,7 @@
 		return err
 	}
 
-	outcome = dispatch.Served
+	outcome = dispatch.Completed
 
 	return nil
 }
@@ -205,7 +205,7 @@
 // blame says whether a failure tells something of the target.
 func (p *passage) blame(ctx context.Context, err error) dispatch.Outcome {
 	if ctx.Err() != nil || errors.Is(err, errCallerGone) {
-		return dispatch.Left
+		return dispatch.Canceled
 	}
 
 	return dispatch.Failed
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -37,7 +37,7 @@
 	r.ID = q.lastID
 	placed := make(chan dispatch.Action, 1)
 	q.waiters[r.ID] = placed
-	q.tell(q.dispatcher.Offer(time.Now(), r))
+	q.tell(q.dispatcher.Submit(time.Now(), r))
 	q.keepTicking()
 	q.mu.Unlock()
 
@@ -55,7 +55,7 @@
 	select {
 	case a := <-placed:
 		if a.Placed {
-			q.finish(a, r.Work, dispatch.Left)
+			q.finish(a, r.Work, dispatch.Canceled)
 		}
 	default:
 	}
@@ -78,16 +78,16 @@
 	q.tell(q.dispatcher.Finish(time.Now(), a, work, o))
 }
 
-func (q *queue) report(a dispatch.Action, w Word) {
+func (q *queue) report(a dispatch.Action, w ResponseInfo) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	if w.HasLoad {
-		q.tell(q.dispatcher.Report(time.Now(), a.Target.Service, a.Target.ID, w.Load))
+		q.tell(q.dispatcher.ReportLoad(time.Now(), a.Target.Service, a.Target.ID, w.Load))
 	}
 
 	if w.AtFault != "" {
-		q.dispatcher.Fault(time.Now(), a.Target.Service, w.AtFault)
+		q.dispatcher.ReportFault(time.Now(), a.Target.Service, w.AtFault)
 	}
 }
 
@@ -97,7 +97,7 @@
 	defer q.mu.Unlock()
 
 	for _, e := range q.engines[vm] {
-		q.tell(q.dispatcher.Report(time.Now(), e.service, e.target, l))
+		q.tell(q.dispatcher.ReportLoad(time.Now(), e.service, e.target, l))
 	}
 }
 
@@ -105,14 +105,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.dispatcher.Pause(time.Now(), a, part)
+	q.dispatcher.ReportEventGap(time.Now(), a, part)
 }
 
 func (q *queue) first(a dispatch.Action, took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.dispatcher.First(a, took)
+	q.dispatcher.ReportFirstAnswer(a, took)
 }
 
 func (q *queue) change(services []dispatch.Service, targets []dispatch.Target) {
@@ -128,7 +128,7 @@
 		}
 	}
 
-	q.tell(q.dispatcher.Change(time.Now(), services, targets))
+	q.tell(q.dispatcher.Update(time.Now(), services, targets))
 }
 
 // uses reports whether some target is an engine on a VM.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,12 +17,12 @@
 
 	"github.com/parsleygate/parsleygate/internal/directory"
 	"github.com/parsleygate/parsleygate/internal/dispatch"
-	"github.com/parsleygate/parsleygate/internal/door"
-	"github.com/parsleygate/parsleygate/internal/loads"
+	"github.com/parsleygate/parsleygate/internal/loadreport"
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/retries"
 	"github.com/parsleygate/parsleygate/internal/routes"
 	"github.com/parsleygate/parsleygate/internal/shares"
+	"github.com/parsleygate/parsleygate/internal/targetclient"
 	"github.com/parsleygate/parsleygate/internal/view"
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
@@ -34,9 +34,9 @@
 	ID   string
 	Zone string
 	// State returns what the control VMs published.
-	State  func() *view.Followed
-	Door   *door.Door
-	Budget *retries.Share
+	State     func() *view.Followed
+	Transport *targetclient.Client
+	Budget    *retries.SharedBudget
 	// StopsAt says when this entry ends, and whether it stops at all. Once it does,
 	// answers end their connections.
 	StopsAt  func() (at time.Time, stopping bool)
@@ -89,8 +89,8 @@
 	}
 
 	r.configured = make(chan struct{})
-	r.parts.self = shares.Place{ID: r.ID, Zone: r.Zone}
-	r.parts.keeper.Degree = shares.Degree
+	r.parts.self = shares.Node{ID: r.ID, Zone: r.Zone}
+	r.parts.keeper.SubsetSize = shares.SubsetSize
 	r.latencies = newLatencies()
 	r.served.PerSecond = servedLines
 	r.queue = &queue{
@@ -99,8 +99,8 @@
 	}
 }
 
-// Change takes in what the control VMs published.
-func (r *Relay) Change(f *view.Followed) {
+// Apply takes in what the control VMs published.
+func (r *Relay) Apply(f *view.Followed) {
 	if f.Table == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 	services := make([]dispatch.Service, 0, len(f.Table.Services))
 	for _, s := range f.Table.Services {
 		services = append(services, dispatch.Service{
-			Name: s.Name, ColdPerSecond: s.ColdPerSecond, MostConnections: s.MostConnections, Streams: s.Slots > 0,
+			Name: s.Name, ColdPerSecond: s.ColdPerSecond, MaxConnections: s.MostConnections, Streams: s.Slots > 0,
 		})
 	}
 
@@ -128,8 +128,8 @@
 	r.queue.change(services, targets)
 	r.configure.Do(func() { close(r.configured) })
 
-	if wait, due := r.parts.keeper.Due(now); due {
-		time.AfterFunc(wait, func() { r.Change(r.State()) })
+	if wait, due := r.parts.keeper.RecomputeDue(now); due {
+		time.AfterFunc(wait, func() { r.Apply(r.State()) })
 	}
 }
 
@@ -139,14 +139,14 @@
 func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
-		Leaving: leaves(t, f), Silent: t.State == directory.Silent,
+		Draining: leaves(t, f), Unresponsive: t.State == directory.Silent,
 		Broken: t.Group.Broken, ColdUntil: t.ColdUntil, Share: share,
 	}
 }
 
-// Heard takes in what the agent on a target's VM says of its load.
-func (r *Relay) Heard(vm netip.Addr, l loads.Load) {
-	r.queue.load(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Pace: l.Pace})
+// UpdateLoad takes in what the agent on a target's VM says of its load.
+func (r *Relay) UpdateLoad(vm netip.Addr, l loadreport.Load) {
+	r.queue.load(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
 }
 
 // Ready reports whether this entry can serve: it knows a configuration and targets.
@@ -182,7 +182,7 @@
 	}
 
 	if p.state.Table == nil {
-		p.refuse(verdict.Refuse(verdict.CauseStale, time.Now().Add(r.Settings.NoTargetRetry)))
+		p.refuse(verdict.Refuse(verdict.CauseStale, time.Now().Add(r.Settings.NoTargetRetryAfter)))
 
 		return
 	}
@@ -194,7 +194,7 @@
 	}
 
 	if stopping && r.usual.endsBy(now, p.service).After(stopsAt) {
-		p.refuse(verdict.Refuse(verdict.CauseStopping, now.Add(r.Settings.ShortestRetry)))
+		p.refuse(verdict.Refuse(verdict.CauseStopping, now.Add(r.Settings.MinRetryAfter)))
 
 		return
 	}
@@ -204,7 +204,7 @@
 
 // readCall reads the head of the request.
 func (p *passage) readCall() error {
-	call, err := p.relay.Dialect.ReadCall(p.req, p.began)
+	call, err := p.relay.Dialect.ReadRequest(p.req, p.began)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 	p.giveUpAt = p.deadline
 
 	if p.route.Stream {
-		if first := now.Add(p.relay.Dialect.Patience(p.route)); first.Before(p.giveUpAt) {
+		if first := now.Add(p.relay.Dialect.EventTimeout(p.route)); first.Before(p.giveUpAt) {
 			p.giveUpAt = first
 		}
 	}
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -13,8 +13,8 @@
 
 // parts works out this entry's part of what entries hold together.
 type parts struct {
-	self   shares.Place
-	keeper shares.Keeper
+	self   shares.Node
+	keeper shares.SubsetCache
 	// budgets are the parts of the retry budget, by service.
 	budgets atomic.Pointer[map[string]shares.Share]
 }
@@ -27,8 +27,8 @@
 	mine := make(map[string]shares.Share, len(f.Targets))
 
 	for _, s := range f.Table.Services {
-		budgets[s.Name] = shares.Of(p.self, entries, s.Name)
-		used := p.keeper.Of(now, s.Name, p.self, entries, placesOf(f, s.Name))
+		budgets[s.Name] = shares.ForLimit(p.self, entries, s.Name)
+		used := p.keeper.Targets(now, s.Name, p.self, entries, placesOf(f, s.Name))
 
 		for i := range f.Targets {
 			if share, ok := used[place(&f.Targets[i])]; ok && f.Targets[i].Service == s.Name {
@@ -44,14 +44,14 @@
 
 // entries lists the entries that share, and stand-ins for those that are counted and not
 // known by ID.
-func (p *parts) entries(f *view.Followed) []shares.Place {
-	out := append([]shares.Place{}, f.Roster...)
-	if !slices.ContainsFunc(out, func(e shares.Place) bool { return e.ID == p.self.ID }) {
+func (p *parts) entries(f *view.Followed) []shares.Node {
+	out := append([]shares.Node{}, f.Roster...)
+	if !slices.ContainsFunc(out, func(e shares.Node) bool { return e.ID == p.self.ID }) {
 		out = append(out, p.self)
 	}
 
 	for i := len(out); i < f.Entries; i++ {
-		out = append(out, shares.Place{ID: fmt.Sprintf("unknown-%d", i)})
+		out = append(out, shares.Node{ID: fmt.Sprintf("unknown-%d", i)})
 	}
 
 	return out
@@ -67,12 +67,12 @@
 }
 
 // placesOf lists the targets of a service that may get new work.
-func placesOf(f *view.Followed, service string) []shares.Place {
-	var out []shares.Place
+func placesOf(f *view.Followed, service string) []shares.Node {
+	var out []shares.Node
 
 	for i := range f.Targets {
 		if t := &f.Targets[i]; t.Service == service && !leaves(t, f) {
-			out = append(out, shares.Place{ID: place(t), Zone: t.Zone})
+			out = append(out, shares.Node{ID: place(t), Zone: t.Zone})
 		}
 	}
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -8,14 +8,14 @@
 	"strconv"
 	"time"
 
-	"github.com/parsleygate/parsleygate/internal/door"
+	"github.com/parsleygate/parsleygate/internal/targetclient"
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
 // stream passes a stream on, event by event, each as soon as it is whole.
-func (p *passage) stream(ctx context.Context, answer *door.Answer) error {
+func (p *passage) stream(ctx context.Context, answer *targetclient.Answer) error {
 	flusher := http.NewResponseController(p.w)
-	events := door.NewEvents(answer.Body, p.relay.Limits.EventBytes)
+	events := targetclient.NewEventReader(answer.Body, p.relay.Limits.EventBytes)
 
 	if !p.streaming {
 		// The head waits for the first event: until then the request may still be
@@ -63,7 +63,7 @@
 
 // pass writes one event. An event that the caller has already, which a target may
 // repeat when it goes on with a stream, is left out.
-func (p *passage) pass(flusher *http.ResponseController, events *door.Events, ev door.Event) error {
+func (p *passage) pass(flusher *http.ResponseController, events *targetclient.EventReader, ev targetclient.Event) error {
 	p.measure()
 
 	if ev.HasID {
