--- a/internal/retries/bench_test.go
+++ b/internal/retries/bench_test.go
@@ -42,7 +42,7 @@
 
 	for range n {
 		now = now.Add(time.Second / time.Duration(perSecond))
-		budget.Fresh(now)
+		budget.RecordRequest(now)
 
 		plain++
 		if outage {
@@ -60,7 +60,7 @@
 				break
 			}
 
-			f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Tries: tries}
+			f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: tries}
 			if !budget.Decide(now, f).Retry {
 				break
 			}
@@ -73,12 +73,12 @@
 // BenchmarkDecide is the cost of a fresh request and one decision.
 func BenchmarkDecide(b *testing.B) {
 	budget := newBudget(1)
-	f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true, Tries: 1}
+	f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true, Attempts: 1}
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		budget.Fresh(epoch)
+		budget.RecordRequest(epoch)
 		budget.Decide(epoch, f)
 	}
 }
--- a/internal/retries/budget.go
+++ b/internal/retries/budget.go
@@ -30,23 +30,23 @@
 type Settings struct {
 	// Ratio is how many retries a fresh request pays for (0.2).
 	Ratio float64
-	// FloorPerSecond is how many retries are paid for without any request (0.2),
+	// MinPerSecond is how many retries are paid for without any request (0.2),
 	// so that an entry with few requests can still retry one.
-	FloorPerSecond float64
-	// Most bounds what is saved up (10).
-	Most float64
-	// MostTries bounds the tries of one request, its first included (3).
-	MostTries int
-	// FirstPause is the mean pause before a second try at a broken target; it doubles (25 ms).
-	FirstPause time.Duration
+	MinPerSecond float64
+	// MaxTokens bounds what is saved up (10).
+	MaxTokens float64
+	// MaxAttempts bounds the tries of one request, its first included (3).
+	MaxAttempts int
+	// BaseBackoff is the mean pause before a second try at a broken target; it doubles (25 ms).
+	BaseBackoff time.Duration
 }
 
 func (s Settings) withDefaults() Settings {
 	s.Ratio = cmp.Or(s.Ratio, 0.2)
-	s.FloorPerSecond = cmp.Or(s.FloorPerSecond, 0.2)
-	s.Most = cmp.Or(s.Most, 10)
-	s.MostTries = cmp.Or(s.MostTries, 3)
-	s.FirstPause = cmp.Or(s.FirstPause, 25*time.Millisecond)
+	s.MinPerSecond = cmp.Or(s.MinPerSecond, 0.2)
+	s.MaxTokens = cmp.Or(s.MaxTokens, 10)
+	s.MaxAttempts = cmp.Or(s.MaxAttempts, 3)
+	s.BaseBackoff = cmp.Or(s.BaseBackoff, 25*time.Millisecond)
 
 	return s
 }
@@ -58,12 +58,12 @@
 	// RetryAt is when the refusing side expects room; zero when it did not say.
 	RetryAt    time.Time
 	Idempotent bool
-	// Tries is how many tries were made, this one included.
-	Tries int
+	// Attempts is how many tries were made, this one included.
+	Attempts int
 	// Deadline is the caller's; zero for none.
 	Deadline time.Time
-	// Needs is how long a try usually takes.
-	Needs time.Duration
+	// ExpectedDuration is how long a try usually takes.
+	ExpectedDuration time.Duration
 	// OtherTargets says that a target not yet tried may take the request.
 	OtherTargets bool
 }
@@ -73,14 +73,14 @@
 
 // The reasons against a retry.
 const (
-	ReasonNone      Reason = ""
-	ReasonMayRun    Reason = "MayHaveRun"
-	ReasonFinal     Reason = "FinalCause"
-	ReasonTries     Reason = "TooManyTries"
-	ReasonDeadline  Reason = "DeadlineTooNear"
-	ReasonBudget    Reason = "BudgetSpent"
-	ReasonNoTargets Reason = "NoOtherTarget"
-	ReasonLeft      Reason = "CallerLeft"
+	ReasonNone            Reason = ""
+	ReasonMayHaveRun      Reason = "MayHaveRun"
+	ReasonNotRetryable    Reason = "FinalCause"
+	ReasonMaxAttempts     Reason = "TooManyTries"
+	ReasonDeadline        Reason = "DeadlineTooNear"
+	ReasonBudgetExhausted Reason = "BudgetSpent"
+	ReasonNoOtherTarget   Reason = "NoOtherTarget"
+	ReasonCallerCanceled  Reason = "CallerLeft"
 )
 
 // Decision says whether and when to retry.
@@ -91,12 +91,12 @@
 	Reason Reason
 }
 
-// Fresh records one new request of a caller. Retries are not fresh.
-func (b *Budget) Fresh(now time.Time) {
+// RecordRequest records one new request of a caller. Retries are not fresh.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	b.tokens = min(b.tokens+b.Settings.Ratio, b.Settings.Most)
+	b.tokens = min(b.tokens+b.Settings.Ratio, b.Settings.MaxTokens)
 }
 
 // Decide says whether the request behind f is sent again, and takes the retry
@@ -106,17 +106,17 @@
 	defer b.mu.Unlock()
 	b.refill(now)
 
-	if r := against(&f, b.Settings.MostTries); r != ReasonNone {
+	if r := against(&f, b.Settings.MaxAttempts); r != ReasonNone {
 		return Decision{Reason: r}
 	}
 
 	at := now.Add(b.pause(now, &f))
-	if !f.Deadline.IsZero() && at.Add(f.Needs).After(f.Deadline) {
+	if !f.Deadline.IsZero() && at.Add(f.ExpectedDuration).After(f.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
 
 	if b.tokens < 1 {
-		return Decision{Reason: ReasonBudget}
+		return Decision{Reason: ReasonBudgetExhausted}
 	}
 
 	b.tokens--
@@ -128,12 +128,12 @@
 	if !b.ready {
 		b.ready = true
 		b.Settings = b.Settings.withDefaults()
-		b.tokens = b.Settings.Most
+		b.tokens = b.Settings.MaxTokens
 		b.last = now
 	}
 
 	if d := now.Sub(b.last); d > 0 {
-		b.tokens = min(b.tokens+d.Seconds()*b.Settings.FloorPerSecond, b.Settings.Most)
+		b.tokens = min(b.tokens+d.Seconds()*b.Settings.MinPerSecond, b.Settings.MaxTokens)
 		b.last = now
 	}
 }
@@ -142,13 +142,13 @@
 func against(f *Failure, mostTries int) Reason {
 	switch {
 	case !f.Verdict.MayRepeat(f.Idempotent):
-		return ReasonMayRun
+		return ReasonMayHaveRun
 	case final(f.Cause):
-		return ReasonFinal
-	case f.Tries >= mostTries:
-		return ReasonTries
+		return ReasonNotRetryable
+	case f.Attempts >= mostTries:
+		return ReasonMaxAttempts
 	case !f.OtherTargets && f.RetryAt.IsZero() && elsewhere(f.Cause):
-		return ReasonNoTargets
+		return ReasonNoOtherTarget
 	default:
 		return ReasonNone
 	}
@@ -184,7 +184,7 @@
 		return 0
 	}
 
-	mean := b.Settings.FirstPause << max(0, f.Tries-1)
+	mean := b.Settings.BaseBackoff << max(0, f.Attempts-1)
 	if said := f.RetryAt.Sub(now); !f.RetryAt.IsZero() && said > mean {
 		return said + time.Duration(b.Rand.Float64()*float64(mean))
 	}
--- a/internal/retries/budget_test.go
+++ b/internal/retries/budget_test.go
@@ -30,17 +30,17 @@
 		{"refused elsewhere", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true}, retries.ReasonNone},
 		{"agent stops", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseStopping, OtherTargets: true}, retries.ReasonNone},
 		{"closed attempt", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseClosed}, retries.ReasonNone},
-		{"may have run", retries.Failure{Cause: verdict.CauseSilent, OtherTargets: true}, retries.ReasonMayRun},
+		{"may have run", retries.Failure{Cause: verdict.CauseSilent, OtherTargets: true}, retries.ReasonMayHaveRun},
 		{"may have run, idempotent", retries.Failure{Cause: verdict.CauseSilent, Idempotent: true, OtherTargets: true}, retries.ReasonNone},
-		{"ran", retries.Failure{Verdict: verdict.Ran, Cause: verdict.CauseBroken, OtherTargets: true}, retries.ReasonMayRun},
-		{"deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseDeadline, OtherTargets: true}, retries.ReasonFinal},
-		{"malformed", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, OtherTargets: true}, retries.ReasonFinal},
-		{"key conflict", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseKeyConflict, OtherTargets: true}, retries.ReasonFinal},
-		{"caller gone", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseCancelled, Idempotent: true}, retries.ReasonFinal},
-		{"third try", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Tries: 3, OtherTargets: true}, retries.ReasonTries},
-		{"no time left", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, Needs: 2 * time.Second, OtherTargets: true}, retries.ReasonDeadline},
+		{"ran", retries.Failure{Verdict: verdict.Ran, Cause: verdict.CauseBroken, OtherTargets: true}, retries.ReasonMayHaveRun},
+		{"deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseDeadline, OtherTargets: true}, retries.ReasonNotRetryable},
+		{"malformed", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, OtherTargets: true}, retries.ReasonNotRetryable},
+		{"key conflict", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseKeyConflict, OtherTargets: true}, retries.ReasonNotRetryable},
+		{"caller gone", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseCancelled, Idempotent: true}, retries.ReasonNotRetryable},
+		{"third try", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Attempts: 3, OtherTargets: true}, retries.ReasonMaxAttempts},
+		{"no time left", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, ExpectedDuration: 2 * time.Second, OtherTargets: true}, retries.ReasonDeadline},
 		{"room only after the deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, RetryAt: epoch.Add(2 * time.Second)}, retries.ReasonDeadline},
-		{"all full", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}, retries.ReasonNoTargets},
+		{"all full", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}, retries.ReasonNoOtherTarget},
 	}
 
 	for _, tc := range tests {
@@ -69,9 +69,9 @@
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 200), 1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(step) * time.Millisecond)
 			fresh++
-			b.Fresh(now)
+			b.RecordRequest(now)
 
-			for tries := 1; b.Decide(now, retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Tries: tries}).Retry; tries++ {
+			for tries := 1; b.Decide(now, retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: tries}).Retry; tries++ {
 				retried++
 			}
 
--- a/internal/retries/share.go
+++ b/internal/retries/share.go
@@ -8,12 +8,12 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// Share is one entry's part of a retry budget that all entries hold together: in
+// SharedBudget is one entry's part of a retry budget that all entries hold together: in
 // any window, a service gets at most a ratio of its fresh requests and a slack of
 // sends beyond the first of each request. Entries do not count together. What an entry's
 // own requests paid for needs no dividing: it is used soon, or lost. The slack is divided,
 // and each unit that was used comes back after a window.
-type Share struct {
+type SharedBudget struct {
 	// Ratio is how many sends a fresh request pays for, Slack how many are free in
 	// Window, for all entries together. They are set before the first call.
 	Ratio  float64
@@ -49,9 +49,9 @@
 	used []time.Time
 }
 
-// Fresh records a new request of a caller for a service. Of is this entry's share of what
+// RecordRequest records a new request of a caller for a service. Of is this entry's share of what
 // all entries together may send again.
-func (s *Share) Fresh(now time.Time, service string, of shares.Share) {
+func (s *SharedBudget) RecordRequest(now time.Time, service string, of shares.Share) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// Take reports whether a request may be sent once more, and counts it if so.
-func (s *Share) Take(now time.Time, service string, of shares.Share) bool {
+// Allow reports whether a request may be sent once more, and counts it if so.
+func (s *SharedBudget) Allow(now time.Time, service string, of shares.Share) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -87,7 +87,7 @@
 
 // slack is what all entries together may use of the slack within a window, where this one's
 // account is so old.
-func (s *Share) slack(age time.Duration) float64 {
+func (s *SharedBudget) slack(age time.Duration) float64 {
 	whole := s.Slack * margin
 	if age >= s.Window {
 		return whole
@@ -97,7 +97,7 @@
 }
 
 // account returns a service's account as of now.
-func (s *Share) account(now time.Time, service string, of shares.Share) *account {
+func (s *SharedBudget) account(now time.Time, service string, of shares.Share) *account {
 	if s.services == nil {
 		s.services = make(map[string]*account)
 	}
--- a/internal/retries/share_test.go
+++ b/internal/retries/share_test.go
@@ -18,8 +18,8 @@
 	shareWindow = 10 * time.Second
 )
 
-func newShare() *retries.Share {
-	return &retries.Share{Ratio: shareRatio, Slack: shareSlack, Window: shareWindow}
+func newShare() *retries.SharedBudget {
+	return &retries.SharedBudget{Ratio: shareRatio, Slack: shareSlack, Window: shareWindow}
 }
 
 // An engine group fails again and again, and each entry sends its own requests
@@ -31,7 +31,7 @@
 
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
-		entries := make([]*retries.Share, n)
+		entries := make([]*retries.SharedBudget, n)
 
 		for i := range entries {
 			entries[i] = newShare()
@@ -48,7 +48,7 @@
 					entries[i] = newShare()
 				}
 
-				f, a := spend(t, entries[i], now, 3, shares.Share{Index: i, Of: n})
+				f, a := spend(t, entries[i], now, 3, shares.Share{Index: i, Entries: n})
 				fresh[tick] += f
 				again[tick] += a
 			}
@@ -68,7 +68,7 @@
 
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "entries")
-		entries := make([]*retries.Share, n)
+		entries := make([]*retries.SharedBudget, n)
 		counted := make([]time.Time, n)
 		known := make([]int, n)
 		start := time.Unix(1000, 0)
@@ -97,7 +97,7 @@
 					count = known[i]
 				}
 
-				f, a := spend(t, entries[i], now, 2, shares.Share{Index: i % count, Of: count})
+				f, a := spend(t, entries[i], now, 2, shares.Share{Index: i % count, Entries: count})
 				fresh[tick] += f
 				again[tick] += a
 			}
@@ -109,13 +109,13 @@
 
 // spend lets an entry with such a share get up to mostFresh requests and send again as
 // often as it may.
-func spend(t *rapid.T, entry *retries.Share, now time.Time, mostFresh int, of shares.Share) (fresh, again int) {
+func spend(t *rapid.T, entry *retries.SharedBudget, now time.Time, mostFresh int, of shares.Share) (fresh, again int) {
 	fresh = rapid.IntRange(0, mostFresh).Draw(t, "fresh")
 	for range fresh {
-		entry.Fresh(now, "drafts", of)
+		entry.RecordRequest(now, "drafts", of)
 	}
 
-	for entry.Take(now, "drafts", of) {
+	for entry.Allow(now, "drafts", of) {
 		again++
 	}
 
@@ -151,16 +151,16 @@
 	taken := 0
 
 	for e := range 7 {
-		s, of := newShare(), shares.Share{Index: e, Of: 7}
+		s, of := newShare(), shares.Share{Index: e, Entries: 7}
 		for i := range 80 { // ten seconds of eight requests a second
-			s.Fresh(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", of)
+			s.RecordRequest(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", of)
 		}
 
-		for s.Take(now.Add(shareWindow), "drafts", of) {
+		for s.Allow(now.Add(shareWindow), "drafts", of) {
 			taken++
 		}
 
-		require.False(t, s.Take(now.Add(shareWindow), "drafts", of), fmt.Sprint(e))
+		require.False(t, s.Allow(now.Add(shareWindow), "drafts", of), fmt.Sprint(e))
 	}
 
 	require.Greater(t, taken, 55)
@@ -171,15 +171,15 @@
 
 	s := newShare()
 	now := time.Unix(1000, 0)
-	s.Fresh(now, "drafts", shares.Share{})
-	s.Fresh(now, "desk", shares.Share{})
+	s.RecordRequest(now, "drafts", shares.Share{})
+	s.RecordRequest(now, "desk", shares.Share{})
 
 	now = now.Add(shareWindow)
-	for s.Take(now, "drafts", shares.Share{}) {
+	for s.Allow(now, "drafts", shares.Share{}) {
 		continue
 	}
 
-	require.True(t, s.Take(now, "desk", shares.Share{}))
+	require.True(t, s.Allow(now, "desk", shares.Share{}))
 }
 
 // Every request fails at every entry. Guards against a budget whose parts are too small to
@@ -190,7 +190,7 @@
 	const windows, perWindow = 5, 3000
 
 	for _, n := range []int{1, 3, 39, 77, 410} {
-		entries := make([]*retries.Share, n)
+		entries := make([]*retries.SharedBudget, n)
 		for i := range entries {
 			entries[i] = newShare()
 		}
@@ -200,11 +200,11 @@
 
 		for i := range windows * perWindow {
 			now := start.Add(time.Duration(i) * shareWindow / perWindow)
-			of := shares.Share{Index: i * 7919 % n, Of: n}
+			of := shares.Share{Index: i * 7919 % n, Entries: n}
 			entry := entries[of.Index]
-			entry.Fresh(now, "drafts", of)
+			entry.RecordRequest(now, "drafts", of)
 
-			if entry.Take(now, "drafts", of) {
+			if entry.Allow(now, "drafts", of) {
 				again[i/perWindow]++
 			}
 		}
--- a/internal/role/counts.go
+++ b/internal/role/counts.go
@@ -28,7 +28,7 @@
 	h := a.heard[key]
 
 	if h == nil {
-		h = &lockstep.Heard{}
+		h = &lockstep.CountDecoder{}
 		a.heard[key] = h
 	}
 
@@ -43,7 +43,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	if !h.Take(out) {
+	if !h.Decode(out) {
 		return nil, nil, errCounts
 	}
 
@@ -60,7 +60,7 @@
 
 // addCounts adds other agents' counts to l, and their paces. Where one does not answer, what
 // it told last stands: a sum over fewer ranks would look as if counts had fallen.
-func (a *RankAgent) addCounts(ctx context.Context, l *lockstep.Look, others []string) error {
+func (a *RankAgent) addCounts(ctx context.Context, l *lockstep.PollResult, others []string) error {
 	type answer struct {
 		look   *wire.LookAnswer
 		counts []uint64
@@ -85,7 +85,7 @@
 
 	g.Wait()
 
-	l.Paces = make(map[int]float64, len(answers))
+	l.Slowdowns = make(map[int]float64, len(answers))
 
 	for _, got := range answers {
 		if len(got.counts) != len(l.Counts) {
@@ -97,7 +97,7 @@
 		}
 
 		if got.look != nil {
-			l.Paces[int(got.look.GetReport().GetRank())] = got.look.GetReport().GetPace()
+			l.Slowdowns[int(got.look.GetReport().GetRank())] = got.look.GetReport().GetPace()
 		}
 	}
 
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/parsleygate/parsleygate/internal/agentlink"
+	"github.com/parsleygate/parsleygate/internal/agentclient"
 	"github.com/parsleygate/parsleygate/internal/dump"
 	"github.com/parsleygate/parsleygate/internal/entry"
 	"github.com/parsleygate/parsleygate/internal/events"
@@ -66,7 +66,7 @@
 
 	// mu orders what the chooser is told: by each change, and later by a timer.
 	mu     sync.Mutex
-	keeper shares.Keeper
+	keeper shares.SubsetCache
 }
 
 // Run runs the role until ctx ends and every request in flight has its answer.
@@ -110,14 +110,14 @@
 	r.bus = bus
 	r.bus.OnConfigurationChanged("LogConfiguration", r.logConfiguration)
 
-	r.keeper.Degree = func(int, int) int { return subsetDegree }
+	r.keeper.SubsetSize = func(int, int) int { return subsetDegree }
 
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(r.Incarnation, 0)), Prefixes: &prefix.Index{}}
 	r.reader = r.newReader(chooser)
 	r.shell = &entry.Entry{
 		ID: r.ID, Zone: r.Zone, Region: r.Region, Listener: r.callers(),
-		Link: &agentlink.Link{
-			Silence: agentSilence, IdleFor: agentIdle,
+		Link: &agentclient.Client{
+			ReadTimeout: agentSilence, IdleConnTimeout: agentIdle,
 			Dial: (&identity.Dialer{Identity: r.Identity, Timeout: agentDial}).Dial,
 		},
 		Chooser: chooser,
@@ -178,7 +178,7 @@
 
 	chooser.ChangeTargets(r.targetsOf(r.reader.Snapshot()))
 
-	if wait, due := r.keeper.Due(time.Now()); due {
+	if wait, due := r.keeper.RecomputeDue(time.Now()); due {
 		time.AfterFunc(wait, func() { r.changeTargets(chooser) })
 	}
 }
@@ -192,13 +192,13 @@
 // ServiceRoom is what this entry may send to one service's targets, in a dump.
 type ServiceRoom struct {
 	Service string
-	Room    routing.Room
+	Room    routing.Capacity
 }
 
 func (r *Entry) rooms() []ServiceRoom {
 	var out []ServiceRoom
 	for _, s := range r.reader.Snapshot().Services() {
-		out = append(out, ServiceRoom{Service: s.GetName(), Room: r.shell.Chooser.Room(time.Now(), s.GetName())})
+		out = append(out, ServiceRoom{Service: s.GetName(), Room: r.shell.Chooser.Capacity(time.Now(), s.GetName())})
 	}
 
 	return out
@@ -262,7 +262,7 @@
 
 	for _, service := range s.Services() {
 		targets := s.Targets(service.GetName())
-		mine := r.keeper.Of(now, service.GetName(), r.place(), entries, places(s, targets))
+		mine := r.keeper.Targets(now, service.GetName(), r.place(), entries, places(s, targets))
 
 		for _, t := range targets {
 			_, used := mine[t.Node.GetID()]
@@ -285,12 +285,12 @@
 }
 
 // entriesOf lists the entries that share the targets out among themselves.
-func entriesOf(s *view.Snapshot) []shares.Place {
-	var out []shares.Place
+func entriesOf(s *view.Snapshot) []shares.Node {
+	var out []shares.Node
 
 	for _, n := range s.Nodes() {
 		if n.GetKind() == wire.NodeKind_NodeEntry && !n.GetLeaving() {
-			out = append(out, shares.Place{ID: n.GetID(), Zone: n.GetZone(), Region: regionOf(s, n.GetZone())})
+			out = append(out, shares.Node{ID: n.GetID(), Zone: n.GetZone(), Region: regionOf(s, n.GetZone())})
 		}
 	}
 
@@ -298,20 +298,20 @@
 }
 
 // places lists the targets that may get new work.
-func places(s *view.Snapshot, targets []view.Target) []shares.Place {
-	var out []shares.Place
+func places(s *view.Snapshot, targets []view.Target) []shares.Node {
+	var out []shares.Node
 
 	for _, t := range targets {
 		if t.Admissible() {
-			out = append(out, shares.Place{ID: t.Node.GetID(), Zone: t.Node.GetZone(), Region: regionOf(s, t.Node.GetZone())})
+			out = append(out, shares.Node{ID: t.Node.GetID(), Zone: t.Node.GetZone(), Region: regionOf(s, t.Node.GetZone())})
 		}
 	}
 
 	return out
 }
 
-func (r *Entry) place() shares.Place {
-	return shares.Place{ID: r.ID, Zone: r.Zone, Region: r.Region}
+func (r *Entry) place() shares.Node {
+	return shares.Node{ID: r.ID, Zone: r.Zone, Region: r.Region}
 }
 
 func regionOf(s *view.Snapshot, zone string) string {
--- a/internal/role/packing.go
+++ b/internal/role/packing.go
@@ -22,7 +22,7 @@
 		return p
 	}
 
-	m := lockstep.MapOf(o)
+	m := lockstep.MapFromOrder(o)
 	p := &packedOrder{version: o.GetVersion(), base: a.inUse, whole: orderOf(a.Cluster, o.GetVersion(), o)}
 	p.whole.Map, p.whole.Whole = nil, m.Pack()
 
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/parsleygate/parsleygate/internal/dump"
-	"github.com/parsleygate/parsleygate/internal/loads"
+	"github.com/parsleygate/parsleygate/internal/loadreport"
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/view"
@@ -66,13 +66,13 @@
 
 	// mu guards the maps that this agent knows, and which of them is in use.
 	mu    sync.Mutex
-	maps  lockstep.Maps
+	maps  lockstep.MapCache
 	inUse uint64
 	// packed is the map that was packed last, for all ranks that it goes to.
 	packed *packedOrder
 	// told are counts as they were told to other agents, heard what they told of theirs.
-	told  lockstep.Tallies
-	heard map[string]*lockstep.Heard
+	told  lockstep.CountEncoder
+	heard map[string]*lockstep.CountDecoder
 	// helpers are which of its ranks helped last in each part of the group.
 	helpers map[int]int
 }
@@ -88,7 +88,7 @@
 	})
 	a.peers = newFollowClient()
 	a.told.Mark = uint64(time.Now().UnixMicro())
-	a.heard = make(map[string]*lockstep.Heard)
+	a.heard = make(map[string]*lockstep.CountDecoder)
 
 	mux := http.NewServeMux()
 	mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(a))
@@ -98,7 +98,7 @@
 	g, work := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(web, a.Listener, "ranks") })
 	g.Go(func() error {
-		t := &loads.Teller{Cluster: a.Cluster, Conn: a.Datagrams, Load: a.load, Logger: a.logger}
+		t := &loadreport.Publisher{Cluster: a.Cluster, Conn: a.Datagrams, Load: a.load, Logger: a.logger}
 
 		return t.Run(work)
 	})
@@ -187,21 +187,21 @@
 	a.forgetCounts()
 
 	logger := a.Logs.Logger("experts")
-	ranks := lockstep.Ranks{Size: r.Size, Epoch: r.Epoch, Look: a.lookAt(r), Order: a.orderAt(r), Spread: a.spreadOver(r)}
+	ranks := lockstep.GroupClient{Size: r.Size, Epoch: r.Epoch, Poll: a.lookAt(r), Order: a.orderAt(r), FanOut: a.spreadOver(r)}
 
 	if r.Rank == standbyRank {
 		s := &lockstep.Standby{
-			Ranks: ranks, Settings: lockstep.DefaultSettings(), Logger: logger,
-			Director: func(ctx context.Context) bool { return a.answers(ctx, r, 0) },
+			Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger,
+			DirectorAlive: func(ctx context.Context) bool { return a.answers(ctx, r, 0) },
 		}
 		s.Run(ctx)
 
 		return
 	}
 
-	d := &lockstep.Director{Shape: shape, Ranks: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, Tried: a.tried}
+	d := &lockstep.Director{Shape: shape, Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, HighestAttempted: a.tried}
 	d.Run(ctx)
-	a.tried = d.Tried
+	a.tried = d.HighestAttempted
 }
 
 // answers reports whether the agent beside a rank answers.
@@ -249,7 +249,7 @@
 			if s := f.Table.Service(service); s != nil && s.Experts.Sets > 0 {
 				return lockstep.Shape{
 					Sets: s.Experts.Sets, Experts: s.Experts.Experts, Ranks: r.Size,
-					Places: s.Experts.Places, Spare: s.Experts.Spare, Copy: s.Experts.Copy,
+					Slots: s.Experts.Places, SpareSlots: s.Experts.Spare, CopyTime: s.Experts.Copy,
 				}, true
 			}
 		}
--- a/internal/role/rankpeers.go
+++ b/internal/role/rankpeers.go
@@ -55,8 +55,8 @@
 
 func (a *RankAgent) engineOf(t directory.Target) lockstep.Engine { return a.engines.of(t.Address) }
 
-func (a *RankAgent) lookAt(group lockstep.Report) func(context.Context, int, lockstep.Question) (lockstep.Look, error) {
-	return func(ctx context.Context, rank int, q lockstep.Question) (lockstep.Look, error) {
+func (a *RankAgent) lookAt(group lockstep.Report) func(context.Context, int, lockstep.PollRequest) (lockstep.PollResult, error) {
+	return func(ctx context.Context, rank int, q lockstep.PollRequest) (lockstep.PollResult, error) {
 		others := a.neighbours(group, rank, q)
 		if rank == group.Rank {
 			return a.look(ctx, q, others)
@@ -64,7 +64,7 @@
 
 		t, err := a.target(group, rank)
 		if err != nil {
-			return lockstep.Look{}, err
+			return lockstep.PollResult{}, err
 		}
 
 		return a.lookAtRank(ctx, t, q, others)
@@ -72,7 +72,7 @@
 }
 
 // lookAtRank looks at the rank of a target by way of the agent beside it.
-func (a *RankAgent) lookAtRank(ctx context.Context, t directory.Target, q lockstep.Question, others []string) (lockstep.Look, error) {
+func (a *RankAgent) lookAtRank(ctx context.Context, t directory.Target, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
 	if a.own(t) {
 		return a.look(ctx, q, others)
 	}
@@ -85,7 +85,7 @@
 	try, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 
-	r := &wire.LookRequest{Cluster: a.Cluster, Counts: q.Counts, Lists: q.Lists, Others: others}
+	r := &wire.LookRequest{Cluster: a.Cluster, Counts: q.Counts, Lists: q.Experts, Others: others}
 
 	if q.Counts {
 		out, counts, err := a.askCounts(try, a.peerAddress(t), r)
@@ -102,14 +102,14 @@
 	// Its agent may just be starting again. The report alone is cheap from afar.
 	report, err := a.engineOf(t).Report(ctx)
 
-	return lockstep.Look{Report: report}, err
+	return lockstep.PollResult{Report: report}, err
 }
 
 // neighbours returns the agents whose counts a rank's agent is to add to its own.
-func (a *RankAgent) neighbours(group lockstep.Report, rank int, q lockstep.Question) []string {
+func (a *RankAgent) neighbours(group lockstep.Report, rank int, q lockstep.PollRequest) []string {
 	var out []string
 
-	for other := rank + 1; q.Counts && other < rank+q.Sum; other++ {
+	for other := rank + 1; q.Counts && other < rank+q.SumRanks; other++ {
 		if t, err := a.target(group, other); err == nil {
 			out = append(out, a.peerAddress(t))
 		}
@@ -213,15 +213,15 @@
 	return wire.EngineResult_EngineUnknown
 }
 
-func lookFromWire(w *wire.LookAnswer) lockstep.Look {
-	l := lockstep.Look{Report: lockstep.ReportFromWire(w.GetReport()), Counts: w.GetCounts(), ListsOf: w.GetListsOf()}
+func lookFromWire(w *wire.LookAnswer) lockstep.PollResult {
+	l := lockstep.PollResult{Report: lockstep.ReportFromWire(w.GetReport()), Counts: w.GetCounts(), MapVersion: w.GetListsOf()}
 
 	if len(w.GetPaces()) > 0 {
-		l.Paces = make(map[int]float64, len(w.GetPaces()))
+		l.Slowdowns = make(map[int]float64, len(w.GetPaces()))
 	}
 
 	for _, p := range w.GetPaces() {
-		l.Paces[int(p.GetRank())] = p.GetPace()
+		l.Slowdowns[int(p.GetRank())] = p.GetPace()
 	}
 
 	for _, set := range w.GetLists() {
@@ -230,7 +230,7 @@
 			experts = append(experts, uint16(e))
 		}
 
-		l.Lists = append(l.Lists, experts)
+		l.Experts = append(l.Experts, experts)
 	}
 
 	return l
--- a/internal/role/rankserver.go
+++ b/internal/role/rankserver.go
@@ -6,15 +6,15 @@
 
 	"github.com/twitchtv/twirp"
 
-	"github.com/parsleygate/parsleygate/internal/loads"
+	"github.com/parsleygate/parsleygate/internal/loadreport"
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-func (a *RankAgent) load(ctx context.Context) (loads.Load, error) {
+func (a *RankAgent) load(ctx context.Context) (loadreport.Load, error) {
 	r, err := a.Engine.Report(ctx)
 
-	return loads.Load{Running: r.Running, Waiting: r.Waiting, Pace: r.Pace}, err
+	return loadreport.Load{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace}, err
 }
 
 // RankState is the engine of this VM in a dump.
@@ -32,9 +32,9 @@
 }
 
 // look looks at this VM's engine, and adds the counts of others.
-func (a *RankAgent) look(ctx context.Context, q lockstep.Question, others []string) (lockstep.Look, error) {
+func (a *RankAgent) look(ctx context.Context, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
 	report, err := a.Engine.Report(ctx)
-	out := lockstep.Look{Report: report}
+	out := lockstep.PollResult{Report: report}
 
 	if err == nil {
 		a.mu.Lock()
@@ -50,8 +50,8 @@
 		err = a.addCounts(ctx, &out, others)
 	}
 
-	if err == nil && q.Lists {
-		out.ListsOf, out.Lists, err = a.Engine.Lists(ctx)
+	if err == nil && q.Experts {
+		out.MapVersion, out.Experts, err = a.Engine.Experts(ctx)
 	}
 
 	return out, err
@@ -63,7 +63,7 @@
 		return nil, errOtherCluster
 	}
 
-	l, err := a.look(ctx, lockstep.Question{Counts: r.GetCounts(), Lists: r.GetLists()}, r.GetOthers())
+	l, err := a.look(ctx, lockstep.PollRequest{Counts: r.GetCounts(), Experts: r.GetLists()}, r.GetOthers())
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error()) //nolint:wrapcheck // the server looks for its own type
 	}
@@ -72,21 +72,21 @@
 
 	if r.GetCounts() {
 		a.mu.Lock()
-		a.told.Tell(out, strings.Join(r.GetOthers(), ","), l.Counts, r.GetKnown())
+		a.told.Encode(out, strings.Join(r.GetOthers(), ","), l.Counts, r.GetKnown())
 		a.mu.Unlock()
 	}
 
 	return out, nil
 }
 
-func lookToWire(l lockstep.Look) *wire.LookAnswer {
-	out := &wire.LookAnswer{Report: l.Report.ToWire(), Counts: l.Counts, ListsOf: l.ListsOf}
-	for rank, pace := range l.Paces {
+func lookToWire(l lockstep.PollResult) *wire.LookAnswer {
+	out := &wire.LookAnswer{Report: l.Report.ToWire(), Counts: l.Counts, ListsOf: l.MapVersion}
+	for rank, pace := range l.Slowdowns {
 		out.Paces = append(out.Paces, &wire.RankPace{Rank: uint32(rank), Pace: pace})
 	}
 
-	for _, set := range l.Lists {
-		out.Lists = append(out.Lists, lockstep.SetToWire(set))
+	for _, set := range l.Experts {
+		out.Lists = append(out.Lists, lockstep.ExpertSetToWire(set))
 	}
 
 	return out
@@ -116,7 +116,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	ok, err := a.maps.Open(o)
+	ok, err := a.maps.UnpackOrder(o)
 	if err != nil {
 		return false, twirp.InvalidArgumentError("Map", err.Error()) //nolint:wrapcheck // the server looks for its own type
 	}
--- a/internal/role/routing.go
+++ b/internal/role/routing.go
@@ -15,13 +15,13 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/parsleygate/parsleygate/internal/door"
 	"github.com/parsleygate/parsleygate/internal/dump"
-	"github.com/parsleygate/parsleygate/internal/loads"
+	"github.com/parsleygate/parsleygate/internal/loadreport"
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/relay"
 	"github.com/parsleygate/parsleygate/internal/retries"
+	"github.com/parsleygate/parsleygate/internal/targetclient"
 	"github.com/parsleygate/parsleygate/internal/view"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
@@ -70,7 +70,7 @@
 	// Dialect and Readiness are how the deployment speaks.
 	Dialect   relay.Dialect
 	Readiness func(ready func() bool) http.Handler
-	Budget    *retries.Share
+	Budget    *retries.SharedBudget
 	// StopWithin bounds a graceful stop.
 	StopWithin time.Duration
 	Logs       logs.Output
@@ -126,8 +126,8 @@
 }
 
 // listener follows the loads of engines that have an agent.
-func (r *RoutingEntry) listener() *loads.Listener {
-	return &loads.Listener{
+func (r *RoutingEntry) listener() *loadreport.Subscriber {
+	return &loadreport.Subscriber{
 		Cluster: r.Cluster, Conn: r.Datagrams,
 		Agents: func() []netip.AddrPort {
 			var out []netip.AddrPort
@@ -140,7 +140,7 @@
 
 			return out
 		},
-		Heard: func(agent netip.AddrPort, l loads.Load) { r.relay.Heard(agent.Addr(), l) },
+		OnLoad: func(agent netip.AddrPort, l loadreport.Load) { r.relay.UpdateLoad(agent.Addr(), l) },
 	}
 }
 
@@ -198,12 +198,12 @@
 	r.follower = &view.Follower{
 		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Ask: r.clients.ask,
 		Leaving: r.stopping, Relay: r.Relay, Logger: r.Logs.Logger("view"),
-		OnChange: func(f *view.Followed) { r.relay.Change(f) },
+		OnChange: func(f *view.Followed) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
 		Dialect: r.Dialect, ID: r.ID, Zone: r.Zone, State: r.follower.State, Budget: r.Budget,
-		Door:    &door.Door{DialTimeout: targetDial, HeadBytes: targetHead},
-		StopsAt: r.stops, Logger: r.Logs.Logger("relay"),
+		Transport: &targetclient.Client{DialTimeout: targetDial, MaxHeaderBytes: targetHead},
+		StopsAt:   r.stops, Logger: r.Logs.Logger("relay"),
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 
--- a/internal/role/spread.go
+++ b/internal/role/spread.go
@@ -25,17 +25,17 @@
 // spreadOver returns how errands go to many ranks of a group: each of some agents brings
 // them to a part of the ranks. An agent that does not answer leaves its part untold, and
 // another one of that part helps the next time.
-func (a *RankAgent) spreadOver(group lockstep.Report) func(context.Context, []int, lockstep.Errand) []lockstep.Told {
-	return func(ctx context.Context, ranks []int, e lockstep.Errand) []lockstep.Told {
+func (a *RankAgent) spreadOver(group lockstep.Report) func(context.Context, []int, lockstep.FanOutRequest) []lockstep.FanOutResult {
+	return func(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
 		targets, _ := a.ranks(a.follower.State(), group)
 		size := int(math.Ceil(math.Sqrt(float64(len(ranks)))))
 		parts := slices.Collect(slices.Chunk(ranks, size))
 
-		told := mostOf(ctx, len(parts), func(ctx context.Context, i int) map[int]lockstep.Told {
+		told := mostOf(ctx, len(parts), func(ctx context.Context, i int) map[int]lockstep.FanOutResult {
 			return a.spreadPart(ctx, targets, parts[i], e)
 		})
 
-		out := make([]lockstep.Told, len(ranks))
+		out := make([]lockstep.FanOutResult, len(ranks))
 
 		for i, rank := range ranks {
 			got, ok := told[i/size][rank]
@@ -51,7 +51,7 @@
 }
 
 // spreadPart brings an errand to a part of the ranks, and returns what became of it.
-func (a *RankAgent) spreadPart(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.Errand) map[int]lockstep.Told {
+func (a *RankAgent) spreadPart(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.FanOutRequest) map[int]lockstep.FanOutResult {
 	r, order := a.request(ctx, targets, part, e)
 	if len(r.GetMembers()) == 0 {
 		return nil
@@ -67,12 +67,12 @@
 		return nil
 	}
 
-	out := make(map[int]lockstep.Told, len(part))
+	out := make(map[int]lockstep.FanOutResult, len(part))
 
 	for _, got := range answer.GetResults() {
-		told := lockstep.Told{Result: got.GetResult(), Err: errNotTold}
+		told := lockstep.FanOutResult{Result: got.GetResult(), Err: errNotTold}
 		if got.GetLook() != nil {
-			told.Look, told.Err = lookFromWire(got.GetLook()), nil
+			told.Poll, told.Err = lookFromWire(got.GetLook()), nil
 		}
 
 		out[int(got.GetRank())] = told
@@ -82,8 +82,8 @@
 }
 
 // request returns an errand as it goes to a helping agent, and its order with the whole map.
-func (a *RankAgent) request(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.Errand) (*wire.SpreadRequest, *wire.EngineOrder) {
-	r := &wire.SpreadRequest{Cluster: a.Cluster, Lists: e.Lists}
+func (a *RankAgent) request(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.FanOutRequest) (*wire.SpreadRequest, *wire.EngineOrder) {
+	r := &wire.SpreadRequest{Cluster: a.Cluster, Lists: e.Experts}
 	if deadline, ok := ctx.Deadline(); ok {
 		r.LeftMillis = uint64(max(0, time.Until(deadline).Milliseconds()))
 	}
@@ -203,7 +203,7 @@
 		}
 	}
 
-	if l, err := a.lookAtRank(ctx, t, lockstep.Question{Lists: r.GetLists()}, nil); err == nil {
+	if l, err := a.lookAtRank(ctx, t, lockstep.PollRequest{Experts: r.GetLists()}, nil); err == nil {
 		out.Look = lookToWire(l)
 	}
 
--- a/internal/role/spread_test.go
+++ b/internal/role/spread_test.go
@@ -60,7 +60,7 @@
 		s.logger = logs.Discard()
 		s.engines.at = s.EngineAt
 		s.peers = newFollowClient()
-		s.heard = make(map[string]*lockstep.Heard)
+		s.heard = make(map[string]*lockstep.CountDecoder)
 
 		mux := http.NewServeMux()
 		mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(s))
@@ -140,7 +140,7 @@
 	t.Parallel()
 
 	stubs := newRankStubs(t, 4)
-	first := lockstep.First(2, 8, 4)
+	first := lockstep.InitialMap(2, 8, 4)
 	next := first.Clone()
 	next[0][0], next[0][1] = next[0][1], next[0][0]
 
@@ -169,7 +169,7 @@
 	require.Len(t, answer.GetResults(), 4)
 
 	for _, s := range stubs {
-		require.Equal(t, next, lockstep.MapOf(s.last()))
+		require.Equal(t, next, lockstep.MapFromOrder(s.last()))
 	}
 }
 
--- a/internal/routing/chooser.go
+++ b/internal/routing/chooser.go
@@ -50,7 +50,7 @@
 
 // Choose returns a target and counts the request as in flight there. Each
 // Choice must be ended by Finish.
-func (c *Chooser) Choose(now time.Time, ask Ask) (Choice, *NoTarget) {
+func (c *Chooser) Choose(now time.Time, ask Request) (Choice, *NoTarget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start()
@@ -79,12 +79,12 @@
 
 	return Choice{
 		AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Cold: t.Cold,
-		NeedsCredit: !t.credited(now), Probe: probe, Matched: c.route(now, t, &ask),
+		NeedsCredit: !t.credited(now), Probe: probe, MatchedPrefixes: c.route(now, t, &ask),
 	}, nil
 }
 
 // usable reports whether ask may go to t now.
-func (c *Chooser) usable(now time.Time, t *target, ask *Ask, others float64) bool {
+func (c *Chooser) usable(now time.Time, t *target, ask *Request, others float64) bool {
 	switch {
 	case !t.takesNew(), now.Before(t.stoppedUntil), t.room(now, &c.Settings, others) <= 0:
 		return false
@@ -97,7 +97,7 @@
 
 // pick compares targets from a random place on, and takes the first of those
 // whose costs are nearly equal. A target whose probe is due goes before all.
-func (c *Chooser) pick(now time.Time, p *pool, ask *Ask) *target {
+func (c *Chooser) pick(now time.Time, p *pool, ask *Request) *target {
 	n := len(p.targets)
 	first := c.Rand.IntN(n)
 
@@ -134,13 +134,13 @@
 }
 
 // route records the prompt's prefixes, and returns how many t held before.
-func (c *Chooser) route(now time.Time, t *target, ask *Ask) int {
+func (c *Chooser) route(now time.Time, t *target, ask *Request) int {
 	if len(ask.Prefixes) == 0 {
 		return 0
 	}
 
 	held := c.Prefixes.Match(now, t.AgentID, ask.Prefixes).Blocks
-	c.Prefixes.Routed(now, t.AgentID, t.Incarnation, ask.Prefixes)
+	c.Prefixes.RecordRouted(now, t.AgentID, t.Incarnation, ask.Prefixes)
 
 	return held
 }
--- a/internal/routing/chooser_test.go
+++ b/internal/routing/chooser_test.go
@@ -40,7 +40,7 @@
 }
 
 func credit(c *routing.Chooser, id string, slots int, ends time.Time) {
-	c.Credit(routing.CreditChanged{AgentID: id, Incarnation: 1, Slots: slots, ExpiresAt: ends})
+	c.ApplyCredit(routing.CreditChanged{AgentID: id, Incarnation: 1, Slots: slots, ExpiresAt: ends})
 }
 
 func TestColdTargetWithoutCreditGetsNothing(t *testing.T) {
@@ -50,18 +50,18 @@
 	list[0].Cold = true
 	c := newChooser(1, list...)
 
-	_, none := c.Choose(epoch, routing.Ask{Service: service})
+	_, none := c.Choose(epoch, routing.Request{Service: service})
 	require.NotNil(t, none)
 	require.Equal(t, verdict.CauseColdLimit, none.Cause)
 	require.True(t, none.RetryAt.After(epoch))
 
 	credit(c, "t00", 1, epoch.Add(time.Second))
 
-	got, none := c.Choose(epoch, routing.Ask{Service: service})
+	got, none := c.Choose(epoch, routing.Request{Service: service})
 	require.Nil(t, none)
 	require.True(t, got.Cold)
 
-	_, none = c.Choose(epoch, routing.Ask{Service: service})
+	_, none = c.Choose(epoch, routing.Request{Service: service})
 	require.NotNil(t, none)
 }
 
@@ -72,7 +72,7 @@
 	list[0].Leaving = true
 	list[1].ZoneOut = true
 
-	_, none := newChooser(1, list...).Choose(epoch, routing.Ask{Service: service})
+	_, none := newChooser(1, list...).Choose(epoch, routing.Request{Service: service})
 	require.NotNil(t, none)
 	require.Contains(t, []verdict.Cause{verdict.CauseZoneOut, verdict.CauseLeaving}, none.Cause)
 }
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -8,7 +8,7 @@
 
 // cost estimates how dear it is to send ask to t, where other entries have that
 // many in flight; 1 is a warm target that is full.
-func (c *Chooser) cost(now time.Time, p *pool, t *target, ask *Ask, others float64) float64 {
+func (c *Chooser) cost(now time.Time, p *pool, t *target, ask *Request, others float64) float64 {
 	load := others + float64(t.own) + 1
 	cost := load / float64(t.bears())
 
@@ -27,7 +27,7 @@
 // Under load it is compared by its warm capacity, so that it gets all that it
 // may have and its ramp goes on. While warm targets idle it gets a request now
 // and then, one that may be repeated, and else only what is no dearer there.
-func (c *Chooser) coldCost(now time.Time, p *pool, t *target, ask *Ask, load float64) float64 {
+func (c *Chooser) coldCost(now time.Time, p *pool, t *target, ask *Request, load float64) float64 {
 	warmUp := ask.Idempotent && !now.Before(t.warmUpAt)
 	if warmUp || p.fullness > c.Settings.WarmUpAbove {
 		return load / float64(max(t.bears(), t.Capacity)) / 2
@@ -37,7 +37,7 @@
 }
 
 // distance is the cost of leaving the caller's zone or region.
-func (c *Chooser) distance(t *target, ask *Ask) float64 {
+func (c *Chooser) distance(t *target, ask *Request) float64 {
 	switch {
 	case t.Region != ask.Region:
 		return c.Settings.OtherRegion
@@ -50,7 +50,7 @@
 
 // prefixGain is what the target's cache is worth for the ask, and a little for
 // the target that is the opening's home.
-func (c *Chooser) prefixGain(now time.Time, t *target, ask *Ask) float64 {
+func (c *Chooser) prefixGain(now time.Time, t *target, ask *Request) float64 {
 	if len(ask.Prefixes) == 0 {
 		return 0
 	}
@@ -64,7 +64,7 @@
 // homeliness is between 0 and 1, and near 1 at one of many targets for each
 // opening. The mixing is that of Subsets.
 func (t *target) homeliness(opening uint64) float64 {
-	x := float64(shares.Mix(opening, t.hash)>>11) / (1 << 53)
+	x := float64(shares.MixHashes(opening, t.hash)>>11) / (1 << 53)
 	x *= x
 	x *= x
 
--- a/internal/routing/credits.go
+++ b/internal/routing/credits.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Demand says that requests for a service come or wait. Credits of cold targets
+// RecordDemand says that requests for a service come or wait. Credits of cold targets
 // are asked for ahead only while they do.
-func (c *Chooser) Demand(now time.Time, service string) {
+func (c *Chooser) RecordDemand(now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start()
 	c.demand[service] = now
 }
 
-// CreditAsks returns the credits to ask for now, at cold and unreachable targets
+// CreditRequests returns the credits to ask for now, at cold and unreachable targets
 // of services in demand: first ones, those that end soon, and those that no longer fit what this
 // entry needs. Answers renew a credit only by what was last asked. A credit of a
 // warm target is asked for by the request that needs one (Choice.NeedsCredit): it
 // costs that request a round trip, where renewing each ahead would cost an entry
 // with many targets more than all else that it says. A shell calls it some five
 // times a second.
-func (c *Chooser) CreditAsks(now time.Time) []CreditAsk {
+func (c *Chooser) CreditRequests(now time.Time) []CreditRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start()
 
-	var asks []CreditAsk
+	var asks []CreditRequest
 
 	for service, p := range c.pools {
 		if now.Sub(c.demand[service]) > c.Settings.DemandLife {
@@ -41,24 +41,24 @@
 			}
 
 			t.asked(now, wanted, &c.Settings)
-			asks = append(asks, CreditAsk{
+			asks = append(asks, CreditRequest{
 				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: wanted, Using: t.own,
 			})
 		}
 	}
 
-	slices.SortFunc(asks, func(a, b CreditAsk) int { return strings.Compare(a.AgentID, b.AgentID) })
+	slices.SortFunc(asks, func(a, b CreditRequest) int { return strings.Compare(a.AgentID, b.AgentID) })
 
 	return asks
 }
 
-// Room returns what this entry may have in flight at a service's targets.
-func (c *Chooser) Room(now time.Time, service string) Room {
+// Capacity returns what this entry may have in flight at a service's targets.
+func (c *Chooser) Capacity(now time.Time, service string) Capacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start()
 
-	var r Room
+	var r Capacity
 
 	p := c.pools[service]
 	if p == nil {
--- a/internal/routing/decisions_test.go
+++ b/internal/routing/decisions_test.go
@@ -60,14 +60,14 @@
 		s.end(t, d, n)
 	case "begin":
 		for range n {
-			s.c.Begin(routing.FirstByte{AgentID: d.CmdArgs[0].Key, Incarnation: 1, Wait: wait})
+			s.c.RecordFirstByte(routing.FirstByte{AgentID: d.CmdArgs[0].Key, Incarnation: 1, Wait: wait})
 		}
 	case "silence":
 		for range n {
-			s.c.Silence(s.now, routing.TargetSilent{AgentID: d.CmdArgs[0].Key, Incarnation: 1})
+			s.c.RecordUnresponsive(s.now, routing.ConnectionUnresponsive{AgentID: d.CmdArgs[0].Key, Incarnation: 1})
 		}
 	case "demand":
-		s.c.Demand(s.now, service)
+		s.c.RecordDemand(s.now, service)
 	case "asks":
 		return s.asks()
 	default:
@@ -105,8 +105,8 @@
 
 	for _, id := range d.CmdArgs {
 		if len(id.Vals) == 0 {
-			s.c.Credit(routing.CreditChanged{
-				AgentID: id.Key, Incarnation: 1, Slots: slots, ExpiresAt: s.now.Add(life), AskAgainAt: againAt,
+			s.c.ApplyCredit(routing.CreditChanged{
+				AgentID: id.Key, Incarnation: 1, Slots: slots, ExpiresAt: s.now.Add(life), RetryAt: againAt,
 			})
 		}
 	}
@@ -122,13 +122,13 @@
 	d.ScanArgs(t, "limit", &ev.Limit)
 
 	ev.Cold = d.HasArg("cold")
-	s.c.Report(ev)
+	s.c.ApplyReport(ev)
 }
 
 // choose makes n choices that stay in flight, or that end at once with "ends".
 func (s *script) choose(d *datadriven.TestData, n int) string {
 	counts := map[string]int{}
-	ask := routing.Ask{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
+	ask := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
 
 	for range n {
 		got, none := s.c.Choose(s.now, ask)
@@ -186,7 +186,7 @@
 
 func (s *script) asks() string {
 	var b strings.Builder
-	for _, a := range s.c.CreditAsks(s.now) {
+	for _, a := range s.c.CreditRequests(s.now) {
 		fmt.Fprintf(&b, "%s wanted=%d using=%d\n", a.AgentID, a.Wanted, a.Using)
 	}
 
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -49,9 +49,9 @@
 	// Slots is how many requests this entry may have in flight at the target.
 	Slots     int
 	ExpiresAt time.Time
-	// AskAgainAt is when an entry that got too few slots should ask again to keep
+	// RetryAt is when an entry that got too few slots should ask again to keep
 	// its turn; zero where the agent did not say.
-	AskAgainAt time.Time
+	RetryAt time.Time
 }
 
 // FirstByte says that an answer has begun.
@@ -76,15 +76,15 @@
 	ServerError bool
 }
 
-// TargetSilent says that one connection to the target went silent. The target
+// ConnectionUnresponsive says that one connection to the target went silent. The target
 // may be well: other connections to it may work.
-type TargetSilent struct {
+type ConnectionUnresponsive struct {
 	AgentID     string
 	Incarnation uint64
 }
 
-// Ask is one request that needs a target.
-type Ask struct {
+// Request is one request that needs a target.
+type Request struct {
 	Service string
 	Zone    string
 	Region  string
@@ -105,8 +105,8 @@
 	NeedsCredit bool
 	// Probe says that the target was set aside and is being tried.
 	Probe bool
-	// Matched is how many of the ask's prefixes the target is thought to hold.
-	Matched int
+	// MatchedPrefixes is how many of the ask's prefixes the target is thought to hold.
+	MatchedPrefixes int
 }
 
 // NoTarget says why there is no target and when asking again makes sense.
@@ -121,8 +121,8 @@
 // Refusal returns e as the caller's refusal: nothing was sent.
 func (e *NoTarget) Refusal() *verdict.Error { return verdict.Refuse(e.Cause, e.RetryAt) }
 
-// CreditAsk says that the entry should ask an agent for a credit.
-type CreditAsk struct {
+// CreditRequest says that the entry should ask an agent for a credit.
+type CreditRequest struct {
 	Service     string
 	AgentID     string
 	Addr        netip.AddrPort
@@ -131,8 +131,8 @@
 	Using       int
 }
 
-// Room is what this entry may have in flight at a service's targets.
-type Room struct {
+// Capacity is what this entry may have in flight at a service's targets.
+type Capacity struct {
 	// Slots is the sum of the credits in force at targets that take new work,
 	// with what a warm target without one is trusted with.
 	Slots    int
--- a/internal/routing/listen.go
+++ b/internal/routing/listen.go
@@ -40,11 +40,11 @@
 		p.refresh()
 	}
 
-	c.Prefixes.Keep(func(id string) bool { return c.byID[id] != nil })
+	c.Prefixes.Retain(func(id string) bool { return c.byID[id] != nil })
 }
 
-// Cache takes in an engine's cache event.
-func (c *Chooser) Cache(ev prefix.Event) {
+// ApplyCacheEvent takes in an engine's cache event.
+func (c *Chooser) ApplyCacheEvent(ev prefix.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -76,8 +76,8 @@
 	return t, c.pools[t.Service]
 }
 
-// Report takes in a load report. One older than the last is dropped.
-func (c *Chooser) Report(ev ReportReceived) {
+// ApplyReport takes in a load report. One older than the last is dropped.
+func (c *Chooser) ApplyReport(ev ReportReceived) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -99,8 +99,8 @@
 	p.changed()
 }
 
-// Credit takes in a credit.
-func (c *Chooser) Credit(ev CreditChanged) {
+// ApplyCredit takes in a credit.
+func (c *Chooser) ApplyCredit(ev CreditChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -112,15 +112,15 @@
 	t.slots = ev.Slots
 	t.creditEnds = ev.ExpiresAt
 
-	if !ev.AskAgainAt.IsZero() && t.Cold {
-		t.askAt = ev.AskAgainAt
+	if !ev.RetryAt.IsZero() && t.Cold {
+		t.askAt = ev.RetryAt
 	}
 
 	t.reached()
 }
 
-// Begin takes in the time to an answer's first byte.
-func (c *Chooser) Begin(ev FirstByte) {
+// RecordFirstByte takes in the time to an answer's first byte.
+func (c *Chooser) RecordFirstByte(ev FirstByte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -147,8 +147,8 @@
 	c.learn(now, p, t, ev)
 }
 
-// Silence takes in that a connection went silent.
-func (c *Chooser) Silence(now time.Time, ev TargetSilent) {
+// RecordUnresponsive takes in that a connection went silent.
+func (c *Chooser) RecordUnresponsive(now time.Time, ev ConnectionUnresponsive) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/internal/routing/load_bench_test.go
+++ b/internal/routing/load_bench_test.go
@@ -74,21 +74,21 @@
 	}
 
 	number := map[string]int{}
-	targets := make([]shares.Place, len(list))
+	targets := make([]shares.Node, len(list))
 
 	for i, t := range list {
 		number[t.AgentID] = i
-		targets[i] = shares.Place{ID: t.AgentID, Zone: t.Zone, Region: t.Region}
+		targets[i] = shares.Node{ID: t.AgentID, Zone: t.Zone, Region: t.Region}
 	}
 
-	entries := make([]shares.Place, s.entries)
+	entries := make([]shares.Node, s.entries)
 	for e := range entries {
-		entries[e] = shares.Place{ID: fmt.Sprintf("e%d", e), Zone: list[e%3].Zone, Region: list[0].Region}
+		entries[e] = shares.Node{ID: fmt.Sprintf("e%d", e), Zone: list[e%3].Zone, Region: list[0].Region}
 	}
 
 	out := make([][]int, s.entries)
 	for e, self := range entries {
-		for id := range (shares.Subsets{Degree: s.degree}).Of(self, entries, targets) {
+		for id := range (shares.Subsetter{Size: s.degree}).Targets(self, entries, targets) {
 			out[e] = append(out[e], number[id])
 		}
 	}
@@ -146,7 +146,7 @@
 			b.ReportAllocs()
 
 			for b.Loop() {
-				got, _ := c.Choose(epoch, routing.Ask{Service: service, Zone: "ang-thong", Region: "central-th"})
+				got, _ := c.Choose(epoch, routing.Request{Service: service, Zone: "ang-thong", Region: "central-th"})
 				c.Finish(epoch, routing.Finished{AgentID: got.AgentID, Incarnation: 1})
 			}
 		})
@@ -169,7 +169,7 @@
 			prompt[i] = n%500*100 + uint64(i)
 		}
 
-		got, _ := c.Choose(epoch, routing.Ask{Service: service, Zone: "ang-thong", Region: "central-th", Prefixes: prompt})
+		got, _ := c.Choose(epoch, routing.Request{Service: service, Zone: "ang-thong", Region: "central-th", Prefixes: prompt})
 		c.Finish(epoch, routing.Finished{AgentID: got.AgentID, Incarnation: 1})
 	}
 }
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -43,14 +43,14 @@
 
 // picker is a way of choosing, at one entry. Target numbers are the model's.
 type picker struct {
-	choose func(now time.Time, ask routing.Ask) (target int, retryAt time.Time)
+	choose func(now time.Time, ask routing.Request) (target int, retryAt time.Time)
 	report func(taken time.Time, target, inFlight, limit int, cold bool)
 	credit func(now time.Time, target, slots int, ends time.Time)
 	begin  func(now time.Time, target int, wait time.Duration)
 	finish func(now time.Time, target int, ev routing.Finished)
 	change func(list []routing.Target)
-	room   func(now time.Time) routing.Room
-	asks   func(now time.Time) []routing.CreditAsk
+	room   func(now time.Time) routing.Capacity
+	asks   func(now time.Time) []routing.CreditRequest
 	silent func(now time.Time, target int)
 	cache  func(ev prefix.Event)
 }
@@ -122,7 +122,7 @@
 	deadline time.Duration
 	size     float64
 	tries    int
-	ask      routing.Ask
+	ask      routing.Request
 	ended    func(inTime bool)
 	noRoom   func()
 }
@@ -132,7 +132,7 @@
 	m.results.offeredAt[int(m.now/time.Second)]++
 
 	j := &job{entry: e, arrived: m.now, deadline: m.now + m.deadline, size: m.size()}
-	j.ask = routing.Ask{Service: service, Zone: e.zone, Region: "central-th", Idempotent: true}
+	j.ask = routing.Request{Service: service, Zone: e.zone, Region: "central-th", Idempotent: true}
 
 	if m.prefixOf != nil {
 		j.ask.Prefixes = m.prefixOf()
--- a/internal/routing/pickers_test.go
+++ b/internal/routing/pickers_test.go
@@ -23,7 +23,7 @@
 	return &plain{rng: rng, list: list, subset: subset, reported: make([]int, len(list)), own: make([]int, len(list)), next: rng.IntN(len(subset))}
 }
 
-func (p *plain) usable(i int, ask routing.Ask) bool {
+func (p *plain) usable(i int, ask routing.Request) bool {
 	t := p.list[i]
 
 	return !t.Leaving && !t.ZoneOut && !slices.Contains(ask.Excluded, t.AgentID)
@@ -42,9 +42,9 @@
 	return n
 }
 
-func (p *plain) picker(choose func(ask routing.Ask) int) picker {
+func (p *plain) picker(choose func(ask routing.Request) int) picker {
 	return picker{
-		choose: func(_ time.Time, ask routing.Ask) (int, time.Time) {
+		choose: func(_ time.Time, ask routing.Request) (int, time.Time) {
 			i := choose(ask)
 			if i >= 0 {
 				p.own[i]++
@@ -57,8 +57,8 @@
 		begin:  func(time.Time, int, time.Duration) {},
 		finish: func(_ time.Time, i int, _ routing.Finished) { p.own[i]-- },
 		change: func(list []routing.Target) { p.list = list },
-		room:   func(time.Time) routing.Room { return routing.Room{Slots: p.capacity() / 3} },
-		asks:   func(time.Time) []routing.CreditAsk { return nil },
+		room:   func(time.Time) routing.Capacity { return routing.Capacity{Slots: p.capacity() / 3} },
+		asks:   func(time.Time) []routing.CreditRequest { return nil },
 		silent: func(time.Time, int) {},
 		cache:  func(prefix.Event) {},
 	}
@@ -67,7 +67,7 @@
 func roundRobin(rng *rand.Rand, list []routing.Target, subset []int) picker {
 	p := newPlain(rng, list, subset)
 
-	return p.picker(func(ask routing.Ask) int {
+	return p.picker(func(ask routing.Request) int {
 		for range p.subset {
 			p.next++
 			if i := p.subset[p.next%len(p.subset)]; p.usable(i, ask) {
@@ -82,7 +82,7 @@
 func leastReported(rng *rand.Rand, list []routing.Target, subset []int) picker {
 	p := newPlain(rng, list, subset)
 
-	return p.picker(func(ask routing.Ask) int {
+	return p.picker(func(ask routing.Request) int {
 		best := -1
 		for _, i := range p.subset {
 			if p.usable(i, ask) && (best < 0 || p.reported[i] < p.reported[best]) {
@@ -98,7 +98,7 @@
 func twoChoices(rng *rand.Rand, list []routing.Target, subset []int) picker {
 	p := newPlain(rng, list, subset)
 
-	return p.picker(func(ask routing.Ask) int {
+	return p.picker(func(ask routing.Request) int {
 		var open []int
 		for _, i := range p.subset {
 			if p.usable(i, ask) {
@@ -144,7 +144,7 @@
 		change(list)
 
 		return picker{
-			choose: func(now time.Time, ask routing.Ask) (int, time.Time) {
+			choose: func(now time.Time, ask routing.Request) (int, time.Time) {
 				got, none := c.Choose(now, ask)
 				if none != nil {
 					return -1, none.RetryAt
@@ -153,27 +153,27 @@
 				return number[got.AgentID], time.Time{}
 			},
 			report: func(taken time.Time, i, inFlight, limit int, cold bool) {
-				c.Report(routing.ReportReceived{
+				c.ApplyReport(routing.ReportReceived{
 					AgentID: known[i].AgentID, Incarnation: known[i].Incarnation, TakenAt: taken,
 					InFlight: inFlight, Limit: limit, Cold: cold,
 				})
 			},
 			credit: func(_ time.Time, i, slots int, ends time.Time) {
-				c.Credit(routing.CreditChanged{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation, Slots: slots, ExpiresAt: ends})
+				c.ApplyCredit(routing.CreditChanged{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation, Slots: slots, ExpiresAt: ends})
 			},
 			begin: func(_ time.Time, i int, wait time.Duration) {
-				c.Begin(routing.FirstByte{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation, Wait: wait})
+				c.RecordFirstByte(routing.FirstByte{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation, Wait: wait})
 			},
 			finish: func(now time.Time, i int, ev routing.Finished) {
 				ev.AgentID, ev.Incarnation = known[i].AgentID, known[i].Incarnation
 				c.Finish(now, ev)
 			},
 			change: change,
-			room:   func(now time.Time) routing.Room { return c.Room(now, service) },
-			asks:   c.CreditAsks,
-			cache:  c.Cache,
+			room:   func(now time.Time) routing.Capacity { return c.Capacity(now, service) },
+			asks:   c.CreditRequests,
+			cache:  c.ApplyCacheEvent,
 			silent: func(now time.Time, i int) {
-				c.Silence(now, routing.TargetSilent{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation})
+				c.RecordUnresponsive(now, routing.ConnectionUnresponsive{AgentID: known[i].AgentID, Incarnation: known[i].Incarnation})
 			},
 		}
 	}
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -52,7 +52,7 @@
 			total += f
 		}
 
-		require.Equal(t, total, b.c.Room(b.now, service).InFlight)
+		require.Equal(t, total, b.c.Capacity(b.now, service).InFlight)
 	})
 }
 
@@ -63,9 +63,9 @@
 	case 0:
 		b.slots[i] = rapid.IntRange(0, 3).Draw(t, "slots")
 		b.ends[i] = b.now.Add(time.Second)
-		b.c.Credit(routing.CreditChanged{AgentID: d.AgentID, Incarnation: d.Incarnation, Slots: b.slots[i], ExpiresAt: b.ends[i]})
+		b.c.ApplyCredit(routing.CreditChanged{AgentID: d.AgentID, Incarnation: d.Incarnation, Slots: b.slots[i], ExpiresAt: b.ends[i]})
 	case 1:
-		b.c.Report(routing.ReportReceived{
+		b.c.ApplyReport(routing.ReportReceived{
 			AgentID: d.AgentID, Incarnation: d.Incarnation, TakenAt: b.now, Cold: true,
 			InFlight: rapid.IntRange(0, 5).Draw(t, "load"), Limit: 3,
 		})
@@ -82,9 +82,9 @@
 	case 3:
 		b.finish(t, i)
 	case 4:
-		b.c.Silence(b.now, routing.TargetSilent{AgentID: d.AgentID, Incarnation: d.Incarnation})
+		b.c.RecordUnresponsive(b.now, routing.ConnectionUnresponsive{AgentID: d.AgentID, Incarnation: d.Incarnation})
 	case 5:
-		b.c.CreditAsks(b.now)
+		b.c.CreditRequests(b.now)
 	default:
 		b.choose(t, i)
 	}
@@ -108,7 +108,7 @@
 }
 
 func (b *books) choose(t *rapid.T, tried int) {
-	got, none := b.c.Choose(b.now, routing.Ask{
+	got, none := b.c.Choose(b.now, routing.Request{
 		Service: service, Zone: "saraburi", Region: "central-th",
 		Idempotent: rapid.Bool().Draw(t, "idempotent"), Excluded: []string{b.list[tried].AgentID},
 	})
@@ -138,9 +138,9 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 200 {
-				got, none := c.Choose(epoch, routing.Ask{Service: service})
+				got, none := c.Choose(epoch, routing.Request{Service: service})
 				if none == nil {
-					c.Report(routing.ReportReceived{AgentID: got.AgentID, Incarnation: 1, TakenAt: epoch, Limit: 100})
+					c.ApplyReport(routing.ReportReceived{AgentID: got.AgentID, Incarnation: 1, TakenAt: epoch, Limit: 100})
 					c.Finish(epoch, routing.Finished{AgentID: got.AgentID, Incarnation: 1})
 				}
 
@@ -150,5 +150,5 @@
 	}
 
 	wg.Wait()
-	require.Zero(t, c.Room(epoch, service).InFlight)
+	require.Zero(t, c.Capacity(epoch, service).InFlight)
 }
--- a/internal/routing/refusal.go
+++ b/internal/routing/refusal.go
@@ -50,10 +50,10 @@
 	return &NoTarget{Cause: cause, RetryAt: at}
 }
 
-// Gone says why none of a service's targets takes new work, as when all are in
+// Unavailable says why none of a service's targets takes new work, as when all are in
 // zones that are out; nil when one does, however full. A request that meets it
 // need not wait in a queue for room.
-func (c *Chooser) Gone(now time.Time, service string) *NoTarget {
+func (c *Chooser) Unavailable(now time.Time, service string) *NoTarget {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start()
--- a/internal/routing/zone_bench_test.go
+++ b/internal/routing/zone_bench_test.go
@@ -44,7 +44,7 @@
 		d.take(d.queue.Finish(d.m.clock(), id))
 	}
 	// A request without room at any target waits for the next credit.
-	j.noRoom = func() { d.take(d.queue.PutBack(d.m.clock(), id)) }
+	j.noRoom = func() { d.take(d.queue.Requeue(d.m.clock(), id)) }
 	own, others := d.queue.Offer(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
 	d.take(append(others, own))
 }
--- a/internal/shares/keeper_test.go
+++ b/internal/shares/keeper_test.go
@@ -10,10 +10,10 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-func manyPlaces(prefix string, n int) []shares.Place {
-	var out []shares.Place
+func manyPlaces(prefix string, n int) []shares.Node {
+	var out []shares.Node
 	for i := range n {
-		out = append(out, shares.Place{ID: fmt.Sprint(prefix, i), Zone: fmt.Sprint("z", i%3)})
+		out = append(out, shares.Node{ID: fmt.Sprint(prefix, i), Zone: fmt.Sprint("z", i%3)})
 	}
 
 	return out
@@ -27,24 +27,24 @@
 
 	const degree = 30
 
-	k := shares.Keeper{Degree: func(int, int) int { return degree }}
+	k := shares.SubsetCache{SubsetSize: func(int, int) int { return degree }}
 
 	now := time.Unix(1000, 0)
-	self := shares.Place{ID: "e0", Zone: "z0"}
+	self := shares.Node{ID: "e0", Zone: "z0"}
 	entries := manyPlaces("e", 4)
-	first := k.Of(now, "assist", self, entries, manyPlaces("t", 60))
+	first := k.Targets(now, "assist", self, entries, manyPlaces("t", 60))
 	require.Len(t, first, degree)
 
-	again := k.Of(now.Add(time.Millisecond), "assist", self, entries, manyPlaces("t", 90))
+	again := k.Targets(now.Add(time.Millisecond), "assist", self, entries, manyPlaces("t", 90))
 	require.Equal(t, first, again, "the former answer stands")
-	require.Equal(t, now.Add(time.Second), k.DueAt, "and is to be asked for again")
+	require.Equal(t, now.Add(time.Second), k.RecomputeAt, "and is to be asked for again")
 
-	later := k.Of(k.DueAt, "assist", self, entries, manyPlaces("t", 90))
+	later := k.Targets(k.RecomputeAt, "assist", self, entries, manyPlaces("t", 90))
 	require.NotEqual(t, first, later)
 
 	// Few targets cost nothing: all are used at once.
-	require.Len(t, k.Of(now, "desk", self, entries, manyPlaces("d", 2)), 2)
-	require.Len(t, k.Of(now, "desk", self, entries, manyPlaces("d", 3)), 3)
+	require.Len(t, k.Targets(now, "desk", self, entries, manyPlaces("d", 2)), 2)
+	require.Len(t, k.Targets(now, "desk", self, entries, manyPlaces("d", 3)), 3)
 }
 
 // A zone returns and brings many changes within the pause. Guards against a timer for each
@@ -52,12 +52,12 @@
 func TestDueIsToldOnce(t *testing.T) {
 	t.Parallel()
 
-	k := shares.Keeper{Degree: func(int, int) int { return 30 }}
+	k := shares.SubsetCache{SubsetSize: func(int, int) int { return 30 }}
 	now := time.Unix(1000, 0)
 	ask := func(at time.Time, targets int) (time.Duration, bool) {
-		k.Of(at, "assist", shares.Place{ID: "e0", Zone: "z0"}, manyPlaces("e", 4), manyPlaces("t", targets))
+		k.Targets(at, "assist", shares.Node{ID: "e0", Zone: "z0"}, manyPlaces("e", 4), manyPlaces("t", targets))
 
-		return k.Due(at)
+		return k.RecomputeDue(at)
 	}
 
 	_, due := ask(now, 60)
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -12,8 +12,8 @@
 // Share is one entry's part of a limit that Of entries hold together. Each of them has
 // another Index, from 0 on. The zero value is that of an entry which holds it alone.
 type Share struct {
-	Index int
-	Of    int
+	Index   int
+	Entries int
 }
 
 // turn is how long an entry has a unit at least, where there are fewer units than entries.
@@ -27,14 +27,14 @@
 	units := int(total)
 
 	switch {
-	case s.Of <= 1:
+	case s.Entries <= 1:
 		return units
 	case units <= 0:
 		return 0
-	case units < s.Of:
+	case units < s.Entries:
 		return s.turns(now, units)
 	default:
-		return units/s.Of + atMostOne(units%s.Of-s.Index)
+		return units/s.Entries + atMostOne(units%s.Entries-s.Index)
 	}
 }
 
@@ -43,18 +43,18 @@
 // lists differ a little agree on nearly all turns.
 func (s Share) turns(now time.Time, units int) int {
 	round := leastRound
-	for round*time.Duration(units) < turn*time.Duration(s.Of) {
+	for round*time.Duration(units) < turn*time.Duration(s.Entries) {
 		round *= 2
 	}
 
 	passed := float64(now.UnixNano()%int64(round)) / float64(round)
-	ahead := float64(s.Index)/float64(s.Of) - passed
+	ahead := float64(s.Index)/float64(s.Entries) - passed
 
 	if ahead < 0 {
 		ahead++
 	}
 
-	if ahead*float64(s.Of) < float64(units) {
+	if ahead*float64(s.Entries) < float64(units) {
 		return 1
 	}
 
@@ -67,21 +67,21 @@
 // atMostOne returns 1 for a positive n, else 0.
 func atMostOne(n int) int { return max(0, min(n, 1)) }
 
-// Of returns the share of self in a limit of that name, which all entries hold together.
+// ForLimit returns the share of self in a limit of that name, which all entries hold together.
 // An entry that is not among entries yet is added.
-func Of(self Place, entries []Place, name string) Share {
+func ForLimit(self Node, entries []Node, name string) Share {
 	key := xxhash.Sum64String(name)
-	own := Mix(xxhash.Sum64String(self.ID), key)
-	s := Share{Of: 1}
+	own := MixHashes(xxhash.Sum64String(self.ID), key)
+	s := Share{Entries: 1}
 
 	for _, e := range entries {
 		if e.ID == self.ID {
 			continue
 		}
 
-		s.Of++
+		s.Entries++
 
-		if Mix(xxhash.Sum64String(e.ID), key) > own {
+		if MixHashes(xxhash.Sum64String(e.ID), key) > own {
 			s.Index++
 		}
 	}
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -9,60 +9,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is an entry or a target as far as subsetting is concerned.
-type Place struct {
+// Node is an entry or a target as far as subsetting is concerned.
+type Node struct {
 	ID     string
 	Zone   string
 	Region string
 }
 
-// Subsets chooses the targets that each entry of a large deployment keeps
+// Subsetter chooses the targets that each entry of a large deployment keeps
 // connections to. Each process works out the same answer from the same lists,
 // in any order. The zero value of each field stands for the default beside it.
-type Subsets struct {
-	// Degree is how many targets an entry has (30). With no more targets than that, it has all.
-	Degree int
-	// NearShare is the part of them in the entry's own zone (0.5), so that near
+type Subsetter struct {
+	// Size is how many targets an entry has (30). With no more targets than that, it has all.
+	Size int
+	// LocalZoneRatio is the part of them in the entry's own zone (0.5), so that near
 	// targets are there to be preferred, and enough others when the zone leaves.
-	NearShare float64
+	LocalZoneRatio float64
 	// Slack is how far above the mean a target's number of entries may be (0.05).
 	// Without slack each entry that comes or goes moves long chains of others.
 	Slack float64
 }
 
-func (s Subsets) withDefaults() Subsets {
-	s.Degree = cmp.Or(s.Degree, 30)
-	s.NearShare = cmp.Or(s.NearShare, 0.5)
+func (s Subsetter) withDefaults() Subsetter {
+	s.Size = cmp.Or(s.Size, 30)
+	s.LocalZoneRatio = cmp.Or(s.LocalZoneRatio, 0.5)
 	s.Slack = cmp.Or(s.Slack, 0.05)
 
 	return s
 }
 
-// Of returns the targets of one entry, by ID, and its share of what may be sent to each.
+// Targets returns the targets of one entry, by ID, and its share of what may be sent to each.
 // An entry that is not among entries, because the news of itself has not reached it
 // yet, is added.
-func (s Subsets) Of(self Place, entries, targets []Place) map[string]Share {
-	if !slices.ContainsFunc(entries, func(e Place) bool { return e.ID == self.ID }) {
+func (s Subsetter) Targets(self Node, entries, targets []Node) map[string]Share {
+	if !slices.ContainsFunc(entries, func(e Node) bool { return e.ID == self.ID }) {
 		entries = append(slices.Clone(entries), self)
 	}
 
-	return s.Match(entries, targets).Of(self.ID)
+	return s.Match(entries, targets).Targets(self.ID)
 }
 
 // Match matches all entries with the targets that each of them uses.
-func (s Subsets) Match(entries, targets []Place) *Matching {
+func (s Subsetter) Match(entries, targets []Node) *Matching {
 	s = s.withDefaults()
 	m := newMatching(entries, targets, s)
 
-	if len(targets) <= s.Degree {
+	if len(targets) <= s.Size {
 		m.all()
 
 		return m
 	}
 
-	m.stage(stageZone, int(math.Round(s.NearShare*float64(s.Degree))))
-	m.stage(stageRegion, s.Degree)
-	m.stage(stageAny, s.Degree)
+	m.stage(stageZone, int(math.Round(s.LocalZoneRatio*float64(s.Size))))
+	m.stage(stageRegion, s.Size)
+	m.stage(stageAny, s.Size)
 
 	return m
 }
@@ -76,7 +76,7 @@
 	stageAny
 )
 
-func (s stage) allows(e, t *Place) bool {
+func (s stage) allows(e, t *Node) bool {
 	switch s {
 	case stageZone:
 		return e.Zone == t.Zone && e.Region == t.Region
@@ -91,7 +91,7 @@
 // each other by one hash. It is the same whatever the order of its steps, and
 // one that comes or goes changes it only along the chain of those it displaces.
 type Matching struct {
-	entries, targets []Place
+	entries, targets []Node
 	entryHash        []uint64
 	targetHash       []uint64
 	most             int
@@ -100,8 +100,8 @@
 	matched [][]int
 }
 
-func newMatching(entries, targets []Place, s Subsets) *Matching {
-	mean := float64(s.Degree*len(entries)) / float64(len(targets))
+func newMatching(entries, targets []Node, s Subsetter) *Matching {
+	mean := float64(s.Size*len(entries)) / float64(len(targets))
 
 	return &Matching{
 		entries: entries, targets: targets,
@@ -111,7 +111,7 @@
 	}
 }
 
-func hashes(places []Place) []uint64 {
+func hashes(places []Node) []uint64 {
 	out := make([]uint64, len(places))
 	for i, p := range places {
 		out[i] = xxhash.Sum64String(p.ID)
@@ -121,10 +121,10 @@
 }
 
 // rank is how much entry e and target t like each other.
-func (m *Matching) rank(e, t int) uint64 { return Mix(m.entryHash[e], m.targetHash[t]) }
+func (m *Matching) rank(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
 
-// Mix joins two hashes into one by the mixing step of the splitmix64 generator.
-func Mix(a, b uint64) uint64 {
+// MixHashes joins two hashes into one by the mixing step of the splitmix64 generator.
+func MixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
@@ -255,9 +255,9 @@
 	}
 }
 
-// Of returns the targets of an entry, and its index among the entries of each.
-func (m *Matching) Of(entry string) map[string]Share {
-	e := slices.IndexFunc(m.entries, func(p Place) bool { return p.ID == entry })
+// Targets returns the targets of an entry, and its index among the entries of each.
+func (m *Matching) Targets(entry string) map[string]Share {
+	e := slices.IndexFunc(m.entries, func(p Node) bool { return p.ID == entry })
 	if e < 0 {
 		return nil
 	}
@@ -273,7 +273,7 @@
 			}
 		}
 
-		out[m.targets[t].ID] = Share{Index: index, Of: len(m.held[t])}
+		out[m.targets[t].ID] = Share{Index: index, Entries: len(m.held[t])}
 	}
 
 	return out
--- a/internal/shares/subset_test.go
+++ b/internal/shares/subset_test.go
@@ -15,11 +15,11 @@
 )
 
 // places makes a large deployment: seven zones in two regions.
-func places(kind string, n int) []shares.Place {
-	out := make([]shares.Place, n)
+func places(kind string, n int) []shares.Node {
+	out := make([]shares.Node, n)
 	for i := range out {
 		z := i % 7
-		out[i] = shares.Place{ID: fmt.Sprintf("%s-%03d", kind, i), Zone: fmt.Sprintf("z%d", z), Region: fmt.Sprintf("r%d", z/4)}
+		out[i] = shares.Node{ID: fmt.Sprintf("%s-%03d", kind, i), Zone: fmt.Sprintf("z%d", z), Region: fmt.Sprintf("r%d", z/4)}
 	}
 
 	return out
@@ -32,7 +32,7 @@
 	held := map[string]int{}
 
 	for _, e := range entries {
-		got := shares.Subsets{}.Of(e, entries, all)
+		got := shares.Subsetter{}.Targets(e, entries, all)
 		require.Len(t, got, 30)
 
 		for id := range got {
@@ -45,26 +45,26 @@
 	}
 
 	// The same lists in another order give the same answer.
-	want := shares.Subsets{}.Of(entries[5], entries, all)
+	want := shares.Subsetter{}.Targets(entries[5], entries, all)
 	shuffled, others := slices.Clone(all), slices.Clone(entries)
 	r := rand.New(rand.NewPCG(1, 1))
 	r.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	r.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	require.Equal(t, want, shares.Subsets{}.Of(entries[5], others, shuffled))
+	require.Equal(t, want, shares.Subsetter{}.Targets(entries[5], others, shuffled))
 
 	// An entry that is not in the list yet has targets too; few targets are all kept.
-	require.Len(t, shares.Subsets{}.Of(shares.Place{ID: "new", Zone: "z1", Region: "r0"}, entries, all), 30)
-	require.Len(t, shares.Subsets{}.Of(entries[0], entries, all[:12]), 12)
+	require.Len(t, shares.Subsetter{}.Targets(shares.Node{ID: "new", Zone: "z1", Region: "r0"}, entries, all), 30)
+	require.Len(t, shares.Subsetter{}.Targets(entries[0], entries, all[:12]), 12)
 }
 
 // assignment is every entry's targets.
 type assignment map[string][]string
 
-func ours30(slack float64) func(entries, targets []shares.Place) assignment {
-	return func(entries, targets []shares.Place) assignment {
+func ours30(slack float64) func(entries, targets []shares.Node) assignment {
+	return func(entries, targets []shares.Node) assignment {
 		out := assignment{}
 		for _, e := range entries {
-			out[e.ID] = slices.Sorted(maps.Keys(shares.Subsets{Slack: slack}.Of(e, entries, targets)))
+			out[e.ID] = slices.Sorted(maps.Keys(shares.Subsetter{Slack: slack}.Targets(e, entries, targets)))
 		}
 
 		return out
@@ -72,7 +72,7 @@
 }
 
 // highestHash is plain rendezvous hashing, without regard to load or zone.
-func highestHash(entries, targets []shares.Place) assignment {
+func highestHash(entries, targets []shares.Node) assignment {
 	out := assignment{}
 
 	for _, e := range entries {
@@ -102,7 +102,7 @@
 }
 
 // shuffledRounds deals the targets out in rounds, each shuffled anew.
-func shuffledRounds(entries, targets []shares.Place) assignment {
+func shuffledRounds(entries, targets []shares.Node) assignment {
 	out := assignment{}
 	perRound := len(targets) / 30
 
@@ -141,7 +141,7 @@
 func BenchmarkSubset(b *testing.B) {
 	ways := []struct {
 		name   string
-		assign func(entries, targets []shares.Place) assignment
+		assign func(entries, targets []shares.Node) assignment
 	}{
 		{"HighestHash", highestHash},
 		{"ShuffledRounds", shuffledRounds},
@@ -165,11 +165,11 @@
 	}
 }
 
-func without(list []shares.Place, i int) []shares.Place {
+func without(list []shares.Node, i int) []shares.Node {
 	return slices.Delete(slices.Clone(list), i, i+1)
 }
 
-func reportEvenness(b *testing.B, entries, all []shares.Place, a assignment) {
+func reportEvenness(b *testing.B, entries, all []shares.Node, a assignment) {
 	b.Helper()
 
 	zone := map[string]string{}
@@ -209,6 +209,6 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		shares.Subsets{}.Of(entries[0], entries, all)
+		shares.Subsetter{}.Targets(entries[0], entries, all)
 	}
 }
--- a/internal/door/door.go
+++ b/internal/targetclient/door.go
@@ -1,11 +1,11 @@
-// Package door is an entry's own way into a target that has no agent: one HTTP
+// Package targetclient is an entry's own way into a target that has no agent: one HTTP
 // request over one fresh connection.
 //
 // A kept connection may hold the late second answer of an earlier request, may be
 // closed by the target while the next request crosses, or may have gone silent
 // unseen. A fresh one has none of these faults, so whatever comes on it answers
 // the one request that was sent on it.
-package door
+package targetclient
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Call is one request as it goes to a target.
-type Call struct {
+// Request is one request as it goes to a target.
+type Request struct {
 	Method string
 	// URI and Host are passed on as the caller sent them.
 	URI    string
@@ -53,13 +53,13 @@
 	_ = a.conn.Close()
 }
 
-// Door opens calls to targets. Its fields are set before use.
-type Door struct {
+// Client opens calls to targets. Its fields are set before use.
+type Client struct {
 	// DialTimeout bounds how long a connection may take to open. A target that is
 	// dark does not answer at all, and another one could.
 	DialTimeout time.Duration
-	// HeadBytes bounds the head of an answer.
-	HeadBytes int
+	// MaxHeaderBytes bounds the head of an answer.
+	MaxHeaderBytes int
 }
 
 const (
@@ -72,7 +72,7 @@
 
 // Open sends call to the target at address and returns the head of its answer. An
 // error is a *verdict.Error: NotRun only where not a byte has left.
-func (d *Door) Open(ctx context.Context, address netip.AddrPort, call *Call) (*Answer, error) {
+func (d *Client) Open(ctx context.Context, address netip.AddrPort, call *Request) (*Answer, error) {
 	dialer := net.Dialer{Timeout: d.DialTimeout, Deadline: call.Deadline, KeepAlive: -1}
 
 	conn, err := dialer.DialContext(ctx, "tcp", address.String())
@@ -95,7 +95,7 @@
 	return answer, nil
 }
 
-func (d *Door) exchange(conn net.Conn, call *Call) (*Answer, error) {
+func (d *Client) exchange(conn net.Conn, call *Request) (*Answer, error) {
 	if err := conn.SetDeadline(call.Deadline); err != nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, Err: err}
 	}
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 
-	limited := &io.LimitedReader{R: conn, N: int64(d.HeadBytes)}
+	limited := &io.LimitedReader{R: conn, N: int64(d.MaxHeaderBytes)}
 	buffered := bufio.NewReaderSize(limited, readBuffer)
 
 	resp, err := readFinal(buffered, call.Method) //nolint:bodyclose // Answer.Close closes it
@@ -134,7 +134,7 @@
 }
 
 // send writes the call. Only where nothing was written is it sure not to run.
-func send(conn net.Conn, call *Call) error {
+func send(conn net.Conn, call *Request) error {
 	var b strings.Builder
 
 	b.Grow(readBuffer / 4)
--- a/internal/door/events.go
+++ b/internal/targetclient/events.go
@@ -1,4 +1,4 @@
-package door
+package targetclient
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// ErrTooLong says that one event of a stream is longer than an event may be.
-var ErrTooLong = errors.New("door: an event of the stream is too long")
+// ErrEventTooLong says that one event of a stream is longer than an event may be.
+var ErrEventTooLong = errors.New("door: an event of the stream is too long")
 
 // Event is one whole event of a stream, with the empty line that ends it.
 type Event struct {
@@ -19,22 +19,22 @@
 	Bytes []byte
 }
 
-// Events reads a stream event by event. A part of an event at the end of a stream
+// EventReader reads a stream event by event. A part of an event at the end of a stream
 // that broke off is never returned.
-type Events struct {
+type EventReader struct {
 	r    *bufio.Reader
 	most int
 	buf  []byte
 }
 
-// NewEvents returns a reader of the events in r, each at most most bytes long.
-func NewEvents(r io.Reader, most int) *Events {
-	return &Events{r: bufio.NewReaderSize(r, readBuffer), most: most}
+// NewEventReader returns a reader of the events in r, each at most most bytes long.
+func NewEventReader(r io.Reader, most int) *EventReader {
+	return &EventReader{r: bufio.NewReaderSize(r, readBuffer), most: most}
 }
 
 // Next returns the next event, which holds until Next is called again. It returns
 // io.EOF where the stream ended whole.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	e.buf = e.buf[:0]
 
 	var ev Event
@@ -42,7 +42,7 @@
 	for {
 		line, err := e.r.ReadSlice('\n')
 		if len(e.buf)+len(line) > e.most {
-			return Event{}, ErrTooLong
+			return Event{}, ErrEventTooLong
 		}
 
 		e.buf = append(e.buf, line...)
@@ -72,4 +72,4 @@
 }
 
 // Buffered returns whether bytes of a next event are here already.
-func (e *Events) Buffered() bool { return e.r.Buffered() > 0 }
+func (e *EventReader) Buffered() bool { return e.r.Buffered() > 0 }
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -29,7 +29,7 @@
 	// Entries is how many entries share the targets, this one included, and Roster those
 	// of them that are known by ID.
 	Entries int
-	Roster  []shares.Place
+	Roster  []shares.Node
 	// Relays are where some processes relay orders to engines, by the control VM that
 	// answered last.
 	Relays []netip.AddrPort
@@ -71,7 +71,7 @@
 	current  atomic.Pointer[Followed]
 	members  map[netip.AddrPort][]netip.AddrPort // by who told
 	counts   map[netip.AddrPort]uint32
-	rosters  map[netip.AddrPort][]shares.Place // by who told
+	rosters  map[netip.AddrPort][]shares.Node // by who told
 	answered map[netip.AddrPort]bool
 	lost     map[netip.AddrPort]bool // whose word on entries is to be dropped
 	tables   tables
@@ -113,7 +113,7 @@
 
 	f.members = make(map[netip.AddrPort][]netip.AddrPort)
 	f.counts = make(map[netip.AddrPort]uint32)
-	f.rosters = make(map[netip.AddrPort][]shares.Place)
+	f.rosters = make(map[netip.AddrPort][]shares.Node)
 	f.answered = make(map[netip.AddrPort]bool)
 	f.lost = make(map[netip.AddrPort]bool)
 	f.tables = tables{own: f.Zone, zones: make(map[netip.AddrPort]string)}
@@ -448,9 +448,9 @@
 		return changed
 	}
 
-	places := make([]shares.Place, 0, len(out.GetRoster()))
+	places := make([]shares.Node, 0, len(out.GetRoster()))
 	for _, e := range out.GetRoster() {
-		places = append(places, shares.Place{ID: e.GetID(), Zone: e.GetZone()})
+		places = append(places, shares.Node{ID: e.GetID(), Zone: e.GetZone()})
 	}
 
 	f.rosters[control] = places
@@ -459,8 +459,8 @@
 }
 
 // roster returns the entries that any control VM names, by ID.
-func (f *Follower) roster() []shares.Place {
-	all := make(map[string]shares.Place)
+func (f *Follower) roster() []shares.Node {
+	all := make(map[string]shares.Node)
 
 	for _, told := range f.rosters {
 		for _, p := range told {
@@ -468,5 +468,5 @@
 		}
 	}
 
-	return slices.SortedFunc(maps.Values(all), func(a, b shares.Place) int { return strings.Compare(a.ID, b.ID) })
+	return slices.SortedFunc(maps.Values(all), func(a, b shares.Node) int { return strings.Compare(a.ID, b.ID) })
 }
