--- a/internal/fairness/bench_test.go
+++ b/internal/fairness/bench_test.go
@@ -14,49 +14,49 @@
 // with 6 s until their deadline. A request that has started holds its slot to its
 // end, whether or not its caller still waits.
 const (
-	slots    = 32
-	patience = 6 * time.Second
-	modelEnd = 120 * time.Second
+	slots          = 32
+	requestTimeout = 6 * time.Second
+	modelEnd       = 120 * time.Second
 )
 
-// door is a way of admitting requests.
-type door struct {
+// policy is a way of admitting requests.
+type policy struct {
 	offer  func(now time.Time, it fairness.Item) (fairness.Action, []fairness.Action)
 	finish func(now time.Time, id uint64) []fairness.Action
 	tick   func(now time.Time) []fairness.Action
 }
 
-// firstIn is first come, first served, with at most that many waiting.
-func firstIn(most int) door {
+// fifoPolicy is first come, first served, with at most that many waiting.
+func fifoPolicy(maxWaiting int) policy {
 	var (
-		line []uint64
-		busy int
+		waiting []uint64
+		busy    int
 	)
 
-	return door{
+	return policy{
 		offer: func(_ time.Time, it fairness.Item) (fairness.Action, []fairness.Action) {
 			switch {
 			case busy < slots:
 				busy++
 
 				return fairness.Action{ID: it.ID, Kind: fairness.Start}, nil
-			case len(line) >= most:
+			case len(waiting) >= maxWaiting:
 				return fairness.Action{ID: it.ID, Kind: fairness.Refuse}, nil
 			default:
-				line = append(line, it.ID)
+				waiting = append(waiting, it.ID)
 
 				return fairness.Action{ID: it.ID, Kind: fairness.Wait}, nil
 			}
 		},
 		finish: func(time.Time, uint64) []fairness.Action {
-			if len(line) == 0 {
+			if len(waiting) == 0 {
 				busy--
 
 				return nil
 			}
 
-			id := line[0]
-			line = line[1:]
+			id := waiting[0]
+			waiting = waiting[1:]
 
 			return []fairness.Action{{ID: id, Kind: fairness.Start}}
 		},
@@ -64,27 +64,27 @@
 	}
 }
 
-func fairQueue(s fairness.Settings) door {
+func fairQueue(s fairness.Settings) policy {
 	q := newQueue(1)
 	q.Settings = s
 	q.SetCapacity(epoch, slots)
 
-	return door{offer: q.Offer, finish: q.Finish, tick: q.Tick}
+	return policy{offer: q.Offer, finish: q.Finish, tick: q.Tick}
 }
 
-// happening is something that happens at a time in the model.
-type happening struct {
+// event is something that happens at a time in the model.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type agenda []happening
+type eventHeap []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	h := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -98,26 +98,26 @@
 	arrived time.Duration
 }
 
-// bench runs one door. Rates are requests a second by workspace.
-type bench struct {
-	door
+// simulation runs one door. Rates are requests a second by workspace.
+type simulation struct {
+	policy
 	rng      *rand.Rand
 	now      time.Duration
-	agenda   agenda
+	events   eventHeap
 	next     uint64
 	requests map[uint64]request
 
-	offered, inTime          []float64
-	late, refused, refusedIn float64
+	offered, answeredInTime     []float64
+	late, refused, refusalDelay float64
 }
 
-func (b *bench) after(d time.Duration, do func()) {
-	heap.Push(&b.agenda, happening{at: b.now + d, do: do})
+func (b *simulation) after(d time.Duration, do func()) {
+	heap.Push(&b.events, event{at: b.now + d, do: do})
 }
 
-func (b *bench) run(rates []float64) {
+func (b *simulation) run(rates []float64) {
 	b.requests = map[uint64]request{}
-	b.offered, b.inTime = make([]float64, len(rates)), make([]float64, len(rates))
+	b.offered, b.answeredInTime = make([]float64, len(rates)), make([]float64, len(rates))
 
 	for ws, r := range rates {
 		b.arrivals(ws, r)
@@ -125,35 +125,35 @@
 
 	b.ticks()
 
-	for len(b.agenda) > 0 && b.agenda[0].at < modelEnd {
-		h, _ := heap.Pop(&b.agenda).(happening)
+	for len(b.events) > 0 && b.events[0].at < modelEnd {
+		h, _ := heap.Pop(&b.events).(event)
 		b.now = h.at
 		h.do()
 	}
 }
 
-func (b *bench) ticks() {
+func (b *simulation) ticks() {
 	b.after(100*time.Millisecond, func() {
-		b.take(b.tick(epoch.Add(b.now)))
+		b.apply(b.tick(epoch.Add(b.now)))
 		b.ticks()
 	})
 }
 
-func (b *bench) arrivals(ws int, rate float64) {
+func (b *simulation) arrivals(ws int, rate float64) {
 	b.after(time.Duration(b.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		b.next++
 		b.requests[b.next] = request{ws: ws, arrived: b.now}
 		b.offered[ws]++
 
-		own, others := b.offer(epoch.Add(b.now), fairness.Item{
-			ID: b.next, Workspace: fmt.Sprintf("w%d", ws), Deadline: epoch.Add(b.now + patience),
+		itemAction, otherActions := b.offer(epoch.Add(b.now), fairness.Item{
+			ID: b.next, Workspace: fmt.Sprintf("w%d", ws), Deadline: epoch.Add(b.now + requestTimeout),
 		})
-		b.take(append(others, own))
+		b.apply(append(otherActions, itemAction))
 		b.arrivals(ws, rate)
 	})
 }
 
-func (b *bench) take(actions []fairness.Action) {
+func (b *simulation) apply(actions []fairness.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case fairness.Start:
@@ -162,27 +162,27 @@
 				size += b.rng.ExpFloat64() / 4
 			}
 
-			b.after(time.Duration(size*float64(time.Second)), func() { b.done(a.ID) })
+			b.after(time.Duration(size*float64(time.Second)), func() { b.complete(a.ID) })
 		case fairness.Refuse:
 			b.refused++
-			b.refusedIn += (b.now - b.requests[a.ID].arrived).Seconds()
+			b.refusalDelay += (b.now - b.requests[a.ID].arrived).Seconds()
 			delete(b.requests, a.ID)
 		case fairness.Wait:
 		}
 	}
 }
 
-func (b *bench) done(id uint64) {
+func (b *simulation) complete(id uint64) {
 	r := b.requests[id]
 	delete(b.requests, id)
 
-	if b.now-r.arrived <= patience {
-		b.inTime[r.ws]++
+	if b.now-r.arrived <= requestTimeout {
+		b.answeredInTime[r.ws]++
 	} else {
 		b.late++
 	}
 
-	b.take(b.finish(epoch.Add(b.now), id))
+	b.apply(b.finish(epoch.Add(b.now), id))
 }
 
 func sum(v []float64) float64 {
@@ -232,17 +232,17 @@
 	return out
 }
 
-type doorWay struct {
+type namedPolicy struct {
 	name string
-	make func() door
+	make func() policy
 }
 
-func doors() []doorWay {
-	return []doorWay{
-		{"FirstIn", func() door { return firstIn(1 << 30) }},
-		{"FirstInShort", func() door { return firstIn(2 * slots) }},
-		{"Former", func() door { return fairQueue(fairness.Settings{Margin: 0.5, Reserve: 1}) }},
-		{"Ours", func() door { return fairQueue(fairness.Settings{}) }},
+func policies() []namedPolicy {
+	return []namedPolicy{
+		{"FirstIn", func() policy { return fifoPolicy(1 << 30) }},
+		{"FirstInShort", func() policy { return fifoPolicy(2 * slots) }},
+		{"Former", func() policy { return fairQueue(fairness.Settings{DeadlineMargin: 0.5, WaitFactor: 1}) }},
+		{"Ours", func() policy { return fairQueue(fairness.Settings{}) }},
 	}
 }
 
@@ -250,15 +250,15 @@
 // ten workspaces of which two are large.
 func BenchmarkGoodput(b *testing.B) {
 	for _, load := range []float64{0.9, 1, 2, 5} {
-		for _, w := range doors() {
-			b.Run(fmt.Sprintf("load=%.1f/%s", load, w.name), func(b *testing.B) {
+		for _, p := range policies() {
+			b.Run(fmt.Sprintf("load=%.1f/%s", load, p.name), func(b *testing.B) {
 				rates := make([]float64, 10)
 				for i := range rates {
 					rates[i] = slots * load * 0.4 / 8
 				}
 
 				rates[0], rates[1] = slots*load*0.3, slots*load*0.3
-				measure(b, w, rates)
+				measure(b, p, rates)
 			})
 		}
 	}
@@ -266,15 +266,15 @@
 
 // BenchmarkFlood measures the share of small workspaces beside a flooding one.
 func BenchmarkFlood(b *testing.B) {
-	for _, w := range doors() {
-		b.Run(w.name, func(b *testing.B) {
+	for _, p := range policies() {
+		b.Run(p.name, func(b *testing.B) {
 			rates := make([]float64, 10)
 			for i := range rates {
 				rates[i] = 1
 			}
 
 			rates[0] = 10 * slots
-			measure(b, w, rates)
+			measure(b, p, rates)
 		})
 	}
 }
@@ -282,28 +282,28 @@
 // seeds is how many runs the figures are the means of.
 const seeds = 5
 
-func measure(b *testing.B, w doorWay, rates []float64) {
+func measure(b *testing.B, p namedPolicy, rates []float64) {
 	b.Helper()
 
-	var goodput, late, fair, small, after float64
+	var goodput, late, fair, lightShare, refusalDelay float64
 
 	for seed := range uint64(seeds) {
-		m := &bench{door: w.make(), rng: rand.New(rand.NewPCG(seed, 5))}
-		m.run(rates)
+		sim := &simulation{policy: p.make(), rng: rand.New(rand.NewPCG(seed, 5))}
+		sim.run(rates)
 
 		capacity, last := slots*modelEnd.Seconds(), len(rates)-1
-		goodput += 100 * sum(m.inTime) / min(capacity, sum(m.offered))
-		late += 100 * m.late / sum(m.offered)
-		fair += jain(m.inTime, m.offered, capacity)
-		small += 100 * m.inTime[last] / m.offered[last]
-		after += m.refusedIn / max(1, m.refused)
+		goodput += 100 * sum(sim.answeredInTime) / min(capacity, sum(sim.offered))
+		late += 100 * sim.late / sum(sim.offered)
+		fair += jain(sim.answeredInTime, sim.offered, capacity)
+		lightShare += 100 * sim.answeredInTime[last] / sim.offered[last]
+		refusalDelay += sim.refusalDelay / max(1, sim.refused)
 	}
 
 	b.ReportMetric(goodput/seeds, "goodput-%")
 	b.ReportMetric(late/seeds, "late-%")
 	b.ReportMetric(fair/seeds, "jain")
-	b.ReportMetric(small/seeds, "small-%")
-	b.ReportMetric(after/seeds, "refused-after-s")
+	b.ReportMetric(lightShare/seeds, "small-%")
+	b.ReportMetric(refusalDelay/seeds, "refused-after-s")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -313,7 +313,7 @@
 	for _, n := range []int{1, 13000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			q := newQueue(1)
-			q.Settings.Most = 4 * n
+			q.Settings.MaxWaiting = 4 * n
 			q.SetCapacity(epoch, 64)
 
 			names := make([]string, n)
--- a/internal/fairness/decisions_test.go
+++ b/internal/fairness/decisions_test.go
@@ -49,8 +49,8 @@
 			case "offer":
 				for i := range uint64(n) {
 					it.ID = id + i
-					own, others := q.Offer(now, it)
-					out = append(append(out, own), others...)
+					itemAction, otherActions := q.Offer(now, it)
+					out = append(append(out, itemAction), otherActions...)
 				}
 			case "finish":
 				for i := range uint64(n) {
@@ -64,12 +64,12 @@
 				out = q.Tick(now)
 			}
 
-			return lines(now, out)
+			return formatActions(now, out)
 		})
 	})
 }
 
-func lines(now time.Time, actions []fairness.Action) string {
+func formatActions(now time.Time, actions []fairness.Action) string {
 	var b strings.Builder
 
 	for _, a := range actions {
--- a/internal/fairness/flow.go
+++ b/internal/fairness/flow.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// levels is how many priorities are told apart.
-const levels = 4
+// priorityLevels is how many priorities are told apart.
+const priorityLevels = 4
 
 // levelOf maps a priority to its level; level 0 is served last.
-func levelOf(priority int) int { return min(max(priority, -1), levels-2) + 1 }
+func levelOf(priority int) int { return min(max(priority, -1), priorityLevels-2) + 1 }
 
-// entry is one item in the queue or running.
-type entry struct {
+// itemState is one item in the queue or running.
+type itemState struct {
 	Item
 
 	flow  *flow
 	level int
 	// work is the expected time in a slot, in nanoseconds.
 	work float64
-	// latestStart is the last time at which starting is of use; zero for none.
-	latestStart time.Time
-	startedAt   time.Time
-	running     bool
+	// latestUsefulStart is the last time at which starting is of use; zero for none.
+	latestUsefulStart time.Time
+	startedAt         time.Time
+	running           bool
 
-	prev, next  *entry
+	prev, next  *itemState
 	expiryIndex int
 }
 
-// line is the first-in-first-out line of one priority.
-type line struct {
-	first, last *entry
+// fifo is the first-in-first-out line of one priority.
+type fifo struct {
+	first, last *itemState
 	work        float64
 }
 
-func (l *line) push(e *entry) {
+func (l *fifo) pushBack(e *itemState) {
 	e.prev, e.next = l.last, nil
 	if l.last == nil {
 		l.first = e
@@ -43,7 +43,7 @@
 	l.work += e.work
 }
 
-func (l *line) pushFirst(e *entry) {
+func (l *fifo) pushFront(e *itemState) {
 	e.prev, e.next = nil, l.first
 	if l.first == nil {
 		l.last = e
@@ -55,7 +55,7 @@
 	l.work += e.work
 }
 
-func (l *line) remove(e *entry) {
+func (l *fifo) remove(e *itemState) {
 	if e.prev == nil {
 		l.first = e.next
 	} else {
@@ -80,22 +80,22 @@
 type flow struct {
 	name   string
 	weight float64
-	// start is the virtual time at which the next item of the flow is due.
-	start   float64
-	lines   [levels]line
-	waiting int
-	running int
-	// usedAt is when one of its items last ended.
-	usedAt time.Time
-	// index is the flow's place in the heap of those that wait, or -1.
-	index int
+	// virtualStart is the virtual time at which the next item of the flow is due.
+	virtualStart float64
+	fifos        [priorityLevels]fifo
+	waiting      int
+	running      int
+	// lastEndedAt is when one of its items last ended.
+	lastEndedAt time.Time
+	// heapIndex is the flow's place in the heap of those that wait, or -1.
+	heapIndex int
 }
 
 // head returns the item to be served next.
-func (f *flow) head() *entry {
-	for l := levels - 1; l >= 0; l-- {
-		if f.lines[l].first != nil {
-			return f.lines[l].first
+func (f *flow) head() *itemState {
+	for l := priorityLevels - 1; l >= 0; l-- {
+		if f.fifos[l].first != nil {
+			return f.fifos[l].first
 		}
 	}
 
@@ -103,10 +103,10 @@
 }
 
 // tail returns the item that is served last.
-func (f *flow) tail() *entry {
-	for l := range f.lines {
-		if f.lines[l].last != nil {
-			return f.lines[l].last
+func (f *flow) tail() *itemState {
+	for l := range f.fifos {
+		if f.fifos[l].last != nil {
+			return f.fifos[l].last
 		}
 	}
 
@@ -116,8 +116,8 @@
 // workAhead is the waiting work served before a new item of that level.
 func (f *flow) workAhead(level int) float64 {
 	work := 0.0
-	for l := level; l < levels; l++ {
-		work += f.lines[l].work
+	for l := level; l < priorityLevels; l++ {
+		work += f.fifos[l].work
 	}
 
 	return work
@@ -127,16 +127,16 @@
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
-func (h flowHeap) Less(i, j int) bool { return h[i].start < h[j].start }
+func (h flowHeap) Less(i, j int) bool { return h[i].virtualStart < h[j].virtualStart }
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f, _ := x.(*flow)
-	f.index = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -147,16 +147,16 @@
 	f := old[n]
 	old[n] = nil
 	*h = old[:n]
-	f.index = -1
+	f.heapIndex = -1
 
 	return f
 }
 
 // expiryHeap orders waiting items by the last time at which starting is of use.
-type expiryHeap []*entry
+type expiryHeap []*itemState
 
 func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].latestStart.Before(h[j].latestStart) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].latestUsefulStart.Before(h[j].latestUsefulStart) }
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].expiryIndex, h[j].expiryIndex = i, j
@@ -164,7 +164,7 @@
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
-	e, _ := x.(*entry)
+	e, _ := x.(*itemState)
 	e.expiryIndex = len(*h)
 	*h = append(*h, e)
 }
--- a/internal/fairness/memory_bench_test.go
+++ b/internal/fairness/memory_bench_test.go
@@ -20,7 +20,7 @@
 		runtime.ReadMemStats(&before)
 
 		q := newQueue(1)
-		q.Settings.Most = workspaces
+		q.Settings.MaxWaiting = workspaces
 		q.SetCapacity(epoch, 1)
 
 		for id := range uint64(workspaces + 1) {
--- a/internal/fairness/queue.go
+++ b/internal/fairness/queue.go
@@ -23,31 +23,31 @@
 	capacity int
 	running  int
 	// lastCapacity is the last one above 0, emptySince when it fell to 0.
-	lastCapacity int
-	emptySince   time.Time
-	// virtual is the fair queueing clock: work per weight given to the flow served last.
-	virtual float64
-	// weights is the sum of the weights of the flows that wait.
-	weights float64
-	// work is the sum of the work that waits.
-	work    float64
-	waiting int
-
-	flows    map[string]*flow
-	entries  map[uint64]*entry
-	backlog  flowHeap
-	expiring expiryHeap
-	service  service
-	sweepAt  int
-	hopeless int
-	actions  []Action
+	lastCapacity      int
+	zeroCapacitySince time.Time
+	// virtualTime is the fair queueing clock: work per weight given to the flow served last.
+	virtualTime float64
+	// waitingWeight is the sum of the weights of the flows that wait.
+	waitingWeight float64
+	// waitingWork is the sum of the work that waits.
+	waitingWork float64
+	waiting     int
+
+	flows          map[string]*flow
+	items          map[uint64]*itemState
+	backlog        flowHeap
+	expiring       expiryHeap
+	serviceTime    serviceEstimate
+	sweepThreshold int
+	infeasible     int
+	actions        []Action
 }
 
-// firstCapacity is what is expected before the first SetCapacity.
-const firstCapacity = 8
+// initialCapacity is what is expected before the first SetCapacity.
+const initialCapacity = 8
 
-// start fills in the defaults. It needs the lock.
-func (q *Queue) start() {
+// initLocked fills in the defaults. It needs the lock.
+func (q *Queue) initLocked() {
 	if q.ready {
 		return
 	}
@@ -55,10 +55,10 @@
 	q.ready = true
 	q.Settings = q.Settings.withDefaults()
 	q.flows = map[string]*flow{}
-	q.entries = map[uint64]*entry{}
-	q.lastCapacity = firstCapacity
-	q.service.mean = float64(q.Settings.Service)
-	q.service.deviation = q.service.mean / 2
+	q.items = map[uint64]*itemState{}
+	q.lastCapacity = initialCapacity
+	q.serviceTime.mean = float64(q.Settings.InitialServiceTime)
+	q.serviceTime.deviation = q.serviceTime.mean / 2
 }
 
 // SetCapacity says how many requests may run at once. What can no longer end in
@@ -66,34 +66,34 @@
 func (q *Queue) SetCapacity(now time.Time, n int) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.start()
+	q.initLocked()
 
-	less := n < q.capacity
+	decreased := n < q.capacity
 	q.capacity = n
 
 	switch {
 	case n > 0:
-		q.lastCapacity, q.emptySince = n, time.Time{}
-	case q.emptySince.IsZero():
-		q.emptySince = now
+		q.lastCapacity, q.zeroCapacitySince = n, time.Time{}
+	case q.zeroCapacitySince.IsZero():
+		q.zeroCapacitySince = now
 	}
 
-	if less {
-		q.recheck(now)
+	if decreased {
+		q.refuseLate(now)
 	}
 
 	q.dispatch(now)
 
-	return q.taken()
+	return q.takeActions()
 }
 
 // Offer brings in a new item. The first action is its own; others follow.
 func (q *Queue) Offer(now time.Time, it Item) (Action, []Action) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.start()
+	q.initLocked()
 
-	e := q.newEntry(it)
+	e := q.newItemState(it)
 	f := q.flowOf(now, &e.Item)
 	e.flow = f
 
@@ -101,45 +101,45 @@
 		return q.startOrRefuse(now, e), nil
 	}
 
-	if excess, late := q.late(now, e, f.workAhead(e.level), q.Settings.Reserve); late {
-		q.forget(f)
+	if excess, late := q.lateness(now, e, f.workAhead(e.level), q.Settings.WaitFactor); late {
+		q.dropIfIdle(f)
 
 		return q.refusal(now, e, excess), nil
 	}
 
-	if f.waiting >= q.Settings.MostOfOne || !q.makePlace(now, f) {
-		q.forget(f)
+	if f.waiting >= q.Settings.MaxWaitingPerWorkspace || !q.makeSpace(now, f) {
+		q.dropIfIdle(f)
 
-		return q.refusal(now, e, q.wait(now, f, f.workAhead(0))), nil
+		return q.refusal(now, e, q.estimateWait(now, f, f.workAhead(0))), nil
 	}
 
 	q.enqueue(e, false)
 	q.dispatch(now)
 
 	if e.running {
-		return Action{ID: it.ID, Kind: Start}, q.without(it.ID)
+		return Action{ID: it.ID, Kind: Start}, q.takeActionsExcept(it.ID)
 	}
 
-	return Action{ID: it.ID, Kind: Wait}, q.taken()
+	return Action{ID: it.ID, Kind: Wait}, q.takeActions()
 }
 
-// tryOneIn: of the requests that are too short of time by what others took, one
+// infeasibleAdmitInterval: of the requests that are too short of time by what others took, one
 // in so many is let in where there is room, so that the estimate can be corrected.
-const tryOneIn = 16
+const infeasibleAdmitInterval = 16
 
 // startOrRefuse decides about an item that need not wait.
-func (q *Queue) startOrRefuse(now time.Time, e *entry) Action {
-	if !e.Deadline.IsZero() && now.Add(q.service.needs(e.Cost, -1)).After(e.Deadline) {
-		q.hopeless++
+func (q *Queue) startOrRefuse(now time.Time, e *itemState) Action {
+	if !e.Deadline.IsZero() && now.Add(q.serviceTime.required(e.Cost, -1)).After(e.Deadline) {
+		q.infeasible++
 
-		if !now.Before(e.Deadline) || q.hopeless%tryOneIn != 0 {
-			q.forget(e.flow)
+		if !now.Before(e.Deadline) || q.infeasible%infeasibleAdmitInterval != 0 {
+			q.dropIfIdle(e.flow)
 
 			return q.refusal(now, e, 0)
 		}
 	}
 
-	q.run(now, e)
+	q.startItem(now, e)
 
 	return Action{ID: e.ID, Kind: Start}
 }
@@ -157,9 +157,9 @@
 func (q *Queue) Requeue(now time.Time, id uint64) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.start()
+	q.initLocked()
 
-	e := q.entries[id]
+	e := q.items[id]
 	if e == nil || !e.running {
 		return nil
 	}
@@ -171,39 +171,39 @@
 	// The room was not there. Without this the next would start at once, be
 	// refused too, and so on until the next SetCapacity.
 	q.capacity = min(q.capacity, q.running)
-	q.charge(f, f.start-e.work/f.weight)
+	q.setVirtualStart(f, f.virtualStart-e.work/f.weight)
 	q.enqueue(e, true)
 
-	if excess, late := q.late(now, e, 0, 1); late {
+	if excess, late := q.lateness(now, e, 0, 1); late {
 		q.refuse(now, e, excess)
 	}
 
 	q.dispatch(now)
 
-	return q.taken()
+	return q.takeActions()
 }
 
-func (q *Queue) end(now time.Time, id uint64, whole bool) []Action {
+func (q *Queue) end(now time.Time, id uint64, completed bool) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.start()
+	q.initLocked()
 
-	e := q.entries[id]
+	e := q.items[id]
 	if e == nil {
 		return nil
 	}
 
 	if e.running {
-		q.stop(now, e, whole)
+		q.finishItem(now, e, completed)
 	} else {
 		q.dequeue(e)
-		delete(q.entries, id)
-		q.forget(e.flow)
+		delete(q.items, id)
+		q.dropIfIdle(e.flow)
 	}
 
 	q.dispatch(now)
 
-	return q.taken()
+	return q.takeActions()
 }
 
 // Tick refuses what can no longer end in time. A shell calls it some ten times
@@ -211,11 +211,11 @@
 func (q *Queue) Tick(now time.Time) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.start()
-	q.recheck(now)
+	q.initLocked()
+	q.refuseLate(now)
 	q.dispatch(now)
 
-	return q.taken()
+	return q.takeActions()
 }
 
 // Next returns when the next waiting item becomes hopeless; zero for none.
@@ -227,7 +227,7 @@
 		return time.Time{}
 	}
 
-	return q.expiring[0].latestStart
+	return q.expiring[0].latestUsefulStart
 }
 
 // State returns the queue's state.
@@ -237,6 +237,6 @@
 
 	return State{
 		Capacity: q.capacity, Running: q.running, Waiting: q.waiting,
-		Workspaces: len(q.flows), Service: time.Duration(q.service.mean),
+		Workspaces: len(q.flows), Service: time.Duration(q.serviceTime.mean),
 	}
 }
--- a/internal/fairness/queue_test.go
+++ b/internal/fairness/queue_test.go
@@ -20,14 +20,14 @@
 
 // checker holds what the outside of a queue knows, and checks each action.
 type checker struct {
-	q       *fairness.Queue
-	cap     int
-	waiting map[uint64]time.Time
-	running map[uint64]time.Time
-	maxRun  int
+	q          *fairness.Queue
+	capacity   int
+	waiting    map[uint64]time.Time
+	running    map[uint64]time.Time
+	maxRunning int
 }
 
-func (c *checker) take(t require.TestingT, now time.Time, actions []fairness.Action) {
+func (c *checker) apply(t require.TestingT, now time.Time, actions []fairness.Action) {
 	for _, a := range actions {
 		_, waits := c.waiting[a.ID]
 		require.True(t, waits, "action for an item that does not wait")
@@ -44,18 +44,18 @@
 		delete(c.waiting, a.ID)
 	}
 
-	require.LessOrEqual(t, len(c.running), max(c.cap, c.maxRun))
+	require.LessOrEqual(t, len(c.running), max(c.capacity, c.maxRunning))
 }
 
 // Whatever comes, each item gets one end, no more run than the capacity lets
 // start, nothing starts after its deadline, and no place leaks.
-func TestQueueKeepsItsBooks(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
 		c := &checker{q: newQueue(rapid.Uint64().Draw(t, "seed")), waiting: map[uint64]time.Time{}, running: map[uint64]time.Time{}}
-		c.q.Settings.Most = 20
-		c.q.Settings.MostOfOne = 8
+		c.q.Settings.MaxWaiting = 20
+		c.q.Settings.MaxWaitingPerWorkspace = 8
 		now := epoch
 		n := rapid.IntRange(20, 300).Draw(t, "n")
 
@@ -64,17 +64,17 @@
 
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				c.cap = rapid.IntRange(0, 6).Draw(t, "cap")
-				c.maxRun = len(c.running)
-				c.take(t, now, c.q.SetCapacity(now, c.cap))
+				c.capacity = rapid.IntRange(0, 6).Draw(t, "cap")
+				c.maxRunning = len(c.running)
+				c.apply(t, now, c.q.SetCapacity(now, c.capacity))
 			case 1:
-				c.take(t, now, c.q.Tick(now))
+				c.apply(t, now, c.q.Tick(now))
 			case 2:
-				c.end(t, now, c.q.Finish)
+				c.endOne(t, now, c.q.Finish)
 			case 3:
-				c.end(t, now, c.q.Cancel)
+				c.endOne(t, now, c.q.Cancel)
 			case 4:
-				c.putBack(t, now)
+				c.requeue(t, now)
 			default:
 				c.offer(t, now, id)
 			}
@@ -86,11 +86,11 @@
 		}
 
 		for len(c.running)+len(c.waiting) > 0 {
-			c.end(t, now, c.q.Cancel)
+			c.endOne(t, now, c.q.Cancel)
 
 			for id := range c.waiting {
 				delete(c.waiting, id)
-				c.take(t, now, c.q.Cancel(now, id))
+				c.apply(t, now, c.q.Cancel(now, id))
 
 				break
 			}
@@ -100,11 +100,11 @@
 	})
 }
 
-func (c *checker) end(t require.TestingT, now time.Time, f func(time.Time, uint64) []fairness.Action) {
+func (c *checker) endOne(t require.TestingT, now time.Time, end func(time.Time, uint64) []fairness.Action) {
 	for id := range c.running {
 		delete(c.running, id)
-		c.maxRun = max(c.cap, len(c.running))
-		c.take(t, now, f(now, id))
+		c.maxRunning = max(c.capacity, len(c.running))
+		c.apply(t, now, end(now, id))
 
 		return
 	}
@@ -120,27 +120,27 @@
 		it.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 
-	own, others := c.q.Offer(now, it)
-	require.Equal(t, id, own.ID)
+	itemAction, otherActions := c.q.Offer(now, it)
+	require.Equal(t, id, itemAction.ID)
 
-	switch own.Kind {
+	switch itemAction.Kind {
 	case fairness.Start:
 		c.running[id] = it.Deadline
 	case fairness.Wait:
 		c.waiting[id] = it.Deadline
 	default:
-		require.True(t, own.RetryAt.After(now))
+		require.True(t, itemAction.RetryAt.After(now))
 	}
 
-	c.take(t, now, others)
+	c.apply(t, now, otherActions)
 }
 
-func (c *checker) putBack(t require.TestingT, now time.Time) {
+func (c *checker) requeue(t require.TestingT, now time.Time) {
 	for id, deadline := range c.running {
 		delete(c.running, id)
 		c.waiting[id] = deadline
-		c.maxRun = max(c.cap, len(c.running))
-		c.take(t, now, c.q.Requeue(now, id))
+		c.maxRunning = max(c.capacity, len(c.running))
+		c.apply(t, now, c.q.Requeue(now, id))
 
 		return
 	}
@@ -149,7 +149,7 @@
 // An entry serves 13,000 workspaces, most of them now and then. If each stayed
 // known for ever the entry's memory would grow for days, and nothing would show
 // before it was killed.
-func TestIdleWorkspacesAreForgotten(t *testing.T) {
+func TestIdleWorkspacesAreDropped(t *testing.T) {
 	t.Parallel()
 
 	for _, capacity := range []int{100, 2} {
--- a/internal/fairness/schedule.go
+++ b/internal/fairness/schedule.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// taken returns the actions gathered for others. It needs the lock.
-func (q *Queue) taken() []Action {
+// takeActions returns the actions gathered for others. It needs the lock.
+func (q *Queue) takeActions() []Action {
 	a := q.actions
 	q.actions = nil
 
 	return a
 }
 
-// without returns the actions gathered, but for that of one item.
-func (q *Queue) without(id uint64) []Action {
-	all := q.taken()
+// takeActionsExcept returns the actions gathered, but for that of one item.
+func (q *Queue) takeActionsExcept(id uint64) []Action {
+	all := q.takeActions()
 	kept := all[:0]
 
 	for _, a := range all {
@@ -27,65 +27,65 @@
 	return kept
 }
 
-func (q *Queue) newEntry(it Item) *entry {
+func (q *Queue) newItemState(it Item) *itemState {
 	if it.Cost <= 0 {
 		it.Cost = 1
 	}
 
-	e := &entry{Item: it, level: levelOf(it.Priority), expiryIndex: -1}
-	e.work = q.service.work(it.Cost)
+	e := &itemState{Item: it, level: levelOf(it.Priority), expiryIndex: -1}
+	e.work = q.serviceTime.expected(it.Cost)
 
 	if !it.Deadline.IsZero() {
-		e.latestStart = it.Deadline.Add(-q.service.needs(it.Cost, q.Settings.Margin))
+		e.latestUsefulStart = it.Deadline.Add(-q.serviceTime.required(it.Cost, q.Settings.DeadlineMargin))
 	}
 
 	return e
 }
 
 // enqueue puts e at the end of its line, or first.
-func (q *Queue) enqueue(e *entry, first bool) {
+func (q *Queue) enqueue(e *itemState, front bool) {
 	f := e.flow
-	if first {
-		f.lines[e.level].pushFirst(e)
+	if front {
+		f.fifos[e.level].pushFront(e)
 	} else {
-		f.lines[e.level].push(e)
+		f.fifos[e.level].pushBack(e)
 	}
 
 	f.waiting++
 	q.waiting++
-	q.work += e.work
-	q.entries[e.ID] = e
+	q.waitingWork += e.work
+	q.items[e.ID] = e
 
-	if !e.latestStart.IsZero() {
+	if !e.latestUsefulStart.IsZero() {
 		heap.Push(&q.expiring, e)
 	}
 
-	if f.index < 0 {
-		f.start = max(f.start, q.virtual)
-		q.weights += f.weight
+	if f.heapIndex < 0 {
+		f.virtualStart = max(f.virtualStart, q.virtualTime)
+		q.waitingWeight += f.weight
 		heap.Push(&q.backlog, f)
 	}
 }
 
 // dequeue takes e out of its line.
-func (q *Queue) dequeue(e *entry) {
+func (q *Queue) dequeue(e *itemState) {
 	f := e.flow
-	f.lines[e.level].remove(e)
+	f.fifos[e.level].remove(e)
 	f.waiting--
 	q.waiting--
-	q.work -= e.work
+	q.waitingWork -= e.work
 
 	if e.expiryIndex >= 0 {
 		heap.Remove(&q.expiring, e.expiryIndex)
 	}
 
 	if f.waiting == 0 {
-		heap.Remove(&q.backlog, f.index)
-		q.weights -= f.weight
+		heap.Remove(&q.backlog, f.heapIndex)
+		q.waitingWeight -= f.weight
 	}
 
 	if q.waiting == 0 {
-		q.work, q.weights = 0, 0
+		q.waitingWork, q.waitingWeight = 0, 0
 	}
 }
 
@@ -96,46 +96,46 @@
 	for q.running < q.capacity && len(q.backlog) > 0 {
 		f := q.backlog[0]
 		e := f.head()
-		q.virtual = max(q.virtual, f.start)
+		q.virtualTime = max(q.virtualTime, f.virtualStart)
 		q.dequeue(e)
-		q.run(now, e)
+		q.startItem(now, e)
 		q.actions = append(q.actions, Action{ID: e.ID, Kind: Start})
 	}
 }
 
-// run starts e and charges its flow with the work expected.
-func (q *Queue) run(now time.Time, e *entry) {
+// startItem starts e and charges its flow with the work expected.
+func (q *Queue) startItem(now time.Time, e *itemState) {
 	f := e.flow
 	e.running = true
 	e.startedAt = now
 	q.running++
 	f.running++
-	q.entries[e.ID] = e
-	q.virtual = max(f.start, q.virtual)
-	q.charge(f, q.virtual+e.work/f.weight)
+	q.items[e.ID] = e
+	q.virtualTime = max(f.virtualStart, q.virtualTime)
+	q.setVirtualStart(f, q.virtualTime+e.work/f.weight)
 }
 
-// charge moves a flow's virtual time.
-func (q *Queue) charge(f *flow, start float64) {
-	f.start = start
-	if f.index >= 0 {
-		heap.Fix(&q.backlog, f.index)
+// setVirtualStart moves a flow's virtual time.
+func (q *Queue) setVirtualStart(f *flow, start float64) {
+	f.virtualStart = start
+	if f.heapIndex >= 0 {
+		heap.Fix(&q.backlog, f.heapIndex)
 	}
 }
 
-// stop ends a running item and corrects its flow's charge to the work done.
-func (q *Queue) stop(now time.Time, e *entry, whole bool) {
+// finishItem ends a running item and corrects its flow's charge to the work done.
+func (q *Queue) finishItem(now time.Time, e *itemState, completed bool) {
 	f := e.flow
-	took := now.Sub(e.startedAt)
+	duration := now.Sub(e.startedAt)
 	q.running--
 	f.running--
-	f.usedAt = now
-	delete(q.entries, e.ID)
+	f.lastEndedAt = now
+	delete(q.items, e.ID)
 
-	if whole {
-		q.service.learn(took, e.Cost)
+	if completed {
+		q.serviceTime.record(duration, e.Cost)
 	}
 
-	q.charge(f, f.start+(float64(took)-e.work)/f.weight)
-	q.forget(f)
+	q.setVirtualStart(f, f.virtualStart+(float64(duration)-e.work)/f.weight)
+	q.dropIfIdle(f)
 }
--- a/internal/prefix/events.go
+++ b/internal/prefix/events.go
@@ -25,53 +25,53 @@
 // Apply takes in an event, however late. One that was seen before changes
 // nothing. A gap makes what was known uncertain, not wrong.
 func (x *Index) Apply(ev Event) {
-	h := x.of(ev.Target, ev.Incarnation)
-	if h.incarnation != ev.Incarnation || !h.see(ev.Sequence) {
+	s := x.stateOf(ev.Target, ev.Incarnation)
+	if s.incarnation != ev.Incarnation || !s.acceptSequence(ev.Sequence) {
 		return
 	}
 
 	switch ev.Change {
 	case Stored:
-		x.stored(h, ev)
+		x.applyStored(s, ev)
 	case Evicted:
-		x.evicted(h, ev)
+		x.applyEvicted(s, ev)
 	case Cleared:
-		h.clear(ev.Sequence)
+		s.clear(ev.Sequence)
 	}
 }
 
-// stored records prefixes, but for those of which a later event has told.
-func (x *Index) stored(h *holder, ev Event) {
-	if ev.Sequence < h.cleared {
+// applyStored records prefixes, but for those of which a later event has told.
+func (x *Index) applyStored(s *targetState, ev Event) {
+	if ev.Sequence < s.clearedSequence {
 		return
 	}
 
 	for _, p := range ev.Prefixes {
-		b := h.get(p)
-		if b.sequence < ev.Sequence {
-			b.sequence, b.gone = ev.Sequence, false
-			h.put(p, b, x.room())
+		b := s.get(p)
+		if b.lastSequence < ev.Sequence {
+			b.lastSequence, b.evicted = ev.Sequence, false
+			s.put(p, b, x.maxPerTarget())
 		}
 	}
 }
 
-// evicted drops prefixes, but for those of which a later event has told. What
+// applyEvicted drops prefixes, but for those of which a later event has told. What
 // this entry's own routing told goes with them: the engine knows better.
-func (x *Index) evicted(h *holder, ev Event) {
+func (x *Index) applyEvicted(s *targetState, ev Event) {
 	for _, p := range ev.Prefixes {
-		if b := h.get(p); b.sequence < ev.Sequence {
-			h.put(p, block{sequence: ev.Sequence, gone: true}, x.room())
+		if b := s.get(p); b.lastSequence < ev.Sequence {
+			s.put(p, block{lastSequence: ev.Sequence, evicted: true}, x.maxPerTarget())
 		}
 	}
 }
 
 // clear drops all that was stored before.
-func (h *holder) clear(sequence uint64) {
-	h.cleared = max(h.cleared, sequence)
+func (s *targetState) clear(sequence uint64) {
+	s.clearedSequence = max(s.clearedSequence, sequence)
 
-	for _, m := range []map[uint64]block{h.young, h.old} {
+	for _, m := range []map[uint64]block{s.young, s.old} {
 		for p, b := range m {
-			if b.sequence < sequence {
+			if b.lastSequence < sequence {
 				delete(m, p)
 			}
 		}
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -19,29 +19,29 @@
 	// loses half of its certainty (2 min).
 	HalfLife time.Duration
 
-	targets map[string]*holder
+	targets map[string]*targetState
 }
 
 // The bounds of certainty. Even what the engine said is less sure after a gap.
 const (
-	certainRouted = 0.8
-	certainGap    = 0.6
+	routedConfidence = 0.8
+	gapConfidence    = 0.6
 )
 
 // Match is how much of a prompt a target holds.
 type Match struct {
 	// Blocks is how many of the prompt's prefixes, shortest first, it holds.
 	Blocks int
-	// Certainty is between 0 and 1: 1 for what the engine itself has said.
-	Certainty float64
+	// Confidence is between 0 and 1: 1 for what the engine itself has said.
+	Confidence float64
 }
 
-func (x *Index) start() {
+func (x *Index) initDefaults() {
 	if x.targets != nil {
 		return
 	}
 
-	x.targets = map[string]*holder{}
+	x.targets = map[string]*targetState{}
 
 	if x.MaxBlocks == 0 {
 		x.MaxBlocks = 1 << 16
@@ -52,21 +52,21 @@
 	}
 }
 
-// room is how many prefixes are kept of one target.
-func (x *Index) room() int { return max(x.MaxBlocks/max(len(x.targets), 1), 2) }
+// maxPerTarget is how many prefixes are kept of one target.
+func (x *Index) maxPerTarget() int { return max(x.MaxBlocks/max(len(x.targets), 1), 2) }
 
-// of returns what is known of a target. Another incarnation starts with nothing:
+// stateOf returns what is known of a target. Another incarnation starts with nothing:
 // its engine may have restarted with it, and numbers its events anew.
-func (x *Index) of(target string, incarnation uint64) *holder {
-	x.start()
+func (x *Index) stateOf(target string, incarnation uint64) *targetState {
+	x.initDefaults()
 
-	h := x.targets[target]
-	if h == nil || h.incarnation < incarnation {
-		h = &holder{incarnation: incarnation}
-		x.targets[target] = h
+	s := x.targets[target]
+	if s == nil || s.incarnation < incarnation {
+		s = &targetState{incarnation: incarnation}
+		x.targets[target] = s
 	}
 
-	return h
+	return s
 }
 
 // Retain forgets all targets but those of which keep is true.
@@ -80,58 +80,58 @@
 
 // RecordRouted records that a prompt was sent to a target.
 func (x *Index) RecordRouted(now time.Time, target string, incarnation uint64, prefixes []uint64) {
-	h := x.of(target, incarnation)
-	if h.incarnation != incarnation {
+	s := x.stateOf(target, incarnation)
+	if s.incarnation != incarnation {
 		return
 	}
 
 	for _, p := range prefixes {
-		b := h.get(p)
-		b.routedAt, b.gone = now, false
-		h.put(p, b, x.room())
+		b := s.get(p)
+		b.routedAt, b.evicted = now, false
+		s.put(p, b, x.maxPerTarget())
 	}
 }
 
 // Match returns how much of a prompt the target holds. Engines drop a prompt's
 // last blocks first, so that who holds a prefix holds all shorter ones.
 func (x *Index) Match(now time.Time, target string, prefixes []uint64) Match {
-	h := x.targets[target]
-	if h == nil {
+	s := x.targets[target]
+	if s == nil {
 		return Match{}
 	}
 
-	n := sort.Search(len(prefixes), func(i int) bool { return !h.holds(prefixes[i]) })
+	n := sort.Search(len(prefixes), func(i int) bool { return !s.holds(prefixes[i]) })
 	if n == 0 {
 		return Match{}
 	}
 
-	return Match{Blocks: n, Certainty: x.certainty(now, h, h.get(prefixes[n-1]))}
+	return Match{Blocks: n, Confidence: x.confidence(now, s, s.get(prefixes[n-1]))}
 }
 
-// certainty is how sure it is that the target holds b.
-func (x *Index) certainty(now time.Time, h *holder, b block) float64 {
-	said := 0.0
-	if b.sequence > 0 {
-		said = 1
-		if b.sequence < h.missingTo() {
-			said = certainGap
+// confidence is how sure it is that the target holds b.
+func (x *Index) confidence(now time.Time, s *targetState, b block) float64 {
+	reported := 0.0
+	if b.lastSequence > 0 {
+		reported = 1
+		if b.lastSequence < s.lastGapEnd() {
+			reported = gapConfidence
 		}
 	}
 
 	if b.routedAt.IsZero() {
-		return said
+		return reported
 	}
 
 	age := now.Sub(b.routedAt).Seconds() / x.HalfLife.Seconds()
 
-	return max(said, certainRouted*math.Exp2(-age))
+	return max(reported, routedConfidence*math.Exp2(-age))
 }
 
 // Size returns how many (target, prefix) pairs are kept, for a dump.
 func (x *Index) Size() int {
 	n := 0
-	for _, h := range x.targets {
-		n += len(h.young) + len(h.old)
+	for _, s := range x.targets {
+		n += len(s.young) + len(s.old)
 	}
 
 	return n
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestEvents runs the tables of late, doubled and missing events.
-func TestEvents(t *testing.T) {
+// TestCacheEvents runs the tables of late, doubled and missing events.
+func TestCacheEvents(t *testing.T) {
 	t.Parallel()
 
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -51,19 +51,19 @@
 			case "wait":
 			}
 
-			return state(x, now)
+			return formatMatch(x, now)
 		})
 	})
 }
 
-// state says how much of the prompt 1 2 3 4 is thought to be held.
-func state(x *prefix.Index, now time.Time) string {
+// formatMatch says how much of the prompt 1 2 3 4 is thought to be held.
+func formatMatch(x *prefix.Index, now time.Time) string {
 	m := x.Match(now, "t1", []uint64{1, 2, 3, 4})
 
-	return strings.TrimSpace(fmt.Sprintf("held=%d certainty=%.2f", m.Blocks, m.Certainty)) + "\n"
+	return strings.TrimSpace(fmt.Sprintf("held=%d certainty=%.2f", m.Blocks, m.Confidence)) + "\n"
 }
 
-func TestIndexIsBounded(t *testing.T) {
+func TestIndexSizeIsBounded(t *testing.T) {
 	t.Parallel()
 
 	x := &prefix.Index{MaxBlocks: 1000}
--- a/internal/routing/chooser.go
+++ b/internal/routing/chooser.go
@@ -27,12 +27,12 @@
 	ready bool
 	pools map[string]*pool
 	byID  map[string]*target
-	// demand is when each service was last asked for.
-	demand map[string]time.Time
+	// lastRequestAt is when each service was last asked for.
+	lastRequestAt map[string]time.Time
 }
 
-// start fills in the defaults. It needs the lock.
-func (c *Chooser) start() {
+// initLocked fills in the defaults. It needs the lock.
+func (c *Chooser) initLocked() {
 	if c.ready {
 		return
 	}
@@ -41,7 +41,7 @@
 	c.Settings = c.Settings.withDefaults()
 	c.pools = map[string]*pool{}
 	c.byID = map[string]*target{}
-	c.demand = map[string]time.Time{}
+	c.lastRequestAt = map[string]time.Time{}
 
 	if c.Prefixes == nil {
 		c.Prefixes = &prefix.Index{}
@@ -50,54 +50,54 @@
 
 // Choose returns a target and counts the request as in flight there. Each
 // Choice must be ended by Finish.
-func (c *Chooser) Choose(now time.Time, ask Request) (Choice, *NoTarget) {
+func (c *Chooser) Choose(now time.Time, req Request) (Choice, *NoTarget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
-	c.demand[ask.Service] = now
+	c.initLocked()
+	c.lastRequestAt[req.Service] = now
 
-	p := c.pools[ask.Service]
+	p := c.pools[req.Service]
 	if p == nil {
-		return Choice{}, &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(waitForTargets))}
+		return Choice{}, &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
 	}
 
-	t := c.pick(now, p, &ask)
+	t := c.pick(now, p, &req)
 	if t == nil {
-		return Choice{}, c.why(now, p)
+		return Choice{}, c.noTarget(now, p)
 	}
 
-	probe := t.health.aside != faultNone
+	probe := t.health.ejectedFor != faultNone
 	if probe {
 		t.health.probing++
 	}
 
 	if t.Cold {
-		t.warmUpAt = now.Add(c.Settings.WarmUpEvery)
+		t.nextWarmUpAt = now.Add(c.Settings.WarmUpInterval)
 	}
 
-	t.count(now, t.own+1)
+	t.setInFlight(now, t.inFlight+1)
 
 	return Choice{
 		AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Cold: t.Cold,
-		NeedsCredit: !t.credited(now), Probe: probe, MatchedPrefixes: c.route(now, t, &ask),
+		NeedsCredit: !t.hasCredit(now), Probe: probe, MatchedPrefixes: c.recordPrefixes(now, t, &req),
 	}, nil
 }
 
 // usable reports whether ask may go to t now.
-func (c *Chooser) usable(now time.Time, t *target, ask *Request, others float64) bool {
+func (c *Chooser) usable(now time.Time, t *target, req *Request, others float64) bool {
 	switch {
-	case !t.takesNew(), now.Before(t.stoppedUntil), t.room(now, &c.Settings, others) <= 0:
+	case !t.acceptsNew(), now.Before(t.stoppedUntil), t.headroom(now, &c.Settings, others) <= 0:
 		return false
-	case t.health.aside != faultNone && !t.health.mayProbe(now, ask.Idempotent):
+	case t.health.ejectedFor != faultNone && !t.health.mayProbe(now, req.Idempotent):
 		return false
 	default:
-		return !slices.Contains(ask.Excluded, t.AgentID)
+		return !slices.Contains(req.Excluded, t.AgentID)
 	}
 }
 
 // pick compares targets from a random place on, and takes the first of those
 // whose costs are nearly equal. A target whose probe is due goes before all.
-func (c *Chooser) pick(now time.Time, p *pool, ask *Request) *target {
+func (c *Chooser) pick(now time.Time, p *pool, req *Request) *target {
 	n := len(p.targets)
 	first := c.Rand.IntN(n)
 
@@ -110,17 +110,17 @@
 	for i := range n {
 		t := p.targets[(first+i)%n]
 
-		others := t.others(now, c.Settings.ReportLife, p.meanLoad)
-		if !c.usable(now, t, ask, others) {
+		others := t.othersInFlight(now, c.Settings.ReportHalfWeightAge, p.meanLoad)
+		if !c.usable(now, t, req, others) {
 			continue
 		}
 
-		if t.health.aside != faultNone {
+		if t.health.ejectedFor != faultNone {
 			return t
 		}
 
-		cost := c.cost(now, p, t, ask, others)
-		if best == nil || cost < bestCost-c.Settings.NearEqual {
+		cost := c.cost(now, p, t, req, others)
+		if best == nil || cost < bestCost-c.Settings.CostTolerance {
 			best, bestCost = t, cost
 		}
 
@@ -133,14 +133,14 @@
 	return best
 }
 
-// route records the prompt's prefixes, and returns how many t held before.
-func (c *Chooser) route(now time.Time, t *target, ask *Request) int {
-	if len(ask.Prefixes) == 0 {
+// recordPrefixes records the prompt's prefixes, and returns how many t held before.
+func (c *Chooser) recordPrefixes(now time.Time, t *target, req *Request) int {
+	if len(req.Prefixes) == 0 {
 		return 0
 	}
 
-	held := c.Prefixes.Match(now, t.AgentID, ask.Prefixes).Blocks
-	c.Prefixes.RecordRouted(now, t.AgentID, t.Incarnation, ask.Prefixes)
+	held := c.Prefixes.Match(now, t.AgentID, req.Prefixes).Blocks
+	c.Prefixes.RecordRouted(now, t.AgentID, t.Incarnation, req.Prefixes)
 
 	return held
 }
--- a/internal/routing/chooser_test.go
+++ b/internal/routing/chooser_test.go
@@ -43,7 +43,7 @@
 	c.ApplyCredit(routing.CreditChanged{AgentID: id, Incarnation: 1, Slots: slots, ExpiresAt: ends})
 }
 
-func TestColdTargetWithoutCreditGetsNothing(t *testing.T) {
+func TestColdTargetWithoutCreditIsNotChosen(t *testing.T) {
 	t.Parallel()
 
 	list := targets(1)
@@ -65,7 +65,7 @@
 	require.NotNil(t, none)
 }
 
-func TestLeavingAndZoneOutGetNothing(t *testing.T) {
+func TestLeavingAndZoneOutTargetsAreNotChosen(t *testing.T) {
 	t.Parallel()
 
 	list := targets(2)
--- a/internal/routing/credits.go
+++ b/internal/routing/credits.go
@@ -11,8 +11,8 @@
 func (c *Chooser) RecordDemand(now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
-	c.demand[service] = now
+	c.initLocked()
+	c.lastRequestAt[service] = now
 }
 
 // CreditRequests returns the credits to ask for now, at cold and unreachable targets
@@ -25,38 +25,38 @@
 func (c *Chooser) CreditRequests(now time.Time) []CreditRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
-	var asks []CreditRequest
+	var requests []CreditRequest
 
 	for service, p := range c.pools {
-		if now.Sub(c.demand[service]) > c.Settings.DemandLife {
+		if now.Sub(c.lastRequestAt[service]) > c.Settings.DemandTTL {
 			continue
 		}
 
 		for _, t := range p.targets {
-			wanted := t.wants(&c.Settings)
-			if !t.needsAsk() || !t.takesNew() || !t.shouldAsk(now, wanted, c.Settings.RenewBefore) {
+			slots := t.desiredSlots(&c.Settings)
+			if !t.requestsCreditAhead() || !t.acceptsNew() || !t.creditRequestDue(now, slots, c.Settings.CreditRenewBefore) {
 				continue
 			}
 
-			t.asked(now, wanted, &c.Settings)
-			asks = append(asks, CreditRequest{
-				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: wanted, Using: t.own,
+			t.creditRequested(now, slots, &c.Settings)
+			requests = append(requests, CreditRequest{
+				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: slots, Using: t.inFlight,
 			})
 		}
 	}
 
-	slices.SortFunc(asks, func(a, b CreditRequest) int { return strings.Compare(a.AgentID, b.AgentID) })
+	slices.SortFunc(requests, func(a, b CreditRequest) int { return strings.Compare(a.AgentID, b.AgentID) })
 
-	return asks
+	return requests
 }
 
 // Capacity returns what this entry may have in flight at a service's targets.
 func (c *Chooser) Capacity(now time.Time, service string) Capacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
 	var r Capacity
 
@@ -66,14 +66,14 @@
 	}
 
 	for _, t := range p.targets {
-		r.InFlight += t.own
-		r.Slots += t.own
-		if !t.takesNew() || now.Before(t.stoppedUntil) || t.health.aside != faultNone {
+		r.InFlight += t.inFlight
+		r.Slots += t.inFlight
+		if !t.acceptsNew() || now.Before(t.stoppedUntil) || t.health.ejectedFor != faultNone {
 			continue
 		}
 
 		r.Targets++
-		r.Slots += max(0, t.room(now, &c.Settings, t.others(now, c.Settings.ReportLife, p.meanLoad)))
+		r.Slots += max(0, t.headroom(now, &c.Settings, t.othersInFlight(now, c.Settings.ReportHalfWeightAge, p.meanLoad)))
 	}
 
 	return r
--- a/internal/routing/decisions_test.go
+++ b/internal/routing/decisions_test.go
@@ -57,7 +57,7 @@
 	case "choose":
 		return s.choose(d, n)
 	case "end":
-		s.end(t, d, n)
+		s.finish(t, d, n)
 	case "begin":
 		for range n {
 			s.c.RecordFirstByte(routing.FirstByte{AgentID: d.CmdArgs[0].Key, Incarnation: 1, Wait: wait})
@@ -69,7 +69,7 @@
 	case "demand":
 		s.c.RecordDemand(s.now, service)
 	case "asks":
-		return s.asks()
+		return s.creditRequests()
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 	}
@@ -128,10 +128,10 @@
 // choose makes n choices that stay in flight, or that end at once with "ends".
 func (s *script) choose(d *datadriven.TestData, n int) string {
 	counts := map[string]int{}
-	ask := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
+	req := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
 
 	for range n {
-		got, none := s.c.Choose(s.now, ask)
+		got, none := s.c.Choose(s.now, req)
 		if none != nil {
 			counts[fmt.Sprintf("none: %s, again in %v", none.Cause, none.RetryAt.Sub(s.now).Round(10*time.Millisecond))]++
 
@@ -150,10 +150,10 @@
 		}
 	}
 
-	return lines(counts)
+	return formatCounts(counts)
 }
 
-func lines(counts map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var b strings.Builder
 
 	names := make([]string, 0, len(counts))
@@ -170,7 +170,7 @@
 	return b.String()
 }
 
-func (s *script) end(t *testing.T, d *datadriven.TestData, n int) {
+func (s *script) finish(t *testing.T, d *datadriven.TestData, n int) {
 	t.Helper()
 
 	var cause string
@@ -184,10 +184,10 @@
 	}
 }
 
-func (s *script) asks() string {
+func (s *script) creditRequests() string {
 	var b strings.Builder
-	for _, a := range s.c.CreditRequests(s.now) {
-		fmt.Fprintf(&b, "%s wanted=%d using=%d\n", a.AgentID, a.Wanted, a.Using)
+	for _, req := range s.c.CreditRequests(s.now) {
+		fmt.Fprintf(&b, "%s wanted=%d using=%d\n", req.AgentID, req.Wanted, req.Using)
 	}
 
 	return b.String()
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -4,10 +4,10 @@
 
 // The weights of one new sample in the running means of a target's health.
 const (
-	failureSample = 0.2
-	waitSample    = 0.2
-	// waitsNeeded is how many samples a running mean of waits needs to count.
-	waitsNeeded = 5
+	failureWeight = 0.2
+	waitWeight    = 0.2
+	// minWaitSamples is how many samples a running mean of waits needs to count.
+	minWaitSamples = 5
 )
 
 // fault says why a target is set aside.
@@ -17,8 +17,8 @@
 	faultNone fault = iota
 	// faultDown: dials to it fail, or its agent says that it is gone.
 	faultDown
-	// faultSilent: several connections in a row went silent, with no success between.
-	faultSilent
+	// faultUnresponsive: several connections in a row went silent, with no success between.
+	faultUnresponsive
 	// faultFailing: its answers are broken or server errors.
 	faultFailing
 	// faultSlow: it answers far more slowly than its peers.
@@ -27,79 +27,79 @@
 
 // unreachable reports whether the target can't be reached, so that setting it
 // aside loses nothing, and only an answer of its agent ends that.
-func (f fault) unreachable() bool { return f == faultDown || f == faultSilent }
+func (f fault) unreachable() bool { return f == faultDown || f == faultUnresponsive }
 
 // health is what a target's recent answers say about it. A target that fails
 // at once looks idle and would draw all work; a slow one holds its callers up.
 // Both are set aside, and return by a few probes.
 type health struct {
-	// failures is a running mean of answers that failed, 0 to 1.
-	failures   float64
-	failureRun int
-	downRun    int
-	// wait is a running mean of the time to the first byte, in nanoseconds.
-	wait  float64
-	waits int
-	// silences counts silent connections since the last success.
-	silences int
-
-	aside      fault
-	asideUntil time.Time
-	pause      time.Duration
-	// answered says that the target's agent was reached since it was set aside.
-	answered bool
-	probing  int
-	probed   int
+	// failureRatio is a running mean of answers that failed, 0 to 1.
+	failureRatio               float64
+	consecutiveFailures        int
+	consecutiveConnectFailures int
+	// meanWait is a running mean of the time to the first byte, in nanoseconds.
+	meanWait    float64
+	waitSamples int
+	// unresponsive counts silent connections since the last success.
+	unresponsive int
+
+	ejectedFor   fault
+	ejectedUntil time.Time
+	ejectionTime time.Duration
+	// reachable says that the target's agent was reached since it was set aside.
+	reachable    bool
+	probing      int
+	probesPassed int
 }
 
-// succeeded records an answer without fault.
-func (h *health) succeeded() {
-	h.failures -= failureSample * h.failures
-	h.failureRun, h.downRun, h.silences = 0, 0, 0
+// recordSuccess records an answer without fault.
+func (h *health) recordSuccess() {
+	h.failureRatio -= failureWeight * h.failureRatio
+	h.consecutiveFailures, h.consecutiveConnectFailures, h.unresponsive = 0, 0, 0
 }
 
-// failed records a fault of the target.
-func (h *health) failed() {
-	h.failures += failureSample * (1 - h.failures)
-	h.failureRun++
+// recordFailure records a fault of the target.
+func (h *health) recordFailure() {
+	h.failureRatio += failureWeight * (1 - h.failureRatio)
+	h.consecutiveFailures++
 }
 
-// waited records the time to a first byte. A slow target's probe counts alone:
+// recordWait records the time to a first byte. A slow target's probe counts alone:
 // the mean that set it aside would take many to fall.
-func (h *health) waited(d time.Duration) {
-	h.waits++
-	if h.waits == 1 || h.aside == faultSlow {
-		h.wait = float64(d)
+func (h *health) recordWait(d time.Duration) {
+	h.waitSamples++
+	if h.waitSamples == 1 || h.ejectedFor == faultSlow {
+		h.meanWait = float64(d)
 
 		return
 	}
 
-	h.wait += waitSample * (float64(d) - h.wait)
+	h.meanWait += waitWeight * (float64(d) - h.meanWait)
 }
 
-// setAside starts or lengthens the pause before the next probe. Entries that
+// eject starts or lengthens the pause before the next probe. Entries that
 // set a target aside together probe it at different times.
-func (h *health) setAside(now time.Time, why fault, s *Settings, jitter float64) {
-	h.pause = min(max(2*h.pause, s.ProbeAfter), s.ProbeAtMost)
-	h.aside = why
-	h.answered = false
-	h.probed, h.probing = 0, 0
-	h.asideUntil = now.Add(h.pause + time.Duration(jitter*float64(h.pause)/2))
+func (h *health) eject(now time.Time, reason fault, s *Settings, jitter float64) {
+	h.ejectionTime = min(max(2*h.ejectionTime, s.BaseEjectionTime), s.MaxEjectionTime)
+	h.ejectedFor = reason
+	h.reachable = false
+	h.probesPassed, h.probing = 0, 0
+	h.ejectedUntil = now.Add(h.ejectionTime + time.Duration(jitter*float64(h.ejectionTime)/2))
 }
 
-// takeBack ends the pause and forgets what led to it.
-func (h *health) takeBack() { *h = health{} }
+// reinstate ends the pause and forgets what led to it.
+func (h *health) reinstate() { *h = health{} }
 
-// fault says what in the target's own record calls for setting it aside.
-func (h *health) fault(s *Settings, medianWait float64) fault {
+// detectFault says what in the target's own record calls for setting it aside.
+func (h *health) detectFault(s *Settings, medianWait float64) fault {
 	switch {
-	case h.downRun >= s.DownRun:
+	case h.consecutiveConnectFailures >= s.ConsecutiveConnectFailures:
 		return faultDown
-	case h.silences >= s.SilentLimit:
-		return faultSilent
-	case h.failureRun >= s.FailureRun, h.failures > s.FailureShare:
+	case h.unresponsive >= s.ConsecutiveUnresponsive:
+		return faultUnresponsive
+	case h.consecutiveFailures >= s.ConsecutiveFailures, h.failureRatio > s.MaxFailureRatio:
 		return faultFailing
-	case h.waits >= waitsNeeded && medianWait > 0 && h.wait > s.SlowRatio*medianWait:
+	case h.waitSamples >= minWaitSamples && medianWait > 0 && h.meanWait > s.SlowRatio*medianWait:
 		return faultSlow
 	default:
 		return faultNone
@@ -115,13 +115,13 @@
 	switch {
 	case h.probing > 0:
 		return false
-	case h.aside.unreachable():
-		return h.answered
+	case h.ejectedFor.unreachable():
+		return h.reachable
 	case idempotent:
-		return !now.Before(h.asideUntil)
+		return !now.Before(h.ejectedUntil)
 	}
 
-	return !now.Before(h.asideUntil.Add(h.pause))
+	return !now.Before(h.ejectedUntil.Add(h.ejectionTime))
 }
 
 // probeEnded counts the end of a probe. While one runs, the end of an older
@@ -130,9 +130,9 @@
 
 // penalty is what the record adds to the cost of a target that is not set aside.
 func (h *health) penalty() float64 {
-	return h.failures + silencePenalty*float64(h.silences)
+	return h.failureRatio + unresponsivePenalty*float64(h.unresponsive)
 }
 
-// silencePenalty is the cost of one silent connection since the last success:
+// unresponsivePenalty is the cost of one silent connection since the last success:
 // its peers come first, but it stays in use, for new connections may work.
-const silencePenalty = 0.25
+const unresponsivePenalty = 0.25
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -4,50 +4,50 @@
 
 // The grain and the span of a history.
 const (
-	historyGrain = 50 * time.Millisecond
-	historySpan  = 64
+	historyBucket  = 50 * time.Millisecond
+	historyBuckets = 64
 )
 
 // history keeps how many requests this entry had in flight at a target over
 // the last seconds. A report counts them as they were when it was taken, so
 // that taking off what is in flight now would be wrong by all that changed since.
 type history struct {
-	counts [historySpan]uint16
-	last   int64
-	count  uint16
+	counts     [historyBuckets]uint16
+	lastBucket int64
+	current    uint16
 }
 
-func bucket(t time.Time) int64 { return t.UnixNano() / int64(historyGrain) }
+func bucketOf(t time.Time) int64 { return t.UnixNano() / int64(historyBucket) }
 
-// fill carries the count on to the bucket of now.
-func (h *history) fill(now int64) {
-	if h.last == 0 || now-h.last >= historySpan {
-		h.last = now - historySpan
+// advance carries the count on to the bucket of now.
+func (h *history) advance(now int64) {
+	if h.lastBucket == 0 || now-h.lastBucket >= historyBuckets {
+		h.lastBucket = now - historyBuckets
 	}
 
-	for h.last < now {
-		h.last++
-		h.counts[h.last%historySpan] = h.count
+	for h.lastBucket < now {
+		h.lastBucket++
+		h.counts[h.lastBucket%historyBuckets] = h.current
 	}
 }
 
 // set records a new count.
 func (h *history) set(now time.Time, n int) {
-	h.fill(bucket(now))
-	h.count = uint16(n)
-	h.counts[h.last%historySpan] = h.count
+	h.advance(bucketOf(now))
+	h.current = uint16(n)
+	h.counts[h.lastBucket%historyBuckets] = h.current
 }
 
 // at returns the count at a time not long past; the oldest known one before that.
 func (h *history) at(t time.Time) int {
-	b := bucket(t)
+	b := bucketOf(t)
 
 	switch {
-	case h.last == 0 || b >= h.last:
-		return int(h.count)
-	case b <= h.last-historySpan:
-		b = h.last - historySpan + 1
+	case h.lastBucket == 0 || b >= h.lastBucket:
+		return int(h.current)
+	case b <= h.lastBucket-historyBuckets:
+		b = h.lastBucket - historyBuckets + 1
 	}
 
-	return int(h.counts[b%historySpan])
+	return int(h.counts[b%historyBuckets])
 }
--- a/internal/routing/load_bench_test.go
+++ b/internal/routing/load_bench_test.go
@@ -11,25 +11,25 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// way is one way of choosing, by name.
-type way struct {
+// lbPolicy is one way of choosing, by name.
+type lbPolicy struct {
 	name string
 	make func(*rand.Rand, []routing.Target, []int) picker
 }
 
-// ways are the baselines and ours. Former is ours as it was before the last change.
-func ways() []way {
-	return []way{
+// lbPolicies are the baselines and ours. Former is ours as it was before the last change.
+func lbPolicies() []lbPolicy {
+	return []lbPolicy{
 		{"RoundRobin", roundRobin},
 		{"LeastReported", leastReported},
 		{"TwoChoices", twoChoices},
-		{"Former", ours(routing.Settings{Candidates: 3, NearEqual: 0.02, OtherZone: 0.05, ReportLife: 2 * time.Second})},
-		{"Ours", ours(routing.Settings{})},
+		{"Former", chooserPicker(routing.Settings{Candidates: 3, CostTolerance: 0.02, OtherZoneCost: 0.05, ReportHalfWeightAge: 2 * time.Second})},
+		{"Ours", chooserPicker(routing.Settings{})},
 	}
 }
 
-// size is a deployment's size in the model.
-type size struct {
+// deployment is a deployment's size in the model.
+type deployment struct {
 	name             string
 	entries, targets int
 	limit            int
@@ -37,14 +37,14 @@
 	seconds          int
 }
 
-var sizes = []size{
+var deployments = []deployment{
 	{"Today", 3, 12, 8, 12, 120},
 	{"Large", 410, 600, 64, 30, 20},
 }
 
-func newModel(seed uint64, s size, w way, lag time.Duration) *model {
+func newModel(seed uint64, s deployment, lb lbPolicy, lag time.Duration) *model {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	m := &model{rng: rng, base: 2 * time.Second, lag: lag, deadline: time.Minute, horizon: time.Duration(s.seconds) * time.Second}
+	m := &model{rng: rng, baseServiceTime: 2 * time.Second, reportLag: lag, deadline: time.Minute, horizon: time.Duration(s.seconds) * time.Second}
 	m.results.answeredAt, m.results.offeredAt, m.results.endedAt = map[int]int{}, map[int]int{}, map[int]int{}
 	zones := []string{"ayutthaya", "ang-thong", "saraburi"}
 
@@ -53,11 +53,11 @@
 	for i := range s.targets {
 		d := routing.Target{AgentID: fmt.Sprintf("t%03d", i), Service: service, Zone: zones[i%3], Region: "central-th", Capacity: s.limit, Incarnation: 1}
 		list = append(list, d)
-		m.targets = append(m.targets, &modelTarget{Target: d, warmLimit: s.limit, limit: float64(s.limit), slow: 1, shares: make([]share, s.entries)})
+		m.targets = append(m.targets, &modelTarget{Target: d, warmLimit: s.limit, limit: float64(s.limit), slowdown: 1, reservations: make([]reservation, s.entries)})
 	}
 
 	for e, subset := range subsetsOf(s, list) {
-		m.entries = append(m.entries, &modelEntry{index: e, zone: zones[e%3], subset: subset, picker: w.make(rng, list, subset)})
+		m.entries = append(m.entries, &modelEntry{index: e, zone: zones[e%3], subset: subset, picker: lb.make(rng, list, subset)})
 	}
 
 	return m
@@ -68,16 +68,16 @@
 var subsetCache sync.Map
 
 // subsetsOf returns the numbers of each entry's targets.
-func subsetsOf(s size, list []routing.Target) [][]int {
-	if known, ok := subsetCache.Load(s.name); ok {
-		return known.([][]int)
+func subsetsOf(s deployment, list []routing.Target) [][]int {
+	if cached, ok := subsetCache.Load(s.name); ok {
+		return cached.([][]int)
 	}
 
-	number := map[string]int{}
+	indexOf := map[string]int{}
 	targets := make([]shares.Node, len(list))
 
 	for i, t := range list {
-		number[t.AgentID] = i
+		indexOf[t.AgentID] = i
 		targets[i] = shares.Node{ID: t.AgentID, Zone: t.Zone, Region: t.Region}
 	}
 
@@ -89,7 +89,7 @@
 	out := make([][]int, s.entries)
 	for e, self := range entries {
 		for id := range (shares.Subsetter{Size: s.degree}).Targets(self, entries, targets) {
-			out[e] = append(out[e], number[id])
+			out[e] = append(out[e], indexOf[id])
 		}
 	}
 
@@ -99,7 +99,7 @@
 }
 
 // perSecond is the rate that fills that share of all targets.
-func perSecond(s size, share float64) float64 {
+func perSecond(s deployment, share float64) float64 {
 	return share * float64(s.targets*s.limit) / 2
 }
 
@@ -109,21 +109,21 @@
 	b.ReportMetric(quantile(r.latencies, 0.95), "p95-s")
 	b.ReportMetric(quantile(r.latencies, 0.99), "p99-s")
 	b.ReportMetric(100*float64(r.refused)/float64(r.offered), "refused-%")
-	b.ReportMetric(float64(r.tries)/float64(r.offered), "tries/req")
+	b.ReportMetric(float64(r.attempts)/float64(r.offered), "tries/req")
 	b.ReportMetric(0, "ns/op")
 }
 
 // BenchmarkLaggedReports measures balance and latency under reports of 500 ms of age.
 func BenchmarkLaggedReports(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range deployments {
 		for _, lag := range []time.Duration{0, 500 * time.Millisecond} {
 			for _, load := range []float64{0.6, 0.9} {
-				for _, w := range ways() {
-					b.Run(fmt.Sprintf("%s/lag=%v/load=%.1f/%s", s.name, lag, load, w.name), func(b *testing.B) {
+				for _, lb := range lbPolicies() {
+					b.Run(fmt.Sprintf("%s/lag=%v/load=%.1f/%s", s.name, lag, load, lb.name), func(b *testing.B) {
 						for range b.N {
-							m := newModel(1, s, w, lag)
-							m.watch(5 * time.Second)
-							m.arrivals(perSecond(s, load), m.horizon, func(e *modelEntry) { m.try(m.newJob(e)) })
+							m := newModel(1, s, lb, lag)
+							m.startPeriodic(5 * time.Second)
+							m.arrivals(perSecond(s, load), m.horizon, func(e *modelEntry) { m.attempt(m.newJob(e)) })
 							m.run()
 							report(b, m)
 						}
--- a/internal/routing/model_results_test.go
+++ b/internal/routing/model_results_test.go
@@ -8,30 +8,30 @@
 
 // results are what a run measures.
 type results struct {
-	offered, answered, late, refused, tries int
-	latencies                               []float64
-	imbalance                               []float64
-	hits, blocks                            int
+	offered, answered, late, refused, attempts int
+	latencies                                  []float64
+	imbalance                                  []float64
+	hitBlocks, blocks                          int
 	// By the second of arrival: what was offered, and answered in time. By that
 	// of the end: what was answered in time.
 	answeredAt, offeredAt map[int]int
 	endedAt               map[int]int
 }
 
-// every repeats do until the horizon.
-func (m *model) every(d time.Duration, do func()) {
+// repeat repeats do until the horizon.
+func (m *model) repeat(d time.Duration, do func()) {
 	m.after(d, func() {
 		do()
-		m.every(d, do)
+		m.repeat(d, do)
 	})
 }
 
-// watch samples the imbalance, keeps the lagged reports and renews credits.
-func (m *model) watch(from time.Duration) {
-	if m.lag > 0 {
+// startPeriodic samples the imbalance, keeps the lagged reports and renews credits.
+func (m *model) startPeriodic(from time.Duration) {
+	if m.reportLag > 0 {
 		for _, t := range m.targets {
-			m.after(time.Duration(m.rng.Int64N(int64(m.lag))), func() {
-				m.every(m.lag, func() { t.lagged, t.laggedAt = t.inFlight, m.now })
+			m.after(time.Duration(m.rng.Int64N(int64(m.reportLag))), func() {
+				m.repeat(m.reportLag, func() { t.reportedLoad, t.reportedAt = t.inFlight, m.now })
 			})
 		}
 	}
@@ -39,22 +39,22 @@
 	for _, e := range m.entries {
 		for _, i := range e.subset {
 			m.after(time.Duration(m.rng.Int64N(int64(time.Second))), func() {
-				m.every(time.Second, func() { m.tell(e, i) })
+				m.repeat(time.Second, func() { m.sendReport(e, i) })
 			})
 		}
 
-		m.every(200*time.Millisecond, func() { m.askCredits(e) })
+		m.repeat(200*time.Millisecond, func() { m.requestCredits(e) })
 	}
 
-	m.every(100*time.Millisecond, func() {
+	m.repeat(100*time.Millisecond, func() {
 		if m.now >= from {
-			m.results.imbalance = append(m.results.imbalance, m.spread())
+			m.results.imbalance = append(m.results.imbalance, m.imbalance())
 		}
 	})
 }
 
-// spread is the standard deviation of the targets' fullness over its mean.
-func (m *model) spread() float64 {
+// imbalance is the standard deviation of the targets' fullness over its mean.
+func (m *model) imbalance() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 
 	for _, t := range m.targets {
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -14,8 +14,8 @@
 // continuously, so that a fuller target answers more slowly. Agents refuse what
 // is above the limit, and report load that is up to lag old.
 
-// hop is one way between an entry and a target.
-const hop = time.Millisecond
+// oneWayDelay is one way between an entry and a target.
+const oneWayDelay = time.Millisecond
 
 // event is something that happens at a time.
 type event struct {
@@ -43,16 +43,16 @@
 
 // picker is a way of choosing, at one entry. Target numbers are the model's.
 type picker struct {
-	choose func(now time.Time, ask routing.Request) (target int, retryAt time.Time)
-	report func(taken time.Time, target, inFlight, limit int, cold bool)
-	credit func(now time.Time, target, slots int, ends time.Time)
-	begin  func(now time.Time, target int, wait time.Duration)
-	finish func(now time.Time, target int, ev routing.Finished)
-	change func(list []routing.Target)
-	room   func(now time.Time) routing.Capacity
-	asks   func(now time.Time) []routing.CreditRequest
-	silent func(now time.Time, target int)
-	cache  func(ev prefix.Event)
+	choose         func(now time.Time, req routing.Request) (target int, retryAt time.Time)
+	report         func(taken time.Time, target, inFlight, limit int, cold bool)
+	credit         func(now time.Time, target, slots int, expiresAt time.Time)
+	firstByte      func(now time.Time, target int, wait time.Duration)
+	finish         func(now time.Time, target int, ev routing.Finished)
+	setTargets     func(list []routing.Target)
+	capacity       func(now time.Time) routing.Capacity
+	creditRequests func(now time.Time) []routing.CreditRequest
+	unresponsive   func(now time.Time, target int)
+	cacheEvent     func(ev prefix.Event)
 }
 
 type modelEntry struct {
@@ -71,12 +71,12 @@
 	seq     int
 	targets []*modelTarget
 	entries []*modelEntry
-	// base is the time of a usual request alone at a target.
-	base     time.Duration
-	lag      time.Duration
-	deadline time.Duration
-	horizon  time.Duration
-	prefixOf func() []uint64
+	// baseServiceTime is the time of a usual request alone at a target.
+	baseServiceTime time.Duration
+	reportLag       time.Duration
+	deadline        time.Duration
+	horizon         time.Duration
+	prefixOf        func() []uint64
 	// events says that cache events reach the entries, late and with gaps.
 	cacheEvents bool
 
@@ -117,97 +117,97 @@
 
 // job is one request in the model.
 type job struct {
-	entry    *modelEntry
-	arrived  time.Duration
-	deadline time.Duration
-	size     float64
-	tries    int
-	ask      routing.Request
-	ended    func(inTime bool)
-	noRoom   func()
+	entry        *modelEntry
+	arrived      time.Duration
+	deadline     time.Duration
+	work         float64
+	attempts     int
+	req          routing.Request
+	onEnd        func(inTime bool)
+	onNoCapacity func()
 }
 
 func (m *model) newJob(e *modelEntry) *job {
 	m.results.offered++
 	m.results.offeredAt[int(m.now/time.Second)]++
 
-	j := &job{entry: e, arrived: m.now, deadline: m.now + m.deadline, size: m.size()}
-	j.ask = routing.Request{Service: service, Zone: e.zone, Region: "central-th", Idempotent: true}
+	j := &job{entry: e, arrived: m.now, deadline: m.now + m.deadline, work: m.drawWork()}
+	j.req = routing.Request{Service: service, Zone: e.zone, Region: "central-th", Idempotent: true}
 
 	if m.prefixOf != nil {
-		j.ask.Prefixes = m.prefixOf()
+		j.req.Prefixes = m.prefixOf()
 	}
 
 	return j
 }
 
-// size is a request's work: a gamma of shape 4, mean 1.
-func (m *model) size() float64 {
+// drawWork is a request's work: a gamma of shape 4, mean 1.
+func (m *model) drawWork() float64 {
 	return (m.rng.ExpFloat64() + m.rng.ExpFloat64() + m.rng.ExpFloat64() + m.rng.ExpFloat64()) / 4
 }
 
-// mostTries bounds what a request may cost; each way of choosing has the same.
-const mostTries = 3
+// maxAttempts bounds what a request may cost; each way of choosing has the same.
+const maxAttempts = 3
 
-// try sends a job to a target, and again after a refusal.
-func (m *model) try(j *job) {
-	j.tries++
+// attempt sends a job to a target, and again after a refusal.
+func (m *model) attempt(j *job) {
+	j.attempts++
 
-	i, retryAt := j.entry.choose(m.clock(), j.ask)
+	i, retryAt := j.entry.choose(m.clock(), j.req)
 	if i >= 0 {
-		m.results.tries++
+		m.results.attempts++
 	}
 
-	if i < 0 && j.noRoom != nil {
-		j.ask.Excluded = nil
-		m.after(max(retryAt.Sub(m.clock()), hop), j.noRoom)
+	if i < 0 && j.onNoCapacity != nil {
+		j.req.Excluded = nil
+		m.after(max(retryAt.Sub(m.clock()), oneWayDelay), j.onNoCapacity)
 
 		return
 	}
 
 	if i < 0 {
-		m.again(j, max(retryAt.Sub(m.clock()), 10*time.Millisecond))
+		m.retry(j, max(retryAt.Sub(m.clock()), 10*time.Millisecond))
 
 		return
 	}
 
 	sent := m.now
 	if m.targets[i].down {
-		m.after(silence, func() { m.refuse(j, i, verdict.CauseTargetDown, sent) })
+		m.after(connectionTimeout, func() { m.refuse(j, i, verdict.CauseTargetDown, sent) })
 
 		return
 	}
 
-	m.after(hop, func() { m.arrive(j, m.targets[i], i, sent) })
+	m.after(oneWayDelay, func() { m.arrive(j, m.targets[i], i, sent) })
 }
 
-// again tries once more after a pause, or gives up.
-func (m *model) again(j *job, pause time.Duration) {
-	if j.tries >= mostTries && j.noRoom != nil {
-		j.ask.Excluded, j.tries = nil, 0
-		m.after(max(pause, 10*time.Millisecond), j.noRoom)
+// retry tries once more after a pause, or gives up.
+func (m *model) retry(j *job, pause time.Duration) {
+	if j.attempts >= maxAttempts && j.onNoCapacity != nil {
+		j.req.Excluded, j.attempts = nil, 0
+		m.after(max(pause, 10*time.Millisecond), j.onNoCapacity)
 
 		return
 	}
 
-	if j.tries >= mostTries || m.now+pause > j.deadline {
+	if j.attempts >= maxAttempts || m.now+pause > j.deadline {
 		m.results.refused++
 		m.end(j, false)
 
 		return
 	}
 
-	m.after(pause, func() { m.try(j) })
+	m.after(pause, func() { m.attempt(j) })
 }
 
 func (m *model) end(j *job, inTime bool) {
-	if j.ended != nil {
-		j.ended(inTime)
+	if j.onEnd != nil {
+		j.onEnd(inTime)
 	}
 }
 
 func (m *model) answered(j *job, i int, sent time.Duration) {
-	m.tell(j.entry, i)
+	m.sendReport(j.entry, i)
 	j.entry.finish(m.clock(), i, routing.Finished{Verdict: verdict.Ran, Duration: m.now - sent})
 
 	inTime := m.now <= j.deadline
--- a/internal/routing/refusal.go
+++ b/internal/routing/no_target.go
@@ -8,8 +8,8 @@
 
 // The mean pauses before asking again where nothing says when.
 const (
-	waitForRoom    = 300 * time.Millisecond
-	waitForTargets = 3 * time.Second
+	fullRetryDelay     = 300 * time.Millisecond
+	noTargetRetryDelay = 3 * time.Second
 )
 
 // jitter returns between half of d and one and a half of it.
@@ -17,15 +17,15 @@
 	return d/2 + time.Duration(c.Rand.Float64()*float64(d))
 }
 
-// why says why no target could be picked.
-func (c *Chooser) why(now time.Time, p *pool) *NoTarget {
+// noTarget says why no target could be picked.
+func (c *Chooser) noTarget(now time.Time, p *pool) *NoTarget {
 	cause := verdict.CauseNoTarget
 
 	for _, t := range p.targets {
 		switch {
-		case t.takesNew() && t.Cold:
+		case t.acceptsNew() && t.Cold:
 			cause = verdict.CauseColdLimit
-		case t.takesNew():
+		case t.acceptsNew():
 			cause = verdict.CauseOverload
 		case cause == verdict.CauseNoTarget && t.ZoneOut:
 			cause = verdict.CauseZoneOut
@@ -39,12 +39,12 @@
 	}
 
 	if cause != verdict.CauseOverload && cause != verdict.CauseColdLimit {
-		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(waitForTargets))}
+		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
 	}
 
-	at := p.earliest(now)
+	at := p.earliestRetry(now)
 	if at.IsZero() {
-		at = now.Add(c.jitter(waitForRoom))
+		at = now.Add(c.jitter(fullRetryDelay))
 	}
 
 	return &NoTarget{Cause: cause, RetryAt: at}
@@ -56,18 +56,18 @@
 func (c *Chooser) Unavailable(now time.Time, service string) *NoTarget {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
 	p := c.pools[service]
 	if p == nil {
-		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(waitForTargets))}
+		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
 	}
 
 	for _, t := range p.targets {
-		if t.takesNew() {
+		if t.acceptsNew() {
 			return nil
 		}
 	}
 
-	return c.why(now, p)
+	return c.noTarget(now, p)
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -12,21 +12,21 @@
 	medianWait float64
 	// meanLoad is the mean share of capacity that other entries use.
 	meanLoad float64
-	// fullness is the share of the warm targets' capacity in use, this entry's included.
-	fullness float64
-	// changes counts events since these were worked out.
-	changes int
-	// aside counts the targets set aside that could be reached.
-	aside int
+	// warmUtilisation is the share of the warm targets' capacity in use, this entry's included.
+	warmUtilisation float64
+	// eventsSinceRefresh counts events since these were worked out.
+	eventsSinceRefresh int
+	// ejected counts the targets set aside that could be reached.
+	ejected int
 }
 
-// refreshEvery is how many events a pool's medians and means may be behind.
-const refreshEvery = 16
+// eventsPerRefresh is how many events a pool's medians and means may be behind.
+const eventsPerRefresh = 16
 
-// changed counts an event and refreshes the derived numbers when due.
-func (p *pool) changed() {
-	p.changes++
-	if p.changes < min(refreshEvery, len(p.targets)) {
+// noteEvent counts an event and refreshes the derived numbers when due.
+func (p *pool) noteEvent() {
+	p.eventsSinceRefresh++
+	if p.eventsSinceRefresh < min(eventsPerRefresh, len(p.targets)) {
 		return
 	}
 
@@ -34,35 +34,35 @@
 }
 
 func (p *pool) refresh() {
-	p.changes = 0
+	p.eventsSinceRefresh = 0
 	waits := make([]float64, 0, len(p.targets))
-	load, capacity, used, warm := 0.0, 0.0, 0.0, 0.0
+	load, capacity, warmLoad, warmCapacity := 0.0, 0.0, 0.0, 0.0
 
 	for _, t := range p.targets {
-		if !t.takesNew() || t.health.aside != faultNone {
+		if !t.acceptsNew() || t.health.ejectedFor != faultNone {
 			continue
 		}
 
-		if t.health.waits >= waitsNeeded && !t.Cold {
-			waits = append(waits, t.health.wait)
+		if t.health.waitSamples >= minWaitSamples && !t.Cold {
+			waits = append(waits, t.health.meanWait)
 		}
 
 		if t.reportedAt.IsZero() {
 			continue
 		}
 
-		load += float64(t.reported)
-		capacity += float64(t.bears())
+		load += float64(t.othersReported)
+		capacity += float64(t.maxInFlight())
 
 		if !t.Cold {
-			used += float64(t.reported + t.own)
-			warm += float64(t.bears())
+			warmLoad += float64(t.othersReported + t.inFlight)
+			warmCapacity += float64(t.maxInFlight())
 		}
 	}
 
 	p.medianWait = median(waits)
 	p.meanLoad = ratio(load, capacity)
-	p.fullness = ratio(used, warm)
+	p.warmUtilisation = ratio(warmLoad, warmCapacity)
 }
 
 func ratio(a, b float64) float64 {
@@ -73,11 +73,11 @@
 	return a / b
 }
 
-// fewestForMedian: with fewer targets nobody can say which is slow.
-const fewestForMedian = 3
+// minForMedian: with fewer targets nobody can say which is slow.
+const minForMedian = 3
 
 func median(v []float64) float64 {
-	if len(v) < fewestForMedian {
+	if len(v) < minForMedian {
 		return 0
 	}
 
@@ -86,50 +86,50 @@
 	return v[len(v)/2]
 }
 
-// reserve reports whether one more target may be set aside, and counts it. When
+// tryEject reports whether one more target may be set aside, and counts it. When
 // many reachable targets look bad at once the fault is likelier in the requests
 // or in this entry, and the few left would be overloaded. Targets that can't be
 // reached are no loss.
-func (p *pool) reserve(why fault, share float64) bool {
-	if !why.unreachable() && float64(p.aside+1) > share*float64(len(p.targets)) {
+func (p *pool) tryEject(reason fault, share float64) bool {
+	if !reason.unreachable() && float64(p.ejected+1) > share*float64(len(p.targets)) {
 		return false
 	}
 
-	p.count(why)
+	p.countEjected(reason)
 
 	return true
 }
 
-func (p *pool) count(why fault) {
-	if !why.unreachable() && why != faultNone {
-		p.aside++
+func (p *pool) countEjected(reason fault) {
+	if !reason.unreachable() && reason != faultNone {
+		p.ejected++
 	}
 }
 
-// release undoes reserve.
-func (p *pool) release(why fault) {
-	if !why.unreachable() && why != faultNone {
-		p.aside--
+// uncountEjected undoes reserve.
+func (p *pool) uncountEjected(reason fault) {
+	if !reason.unreachable() && reason != faultNone {
+		p.ejected--
 	}
 }
 
-// earliest returns the earliest time after now at which the pool may have
+// earliestRetry returns the earliest time after now at which the pool may have
 // room, or zero when nothing says so.
-func (p *pool) earliest(now time.Time) time.Time {
+func (p *pool) earliestRetry(now time.Time) time.Time {
 	var at time.Time
 
 	for _, t := range p.targets {
-		if !t.takesNew() {
+		if !t.acceptsNew() {
 			continue
 		}
 
-		c := t.fullUntil
-		if t.health.aside != faultNone {
-			c = t.health.asideUntil
+		candidate := t.fullUntil
+		if t.health.ejectedFor != faultNone {
+			candidate = t.health.ejectedUntil
 		}
 
-		if c.After(now) && (at.IsZero() || c.Before(at)) {
-			at = c
+		if candidate.After(now) && (at.IsZero() || candidate.Before(at)) {
+			at = candidate
 		}
 	}
 
@@ -140,10 +140,10 @@
 // zone that is lost without notice shows first at one of its targets. They come
 // after those of other zones, and are set aside with their next silence after
 // the third; any success or credit clears them.
-func (p *pool) suspectZone(lost *target) {
+func (p *pool) suspectZone(failed *target) {
 	for _, t := range p.targets {
-		if t != lost && t.Zone == lost.Zone && t.Region == lost.Region {
-			t.health.silences++
+		if t != failed && t.Zone == failed.Zone && t.Region == failed.Region {
+			t.health.unresponsive++
 		}
 	}
 }
--- a/internal/routing/prefix_bench_test.go
+++ b/internal/routing/prefix_bench_test.go
@@ -24,26 +24,26 @@
 // BenchmarkPrefix measures how many of the blocks that can be held are found,
 // against balance and latency.
 func BenchmarkPrefix(b *testing.B) {
-	list := []way{{"RoundRobin", roundRobin}, {"TwoChoices", twoChoices}}
+	list := []lbPolicy{{"RoundRobin", roundRobin}, {"TwoChoices", twoChoices}}
 	list = append(list,
-		way{"NoAffinity", ours(routing.Settings{PrefixGain: 1e-9, HomeGain: 1e-9})},
-		way{"Former", ours(routing.Settings{PrefixGain: 0.5, HomeGain: 1e-9})},
-		way{"Ours", ours(routing.Settings{})},
+		lbPolicy{"NoAffinity", chooserPicker(routing.Settings{PrefixGain: 1e-9, AffinityGain: 1e-9})},
+		lbPolicy{"Former", chooserPicker(routing.Settings{PrefixGain: 0.5, AffinityGain: 1e-9})},
+		lbPolicy{"Ours", chooserPicker(routing.Settings{})},
 	)
 
 	for _, load := range []float64{0.5, 0.8} {
 		for _, events := range []bool{false, true} {
-			for _, w := range list {
-				b.Run(fmt.Sprintf("load=%.1f/events=%v/%s", load, events, w.name), func(b *testing.B) {
+			for _, lb := range list {
+				b.Run(fmt.Sprintf("load=%.1f/events=%v/%s", load, events, lb.name), func(b *testing.B) {
 					for range b.N {
-						m := newModel(9, sizes[0], w, 0)
+						m := newModel(9, deployments[0], lb, 0)
 						m.prefixOf, m.cacheEvents = conversations(m.rng), events
-						m.watch(5 * time.Second)
-						m.arrivals(perSecond(sizes[0], load), m.horizon, func(e *modelEntry) { m.try(m.newJob(e)) })
+						m.startPeriodic(5 * time.Second)
+						m.arrivals(perSecond(deployments[0], load), m.horizon, func(e *modelEntry) { m.attempt(m.newJob(e)) })
 						m.run()
 						report(b, m)
 						// Two blocks of eight are always new.
-						b.ReportMetric(100*float64(m.results.hits)/(0.75*float64(m.results.blocks)), "hit-%")
+						b.ReportMetric(100*float64(m.results.hitBlocks)/(0.75*float64(m.results.blocks)), "hit-%")
 						b.ReportMetric(mean(m.results.latencies), "mean-s")
 					}
 				})
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -12,35 +12,35 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// books is what the outside of a Chooser knows of its targets.
-type books struct {
-	c       *routing.Chooser
-	now     time.Time
-	list    []routing.Target
-	slots   []int
-	ends    []time.Time
-	flight  []int
-	current map[string]int
+// expectedState is what the outside of a Chooser knows of its targets.
+type expectedState struct {
+	c               *routing.Chooser
+	now             time.Time
+	targets         []routing.Target
+	slots           []int
+	creditExpiresAt []time.Time
+	inFlight        []int
+	index           map[string]int
 }
 
 // Whatever reports, credits, failures and changes come in whatever order: a cold
 // target gets no more than its agent reserved for this entry, one that is out or
 // leaving gets nothing, nor one that the request has tried, and no place leaks.
-func TestChooserKeepsToCredits(t *testing.T) {
+func TestColdTargetIsNotChosenBeyondItsCredit(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "targets")
-		b := &books{
-			list: targets(n), now: epoch, slots: make([]int, n), ends: make([]time.Time, n),
-			flight: make([]int, n), current: map[string]int{},
+		b := &expectedState{
+			targets: targets(n), now: epoch, slots: make([]int, n), creditExpiresAt: make([]time.Time, n),
+			inFlight: make([]int, n), index: map[string]int{},
 		}
-		for i := range b.list {
-			b.list[i].Cold = true
-			b.current[b.list[i].AgentID] = i
+		for i := range b.targets {
+			b.targets[i].Cold = true
+			b.index[b.targets[i].AgentID] = i
 		}
 
-		b.c = newChooser(rapid.Uint64().Draw(t, "seed"), b.list...)
+		b.c = newChooser(rapid.Uint64().Draw(t, "seed"), b.targets...)
 
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			b.now = b.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
@@ -48,7 +48,7 @@
 		}
 
 		total := 0
-		for _, f := range b.flight {
+		for _, f := range b.inFlight {
 			total += f
 		}
 
@@ -56,14 +56,14 @@
 	})
 }
 
-func (b *books) step(t *rapid.T, i int) {
-	d := &b.list[i]
+func (b *expectedState) step(t *rapid.T, i int) {
+	d := &b.targets[i]
 
 	switch rapid.IntRange(0, 8).Draw(t, "event") {
 	case 0:
 		b.slots[i] = rapid.IntRange(0, 3).Draw(t, "slots")
-		b.ends[i] = b.now.Add(time.Second)
-		b.c.ApplyCredit(routing.CreditChanged{AgentID: d.AgentID, Incarnation: d.Incarnation, Slots: b.slots[i], ExpiresAt: b.ends[i]})
+		b.creditExpiresAt[i] = b.now.Add(time.Second)
+		b.c.ApplyCredit(routing.CreditChanged{AgentID: d.AgentID, Incarnation: d.Incarnation, Slots: b.slots[i], ExpiresAt: b.creditExpiresAt[i]})
 	case 1:
 		b.c.ApplyReport(routing.ReportReceived{
 			AgentID: d.AgentID, Incarnation: d.Incarnation, TakenAt: b.now, Cold: true,
@@ -75,10 +75,10 @@
 
 		if rapid.Bool().Draw(t, "restarted") {
 			d.Incarnation++
-			b.slots[i], b.flight[i] = 0, 0
+			b.slots[i], b.inFlight[i] = 0, 0
 		}
 
-		b.c.ChangeTargets(routing.TargetsChanged{Targets: b.list})
+		b.c.ChangeTargets(routing.TargetsChanged{Targets: b.targets})
 	case 3:
 		b.finish(t, i)
 	case 4:
@@ -90,12 +90,12 @@
 	}
 }
 
-func (b *books) finish(t *rapid.T, i int) {
-	if b.flight[i] == 0 {
+func (b *expectedState) finish(t *rapid.T, i int) {
+	if b.inFlight[i] == 0 {
 		return
 	}
 
-	b.flight[i]--
+	b.inFlight[i]--
 
 	cause := rapid.SampledFrom([]verdict.Cause{
 		"", "", verdict.CauseBroken, verdict.CauseTargetDown, verdict.CauseOverload, verdict.CauseZoneOut, verdict.CauseCredit,
@@ -104,13 +104,13 @@
 		b.slots[i] = 0
 	}
 
-	b.c.Finish(b.now, routing.Finished{AgentID: b.list[i].AgentID, Incarnation: b.list[i].Incarnation, Cause: cause})
+	b.c.Finish(b.now, routing.Finished{AgentID: b.targets[i].AgentID, Incarnation: b.targets[i].Incarnation, Cause: cause})
 }
 
-func (b *books) choose(t *rapid.T, tried int) {
+func (b *expectedState) choose(t *rapid.T, excluded int) {
 	got, none := b.c.Choose(b.now, routing.Request{
 		Service: service, Zone: "saraburi", Region: "central-th",
-		Idempotent: rapid.Bool().Draw(t, "idempotent"), Excluded: []string{b.list[tried].AgentID},
+		Idempotent: rapid.Bool().Draw(t, "idempotent"), Excluded: []string{b.targets[excluded].AgentID},
 	})
 	if none != nil {
 		require.True(t, none.RetryAt.After(b.now))
@@ -118,14 +118,14 @@
 		return
 	}
 
-	i := b.current[got.AgentID]
-	require.NotEqual(t, tried, i)
-	require.False(t, b.list[i].ZoneOut || b.list[i].Leaving, "chosen although out or leaving")
-	require.True(t, b.now.Before(b.ends[i]), "chosen without a credit")
-	require.Less(t, b.flight[i], b.slots[i], "chosen beyond its credit")
-	require.Equal(t, b.list[i].Incarnation, got.Incarnation)
+	i := b.index[got.AgentID]
+	require.NotEqual(t, excluded, i)
+	require.False(t, b.targets[i].ZoneOut || b.targets[i].Leaving, "chosen although out or leaving")
+	require.True(t, b.now.Before(b.creditExpiresAt[i]), "chosen without a credit")
+	require.Less(t, b.inFlight[i], b.slots[i], "chosen beyond its credit")
+	require.Equal(t, b.targets[i].Incarnation, got.Incarnation)
 
-	b.flight[i]++
+	b.inFlight[i]++
 }
 
 // Requests, reports and configuration come from many goroutines at once.
--- a/internal/routing/listen.go
+++ b/internal/routing/updates.go
@@ -12,14 +12,14 @@
 func (c *Chooser) ChangeTargets(ev TargetsChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
-	former := c.byID
+	previous := c.byID
 	c.pools = map[string]*pool{}
 	c.byID = make(map[string]*target, len(ev.Targets))
 
 	for _, d := range ev.Targets {
-		t := former[d.AgentID]
+		t := previous[d.AgentID]
 		if t == nil || t.Incarnation != d.Incarnation {
 			t = &target{hash: xxhash.Sum64String(d.AgentID)}
 		}
@@ -61,12 +61,12 @@
 	}
 
 	p.targets = append(p.targets, t)
-	p.count(t.health.aside)
+	p.countEjected(t.health.ejectedFor)
 }
 
 // find returns the target when it is still of that incarnation.
 func (c *Chooser) find(agentID string, incarnation uint64) (*target, *pool) {
-	c.start()
+	c.initLocked()
 
 	t := c.byID[agentID]
 	if t == nil || t.Incarnation != incarnation {
@@ -86,17 +86,17 @@
 		return
 	}
 
-	t.reported = max(0, ev.InFlight+ev.Queued-t.history.at(ev.TakenAt))
+	t.othersReported = max(0, ev.InFlight+ev.Queued-t.history.at(ev.TakenAt))
 	t.reportedAt = ev.TakenAt
 	t.limit = ev.Limit
 	t.Cold = ev.Cold
 
 	t.stoppedUntil = time.Time{}
 	if ev.Leaving {
-		t.stoppedUntil = ev.TakenAt.Add(c.Settings.StoppedFor)
+		t.stoppedUntil = ev.TakenAt.Add(c.Settings.StopReportTTL)
 	}
 
-	p.changed()
+	p.noteEvent()
 }
 
 // ApplyCredit takes in a credit.
@@ -109,14 +109,14 @@
 		return
 	}
 
-	t.slots = ev.Slots
-	t.creditEnds = ev.ExpiresAt
+	t.creditSlots = ev.Slots
+	t.creditExpiresAt = ev.ExpiresAt
 
 	if !ev.RetryAt.IsZero() && t.Cold {
-		t.askAt = ev.RetryAt
+		t.nextCreditRequestAt = ev.RetryAt
 	}
 
-	t.reached()
+	t.markReachable()
 }
 
 // RecordFirstByte takes in the time to an answer's first byte.
@@ -129,8 +129,8 @@
 		return
 	}
 
-	t.health.waited(ev.Wait)
-	p.changed()
+	t.health.recordWait(ev.Wait)
+	p.noteEvent()
 }
 
 // Finish takes in a request's end and frees its place.
@@ -143,8 +143,8 @@
 		return
 	}
 
-	t.count(now, max(0, t.own-1))
-	c.learn(now, p, t, ev)
+	t.setInFlight(now, max(0, t.inFlight-1))
+	c.applyOutcome(now, p, t, ev)
 }
 
 // RecordUnresponsive takes in that a connection went silent.
@@ -157,6 +157,6 @@
 		return
 	}
 
-	t.health.silences++
-	c.judge(now, p, t)
+	t.health.unresponsive++
+	c.ejectIfFaulty(now, p, t)
 }
--- a/internal/routing/zone_bench_test.go
+++ b/internal/routing/zone_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/routing"
 )
 
-// queued puts the entry's queue before its choice.
-type queued struct {
+// queuedEntry puts the entry's queue before its choice.
+type queuedEntry struct {
 	m     *model
 	entry *modelEntry
 	queue *fairness.Queue
@@ -20,42 +20,42 @@
 	next  uint64
 }
 
-func newQueued(m *model, e *modelEntry) *queued {
-	d := &queued{m: m, entry: e, jobs: map[uint64]*job{}}
-	d.queue = &fairness.Queue{Rand: rand.New(rand.NewPCG(m.rng.Uint64(), 2)), Settings: fairness.Settings{Service: m.base}}
-	m.every(50*time.Millisecond, d.tick)
+func newQueuedEntry(m *model, e *modelEntry) *queuedEntry {
+	d := &queuedEntry{m: m, entry: e, jobs: map[uint64]*job{}}
+	d.queue = &fairness.Queue{Rand: rand.New(rand.NewPCG(m.rng.Uint64(), 2)), Settings: fairness.Settings{InitialServiceTime: m.baseServiceTime}}
+	m.repeat(50*time.Millisecond, d.updateCapacity)
 
 	return d
 }
 
-// tick follows the room at the targets.
-func (d *queued) tick() {
+// updateCapacity follows the room at the targets.
+func (d *queuedEntry) updateCapacity() {
 	now := d.m.clock()
-	d.take(d.queue.SetCapacity(now, d.entry.room(now).Slots))
-	d.take(d.queue.Tick(now))
+	d.apply(d.queue.SetCapacity(now, d.entry.capacity(now).Slots))
+	d.apply(d.queue.Tick(now))
 }
 
-func (d *queued) offer(j *job) {
+func (d *queuedEntry) offer(j *job) {
 	d.next++
 	id := d.next
 	d.jobs[id] = j
-	j.ended = func(bool) {
+	j.onEnd = func(bool) {
 		delete(d.jobs, id)
-		d.take(d.queue.Finish(d.m.clock(), id))
+		d.apply(d.queue.Finish(d.m.clock(), id))
 	}
 	// A request without room at any target waits for the next credit.
-	j.noRoom = func() { d.take(d.queue.Requeue(d.m.clock(), id)) }
-	own, others := d.queue.Offer(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
-	d.take(append(others, own))
+	j.onNoCapacity = func() { d.apply(d.queue.Requeue(d.m.clock(), id)) }
+	itemAction, otherActions := d.queue.Offer(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
+	d.apply(append(otherActions, itemAction))
 }
 
-func (d *queued) take(actions []fairness.Action) {
+func (d *queuedEntry) apply(actions []fairness.Action) {
 	for _, a := range actions {
 		j := d.jobs[a.ID]
 
 		switch a.Kind {
 		case fairness.Start:
-			d.m.after(0, func() { d.m.try(j) })
+			d.m.after(0, func() { d.m.attempt(j) })
 		case fairness.Refuse:
 			delete(d.jobs, a.ID)
 			d.m.results.refused++
@@ -66,17 +66,17 @@
 
 // The times of the scenario: a zone goes, and comes back cold.
 const (
-	zoneGoes    = 30 * time.Second
-	zoneReturns = 90 * time.Second
-	zoneEnds    = 180 * time.Second
+	zoneOutAt   = 30 * time.Second
+	zoneBackAt  = 90 * time.Second
+	arrivalsEnd = 180 * time.Second
 )
 
 // zoneScenario takes the first zone out and back, told to each entry within a
 // second; without notice its targets go silent instead.
 func (m *model) zoneScenario(notice bool) {
 	zone := m.targets[0].Zone
-	m.after(zoneGoes, func() { m.setZone(zone, notice, true) })
-	m.after(zoneReturns, func() { m.setZone(zone, notice, false) })
+	m.after(zoneOutAt, func() { m.setZone(zone, notice, true) })
+	m.after(zoneBackAt, func() { m.setZone(zone, notice, false) })
 }
 
 func (m *model) setZone(zone string, notice, out bool) {
@@ -93,8 +93,8 @@
 
 		if !out {
 			t.Incarnation++
-			t.Cold, t.limit, t.doubled = true, 1, 1
-			clear(t.shares)
+			t.Cold, t.limit, t.rampCap = true, 1, 1
+			clear(t.reservations)
 		}
 	}
 
@@ -103,7 +103,7 @@
 	}
 
 	for _, e := range m.entries {
-		m.after(time.Duration(m.rng.Int64N(int64(time.Second))), func() { e.change(m.list()) })
+		m.after(time.Duration(m.rng.Int64N(int64(time.Second))), func() { e.setTargets(m.list()) })
 	}
 }
 
@@ -116,9 +116,9 @@
 	return list
 }
 
-// served is what was answered in time from one time to another: by the time of
+// answeredBetween is what was answered in time from one time to another: by the time of
 // the answer where the targets are full, by that of the request where they keep up.
-func (m *model) served(from, to time.Duration, byEnd bool) (answered, offered float64) {
+func (m *model) answeredBetween(from, to time.Duration, byEnd bool) (answered, offered float64) {
 	for s := int(from / time.Second); s < int(to/time.Second); s++ {
 		if byEnd {
 			answered += float64(m.results.endedAt[s])
@@ -132,8 +132,8 @@
 	return answered, offered
 }
 
-func zoneSizes() []size {
-	return []size{
+func zoneDeployments() []deployment {
+	return []deployment{
 		{"Assist", 3, 12, 8, 12, 180},
 		{"Desk", 3, 3, 16, 3, 180},
 		{"Large", 40, 60, 64, 30, 180},
@@ -143,20 +143,20 @@
 // BenchmarkZone measures what is answered in time while a zone leaves and
 // returns cold, against what the remaining targets can carry.
 func BenchmarkZone(b *testing.B) {
-	list := append(ways(), way{"RoundRobin+Queue", roundRobin}, way{"Ours+Queue", ours(routing.Settings{})})
+	list := append(lbPolicies(), lbPolicy{"RoundRobin+Queue", roundRobin}, lbPolicy{"Ours+Queue", chooserPicker(routing.Settings{})})
 
-	for _, s := range zoneSizes() {
+	for _, s := range zoneDeployments() {
 		for _, notice := range []bool{true, false} {
 			for _, load := range []float64{0.55, 0.8} {
-				for _, w := range list {
+				for _, lb := range list {
 					// The baselines' share of the capacity is that of three entries.
-					if s.entries != 3 && w.name == "RoundRobin+Queue" {
+					if s.entries != 3 && lb.name == "RoundRobin+Queue" {
 						continue
 					}
 
-					b.Run(fmt.Sprintf("%s/notice=%v/load=%.2f/%s", s.name, notice, load, w.name), func(b *testing.B) {
+					b.Run(fmt.Sprintf("%s/notice=%v/load=%.2f/%s", s.name, notice, load, lb.name), func(b *testing.B) {
 						for range b.N {
-							runZone(b, s, w, notice, load)
+							runZone(b, s, lb, notice, load)
 						}
 					})
 				}
@@ -167,11 +167,11 @@
 
 // zoneOutcome is what one run measures, in percent but for tries and p99.
 type zoneOutcome struct {
-	leave, back, answered, refused, late, tries, p99, excess float64
+	duringOutage, afterReturn, answered, refused, late, attempts, p99, coldExcess float64
 }
 
 // runZone reports the means over the size's seeds, and the worst leaving.
-func runZone(b *testing.B, s size, w way, notice bool, load float64) {
+func runZone(b *testing.B, s deployment, lb lbPolicy, notice bool, load float64) {
 	b.Helper()
 
 	seeds := 5
@@ -181,70 +181,70 @@
 
 	var sum zoneOutcome
 
-	worst := 1e9
+	worstOutage := 1e9
 
 	for seed := range seeds {
-		o := zoneOnce(uint64(3+seed), s, w, notice, load)
-		worst = min(worst, o.leave)
-		sum.leave += o.leave
-		sum.back += o.back
+		o := runZoneSeed(uint64(3+seed), s, lb, notice, load)
+		worstOutage = min(worstOutage, o.duringOutage)
+		sum.duringOutage += o.duringOutage
+		sum.afterReturn += o.afterReturn
 		sum.answered += o.answered
 		sum.refused += o.refused
 		sum.late += o.late
-		sum.tries += o.tries
+		sum.attempts += o.attempts
 		sum.p99 += o.p99
-		sum.excess = max(sum.excess, o.excess)
+		sum.coldExcess = max(sum.coldExcess, o.coldExcess)
 	}
 
 	n := float64(seeds)
-	b.ReportMetric(sum.leave/n, "leave-%")
-	b.ReportMetric(worst, "worst-leave-%")
-	b.ReportMetric(sum.back/n, "return-%")
+	b.ReportMetric(sum.duringOutage/n, "leave-%")
+	b.ReportMetric(worstOutage, "worst-leave-%")
+	b.ReportMetric(sum.afterReturn/n, "return-%")
 	b.ReportMetric(sum.answered/n, "answered-%")
 	b.ReportMetric(sum.refused/n, "refused-%")
 	b.ReportMetric(sum.late/n, "late-%")
-	b.ReportMetric(sum.tries/n, "tries/req")
+	b.ReportMetric(sum.attempts/n, "tries/req")
 	b.ReportMetric(sum.p99/n, "p99-s")
-	b.ReportMetric(sum.excess, "cold-excess")
+	b.ReportMetric(sum.coldExcess, "cold-excess")
 	b.ReportMetric(0, "ns/op")
 }
 
-func zoneOnce(seed uint64, s size, w way, notice bool, load float64) zoneOutcome {
-	m := newModel(seed, s, w, 0)
+func runZoneSeed(seed uint64, s deployment, lb lbPolicy, notice bool, load float64) zoneOutcome {
+	m := newModel(seed, s, lb, 0)
 	m.deadline = 10 * time.Second
-	m.horizon = zoneEnds + 15*time.Second
-	m.watch(5 * time.Second)
+	m.horizon = arrivalsEnd + 15*time.Second
+	m.startPeriodic(5 * time.Second)
 	m.zoneScenario(notice)
 
-	start := func(e *modelEntry) { m.try(m.newJob(e)) }
+	start := func(e *modelEntry) { m.attempt(m.newJob(e)) }
 
-	if strings.HasSuffix(w.name, "+Queue") {
-		queues := map[*modelEntry]*queued{}
+	if strings.HasSuffix(lb.name, "+Queue") {
+		queues := map[*modelEntry]*queuedEntry{}
 		for _, e := range m.entries {
-			queues[e] = newQueued(m, e)
+			queues[e] = newQueuedEntry(m, e)
 		}
 
 		start = func(e *modelEntry) { queues[e].offer(m.newJob(e)) }
 	}
 
-	rate, left := perSecond(s, load), perSecond(s, 2.0/3)
-	m.arrivals(rate, zoneEnds, start)
+	rate, remainingRate := perSecond(s, load), perSecond(s, 2.0/3)
+	m.arrivals(rate, arrivalsEnd, start)
 	m.run()
 
 	r := &m.results
 	percent := func(n int) float64 { return 100 * float64(n) / float64(r.offered) }
 	o := zoneOutcome{
 		answered: percent(r.answered), refused: percent(r.refused), late: percent(r.late),
-		tries: percent(r.tries) / 100, p99: quantile(r.latencies, 0.99),
+		attempts: percent(r.attempts) / 100, p99: quantile(r.latencies, 0.99),
 	}
 
-	answered, offered := m.served(zoneGoes, zoneReturns, rate > left)
-	o.leave = 100 * answered / min(left*(zoneReturns-zoneGoes).Seconds(), offered)
-	answered, offered = m.served(zoneReturns, zoneReturns+30*time.Second, rate > left)
-	o.back = 100 * answered / min(left*30, offered)
+	answered, offered := m.answeredBetween(zoneOutAt, zoneBackAt, rate > remainingRate)
+	o.duringOutage = 100 * answered / min(remainingRate*(zoneBackAt-zoneOutAt).Seconds(), offered)
+	answered, offered = m.answeredBetween(zoneBackAt, zoneBackAt+30*time.Second, rate > remainingRate)
+	o.afterReturn = 100 * answered / min(remainingRate*30, offered)
 
 	for _, t := range m.targets {
-		o.excess = max(o.excess, float64(t.worst))
+		o.coldExcess = max(o.coldExcess, float64(t.maxExcess))
 	}
 
 	return o
