--- a/internal/fairness/bench_test.go
+++ b/internal/fairness/bench_test.go
@@ -10,23 +10,23 @@
 	"github.com/parsleygate/parsleygate/internal/fairness"
 )
 
-// The model: one entry with some slots; requests of gamma length, mean 1 s, come
-// with 6 s until their deadline. A request that has started holds its slot to its
-// end, whether or not its caller still waits.
+// The simulation: one entry with a number of slots. Requests take a gamma-distributed
+// time with mean 1 s and arrive 6 s before their deadline. A started request holds its
+// slot to its end, whether or not its caller still waits.
 const (
 	slots          = 32
 	requestTimeout = 6 * time.Second
 	modelEnd       = 120 * time.Second
 )
 
-// policy is a way of admitting requests.
+// policy is an admission policy.
 type policy struct {
 	offer  func(now time.Time, it fairness.Item) (fairness.Action, []fairness.Action)
 	finish func(now time.Time, id uint64) []fairness.Action
 	tick   func(now time.Time) []fairness.Action
 }
 
-// fifoPolicy is first come, first served, with at most that many waiting.
+// fifoPolicy is first come, first served, with at most maxWaiting requests waiting.
 func fifoPolicy(maxWaiting int) policy {
 	var (
 		waiting []uint64
@@ -72,7 +72,7 @@
 	return policy{offer: q.Offer, finish: q.Finish, tick: q.Tick}
 }
 
-// event is something that happens at a time in the model.
+// event is a scheduled action.
 type event struct {
 	at time.Duration
 	do func()
@@ -92,13 +92,13 @@
 	return h
 }
 
-// request is one request in the model.
+// request is one simulated request.
 type request struct {
 	ws      int
 	arrived time.Duration
 }
 
-// simulation runs one door. Rates are requests a second by workspace.
+// simulation runs one policy.
 type simulation struct {
 	policy
 	rng      *rand.Rand
@@ -194,8 +194,8 @@
 	return s
 }
 
-// jain is Jain's index of what each workspace got, against its fair part: the
-// smaller of its demand and an equal share of what the others leave.
+// jain returns Jain's fairness index of what each workspace got, relative to its
+// max-min fair share.
 func jain(got, demand []float64, capacity float64) float64 {
 	fair := waterFill(demand, capacity)
 	s, squares := 0.0, 0.0
@@ -239,15 +239,15 @@
 
 func policies() []namedPolicy {
 	return []namedPolicy{
-		{"FirstIn", func() policy { return fifoPolicy(1 << 30) }},
-		{"FirstInShort", func() policy { return fifoPolicy(2 * slots) }},
-		{"Former", func() policy { return fairQueue(fairness.Settings{DeadlineMargin: 0.5, WaitFactor: 1}) }},
-		{"Ours", func() policy { return fairQueue(fairness.Settings{}) }},
+		{"FIFO", func() policy { return fifoPolicy(1 << 30) }},
+		{"FIFOShort", func() policy { return fifoPolicy(2 * slots) }},
+		{"Previous", func() policy { return fairQueue(fairness.Settings{DeadlineMargin: 0.5, WaitFactor: 1}) }},
+		{"FairQueue", func() policy { return fairQueue(fairness.Settings{}) }},
 	}
 }
 
-// BenchmarkGoodput measures answers in time at 0.9, 2 and 5 times the capacity,
-// ten workspaces of which two are large.
+// BenchmarkGoodput measures requests answered in time at 0.9, 1, 2 and 5 times the
+// capacity, with ten workspaces of which two are large.
 func BenchmarkGoodput(b *testing.B) {
 	for _, load := range []float64{0.9, 1, 2, 5} {
 		for _, p := range policies() {
@@ -264,7 +264,8 @@
 	}
 }
 
-// BenchmarkFlood measures the share of small workspaces beside a flooding one.
+// BenchmarkFlood measures the goodput of small workspaces beside one that floods the
+// entry.
 func BenchmarkFlood(b *testing.B) {
 	for _, p := range policies() {
 		b.Run(p.name, func(b *testing.B) {
@@ -279,13 +280,13 @@
 	}
 }
 
-// seeds is how many runs the figures are the means of.
+// seeds is the number of runs over which the results are averaged.
 const seeds = 5
 
 func measure(b *testing.B, p namedPolicy, rates []float64) {
 	b.Helper()
 
-	var goodput, late, fair, lightShare, refusalDelay float64
+	var goodput, late, fair, smallShare, refusalDelay float64
 
 	for seed := range uint64(seeds) {
 		sim := &simulation{policy: p.make(), rng: rand.New(rand.NewPCG(seed, 5))}
@@ -295,20 +296,20 @@
 		goodput += 100 * sum(sim.answeredInTime) / min(capacity, sum(sim.offered))
 		late += 100 * sim.late / sum(sim.offered)
 		fair += jain(sim.answeredInTime, sim.offered, capacity)
-		lightShare += 100 * sim.answeredInTime[last] / sim.offered[last]
+		smallShare += 100 * sim.answeredInTime[last] / sim.offered[last]
 		refusalDelay += sim.refusalDelay / max(1, sim.refused)
 	}
 
 	b.ReportMetric(goodput/seeds, "goodput-%")
 	b.ReportMetric(late/seeds, "late-%")
 	b.ReportMetric(fair/seeds, "jain")
-	b.ReportMetric(lightShare/seeds, "small-%")
+	b.ReportMetric(smallShare/seeds, "small-%")
 	b.ReportMetric(refusalDelay/seeds, "refused-after-s")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkOffer is the cost of one request through the queue: started at once;
-// and waiting among 13,000 workspaces that all have work.
+// BenchmarkOffer measures one request through the queue, for one workspace and for
+// 13,000 workspaces that all have waiting requests.
 func BenchmarkOffer(b *testing.B) {
 	for _, n := range []int{1, 13000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/internal/fairness/decisions_test.go
+++ b/internal/fairness/decisions_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/fairness"
 )
 
-// TestDecisions runs the tables under testdata: each line of answers says what
-// becomes of an item, and when a refused caller may come again.
+// TestDecisions runs the files in testdata. Each line of output shows the action on an
+// item and, for a refusal, when the caller may retry.
 func TestDecisions(t *testing.T) {
 	t.Parallel()
 
--- a/internal/fairness/estimate.go
+++ b/internal/fairness/estimate.go
@@ -6,9 +6,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// estimateWait estimates how long a new item of f waits behind that much work of its
-// own workspace: until the fair queueing clock reaches its virtual start, but
-// no longer than that work and all that waits of the others take.
+// estimateWait estimates how long a new item of f waits behind the given work of its
+// workspace: until the virtual time reaches the item's virtual start, but no longer
+// than that work and all waiting work of other workspaces take.
 func (q *Queue) estimateWait(now time.Time, f *flow, ahead float64) time.Duration {
 	slots := q.expectedSlots(now)
 	if slots == 0 {
@@ -23,14 +23,15 @@
 	startsAt := max(f.virtualStart, q.virtualTime) + ahead/f.weight - q.virtualTime
 	totalWork := ahead + q.waitingWork - f.workAhead(0)
 	wait := min(startsAt*weights, totalWork) / slots
-	// The next slot frees after a share of one usual request.
+	// The next slot becomes free after a fraction of the mean service time.
 	wait += q.serviceTime.mean / slots
 
 	return time.Duration(wait)
 }
 
-// expectedSlots is the capacity that estimates go by. Without any, as at the start or
-// while all targets restart, the last one is expected back, for a short time.
+// expectedSlots returns the capacity used for estimates. If the capacity is 0, as at
+// startup or while all targets restart, the last one above 0 is expected to return
+// within ZeroCapacityGrace.
 func (q *Queue) expectedSlots(now time.Time) float64 {
 	switch {
 	case q.capacity > 0:
@@ -42,8 +43,8 @@
 	}
 }
 
-// lateness reports whether an item behind that much work would end after its
-// deadline, and by how much, if the wait were that many times the estimate.
+// lateness reports whether an item behind the given work would end after its deadline,
+// and by how much, if the wait were factor times the estimate.
 func (q *Queue) lateness(now time.Time, e *itemState, ahead, factor float64) (time.Duration, bool) {
 	if e.latestUsefulStart.IsZero() {
 		return 0, false
@@ -55,12 +56,13 @@
 	return excess, excess > 0
 }
 
-// zeroCapacityRetryDelay is the shortest time after which callers come back while nothing
-// has room at all: nobody can tell when that ends.
+// zeroCapacityRetryDelay is the minimum retry delay while there is no capacity at all,
+// because the end of that state can't be estimated.
 const zeroCapacityRetryDelay = 5 * time.Second
 
-// refusal gives e up; the caller may retry when what is in its way has gone.
-// Callers refused together come back spread over half that time again.
+// refusal returns a refusal of e with the time after which a retry may succeed. Up to
+// half of the delay is added at random, to spread the retries of callers that are
+// refused together.
 func (q *Queue) refusal(now time.Time, e *itemState, excess time.Duration) Action {
 	delay := min(max(excess, q.Settings.MinRetryDelay), q.Settings.MaxRetryDelay)
 	if q.expectedSlots(now) == 0 {
@@ -72,7 +74,7 @@
 	return Action{ID: e.ID, Kind: Refuse, Cause: verdict.CauseOverload, RetryAt: now.Add(delay)}
 }
 
-// refuse gives a waiting item up.
+// refuse removes a waiting item from the queue and refuses it.
 func (q *Queue) refuse(now time.Time, e *itemState, excess time.Duration) {
 	q.dequeue(e)
 	delete(q.items, e.ID)
@@ -80,9 +82,9 @@
 	q.dropIfIdle(e.flow)
 }
 
-// expire refuses what can no longer end in time even if it started now. A
-// hopeless item that is kept makes those behind it hopeless too: under twice
-// the load all would be answered just too late.
+// expire refuses items that would miss their deadline even if they started now. Keeping
+// such an item would make those behind it late too: at a load of twice the
+// capacity all requests would be answered just too late.
 func (q *Queue) expire(now time.Time) {
 	for len(q.expiring) > 0 && now.After(q.expiring[0].latestUsefulStart) {
 		e := q.expiring[0]
@@ -90,8 +92,8 @@
 	}
 }
 
-// refuseLate refuses what the present rate cannot reach in time: after a loss of
-// capacity its callers hear so now, not at their deadline.
+// refuseLate refuses items that can't start in time at the current rate. After a loss
+// of capacity callers get the refusal now instead of at their deadline.
 func (q *Queue) refuseLate(now time.Time) {
 	q.expire(now)
 
@@ -118,9 +120,9 @@
 	}
 }
 
-// makeSpace makes room for one more item of f in a full queue, by giving up
-// the last item of a workspace that has more waiting for its weight. A flood
-// of one workspace then costs the others no place.
+// makeSpace makes space for one more item of f in a full queue, by refusing the last
+// item of a workspace that has more items waiting relative to its weight. A workspace
+// that floods the queue then takes no space from the others.
 func (q *Queue) makeSpace(now time.Time, f *flow) bool {
 	if q.waiting < q.Settings.MaxWaiting {
 		return true
@@ -136,10 +138,11 @@
 	return true
 }
 
-// longestFlowSamples is how many flows are compared for the longest one.
+// longestFlowSamples is how many flows are compared to find the longest one.
 const longestFlowSamples = 16
 
-// sampleLongest returns the flow with most waiting for its weight among a few taken at random.
+// sampleLongest returns, of some flows taken at random, the one with most items waiting
+// relative to its weight.
 func (q *Queue) sampleLongest() *flow {
 	var found *flow
 
@@ -153,7 +156,7 @@
 	return found
 }
 
-// flowOf returns the item's flow, made when it has none.
+// flowOf returns the flow of the item's workspace, and creates it if needed.
 func (q *Queue) flowOf(now time.Time, it *Item) *flow {
 	f := q.flows[it.Workspace]
 	if f == nil {
@@ -173,19 +176,20 @@
 	return f
 }
 
-// dropIfIdle drops a flow that neither waits nor runs nor owes anything.
+// dropIfIdle drops a flow that has no waiting or running items and has used no more
+// than its share.
 func (q *Queue) dropIfIdle(f *flow) {
 	if f.waiting == 0 && f.running == 0 && f.virtualStart <= q.virtualTime {
 		delete(q.flows, f.name)
 	}
 }
 
-// debtTTL is how long what an idle workspace has used ahead is held against it.
+// debtTTL is how long usage ahead of its share counts against an idle workspace.
 const debtTTL = 10 * time.Second
 
-// dropIdleFlows forgets idle flows now and then, so that memory follows the workspaces
-// in use and not all that were ever seen. What one used ahead is owed to others
-// that wait, for a while; while none waits it is owed to nobody.
+// dropIdleFlows drops idle flows from time to time, so that memory is bounded by the
+// workspaces in use instead of all ever seen. A flow that used more than its share is
+// kept for debtTTL while other items wait, and dropped if none do.
 func (q *Queue) dropIdleFlows(now time.Time) {
 	if len(q.flows) <= q.sweepThreshold {
 		return
--- a/internal/fairness/flow.go
+++ b/internal/fairness/flow.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// priorityLevels is how many priorities are told apart.
+// priorityLevels is the number of distinct priorities.
 const priorityLevels = 4
 
-// levelOf maps a priority to its level; level 0 is served last.
+// levelOf maps a priority to its level. Level 0 is served last.
 func levelOf(priority int) int { return min(max(priority, -1), priorityLevels-2) + 1 }
 
-// itemState is one item in the queue or running.
+// itemState is one waiting or running item.
 type itemState struct {
 	Item
 
@@ -16,7 +16,8 @@
 	level int
 	// work is the expected time in a slot, in nanoseconds.
 	work float64
-	// latestUsefulStart is the last time at which starting is of use; zero for none.
+	// latestUsefulStart is the last time at which the item can start and still end by
+	// its deadline; zero for none.
 	latestUsefulStart time.Time
 	startedAt         time.Time
 	running           bool
@@ -25,7 +26,7 @@
 	expiryIndex int
 }
 
-// fifo is the first-in-first-out line of one priority.
+// fifo is the queue of one priority.
 type fifo struct {
 	first, last *itemState
 	work        float64
@@ -76,18 +77,19 @@
 	}
 }
 
-// flow is one workspace that waits, runs, or has used its share ahead of time.
+// flow is one workspace that has waiting or running items, or has used more than its
+// share.
 type flow struct {
 	name   string
 	weight float64
-	// virtualStart is the virtual time at which the next item of the flow is due.
+	// virtualStart is the virtual time at which the flow's next item is due.
 	virtualStart float64
 	fifos        [priorityLevels]fifo
 	waiting      int
 	running      int
-	// lastEndedAt is when one of its items last ended.
+	// lastEndedAt is when an item of the flow last ended.
 	lastEndedAt time.Time
-	// heapIndex is the flow's place in the heap of those that wait, or -1.
+	// heapIndex is the flow's index in Queue.backlog, or -1 if it has no waiting items.
 	heapIndex int
 }
 
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// tail returns the item that is served last.
+// tail returns the item to be served last.
 func (f *flow) tail() *itemState {
 	for l := range f.fifos {
 		if f.fifos[l].last != nil {
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// workAhead is the waiting work served before a new item of that level.
+// workAhead returns the waiting work served before a new item of the given level.
 func (f *flow) workAhead(level int) float64 {
 	work := 0.0
 	for l := level; l < priorityLevels; l++ {
@@ -123,7 +125,7 @@
 	return work
 }
 
-// flowHeap orders flows by the virtual time at which they are due.
+// flowHeap orders flows by virtualStart.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
@@ -152,11 +154,12 @@
 	return f
 }
 
-// expiryHeap orders waiting items by the last time at which starting is of use.
+// expiryHeap orders waiting items by latestUsefulStart.
 type expiryHeap []*itemState
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].latestUsefulStart.Before(h[j].latestUsefulStart) }
+
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].expiryIndex, h[j].expiryIndex = i, j
--- a/internal/fairness/memory_bench_test.go
+++ b/internal/fairness/memory_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/parsleygate/parsleygate/internal/fairness"
 )
 
-// BenchmarkMemory is the memory of a queue in which 13,000 workspaces wait with
-// one request each.
+// BenchmarkMemory measures the memory of a queue with 13,000 workspaces that have one
+// waiting request each.
 func BenchmarkMemory(b *testing.B) {
 	const workspaces = 13_000
 
--- a/internal/fairness/queue.go
+++ b/internal/fairness/queue.go
@@ -1,6 +1,6 @@
-// Package fairness decides at an entry which requests start, wait or are
-// refused when a service has less room than its callers ask for: each workspace
-// gets its weighted share, and what cannot end in time is refused at once.
+// Package fairness decides at an entry which requests start, wait or are refused while
+// a service has less capacity than its callers demand. Each workspace gets its weighted
+// share, and requests that can't end in time are refused immediately.
 package fairness
 
 import (
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Queue is one service's queue at one entry: start-time fair queueing over
-// workspaces, in time spent in a slot. All methods may be called concurrently;
-// each holds one lock for about a microsecond, but for Tick and SetCapacity,
-// which may pass over all that wait.
+// Queue is the queue of one service at one entry. It does start-time fair queueing over
+// workspaces, by time spent in a slot. All methods are safe for concurrent use. Each
+// holds one lock for about a microsecond, except Tick and SetCapacity, which may pass
+// over all waiting items.
 type Queue struct {
-	// Settings and Rand are set before the first call. Nothing else may use Rand.
+	// Settings and Rand must be set before the first call. Nothing else may use Rand.
 	Settings Settings
 	Rand     *rand.Rand
 
@@ -22,14 +22,15 @@
 	ready    bool
 	capacity int
 	running  int
-	// lastCapacity is the last one above 0, emptySince when it fell to 0.
+	// lastCapacity is the last capacity above 0. zeroCapacitySince is when it fell to 0.
 	lastCapacity      int
 	zeroCapacitySince time.Time
-	// virtualTime is the fair queueing clock: work per weight given to the flow served last.
+	// virtualTime is the fair queueing clock: the virtual start of the flow served
+	// last, in work per weight.
 	virtualTime float64
-	// waitingWeight is the sum of the weights of the flows that wait.
+	// waitingWeight is the total weight of the flows that have waiting items.
 	waitingWeight float64
-	// waitingWork is the sum of the work that waits.
+	// waitingWork is the total work of the waiting items.
 	waitingWork float64
 	waiting     int
 
@@ -43,10 +44,10 @@
 	actions        []Action
 }
 
-// initialCapacity is what is expected before the first SetCapacity.
+// initialCapacity is the capacity assumed for estimates before the first SetCapacity.
 const initialCapacity = 8
 
-// initLocked fills in the defaults. It needs the lock.
+// initLocked fills in the defaults. The caller must hold q.mu.
 func (q *Queue) initLocked() {
 	if q.ready {
 		return
@@ -61,8 +62,8 @@
 	q.serviceTime.deviation = q.serviceTime.mean / 2
 }
 
-// SetCapacity says how many requests may run at once. What can no longer end in
-// time is refused at once.
+// SetCapacity sets how many requests may run at once. Items that can no longer end in
+// time are refused.
 func (q *Queue) SetCapacity(now time.Time, n int) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,7 +88,8 @@
 	return q.takeActions()
 }
 
-// Offer brings in a new item. The first action is its own; others follow.
+// Offer adds a new item. The first result is the action on that item, the second those
+// on others.
 func (q *Queue) Offer(now time.Time, it Item) (Action, []Action) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -123,8 +125,9 @@
 	return Action{ID: it.ID, Kind: Wait}, q.takeActions()
 }
 
-// infeasibleAdmitInterval: of the requests that are too short of time by what others took, one
-// in so many is let in where there is room, so that the estimate can be corrected.
+// infeasibleAdmitInterval: one in this many requests that seem to have too little time
+// left, by the estimated service time, is admitted if there is capacity, so that the
+// estimate can be corrected.
 const infeasibleAdmitInterval = 16
 
 // startOrRefuse decides about an item that need not wait.
@@ -144,16 +147,16 @@
 	return Action{ID: e.ID, Kind: Start}
 }
 
-// Finish ends a running item that ran to its end, and learns from it.
+// Finish ends a running item that completed, and updates the service time estimate.
 func (q *Queue) Finish(now time.Time, id uint64) []Action { return q.end(now, id, true) }
 
-// Cancel frees what a waiting or running item holds, at once: its caller has
-// gone, or it was not run after all. Nothing is learned from it.
+// Cancel removes a waiting or running item and frees its slot: its caller disconnected,
+// or it did not run after all. The service time estimate does not change.
 func (q *Queue) Cancel(now time.Time, id uint64) []Action { return q.end(now, id, false) }
 
-// Requeue lets a running item that was not run after all, for want of room at
-// the targets, wait again before the others of its workspace and priority. Its
-// action comes with the rest: it may start again at once, or be refused.
+// Requeue queues a started item again that did not run because the targets had no
+// capacity. It is first among the items of its workspace and priority. The result
+// includes its own action: it may start again immediately or be refused.
 func (q *Queue) Requeue(now time.Time, id uint64) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -168,8 +171,8 @@
 	e.running = false
 	q.running--
 	f.running--
-	// The room was not there. Without this the next would start at once, be
-	// refused too, and so on until the next SetCapacity.
+	// The targets had less capacity than assumed. Without this the next item would
+	// start immediately, be refused too, and so on until the next SetCapacity.
 	q.capacity = min(q.capacity, q.running)
 	q.setVirtualStart(f, f.virtualStart-e.work/f.weight)
 	q.enqueue(e, true)
@@ -206,8 +209,8 @@
 	return q.takeActions()
 }
 
-// Tick refuses what can no longer end in time. A shell calls it some ten times
-// a second, and at the time that Next returns.
+// Tick refuses items that can no longer end in time. It should be called about ten
+// times a second, and at the time that Next returns.
 func (q *Queue) Tick(now time.Time) []Action {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -218,7 +221,7 @@
 	return q.takeActions()
 }
 
-// Next returns when the next waiting item becomes hopeless; zero for none.
+// Next returns when the next waiting item can no longer end in time; zero for none.
 func (q *Queue) Next() time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -230,7 +233,7 @@
 	return q.expiring[0].latestUsefulStart
 }
 
-// State returns the queue's state.
+// State returns the state of the queue for a dump.
 func (q *Queue) State() State {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/fairness/queue_test.go
+++ b/internal/fairness/queue_test.go
@@ -18,7 +18,7 @@
 	return &fairness.Queue{Rand: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// checker holds what the outside of a queue knows, and checks each action.
+// checker tracks the state expected of a queue and checks each action against it.
 type checker struct {
 	q          *fairness.Queue
 	capacity   int
@@ -30,7 +30,7 @@
 func (c *checker) apply(t require.TestingT, now time.Time, actions []fairness.Action) {
 	for _, a := range actions {
 		_, waits := c.waiting[a.ID]
-		require.True(t, waits, "action for an item that does not wait")
+		require.True(t, waits, "action for an item that is not waiting")
 
 		if a.Kind == fairness.Start {
 			deadline := c.waiting[a.ID]
@@ -47,8 +47,8 @@
 	require.LessOrEqual(t, len(c.running), max(c.capacity, c.maxRunning))
 }
 
-// Whatever comes, each item gets one end, no more run than the capacity lets
-// start, nothing starts after its deadline, and no place leaks.
+// With any order of calls, each item ends once, no more items start than the capacity
+// allows, none starts after its deadline, and no slot leaks.
 func TestQueueInvariants(t *testing.T) {
 	t.Parallel()
 
@@ -146,9 +146,9 @@
 	}
 }
 
-// An entry serves 13,000 workspaces, most of them now and then. If each stayed
-// known for ever the entry's memory would grow for days, and nothing would show
-// before it was killed.
+// An entry serves 13,000 workspaces, most of them rarely. If the queue kept a flow for
+// each of them indefinitely, the entry's memory would grow for days until the process
+// is killed.
 func TestIdleWorkspacesAreDropped(t *testing.T) {
 	t.Parallel()
 
@@ -166,7 +166,8 @@
 			}
 		}
 
-		// Ten seconds are a thousand workspaces; their number may double until a sweep.
+		// 1,000 workspaces arrive in ten seconds, and their number may double before
+		// the idle ones are dropped.
 		require.LessOrEqual(t, q.State().Workspaces, 2200, "capacity %d", capacity)
 	}
 }
--- a/internal/fairness/schedule.go
+++ b/internal/fairness/schedule.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// takeActions returns the actions gathered for others. It needs the lock.
+// takeActions returns and clears the pending actions. The caller must hold q.mu.
 func (q *Queue) takeActions() []Action {
 	a := q.actions
 	q.actions = nil
@@ -13,7 +13,7 @@
 	return a
 }
 
-// takeActionsExcept returns the actions gathered, but for that of one item.
+// takeActionsExcept is like takeActions but leaves out the action on one item.
 func (q *Queue) takeActionsExcept(id uint64) []Action {
 	all := q.takeActions()
 	kept := all[:0]
@@ -42,7 +42,7 @@
 	return e
 }
 
-// enqueue puts e at the end of its line, or first.
+// enqueue adds e to the back of its FIFO, or to the front.
 func (q *Queue) enqueue(e *itemState, front bool) {
 	f := e.flow
 	if front {
@@ -67,7 +67,7 @@
 	}
 }
 
-// dequeue takes e out of its line.
+// dequeue removes e from its FIFO.
 func (q *Queue) dequeue(e *itemState) {
 	f := e.flow
 	f.fifos[e.level].remove(e)
@@ -89,7 +89,7 @@
 	}
 }
 
-// dispatch starts what there is room for.
+// dispatch starts waiting items while there is capacity.
 func (q *Queue) dispatch(now time.Time) {
 	q.expire(now)
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// startItem starts e and charges its flow with the work expected.
+// startItem starts e and charges the expected work to its flow.
 func (q *Queue) startItem(now time.Time, e *itemState) {
 	f := e.flow
 	e.running = true
@@ -115,7 +115,7 @@
 	q.setVirtualStart(f, q.virtualTime+e.work/f.weight)
 }
 
-// setVirtualStart moves a flow's virtual time.
+// setVirtualStart changes a flow's virtual start and its position in the heap.
 func (q *Queue) setVirtualStart(f *flow, start float64) {
 	f.virtualStart = start
 	if f.heapIndex >= 0 {
--- a/internal/fairness/service_estimate.go
+++ b/internal/fairness/service_estimate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// serviceEstimate learns how long a request of cost 1 holds a slot.
+// serviceEstimate estimates how long a request of cost 1 occupies a slot.
 type serviceEstimate struct {
 	mean      float64
 	deviation float64
 	samples   int
 }
 
-// The weight of one new sample, once enough have been seen.
+// minSampleWeight is the weight of a new sample once there are enough samples.
 const minSampleWeight = 0.05
 
-// record takes in one finished request.
+// record adds the duration of a completed request.
 func (s *serviceEstimate) record(d time.Duration, cost float64) {
 	x := float64(d) / cost
 	s.samples++
@@ -30,16 +30,16 @@
 	s.mean += weight * (x - s.mean)
 }
 
-// expected is the expected time in a slot, in nanoseconds.
+// expected returns the expected time in a slot, in nanoseconds.
 func (s *serviceEstimate) expected(cost float64) float64 { return s.mean * cost }
 
-// minSamples is how many requests must have ended before any is given up for
-// what they took. A first guess that is too long would else refuse all requests
-// with short deadlines, and never be corrected.
+// minSamples is how many requests must have completed before any is refused by the
+// estimate. Otherwise an initial value that is too high would refuse all requests with
+// short deadlines and never be corrected.
 const minSamples = 5
 
-// required is the time that a request should have left when it starts: that many
-// mean deviations beyond the mean.
+// required returns the time that a request should have left when it starts: the mean
+// plus margin mean deviations.
 func (s *serviceEstimate) required(cost, margin float64) time.Duration {
 	if s.samples < minSamples {
 		return 0
--- a/internal/fairness/settings.go
+++ b/internal/fairness/settings.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// Settings are the tunable numbers of a Queue. The zero value of each field
-// stands for the default named beside it.
+// Settings configures a Queue. A zero field takes the default in parentheses.
 type Settings struct {
-	// MaxWaiting bounds what waits in all (8,192), MostOfOne what waits of one workspace (512).
+	// MaxWaiting limits the waiting items in total (8,192), and MaxWaitingPerWorkspace
+	// those of one workspace (512).
 	MaxWaiting             int
 	MaxWaitingPerWorkspace int
-	// InitialServiceTime is what a request is thought to take before any has ended (1 s).
+	// InitialServiceTime is the estimated duration of a request before any has
+	// completed (1 s).
 	InitialServiceTime time.Duration
-	// DeadlineMargin is how many mean deviations of the service time beyond its mean a
-	// deadline must leave to what has to wait (3). What can start at once is let
-	// in while an ordinary fast request would still end in time.
+	// DeadlineMargin is how many mean deviations beyond the mean service time a waiting
+	// item must have left to its deadline when it starts (3). An item that can start
+	// immediately is admitted if a faster than average request would still end in time.
 	DeadlineMargin float64
-	// WaitFactor is how many times the estimated wait there must be time for when an
-	// item comes (2). Without reserve many wait only to be refused later.
+	// WaitFactor is how many times the estimated wait a new item must have time for
+	// (2). With a lower factor many items wait only to be refused later.
 	WaitFactor float64
-	// ZeroCapacityGrace is how long a capacity of 0 is taken to be passing (2 s). After that
-	// what waits is refused, and what comes too.
+	// ZeroCapacityGrace is how long a capacity of 0 is assumed to be temporary (2 s).
+	// After that all waiting and new items are refused.
 	ZeroCapacityGrace time.Duration
-	// MinRetryDelay and LongestRetry bound the time until a refused caller's retry (200 ms, 30 s).
+	// MinRetryDelay and MaxRetryDelay bound the retry delay of a refused caller (200
+	// ms, 30 s).
 	MinRetryDelay time.Duration
 	MaxRetryDelay time.Duration
 }
--- a/internal/prefix/bench_test.go
+++ b/internal/prefix/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/parsleygate/parsleygate/internal/prefix"
 )
 
-// BenchmarkMemory is the memory of a full index, and BenchmarkMatch the cost of
-// one look-up of a prompt of 16 blocks.
+// BenchmarkMemory measures the memory of a full index, and BenchmarkMatch one lookup of
+// a prompt of 16 blocks.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
--- a/internal/prefix/events.go
+++ b/internal/prefix/events.go
@@ -1,19 +1,19 @@
 package prefix
 
-// Change says what a cache event tells.
+// Change is the kind of a cache event.
 type Change uint8
 
 const (
-	// Stored says that the engine now holds the prefixes.
+	// Stored means that the engine now holds the prefixes.
 	Stored Change = iota
-	// Evicted says that it no longer holds them.
+	// Evicted means that the engine no longer holds the prefixes.
 	Evicted
-	// Cleared says that it holds nothing any more.
+	// Cleared means that the engine's cache is empty.
 	Cleared
 )
 
-// Event is one cache event of an engine. Sequence numbers start at 1 and grow
-// by one with each event of an incarnation.
+// Event is one cache event of an engine. Sequence numbers start at 1 and grow by one
+// with each event of an incarnation.
 type Event struct {
 	Target      string
 	Incarnation uint64
@@ -22,8 +22,8 @@
 	Prefixes    []uint64
 }
 
-// Apply takes in an event, however late. One that was seen before changes
-// nothing. A gap makes what was known uncertain, not wrong.
+// Apply applies an event, however late. A duplicate changes nothing. A gap in the
+// sequence lowers the confidence of earlier entries but does not drop them.
 func (x *Index) Apply(ev Event) {
 	s := x.stateOf(ev.Target, ev.Incarnation)
 	if s.incarnation != ev.Incarnation || !s.acceptSequence(ev.Sequence) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// applyStored records prefixes, but for those of which a later event has told.
+// applyStored records prefixes, except those with a later event.
 func (x *Index) applyStored(s *targetState, ev Event) {
 	if ev.Sequence < s.clearedSequence {
 		return
@@ -55,8 +55,8 @@
 	}
 }
 
-// applyEvicted drops prefixes, but for those of which a later event has told. What
-// this entry's own routing told goes with them: the engine knows better.
+// applyEvicted drops prefixes, except those with a later event. It also overrides what
+// this entry's own routing recorded, because the engine's events are authoritative.
 func (x *Index) applyEvicted(s *targetState, ev Event) {
 	for _, p := range ev.Prefixes {
 		if b := s.get(p); b.lastSequence < ev.Sequence {
@@ -65,7 +65,7 @@
 	}
 }
 
-// clear drops all that was stored before.
+// clear drops everything stored before the given event.
 func (s *targetState) clear(sequence uint64) {
 	s.clearedSequence = max(s.clearedSequence, sequence)
 
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -1,6 +1,6 @@
-// Package prefix keeps what an entry knows of the prompt prefixes that each
-// target has cached: by its own routing, and by the engines' cache events,
-// which come late and with gaps.
+// Package prefix tracks at an entry which prompt prefixes each target has cached. Its
+// sources are this entry's own routing and the engines' cache events, which arrive late
+// and with gaps.
 package prefix
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Index knows which targets hold which prefixes. A prefix is named by the hash
-// of a prompt up to the end of a block. The index is not safe for concurrent
-// use: its owner guards it.
+// Index records which targets hold which prefixes. A prefix is identified by the hash
+// of the prompt up to the end of a block. An Index is not safe for concurrent use.
 type Index struct {
-	// MaxBlocks bounds how many (target, prefix) pairs are kept (65,536).
+	// MaxBlocks limits the number of (target, prefix) pairs (65,536).
 	MaxBlocks int
-	// HalfLife is the time in which what only this entry's own routing tells
-	// loses half of its certainty (2 min).
+	// HalfLife is the time in which the confidence of a prefix recorded only by this
+	// entry's own routing halves (2 min).
 	HalfLife time.Duration
 
 	targets map[string]*targetState
 }
 
-// The bounds of certainty. Even what the engine said is less sure after a gap.
+// The upper bounds of the confidence: of a prefix known only from this entry's routing,
+// and of one reported by the engine before a gap in its events.
 const (
 	routedConfidence = 0.8
 	gapConfidence    = 0.6
@@ -30,9 +30,10 @@
 
 // Match is how much of a prompt a target holds.
 type Match struct {
-	// Blocks is how many of the prompt's prefixes, shortest first, it holds.
+	// Blocks is how many of the prompt's prefixes the target holds, shortest first.
 	Blocks int
-	// Confidence is between 0 and 1: 1 for what the engine itself has said.
+	// Confidence is between 0 and 1; it is 1 for a prefix that the engine itself
+	// reported.
 	Confidence float64
 }
 
@@ -52,11 +53,11 @@
 	}
 }
 
-// maxPerTarget is how many prefixes are kept of one target.
+// maxPerTarget returns how many prefixes are kept for one target.
 func (x *Index) maxPerTarget() int { return max(x.MaxBlocks/max(len(x.targets), 1), 2) }
 
-// stateOf returns what is known of a target. Another incarnation starts with nothing:
-// its engine may have restarted with it, and numbers its events anew.
+// stateOf returns the state of a target. A new incarnation starts empty, because its
+// engine may have restarted too and numbers its events from 1 again.
 func (x *Index) stateOf(target string, incarnation uint64) *targetState {
 	x.initDefaults()
 
@@ -69,7 +70,7 @@
 	return s
 }
 
-// Retain forgets all targets but those of which keep is true.
+// Retain drops all targets except those for which keep returns true.
 func (x *Index) Retain(keep func(target string) bool) {
 	for name := range x.targets {
 		if !keep(name) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// Match returns how much of a prompt the target holds. Engines drop a prompt's
-// last blocks first, so that who holds a prefix holds all shorter ones.
+// Match returns how much of a prompt the target holds. Engines evict the last blocks of
+// a prompt first, so a target that holds a prefix holds all shorter ones.
 func (x *Index) Match(now time.Time, target string, prefixes []uint64) Match {
 	s := x.targets[target]
 	if s == nil {
@@ -108,7 +109,7 @@
 	return Match{Blocks: n, Confidence: x.confidence(now, s, s.get(prefixes[n-1]))}
 }
 
-// confidence is how sure it is that the target holds b.
+// confidence returns how certain it is that the target holds b.
 func (x *Index) confidence(now time.Time, s *targetState, b block) float64 {
 	reported := 0.0
 	if b.lastSequence > 0 {
@@ -127,7 +128,7 @@
 	return max(reported, routedConfidence*math.Exp2(-age))
 }
 
-// Size returns how many (target, prefix) pairs are kept, for a dump.
+// Size returns the number of (target, prefix) pairs, for a dump.
 func (x *Index) Size() int {
 	n := 0
 	for _, s := range x.targets {
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestCacheEvents runs the tables of late, doubled and missing events.
+// TestCacheEvents runs the files in testdata, with late, duplicate and missing events.
 func TestCacheEvents(t *testing.T) {
 	t.Parallel()
 
@@ -56,7 +56,8 @@
 	})
 }
 
-// formatMatch says how much of the prompt 1 2 3 4 is thought to be held.
+// formatMatch formats how much of the prompt 1 2 3 4 the index expects the target to
+// hold.
 func formatMatch(x *prefix.Index, now time.Time) string {
 	m := x.Match(now, "t1", []uint64{1, 2, 3, 4})
 
@@ -73,7 +74,7 @@
 	}
 
 	require.LessOrEqual(t, x.Size(), 1000)
-	require.Equal(t, 1, x.Match(epoch, "t0", []uint64{7}).Blocks, "what is in use stays")
+	require.Equal(t, 1, x.Match(epoch, "t0", []uint64{7}).Blocks, "prefix in use was evicted")
 
 	x.Retain(func(target string) bool { return target == "t0" })
 	require.LessOrEqual(t, x.Size(), 100)
--- a/internal/prefix/target_state.go
+++ b/internal/prefix/target_state.go
@@ -4,35 +4,38 @@
 
 // block is one prefix that a target may hold.
 type block struct {
-	// routedAt is when this entry last sent a prompt with it there; zero for never.
+	// routedAt is when this entry last sent a prompt with this prefix there; zero for
+	// never.
 	routedAt time.Time
-	// lastSequence is that of the engine's last event about it; 0 for none.
+	// lastSequence is the sequence number of the engine's last event about the prefix;
+	// 0 for none.
 	lastSequence uint64
-	// evicted says that this event was its eviction. The block is kept, so that a
-	// late event of an earlier store does not bring it back.
+	// evicted is true if that event was an eviction. The block is kept, so that a late
+	// event of an earlier store does not restore it.
 	evicted bool
 }
 
-// targetState is what is known of one target. Its prefixes are kept in two
-// generations: what is used moves to the young one, and when that is half of
-// the room the old one is dropped, so that memory is bounded and what is in use
-// stays.
+// targetState is the cache state of one target. Its prefixes are kept in two
+// generations. A prefix that is used moves to the young one. When the young one reaches
+// half of the limit it becomes the old one, whose previous content is dropped. This
+// bounds memory and keeps the prefixes in use.
 type targetState struct {
 	incarnation uint64
 	young, old  map[uint64]block
 
-	// lastSequence is the highest sequence number seen, gaps what is missing below it.
+	// lastSequence is the highest sequence number received, and gaps are the missing
+	// ones below it.
 	lastSequence uint64
 	gaps         []gap
-	// clearedSequence is the sequence of the last event that the cache was emptied.
+	// clearedSequence is the sequence number of the last event that cleared the cache.
 	clearedSequence uint64
 }
 
-// gap is a run of missing sequence numbers, to excluded.
+// gap is a range of missing sequence numbers; to is exclusive.
 type gap struct{ from, to uint64 }
 
-// maxGaps bounds the gaps that are remembered. Beyond it the oldest is taken
-// for lost: it stays open as part of the next.
+// maxGaps limits the number of recorded gaps. Beyond it the oldest gap is merged into
+// the next one.
 const maxGaps = 8
 
 func (s *targetState) get(p uint64) block {
@@ -66,7 +69,7 @@
 	}
 }
 
-// acceptSequence takes in a sequence number. It returns false for one seen before.
+// acceptSequence records a sequence number. It returns false for a duplicate.
 func (s *targetState) acceptSequence(sequence uint64) bool {
 	switch {
 	case sequence > s.lastSequence:
@@ -91,7 +94,7 @@
 	s.gaps = append(s.gaps, g)
 }
 
-// fillGap closes the part of a gap that a late event fills.
+// fillGap removes the number of a late event from its gap.
 func (s *targetState) fillGap(sequence uint64) bool {
 	for i, g := range s.gaps {
 		if sequence < g.from || sequence >= g.to {
@@ -117,8 +120,8 @@
 	return false
 }
 
-// lastGapEnd is the end of the last gap: what was stored before it may have been
-// evicted by an event that did not come.
+// lastGapEnd returns the end of the last gap, or 0 for none. What was stored before may
+// have been evicted by a missing event.
 func (s *targetState) lastGapEnd() uint64 {
 	if len(s.gaps) == 0 {
 		return 0
--- a/internal/routing/chooser.go
+++ b/internal/routing/chooser.go
@@ -1,6 +1,6 @@
-// Package routing chooses the target of each request at an entry: by lagged
-// load reports and what this entry itself has in flight, by the prompt prefixes
-// that a target holds, by zone, and by how the target's answers have been.
+// Package routing selects the target of each request at an entry. It weighs load
+// reports, which lag, and this entry's own requests in flight, the prompt prefixes that
+// each target has cached, the target's zone, and its recent failures and latency.
 package routing
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Chooser decides which target gets a request. All methods may be called
-// concurrently: each holds one lock for well under a microsecond, but for
-// ChangeTargets, which holds it for the time of one pass over the targets.
+// Chooser selects the target of each request. All methods are safe for concurrent use.
+// Each holds one lock for well under a microsecond, except ChangeTargets, which holds
+// it for one pass over the targets.
 type Chooser struct {
-	// Settings and Rand are set before the first call; Prefixes may be. Nothing
-	// else may use Rand or Prefixes.
+	// Settings and Rand must be set before the first call; Prefixes is optional.
+	// Nothing else may use Rand or Prefixes.
 	Settings Settings
 	Rand     *rand.Rand
 	Prefixes *prefix.Index
@@ -27,11 +27,11 @@
 	ready bool
 	pools map[string]*pool
 	byID  map[string]*target
-	// lastRequestAt is when each service was last asked for.
+	// lastRequestAt is the time of the last request for each service.
 	lastRequestAt map[string]time.Time
 }
 
-// initLocked fills in the defaults. It needs the lock.
+// initLocked fills in the defaults. The caller must hold c.mu.
 func (c *Chooser) initLocked() {
 	if c.ready {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// Choose returns a target and counts the request as in flight there. Each
-// Choice must be ended by Finish.
+// Choose selects a target and counts the request as in flight there. Every Choice must
+// be followed by a call of Finish.
 func (c *Chooser) Choose(now time.Time, req Request) (Choice, *NoTarget) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 	}, nil
 }
 
-// usable reports whether ask may go to t now.
+// usable reports whether req may go to t now.
 func (c *Chooser) usable(now time.Time, t *target, req *Request, others float64) bool {
 	switch {
 	case !t.acceptsNew(), now.Before(t.stoppedUntil), t.headroom(now, &c.Settings, others) <= 0:
@@ -95,8 +95,8 @@
 	}
 }
 
-// pick compares targets from a random place on, and takes the first of those
-// whose costs are nearly equal. A target whose probe is due goes before all.
+// pick compares targets from a random start and returns the first of those whose costs
+// are nearly equal. A target that is due for a probe takes precedence.
 func (c *Chooser) pick(now time.Time, p *pool, req *Request) *target {
 	n := len(p.targets)
 	first := c.Rand.IntN(n)
@@ -133,7 +133,8 @@
 	return best
 }
 
-// recordPrefixes records the prompt's prefixes, and returns how many t held before.
+// recordPrefixes records that the prompt's prefixes go to t, and returns how many t
+// held before.
 func (c *Chooser) recordPrefixes(now time.Time, t *target, req *Request) int {
 	if len(req.Prefixes) == 0 {
 		return 0
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -6,8 +6,8 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// cost estimates how dear it is to send ask to t, where other entries have that
-// many in flight; 1 is a warm target that is full.
+// cost estimates the cost of sending req to t, where others is the number of requests
+// in flight from other entries. A full warm target costs 1.
 func (c *Chooser) cost(now time.Time, p *pool, t *target, req *Request, others float64) float64 {
 	load := others + float64(t.inFlight) + 1
 	cost := load / float64(t.maxInFlight())
@@ -23,10 +23,11 @@
 	return cost + t.health.penalty() + c.localityCost(t, req) - c.prefixGain(now, t, req)
 }
 
-// coldCost is the cost of a cold target that has a free slot for this entry.
-// Under load it is compared by its warm capacity, so that it gets all that it
-// may have and its ramp goes on. While warm targets idle it gets a request now
-// and then, one that may be repeated, and else only what is no dearer there.
+// coldCost returns the cost of a cold target with a free slot for this entry. When the
+// warm targets are loaded, the cost is based on the target's warm capacity, so that the
+// target uses all its slots and keeps ramping up. Otherwise it gets one idempotent
+// request per warm-up interval, plus any request for which it is no more expensive than
+// a warm target.
 func (c *Chooser) coldCost(now time.Time, p *pool, t *target, req *Request, load float64) float64 {
 	warmUp := req.Idempotent && !now.Before(t.nextWarmUpAt)
 	if warmUp || p.warmUtilisation > c.Settings.ColdTrafficThreshold {
@@ -36,7 +37,7 @@
 	return load / float64(t.maxInFlight())
 }
 
-// localityCost is the cost of leaving the caller's zone or region.
+// localityCost returns the cost of leaving the caller's zone or region.
 func (c *Chooser) localityCost(t *target, req *Request) float64 {
 	switch {
 	case t.Region != req.Region:
@@ -48,8 +49,8 @@
 	}
 }
 
-// prefixGain is what the target's cache is worth for the ask, and a little for
-// the target that is the opening's home.
+// prefixGain returns how much the target's cached prefixes reduce the cost of req, plus
+// a smaller gain for the target that the start of the prompt hashes to.
 func (c *Chooser) prefixGain(now time.Time, t *target, req *Request) float64 {
 	if len(req.Prefixes) == 0 {
 		return 0
@@ -61,10 +62,10 @@
 	return gain + c.Settings.AffinityGain*t.affinity(req.Prefixes[min(c.Settings.AffinityBlocks, len(req.Prefixes))-1])
 }
 
-// affinity is between 0 and 1, and near 1 at one of many targets for each
-// opening. The mixing is that of Subsets.
-func (t *target) affinity(opening uint64) float64 {
-	x := float64(shares.MixHashes(opening, t.hash)>>11) / (1 << 53)
+// affinity returns a value between 0 and 1 that is close to 1 at one of many targets
+// for each prompt start. It mixes hashes as shares.Subsetter does.
+func (t *target) affinity(startHash uint64) float64 {
+	x := float64(shares.MixHashes(startHash, t.hash)>>11) / (1 << 53)
 	x *= x
 	x *= x
 
--- a/internal/routing/credits.go
+++ b/internal/routing/credits.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// RecordDemand says that requests for a service come or wait. Credits of cold targets
-// are asked for ahead only while they do.
+// RecordDemand records that a service has new or waiting requests. Credits of cold
+// targets are requested ahead only while it has.
 func (c *Chooser) RecordDemand(now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -15,13 +15,13 @@
 	c.lastRequestAt[service] = now
 }
 
-// CreditRequests returns the credits to ask for now, at cold and unreachable targets
-// of services in demand: first ones, those that end soon, and those that no longer fit what this
-// entry needs. Answers renew a credit only by what was last asked. A credit of a
-// warm target is asked for by the request that needs one (Choice.NeedsCredit): it
-// costs that request a round trip, where renewing each ahead would cost an entry
-// with many targets more than all else that it says. A shell calls it some five
-// times a second.
+// CreditRequests returns the credit requests that are due, for cold and unreachable
+// targets of services in demand: for a first credit, for one that expires soon, and for
+// one that no longer fits the slots this entry needs. Answers renew a credit only for
+// the slots last requested. The credit of a warm target is requested by the request
+// that needs it (Choice.NeedsCredit). This costs that request a round trip, but
+// renewing every credit ahead would cost an entry with many targets more than all of
+// its other messages. It should be called about five times a second.
 func (c *Chooser) CreditRequests(now time.Time) []CreditRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,8 @@
 	return requests
 }
 
-// Capacity returns what this entry may have in flight at a service's targets.
+// Capacity returns how many requests this entry may have in flight at a service's
+// targets.
 func (c *Chooser) Capacity(now time.Time, service string) Capacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/decisions_test.go
+++ b/internal/routing/decisions_test.go
@@ -13,13 +13,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// script drives a Chooser by the tables under testdata.
+// script runs the commands of the testdata files on a Chooser.
 type script struct {
 	c   *routing.Chooser
 	now time.Time
 }
 
-// TestDecisions runs the tables. Each says in its comment what a caller would see.
+// TestDecisions runs the files in testdata. The comments of each describe the effect on
+// callers.
 func TestDecisions(t *testing.T) {
 	t.Parallel()
 
@@ -125,7 +126,8 @@
 	s.c.ApplyReport(ev)
 }
 
-// choose makes n choices that stay in flight, or that end at once with "ends".
+// choose makes n choices. They stay in flight unless the command has the argument
+// "ends".
 func (s *script) choose(d *datadriven.TestData, n int) string {
 	counts := map[string]int{}
 	req := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -7,29 +7,30 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Target is one target as the configuration in force describes it.
+// Target describes one target, as in the current configuration.
 type Target struct {
 	AgentID string
 	Service string
 	Addr    netip.AddrPort
 	Zone    string
 	Region  string
-	// Capacity is how many requests the warm target bears at once.
+	// Capacity is how many requests the target can handle at once when warm.
 	Capacity int
 	Cold     bool
-	// Leaving targets and those in a zone that is out get no new work.
+	// Leaving targets, and targets with ZoneOut set, get no new requests.
 	Leaving bool
 	ZoneOut bool
-	// Incarnation is the agent's. Another one starts with no knowledge.
+	// Incarnation is that of the agent. A new incarnation starts without recorded
+	// state.
 	Incarnation uint64
 }
 
-// TargetsChanged replaces the whole list of targets.
+// TargetsChanged replaces the list of targets.
 type TargetsChanged struct {
 	Targets []Target
 }
 
-// ReportReceived is an agent's word on its target's load.
+// ReportReceived is a load report of a target's agent.
 type ReportReceived struct {
 	AgentID     string
 	Incarnation uint64
@@ -49,35 +50,36 @@
 	// Slots is how many requests this entry may have in flight at the target.
 	Slots     int
 	ExpiresAt time.Time
-	// RetryAt is when an entry that got too few slots should ask again to keep
-	// its turn; zero where the agent did not say.
+	// RetryAt is when an entry that got too few slots should request again to keep its
+	// turn; zero if the agent did not set it.
 	RetryAt time.Time
 }
 
-// FirstByte says that an answer has begun.
+// FirstByte reports the first byte of an answer.
 type FirstByte struct {
 	AgentID     string
 	Incarnation uint64
-	// Wait is the time from sending to the first byte.
+	// Wait is the time from sending the request to the first byte.
 	Wait time.Duration
 }
 
-// Finished ends what Choose began, whether or not the request was sent.
+// Finished ends a Choice, whether or not the request was sent.
 type Finished struct {
 	AgentID     string
 	Incarnation uint64
 	Verdict     verdict.Verdict
-	// Cause is empty for a whole answer.
+	// Cause is empty for a complete answer.
 	Cause    verdict.Cause
 	Duration time.Duration
-	// RetryAt is when a refusing agent expects room; zero when it did not say.
+	// RetryAt is when an agent that refused the request expects free capacity; zero if
+	// it did not set it.
 	RetryAt time.Time
-	// ServerError says that the target answered whole, but with a fault of its own (5xx).
+	// ServerError is true if the answer is complete but has a 5xx status.
 	ServerError bool
 }
 
-// ConnectionUnresponsive says that one connection to the target went silent. The target
-// may be well: other connections to it may work.
+// ConnectionUnresponsive reports that one connection to the target stopped responding.
+// Other connections to the target may still work.
 type ConnectionUnresponsive struct {
 	AgentID     string
 	Incarnation uint64
@@ -90,26 +92,28 @@
 	Region  string
 	// Prefixes are the hashes of the prompt's prefixes, shortest first.
 	Prefixes []uint64
-	// Excluded are agents that this request has already tried.
+	// Excluded lists the agents that this request has already tried.
 	Excluded   []string
 	Idempotent bool
 }
 
-// Choice is the target for one request, counted as in flight until Finished.
+// Choice is the target of one request. It counts as in flight until Finish.
 type Choice struct {
 	AgentID     string
 	Addr        netip.AddrPort
 	Incarnation uint64
 	Cold        bool
-	// NeedsCredit says that a credit must be asked for before sending.
+	// NeedsCredit is true if a credit must be requested before sending.
 	NeedsCredit bool
-	// Probe says that the target was set aside and is being tried.
+	// Probe is true if the target is ejected and this request probes it.
 	Probe bool
-	// MatchedPrefixes is how many of the ask's prefixes the target is thought to hold.
+	// MatchedPrefixes is how many of the request's prefixes the target is expected to
+	// hold.
 	MatchedPrefixes int
 }
 
-// NoTarget says why there is no target and when asking again makes sense.
+// NoTarget is the error of a request for which there is no usable target. It holds the
+// cause and when to retry.
 type NoTarget struct {
 	Cause   verdict.Cause
 	RetryAt time.Time
@@ -118,10 +122,10 @@
 // Error implements error.
 func (e *NoTarget) Error() string { return "no target: " + string(e.Cause) }
 
-// Refusal returns e as the caller's refusal: nothing was sent.
+// Refusal returns e as the error for the caller. The request was not sent.
 func (e *NoTarget) Refusal() *verdict.Error { return verdict.Refuse(e.Cause, e.RetryAt) }
 
-// CreditRequest says that the entry should ask an agent for a credit.
+// CreditRequest is a request for a credit that the entry should send to an agent.
 type CreditRequest struct {
 	Service     string
 	AgentID     string
@@ -131,10 +135,10 @@
 	Using       int
 }
 
-// Capacity is what this entry may have in flight at a service's targets.
+// Capacity is how many requests this entry may have in flight at a service's targets.
 type Capacity struct {
-	// Slots is the sum of the credits in force at targets that take new work,
-	// with what a warm target without one is trusted with.
+	// Slots is the number of requests in flight, and of those that may be sent in
+	// addition to targets that accept new requests, with or without a credit.
 	Slots    int
 	InFlight int
 	Targets  int
--- a/internal/routing/faulty_target_bench_test.go
+++ b/internal/routing/faulty_target_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkFaultyTarget measures the callers' loss while one target of twelve
-// answers each request with a fault at once, or takes eight times as long.
+// BenchmarkFaultyTarget measures what callers lose while one of twelve targets fails
+// every request immediately, or takes eight times as long.
 func BenchmarkFaultyTarget(b *testing.B) {
 	for _, kind := range []string{"failing", "slow"} {
 		for _, lb := range lbPolicies() {
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// The weights of one new sample in the running means of a target's health.
+// The weight of a new sample in each moving average.
 const (
 	failureWeight = 0.2
 	waitWeight    = 0.2
-	// minWaitSamples is how many samples a running mean of waits needs to count.
+	// minWaitSamples is how many samples the mean wait needs before it is used.
 	minWaitSamples = 5
 )
 
-// fault says why a target is set aside.
+// fault is the reason for which a target is ejected.
 type fault uint8
 
 const (
 	faultNone fault = iota
-	// faultDown: dials to it fail, or its agent says that it is gone.
+	// faultDown: connecting fails, or the agent reports that the target is down.
 	faultDown
-	// faultUnresponsive: several connections in a row went silent, with no success between.
+	// faultUnresponsive: several consecutive connections stopped responding, without a
+	// success in between.
 	faultUnresponsive
-	// faultFailing: its answers are broken or server errors.
+	// faultFailing: answers are broken or server errors.
 	faultFailing
-	// faultSlow: it answers far more slowly than its peers.
+	// faultSlow: answers take far longer than those of the other targets.
 	faultSlow
 )
 
-// unreachable reports whether the target can't be reached, so that setting it
-// aside loses nothing, and only an answer of its agent ends that.
+// unreachable reports whether the target can't be reached. Ejecting such a target loses
+// no capacity, and only an answer of its agent ends the ejection.
 func (f fault) unreachable() bool { return f == faultDown || f == faultUnresponsive }
 
-// health is what a target's recent answers say about it. A target that fails
-// at once looks idle and would draw all work; a slow one holds its callers up.
-// Both are set aside, and return by a few probes.
+// health tracks a target's recent results. A target that fails immediately looks idle
+// and would attract all requests, and a slow one delays its callers. Both are ejected,
+// and return after successful probes.
 type health struct {
-	// failureRatio is a running mean of answers that failed, 0 to 1.
+	// failureRatio is a moving average of the failed answers, 0 to 1.
 	failureRatio               float64
 	consecutiveFailures        int
 	consecutiveConnectFailures int
-	// meanWait is a running mean of the time to the first byte, in nanoseconds.
+	// meanWait is a moving average of the time to first byte, in nanoseconds.
 	meanWait    float64
 	waitSamples int
-	// unresponsive counts silent connections since the last success.
+	// unresponsive counts the unresponsive connections since the last success.
 	unresponsive int
 
 	ejectedFor   fault
 	ejectedUntil time.Time
 	ejectionTime time.Duration
-	// reachable says that the target's agent was reached since it was set aside.
+	// reachable is true if the target's agent answered since the ejection.
 	reachable    bool
 	probing      int
 	probesPassed int
 }
 
-// recordSuccess records an answer without fault.
+// recordSuccess records an answer without a fault.
 func (h *health) recordSuccess() {
 	h.failureRatio -= failureWeight * h.failureRatio
 	h.consecutiveFailures, h.consecutiveConnectFailures, h.unresponsive = 0, 0, 0
@@ -64,8 +65,8 @@
 	h.consecutiveFailures++
 }
 
-// recordWait records the time to a first byte. A slow target's probe counts alone:
-// the mean that set it aside would take many to fall.
+// recordWait records a time to first byte. For a slow target the last probe replaces
+// the mean, which would take many samples to fall.
 func (h *health) recordWait(d time.Duration) {
 	h.waitSamples++
 	if h.waitSamples == 1 || h.ejectedFor == faultSlow {
@@ -77,8 +78,8 @@
 	h.meanWait += waitWeight * (float64(d) - h.meanWait)
 }
 
-// eject starts or lengthens the pause before the next probe. Entries that
-// set a target aside together probe it at different times.
+// eject starts an ejection, or extends it after a failed probe for twice as long. The
+// jitter spreads the probes of entries that eject a target at the same time.
 func (h *health) eject(now time.Time, reason fault, s *Settings, jitter float64) {
 	h.ejectionTime = min(max(2*h.ejectionTime, s.BaseEjectionTime), s.MaxEjectionTime)
 	h.ejectedFor = reason
@@ -87,10 +88,10 @@
 	h.ejectedUntil = now.Add(h.ejectionTime + time.Duration(jitter*float64(h.ejectionTime)/2))
 }
 
-// reinstate ends the pause and forgets what led to it.
+// reinstate ends the ejection and clears the recorded results.
 func (h *health) reinstate() { *h = health{} }
 
-// detectFault says what in the target's own record calls for setting it aside.
+// detectFault returns the fault for which the recorded results call for an ejection.
 func (h *health) detectFault(s *Settings, medianWait float64) fault {
 	switch {
 	case h.consecutiveConnectFailures >= s.ConsecutiveConnectFailures:
@@ -106,11 +107,11 @@
 	}
 }
 
-// mayProbe reports whether ask may be the probe of a target that is set aside:
-// one at a time, and one that may be repeated. Where all work is of the other
-// kind, as bookings are, that probes too, but only after twice the pause. One
-// that was down gets none before its agent has granted a credit again: a probe
-// of a dead machine costs its caller the whole time of a dial.
+// mayProbe reports whether a request may probe the ejected target. There is one probe
+// at a time, and it should be idempotent. If a service has only other requests, such as
+// bookings, they probe too, after twice the ejection time. An unreachable target is
+// probed only after its agent granted a credit, because a probe of a dead machine costs
+// its caller a full connect timeout.
 func (h *health) mayProbe(now time.Time, idempotent bool) bool {
 	switch {
 	case h.probing > 0:
@@ -124,15 +125,17 @@
 	return !now.Before(h.ejectedUntil.Add(h.ejectionTime))
 }
 
-// probeEnded counts the end of a probe. While one runs, the end of an older
-// request is taken for it: the pause is then a little off, and no more.
+// probeEnded counts the end of a probe. The end of an older request during a probe
+// counts as the end of that probe, which only makes the ejection time slightly
+// inaccurate.
 func (h *health) probeEnded() { h.probing = max(0, h.probing-1) }
 
-// penalty is what the record adds to the cost of a target that is not set aside.
+// penalty returns the cost that recent faults add to a target that is not ejected.
 func (h *health) penalty() float64 {
 	return h.failureRatio + unresponsivePenalty*float64(h.unresponsive)
 }
 
-// unresponsivePenalty is the cost of one silent connection since the last success:
-// its peers come first, but it stays in use, for new connections may work.
+// unresponsivePenalty is the cost of one unresponsive connection since the last
+// success. Other targets are preferred, but this one stays in use because new
+// connections may work.
 const unresponsivePenalty = 0.25
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// The grain and the span of a history.
+// The duration of one bucket and the number of buckets of a history.
 const (
 	historyBucket  = 50 * time.Millisecond
 	historyBuckets = 64
 )
 
-// history keeps how many requests this entry had in flight at a target over
-// the last seconds. A report counts them as they were when it was taken, so
-// that taking off what is in flight now would be wrong by all that changed since.
+// history records how many requests this entry had in flight at a target during the
+// last seconds. A load report includes the requests of the time when it was taken, so
+// subtracting the current number would be wrong by all changes since.
 type history struct {
 	counts     [historyBuckets]uint16
 	lastBucket int64
@@ -19,7 +19,7 @@
 
 func bucketOf(t time.Time) int64 { return t.UnixNano() / int64(historyBucket) }
 
-// advance carries the count on to the bucket of now.
+// advance copies the current count to all buckets up to now.
 func (h *history) advance(now int64) {
 	if h.lastBucket == 0 || now-h.lastBucket >= historyBuckets {
 		h.lastBucket = now - historyBuckets
@@ -31,14 +31,14 @@
 	}
 }
 
-// set records a new count.
 func (h *history) set(now time.Time, n int) {
 	h.advance(bucketOf(now))
 	h.current = uint16(n)
 	h.counts[h.lastBucket%historyBuckets] = h.current
 }
 
-// at returns the count at a time not long past; the oldest known one before that.
+// at returns the count at time t, or the oldest recorded count if t is before the
+// history.
 func (h *history) at(t time.Time) int {
 	b := bucketOf(t)
 
--- a/internal/routing/load_bench_test.go
+++ b/internal/routing/load_bench_test.go
@@ -11,34 +11,35 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// lbPolicy is one way of choosing, by name.
+// lbPolicy is a named load-balancing policy.
 type lbPolicy struct {
 	name string
 	make func(*rand.Rand, []routing.Target, []int) picker
 }
 
-// lbPolicies are the baselines and ours. Former is ours as it was before the last change.
+// lbPolicies returns the baselines and the Chooser. Previous is a Chooser with its
+// previous default settings.
 func lbPolicies() []lbPolicy {
 	return []lbPolicy{
 		{"RoundRobin", roundRobin},
 		{"LeastReported", leastReported},
 		{"TwoChoices", twoChoices},
-		{"Former", chooserPicker(routing.Settings{Candidates: 3, CostTolerance: 0.02, OtherZoneCost: 0.05, ReportHalfWeightAge: 2 * time.Second})},
-		{"Ours", chooserPicker(routing.Settings{})},
+		{"Previous", chooserPicker(routing.Settings{Candidates: 3, CostTolerance: 0.02, OtherZoneCost: 0.05, ReportHalfWeightAge: 2 * time.Second})},
+		{"Chooser", chooserPicker(routing.Settings{})},
 	}
 }
 
-// deployment is a deployment's size in the model.
+// deployment is the size of a simulated deployment.
 type deployment struct {
 	name             string
 	entries, targets int
 	limit            int
-	degree           int
+	subsetSize       int
 	seconds          int
 }
 
 var deployments = []deployment{
-	{"Today", 3, 12, 8, 12, 120},
+	{"Small", 3, 12, 8, 12, 120},
 	{"Large", 410, 600, 64, 30, 20},
 }
 
@@ -63,11 +64,11 @@
 	return m
 }
 
-// subsetCache keeps the subsets of each size, for they take seconds to work out
-// for all entries.
+// subsetCache keeps the subsets of each deployment, because computing them for all
+// entries takes seconds.
 var subsetCache sync.Map
 
-// subsetsOf returns the numbers of each entry's targets.
+// subsetsOf returns the target indexes of each entry's subset.
 func subsetsOf(s deployment, list []routing.Target) [][]int {
 	if cached, ok := subsetCache.Load(s.name); ok {
 		return cached.([][]int)
@@ -88,7 +89,7 @@
 
 	out := make([][]int, s.entries)
 	for e, self := range entries {
-		for id := range (shares.Subsetter{Size: s.degree}).Targets(self, entries, targets) {
+		for id := range (shares.Subsetter{Size: s.subsetSize}).Targets(self, entries, targets) {
 			out[e] = append(out[e], indexOf[id])
 		}
 	}
@@ -98,7 +99,8 @@
 	return out
 }
 
-// perSecond is the rate that fills that share of all targets.
+// perSecond returns the request rate that uses the given share of all targets'
+// capacity.
 func perSecond(s deployment, share float64) float64 {
 	return share * float64(s.targets*s.limit) / 2
 }
@@ -113,7 +115,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkLaggedReports measures balance and latency under reports of 500 ms of age.
+// BenchmarkLaggedReports measures balance and latency with current load reports and
+// with reports up to 500 ms old.
 func BenchmarkLaggedReports(b *testing.B) {
 	for _, s := range deployments {
 		for _, lag := range []time.Duration{0, 500 * time.Millisecond} {
@@ -134,7 +137,7 @@
 	}
 }
 
-// BenchmarkChoose is the cost of one choice and its end with 30 and 600 targets.
+// BenchmarkChoose measures one choice and its end with 12, 30 and 600 targets.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 30, 600} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -153,7 +156,7 @@
 	}
 }
 
-// BenchmarkChoosePrefix is the cost of a choice for a prompt of 16 blocks.
+// BenchmarkChoosePrefix measures one choice for a prompt of 16 blocks.
 func BenchmarkChoosePrefix(b *testing.B) {
 	c := newChooser(1, targets(30)...)
 	for i := range 30 {
--- a/internal/routing/model_agent_test.go
+++ b/internal/routing/model_agent_test.go
@@ -9,20 +9,20 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// modelTarget is a target with its agent.
+// modelTarget is a simulated target with its agent.
 type modelTarget struct {
 	routing.Target
 
 	warmLimit int
 	limit     float64
 	inFlight  int
-	// rampCap is the limit that the ramp may reach before doubleAt.
+	// rampCap is the highest limit that the ramp may reach before rampWindowEnds.
 	rampCap        float64
 	rampWindowEnds time.Duration
 	slowdown       float64
 	failFast       bool
 	down           bool
-	// reportedLoad is the load last reported by the engine.
+	// reportedLoad is the load that the engine last reported.
 	reportedLoad int
 	reportedAt   time.Duration
 	reservations []reservation
@@ -33,7 +33,7 @@
 	cache        []uint64
 }
 
-// reservation is what an agent holds for one entry.
+// reservation is what an agent reserves for one entry.
 type reservation struct {
 	slots     int
 	requested int
@@ -41,7 +41,7 @@
 	expiresAt time.Duration
 }
 
-// arrive is the agent's door.
+// arrive handles a request at the agent.
 func (m *model) arrive(j *job, t *modelTarget, i int, sent time.Duration) {
 	cause := verdict.Cause("")
 
@@ -69,7 +69,7 @@
 	m.serve(j, t, i, sent)
 }
 
-// retryAfterRefusal is when an agent advises to come again.
+// retryAfterRefusal is the delay after which an agent that refused suggests a retry.
 const retryAfterRefusal = 50 * time.Millisecond
 
 func (m *model) refuse(j *job, i int, cause verdict.Cause, sent time.Duration) {
@@ -93,7 +93,8 @@
 	m.results.hitBlocks += held
 	m.results.blocks += len(j.req.Prefixes)
 
-	// A full batch takes 1.0 of base, an empty one 0.6; a held prefix saves up to 0.4 of it.
+	// A request takes 1.0 of the base time in a full batch and 0.6 in an empty one. A
+	// cached prompt saves up to 0.4 of that.
 	fullness := float64(t.inFlight) / float64(t.warmLimit)
 	factor := (0.6 + 0.4*fullness) * t.slowdown
 
@@ -128,10 +129,10 @@
 	})
 }
 
-// connectionTimeout is how long an entry waits for a heartbeat, or for a dial.
+// connectionTimeout is how long an entry waits for a heartbeat or for a connection.
 const connectionTimeout = time.Second
 
-// connectionTimedOut is the end of a request whose connection went silent.
+// connectionTimedOut ends a request whose connection stopped responding.
 func (m *model) connectionTimedOut(j *job, i int) {
 	j.entry.unresponsive(m.clock(), i)
 	j.entry.finish(m.clock(), i, routing.Finished{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent})
@@ -139,8 +140,8 @@
 	m.retry(j, 0)
 }
 
-// ramp grows a cold target's limit by a quarter for each completion while the
-// limit is in use; it at most doubles in a second.
+// ramp raises a cold target's limit by a quarter with each completed request while at
+// least half of the limit is in use. The limit at most doubles within a second.
 func (m *model) ramp(t *modelTarget, incarnation uint64) {
 	if !t.Cold || t.Incarnation != incarnation || 2*t.inFlight < int(t.limit) {
 		return
@@ -154,7 +155,7 @@
 	t.Cold = t.limit < float64(t.warmLimit)
 }
 
-// sendReport gives an entry an agent's report and credit.
+// sendReport delivers the agent's load report and credit to an entry.
 func (m *model) sendReport(e *modelEntry, i int) {
 	t := m.targets[i]
 	if t.down {
@@ -177,7 +178,8 @@
 
 const creditLife = 2 * time.Second
 
-// reserved is what the agent holds for other entries than one, and how many they are.
+// reserved returns the slots that the agent holds for the entries other than the given
+// one, and the number of these entries.
 func (t *modelTarget) reserved(now time.Duration, entry int) (held, active int) {
 	for e := range t.reservations {
 		res := &t.reservations[e]
@@ -194,12 +196,13 @@
 	return held, active
 }
 
-// grant reserves slots for an entry; all reservations stay within the limit.
+// grant reserves slots for an entry. The sum of all reservations stays within the
+// limit.
 func (t *modelTarget) grant(now time.Duration, entry, requested int) {
 	held, active := t.reserved(now, entry)
 	limit := int(t.limit)
-	room, fair := limit-held, max(limit/(active+2), 1)
-	slots := max(0, min(requested, room, max(fair, room-limit/8)))
+	available, fairShare := limit-held, max(limit/(active+2), 1)
+	slots := max(0, min(requested, available, max(fairShare, available-limit/8)))
 
 	if t.ZoneOut {
 		slots = 0
@@ -209,8 +212,8 @@
 	res.slots, res.requested, res.expiresAt = slots, requested, now+creditLife
 }
 
-// full reports whether an entry has no place: its own slots are used, and the
-// rest is used or reserved.
+// full reports whether an entry gets no slot: its own slots are in use, and the others
+// are in use or reserved.
 func (t *modelTarget) full(now time.Duration, entry int) bool {
 	if t.inFlight >= int(t.limit) {
 		return true
@@ -222,13 +225,14 @@
 	return res.inFlight >= res.slots && int(t.limit)-held-res.inFlight <= 0
 }
 
-// lookUp returns how many blocks are cached, and caches all, oldest out first.
+// lookUp returns how many blocks are cached. It caches all blocks and evicts the least
+// recently used ones.
 func (t *modelTarget) lookUp(blocks []uint64) (held int, evicted []uint64) {
 	for held < len(blocks) && slices.Contains(t.cache, blocks[held]) {
 		held++
 	}
 
-	// The last block goes in first, so that it is the first to go out.
+	// The last block is inserted first, so that it is evicted first.
 	for _, b := range slices.Backward(blocks) {
 		if k := slices.Index(t.cache, b); k >= 0 {
 			t.cache = slices.Delete(t.cache, k, k+1)
@@ -245,7 +249,8 @@
 	return held, evicted
 }
 
-// sendCacheEvent sends a cache event to all entries, up to a second late; one in ten is lost.
+// sendCacheEvent sends a cache event to the entries, delayed by up to a second. One in
+// ten is lost.
 func (m *model) sendCacheEvent(t *modelTarget, i int, what prefix.Change, blocks []uint64) {
 	if !m.cacheEvents || len(blocks) == 0 {
 		return
@@ -264,7 +269,8 @@
 // cacheBlocks is how many blocks a target's cache holds.
 const cacheBlocks = 64
 
-// requestCredits asks for what an entry wants; a target that is down does not answer.
+// requestCredits sends an entry's credit requests. A target that is down does not
+// answer.
 func (m *model) requestCredits(e *modelEntry) {
 	for _, req := range e.creditRequests(m.clock()) {
 		i := slices.IndexFunc(m.targets, func(t *modelTarget) bool { return t.AgentID == req.AgentID })
--- a/internal/routing/model_results_test.go
+++ b/internal/routing/model_results_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// results are what a run measures.
+// results are the measurements of one run.
 type results struct {
 	offered, answered, late, refused, attempts int
 	latencies                                  []float64
 	imbalance                                  []float64
 	hitBlocks, blocks                          int
-	// By the second of arrival: what was offered, and answered in time. By that
-	// of the end: what was answered in time.
+	// answeredAt and offeredAt count by the second of arrival the requests answered in
+	// time and all requests; endedAt counts those answered in time by the second of
+	// their end.
 	answeredAt, offeredAt map[int]int
 	endedAt               map[int]int
 }
 
-// repeat repeats do until the horizon.
+// repeat calls do at the given interval until the horizon.
 func (m *model) repeat(d time.Duration, do func()) {
 	m.after(d, func() {
 		do()
@@ -26,7 +27,8 @@
 	})
 }
 
-// startPeriodic samples the imbalance, keeps the lagged reports and renews credits.
+// startPeriodic starts the load reports, the credit requests, and from the given time
+// the samples of the imbalance.
 func (m *model) startPeriodic(from time.Duration) {
 	if m.reportLag > 0 {
 		for _, t := range m.targets {
@@ -53,7 +55,7 @@
 	})
 }
 
-// imbalance is the standard deviation of the targets' fullness over its mean.
+// imbalance returns the coefficient of variation of the targets' utilisation.
 func (m *model) imbalance() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -10,14 +10,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// The model: entries send requests of exponential length to targets that batch
-// continuously, so that a fuller target answers more slowly. Agents refuse what
-// is above the limit, and report load that is up to lag old.
+// The simulation: entries send requests with gamma-distributed work to targets that use
+// continuous batching, so that a fuller target answers more slowly. Agents refuse
+// requests above the limit. The load that they report is up to reportLag old.
 
-// oneWayDelay is one way between an entry and a target.
+// oneWayDelay is the network delay between an entry and a target.
 const oneWayDelay = time.Millisecond
 
-// event is something that happens at a time.
+// event is a scheduled action.
 type event struct {
 	at  time.Duration
 	seq int
@@ -41,7 +41,8 @@
 	return e
 }
 
-// picker is a way of choosing, at one entry. Target numbers are the model's.
+// picker is a load-balancing policy at one entry. Targets are identified by their index
+// in the model.
 type picker struct {
 	choose         func(now time.Time, req routing.Request) (target int, retryAt time.Time)
 	report         func(taken time.Time, target, inFlight, limit int, cold bool)
@@ -63,7 +64,7 @@
 	subset []int
 }
 
-// model runs one scenario.
+// model simulates one scenario.
 type model struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -71,13 +72,14 @@
 	seq     int
 	targets []*modelTarget
 	entries []*modelEntry
-	// baseServiceTime is the time of a usual request alone at a target.
+	// baseServiceTime is the time of a request of mean work in a full warm batch
+	// without cached prefixes.
 	baseServiceTime time.Duration
 	reportLag       time.Duration
 	deadline        time.Duration
 	horizon         time.Duration
 	prefixOf        func() []uint64
-	// events says that cache events reach the entries, late and with gaps.
+	// cacheEvents is true if cache events reach the entries, late and with gaps.
 	cacheEvents bool
 
 	results results
@@ -115,7 +117,7 @@
 	})
 }
 
-// job is one request in the model.
+// job is one simulated request.
 type job struct {
 	entry        *modelEntry
 	arrived      time.Duration
@@ -141,15 +143,15 @@
 	return j
 }
 
-// drawWork is a request's work: a gamma of shape 4, mean 1.
+// drawWork draws a request's work from a gamma distribution of shape 4 and mean 1.
 func (m *model) drawWork() float64 {
 	return (m.rng.ExpFloat64() + m.rng.ExpFloat64() + m.rng.ExpFloat64() + m.rng.ExpFloat64()) / 4
 }
 
-// maxAttempts bounds what a request may cost; each way of choosing has the same.
+// maxAttempts limits the attempts of a request. It is the same for all policies.
 const maxAttempts = 3
 
-// attempt sends a job to a target, and again after a refusal.
+// attempt sends a job to a target, and retries after a refusal.
 func (m *model) attempt(j *job) {
 	j.attempts++
 
@@ -181,23 +183,23 @@
 	m.after(oneWayDelay, func() { m.arrive(j, m.targets[i], i, sent) })
 }
 
-// retry tries once more after a pause, or gives up.
-func (m *model) retry(j *job, pause time.Duration) {
+// retry makes another attempt after a pause, or ends the job as refused.
+func (m *model) retry(j *job, delay time.Duration) {
 	if j.attempts >= maxAttempts && j.onNoCapacity != nil {
 		j.req.Excluded, j.attempts = nil, 0
-		m.after(max(pause, 10*time.Millisecond), j.onNoCapacity)
+		m.after(max(delay, 10*time.Millisecond), j.onNoCapacity)
 
 		return
 	}
 
-	if j.attempts >= maxAttempts || m.now+pause > j.deadline {
+	if j.attempts >= maxAttempts || m.now+delay > j.deadline {
 		m.results.refused++
 		m.end(j, false)
 
 		return
 	}
 
-	m.after(pause, func() { m.attempt(j) })
+	m.after(delay, func() { m.attempt(j) })
 }
 
 func (m *model) end(j *job, inTime bool) {
--- a/internal/routing/no_target.go
+++ b/internal/routing/no_target.go
@@ -6,18 +6,18 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// The mean pauses before asking again where nothing says when.
+// The mean retry delays where no target reported one.
 const (
 	fullRetryDelay     = 300 * time.Millisecond
 	noTargetRetryDelay = 3 * time.Second
 )
 
-// jitter returns between half of d and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (c *Chooser) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(c.Rand.Float64()*float64(d))
 }
 
-// noTarget says why no target could be picked.
+// noTarget returns the error for a request for which no target could be picked.
 func (c *Chooser) noTarget(now time.Time, p *pool) *NoTarget {
 	cause := verdict.CauseNoTarget
 
@@ -50,9 +50,9 @@
 	return &NoTarget{Cause: cause, RetryAt: at}
 }
 
-// Unavailable says why none of a service's targets takes new work, as when all are in
-// zones that are out; nil when one does, however full. A request that meets it
-// need not wait in a queue for room.
+// Unavailable returns why none of a service's targets accepts new requests, for example
+// because all are in zones that are out. It returns nil if one does, even if it is
+// full. A request that gets this error need not wait in a queue for capacity.
 func (c *Chooser) Unavailable(now time.Time, service string) *NoTarget {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -6,11 +6,11 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// outcome is what a request's end says about its target.
+// outcome classifies the end of a request by what it shows about the target.
 type outcome uint8
 
 const (
-	// outcomeNeutral says nothing: the caller or this entry ended it.
+	// outcomeNeutral shows nothing: the caller or this entry ended the request.
 	outcomeNeutral outcome = iota
 	outcomeSuccess
 	outcomeFailure
@@ -43,14 +43,14 @@
 	}
 }
 
-// applyOutcome reads what an end says about the target.
+// applyOutcome updates the target's state after a request.
 func (c *Chooser) applyOutcome(now time.Time, p *pool, t *target, ev Finished) {
 	h := &t.health
 	defer h.probeEnded()
 
 	switch classify(ev) {
 	case outcomeSuccess:
-		// Its own place is free again, whatever was said before.
+		// The slot of this request is free again, whatever an earlier refusal set.
 		t.fullUntil = time.Time{}
 		h.recordSuccess()
 		c.ejectIfFaulty(now, p, t)
@@ -71,21 +71,22 @@
 	}
 }
 
-// The bounds of the pause after a refusal for want of room.
+// The bounds of the delay after a refusal for lack of capacity.
 const (
-	minFullPause = 20 * time.Millisecond
-	maxFullPause = time.Second
+	minFullDelay = 20 * time.Millisecond
+	maxFullDelay = time.Second
 )
 
-// fullUntil bounds what an agent said, so that one wrong word parks no target for long.
+// fullUntil limits the retry time that an agent sent, so that one wrong value does not
+// keep a target unused for long.
 func (c *Chooser) fullUntil(now, advised time.Time) time.Time {
-	delay := min(max(advised.Sub(now), minFullPause), maxFullPause)
+	delay := min(max(advised.Sub(now), minFullDelay), maxFullDelay)
 
 	return now.Add(delay + time.Duration(c.Rand.Float64()*float64(delay)/2))
 }
 
-// probeSucceeded takes a target back after enough good probes. A slow one is
-// judged by its probes' waits, in Begin.
+// probeSucceeded reinstates a target after enough successful probes. A slow target is
+// judged by the waits of its probes, see RecordFirstByte.
 func (c *Chooser) probeSucceeded(now time.Time, p *pool, t *target) {
 	h := &t.health
 	if h.probing == 0 {
@@ -103,8 +104,9 @@
 	h.reinstate()
 }
 
-// ejectIfFaulty sets a suspect target aside, within the bound of the pool. What was in
-// flight when that was done ends later and is not held against it once more.
+// ejectIfFaulty ejects the target if its results call for it and the pool's limit
+// allows it. Requests that were in flight at the ejection end later and do not extend
+// it.
 func (c *Chooser) ejectIfFaulty(now time.Time, p *pool, t *target) {
 	if t.health.ejectedFor != faultNone && t.health.probing == 0 {
 		return
@@ -135,9 +137,10 @@
 	}
 }
 
-// markReachable takes in that the target's agent granted a credit: it can be reached
-// now, over some connection. After silent connections that is all there was to
-// know; after failed dials or the agent's own word the target is probed first.
+// markReachable records that the target's agent granted a credit, so some connection to
+// it works. This is enough to end an ejection for unresponsive connections. After
+// failed connects, or a report of the agent that the target is down, a probe must
+// succeed first.
 func (t *target) markReachable() {
 	t.health.unresponsive = 0
 	t.health.reachable = true
--- a/internal/routing/pickers_test.go
+++ b/internal/routing/pickers_test.go
@@ -9,7 +9,8 @@
 	"github.com/parsleygate/parsleygate/internal/routing"
 )
 
-// baseline is what the baselines know: reports, what this entry has in flight, the configuration.
+// baseline is the state of the baseline policies: the reports, this entry's requests in
+// flight, and the configuration.
 type baseline struct {
 	rng      *rand.Rand
 	list     []routing.Target
@@ -29,7 +30,7 @@
 	return !t.Leaving && !t.ZoneOut && !slices.Contains(req.Excluded, t.AgentID)
 }
 
-// capacity is what the targets that are not out bear together.
+// capacity returns the total capacity of the targets whose zone is not out.
 func (p *baseline) capacity() int {
 	n := 0
 
@@ -94,7 +95,8 @@
 	})
 }
 
-// twoChoices compares two random targets by report and own requests in flight.
+// twoChoices picks the less loaded of two random targets, by its report and this
+// entry's requests in flight.
 func twoChoices(rng *rand.Rand, list []routing.Target, subset []int) picker {
 	p := newBaseline(rng, list, subset)
 
@@ -119,7 +121,7 @@
 	})
 }
 
-// chooserPicker makes a picker of a Chooser with some settings.
+// chooserPicker returns a constructor of a picker that uses a Chooser.
 func chooserPicker(settings routing.Settings) func(*rand.Rand, []routing.Target, []int) picker {
 	return func(rng *rand.Rand, list []routing.Target, subset []int) picker {
 		indexOf := map[string]int{}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// pool is the targets of one service.
+// pool holds the targets of one service.
 type pool struct {
 	targets []*target
-	// medianWait is the median of the targets' mean first-byte waits, in nanoseconds.
+	// medianWait is the median of the targets' mean times to first byte, in
+	// nanoseconds.
 	medianWait float64
-	// meanLoad is the mean share of capacity that other entries use.
+	// meanLoad is the mean share of the capacity that other entries use.
 	meanLoad float64
-	// warmUtilisation is the share of the warm targets' capacity in use, this entry's included.
+	// warmUtilisation is the share of the warm targets' capacity in use, including by
+	// this entry.
 	warmUtilisation float64
-	// eventsSinceRefresh counts events since these were worked out.
+	// eventsSinceRefresh counts the events since the three values above were computed.
 	eventsSinceRefresh int
-	// ejected counts the targets set aside that could be reached.
+	// ejected counts the ejected targets that are reachable.
 	ejected int
 }
 
-// eventsPerRefresh is how many events a pool's medians and means may be behind.
+// eventsPerRefresh is after how many events a pool's medians and means are recomputed.
 const eventsPerRefresh = 16
 
-// noteEvent counts an event and refreshes the derived numbers when due.
+// noteEvent counts an event and recomputes the derived values when due.
 func (p *pool) noteEvent() {
 	p.eventsSinceRefresh++
 	if p.eventsSinceRefresh < min(eventsPerRefresh, len(p.targets)) {
@@ -73,7 +75,7 @@
 	return a / b
 }
 
-// minForMedian: with fewer targets nobody can say which is slow.
+// minForMedian is the number of targets below which no target can be called slow.
 const minForMedian = 3
 
 func median(v []float64) float64 {
@@ -86,10 +88,10 @@
 	return v[len(v)/2]
 }
 
-// tryEject reports whether one more target may be set aside, and counts it. When
-// many reachable targets look bad at once the fault is likelier in the requests
-// or in this entry, and the few left would be overloaded. Targets that can't be
-// reached are no loss.
+// tryEject reports whether one more target may be ejected, and counts it. If many
+// reachable targets look faulty at once, the cause is more likely in the requests or in
+// this entry, and ejecting them would overload the others. Unreachable targets are not
+// limited because they provide no capacity.
 func (p *pool) tryEject(reason fault, share float64) bool {
 	if !reason.unreachable() && float64(p.ejected+1) > share*float64(len(p.targets)) {
 		return false
@@ -106,7 +108,7 @@
 	}
 }
 
-// uncountEjected undoes reserve.
+// uncountEjected reverts countEjected.
 func (p *pool) uncountEjected(reason fault) {
 	if !reason.unreachable() && reason != faultNone {
 		p.ejected--
@@ -114,7 +116,7 @@
 }
 
 // earliestRetry returns the earliest time after now at which the pool may have
-// room, or zero when nothing says so.
+// capacity, or zero if unknown.
 func (p *pool) earliestRetry(now time.Time) time.Time {
 	var at time.Time
 
@@ -136,10 +138,11 @@
 	return at
 }
 
-// suspectZone counts a silence against the others of a lost target's zone: a
-// zone that is lost without notice shows first at one of its targets. They come
-// after those of other zones, and are set aside with their next silence after
-// the third; any success or credit clears them.
+// suspectZone counts an unresponsive connection at the other targets of a failed
+// target's zone, because the loss of a zone without notice shows first at one of its
+// targets. Targets of other zones are then preferred. The next failure of a suspected
+// target ejects it if its count has reached ConsecutiveUnresponsive. Any success or
+// credit resets the count.
 func (p *pool) suspectZone(failed *target) {
 	for _, t := range p.targets {
 		if t != failed && t.Zone == failed.Zone && t.Region == failed.Region {
--- a/internal/routing/prefix_bench_test.go
+++ b/internal/routing/prefix_bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/routing"
 )
 
-// conversations draws prompts of eight blocks: two that all share, four of one of
-// 200 conversations, a few of which are most of the traffic, and two new ones.
+// conversations returns a source of prompts of eight blocks: two that all prompts
+// share, four of one of 200 conversations, and two unique ones. A few conversations
+// make up most of the traffic.
 func conversations(rng *rand.Rand) func() []uint64 {
 	zipf := rand.NewZipf(rng, 1.1, 4, 199)
 
@@ -21,14 +22,14 @@
 	}
 }
 
-// BenchmarkPrefix measures how many of the blocks that can be held are found,
-// against balance and latency.
+// BenchmarkPrefix measures the share of cacheable blocks that are found in the cache,
+// beside balance and latency.
 func BenchmarkPrefix(b *testing.B) {
 	list := []lbPolicy{{"RoundRobin", roundRobin}, {"TwoChoices", twoChoices}}
 	list = append(list,
 		lbPolicy{"NoAffinity", chooserPicker(routing.Settings{PrefixGain: 1e-9, AffinityGain: 1e-9})},
-		lbPolicy{"Former", chooserPicker(routing.Settings{PrefixGain: 0.5, AffinityGain: 1e-9})},
-		lbPolicy{"Ours", chooserPicker(routing.Settings{})},
+		lbPolicy{"Previous", chooserPicker(routing.Settings{PrefixGain: 0.5, AffinityGain: 1e-9})},
+		lbPolicy{"Chooser", chooserPicker(routing.Settings{})},
 	)
 
 	for _, load := range []float64{0.5, 0.8} {
@@ -42,7 +43,7 @@
 						m.arrivals(perSecond(deployments[0], load), m.horizon, func(e *modelEntry) { m.attempt(m.newJob(e)) })
 						m.run()
 						report(b, m)
-						// Two blocks of eight are always new.
+						// Two of the eight blocks are always new.
 						b.ReportMetric(100*float64(m.results.hitBlocks)/(0.75*float64(m.results.blocks)), "hit-%")
 						b.ReportMetric(mean(m.results.latencies), "mean-s")
 					}
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// expectedState is what the outside of a Chooser knows of its targets.
+// expectedState is the state of the targets as derived from the calls of a Chooser.
 type expectedState struct {
 	c               *routing.Chooser
 	now             time.Time
@@ -23,9 +23,9 @@
 	index           map[string]int
 }
 
-// Whatever reports, credits, failures and changes come in whatever order: a cold
-// target gets no more than its agent reserved for this entry, one that is out or
-// leaving gets nothing, nor one that the request has tried, and no place leaks.
+// Reports, credits, failures and configuration changes come in any order. A cold target
+// must get no more than its agent reserved for this entry. A target that is leaving, in
+// a zone that is out, or excluded by the request must get nothing. No slot may leak.
 func TestColdTargetIsNotChosenBeyondItsCredit(t *testing.T) {
 	t.Parallel()
 
@@ -120,7 +120,7 @@
 
 	i := b.index[got.AgentID]
 	require.NotEqual(t, excluded, i)
-	require.False(t, b.targets[i].ZoneOut || b.targets[i].Leaving, "chosen although out or leaving")
+	require.False(t, b.targets[i].ZoneOut || b.targets[i].Leaving, "chosen although leaving or in a zone that is out")
 	require.True(t, b.now.Before(b.creditExpiresAt[i]), "chosen without a credit")
 	require.Less(t, b.inFlight[i], b.slots[i], "chosen beyond its credit")
 	require.Equal(t, b.targets[i].Incarnation, got.Incarnation)
@@ -128,7 +128,7 @@
 	b.inFlight[i]++
 }
 
-// Requests, reports and configuration come from many goroutines at once.
+// Requests, reports and configuration changes come from several goroutines at once.
 func TestChooserConcurrently(t *testing.T) {
 	t.Parallel()
 
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -5,66 +5,76 @@
 	"time"
 )
 
-// Settings are the tunable numbers of a Chooser. The zero value of each field
-// stands for the default named beside it.
+// Settings configures a Chooser. A zero field takes the default in parentheses.
 type Settings struct {
-	// Candidates is how many targets are compared for one request (32): all of a
-	// subset, a random part of a longer list.
+	// Candidates is how many targets are compared for one request (32). This covers all
+	// targets of a subset, and a random part of a longer list.
 	Candidates int
-	// CostTolerance is the difference of cost below which the pick is random (0.005).
+	// CostTolerance is the difference in cost below which the pick is random (0.005).
 	CostTolerance float64
-	// OtherZoneCost and OtherRegion are added to the cost of far targets (0.02, 0.5).
+	// OtherZoneCost and OtherRegionCost are added to the cost of targets outside of the
+	// caller's zone or region (0.02, 0.5).
 	OtherZoneCost   float64
 	OtherRegionCost float64
-	// PrefixGain is taken off the cost of a target that holds the whole prompt (0.75).
+	// PrefixGain is subtracted from the cost of a target that holds the complete prompt
+	// (0.75).
 	PrefixGain float64
-	// AffinityGain is taken off the cost of the target that a prompt's opening hashes
-	// to, so that entries that know nothing of each other send it to the same (0.4).
+	// AffinityGain is subtracted from the cost of the target that the start of the
+	// prompt hashes to (0.4), so that entries send it to the same target without
+	// exchanging state.
 	AffinityGain float64
-	// AffinityBlocks is how many blocks are a prompt's opening (4): long enough to
-	// tell conversations with a common system prompt apart.
+	// AffinityBlocks is how many blocks are hashed as the start of a prompt (4). This
+	// is long enough to distinguish conversations with a common system prompt.
 	AffinityBlocks int
-	// InitialSlots is how many requests a warm target may get before its first report, and how many more a cold one is asked for (1).
+	// InitialSlots is how many requests a warm target may get before its first report,
+	// and how many slots beyond those in use are at least requested of a cold one (1).
 	InitialSlots int
-	// ReportHalfWeightAge is the age at which a report counts half against the pool's mean
-	// (100 ms). Short on purpose: what this entry has in flight is exact, and a
-	// long trust in the same old report makes all entries send to the same targets.
+	// ReportHalfWeightAge is the age at which a report has half its weight against the
+	// pool's mean (100 ms). It is short because this entry's requests in flight are
+	// exact, and relying longer on the same old report makes all entries send to the
+	// same targets.
 	ReportHalfWeightAge time.Duration
-	// ConsecutiveFailures is how many failures in a row set a target aside (3).
+	// ConsecutiveFailures is how many consecutive failures eject a target (3).
 	ConsecutiveFailures int
-	// ConsecutiveConnectFailures is how many failures to reach it set a target aside as down (1).
+	// ConsecutiveConnectFailures is how many consecutive failures to reach a target
+	// eject it as down (1).
 	ConsecutiveConnectFailures int
-	// MaxFailureRatio is the share of recent requests failed that sets a target aside (0.5).
+	// MaxFailureRatio is the share of failed recent requests above which a target is
+	// ejected (0.5).
 	MaxFailureRatio float64
-	// SlowRatio is how many times the median first byte sets a target aside (4).
+	// SlowRatio is the ratio to the median time to first byte above which a target is
+	// ejected (4).
 	SlowRatio float64
-	// MaxEjectedRatio is the largest share of a pool that may be set aside (0.34).
+	// MaxEjectedRatio is the largest share of a pool that may be ejected (0.34).
 	MaxEjectedRatio float64
-	// BaseEjectionTime is the first pause before a probe; it doubles up to ProbeAtMost (1 s, 30 s).
+	// BaseEjectionTime is the time from an ejection to the first probe. It doubles with
+	// each failed probe, up to MaxEjectionTime (1 s, 30 s).
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
-	// CreditRequestInterval is the shortest time between two asks for a credit of one target
-	// (200 ms), AskColdEvery the same for a cold one at which this entry has no free
-	// slot and whose agent did not say when to come again (50 ms), AskDownEvery for
-	// one that can't be reached (1 s).
+	// CreditRequestInterval is the minimum time between two credit requests to one
+	// target (200 ms). ColdCreditRequestInterval applies to a cold target at which this
+	// entry has no free slot, if its agent sent no retry time (50 ms).
+	// UnreachableCreditRequestInterval applies to an unreachable target (1 s).
 	CreditRequestInterval            time.Duration
 	ColdCreditRequestInterval        time.Duration
 	UnreachableCreditRequestInterval time.Duration
-	// ProbesNeeded is how many probes in a row must succeed (2).
+	// ProbesNeeded is how many consecutive probes must succeed (2).
 	ProbesNeeded int
-	// ConsecutiveUnresponsive is how many silent connections without a success between set a target aside (3).
+	// ConsecutiveUnresponsive is how many unresponsive connections without a success in
+	// between eject a target (3).
 	ConsecutiveUnresponsive int
-	// WarmUpInterval is how often an entry gives an idle cold target work that a warm one could take (500 ms).
+	// WarmUpInterval is how often an entry sends an idle cold target a request that a
+	// warm one could handle (500 ms).
 	WarmUpInterval time.Duration
-	// ColdTrafficThreshold is the share of the warm capacity in use from which cold targets
-	// get all that their credits allow (0.5).
+	// ColdTrafficThreshold is the share of the warm capacity in use above which cold
+	// targets get all requests that their credits allow (0.5).
 	ColdTrafficThreshold float64
-	// StopReportTTL is how long an agent's word that it is leaving, or in a zone that
-	// is out, is believed without the configuration saying so (2 s).
+	// StopReportTTL is how long an agent's report that it is leaving, or in a zone that
+	// is out, is used if the configuration does not confirm it (2 s).
 	StopReportTTL time.Duration
-	// DemandTTL is how long after a request its service counts as in demand (10 s).
+	// DemandTTL is how long a service counts as in demand after a request (10 s).
 	DemandTTL time.Duration
-	// CreditRenewBefore is how long before its end a credit is asked for anew (1 s).
+	// CreditRenewBefore is how long before its expiry a credit is renewed (1 s).
 	CreditRenewBefore time.Duration
 }
 
--- a/internal/routing/target.go
+++ b/internal/routing/target.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// target is what this entry knows of one target.
+// target is this entry's state of one target.
 type target struct {
 	Target
 
-	// hash is that of AgentID.
+	// hash is the hash of AgentID.
 	hash uint64
-	// inFlight is what this entry has in flight there.
+	// inFlight is how many requests this entry has in flight there.
 	inFlight int
 	history  history
-	// othersReported is the target's load by its last report, without what this
-	// entry itself had there; reportedAt is zero before the first report.
+	// othersReported is the load in the last report, less this entry's own requests
+	// when it was taken. reportedAt is zero before the first report.
 	othersReported int
 	reportedAt     time.Time
 	limit          int
 
 	creditSlots     int
 	creditExpiresAt time.Time
-	// requestedSlots is how many slots were last asked for.
+	// requestedSlots is how many slots were last requested.
 	requestedSlots      int
 	nextCreditRequestAt time.Time
-	// fullUntil is set by a refusal for want of room.
+	// fullUntil is set by a refusal for lack of capacity.
 	fullUntil time.Time
-	// stoppedUntil is set by the agent's word that it takes nothing new. It runs
-	// out, for an agent whose configuration lags would park its target for good.
+	// stoppedUntil is set when the agent reports that it accepts no new requests. It
+	// expires, because otherwise an agent with an outdated configuration would keep its
+	// target unused indefinitely.
 	stoppedUntil time.Time
-	// nextWarmUpAt is when the cold target may next get work that a warm one could take.
+	// nextWarmUpAt is when the cold target may next get a request that a warm one could
+	// handle.
 	nextWarmUpAt time.Time
 
 	health health
 }
 
-// acceptsNew reports whether the target may get new work at all.
+// acceptsNew reports whether the target may get new requests at all.
 func (t *target) acceptsNew() bool { return !t.Leaving && !t.ZoneOut }
 
-// hasCredit reports whether a credit is in force.
+// hasCredit reports whether this entry holds a valid credit.
 func (t *target) hasCredit(now time.Time) bool { return now.Before(t.creditExpiresAt) }
 
 // headroom returns how many more requests this entry may send to the target. A cold
-// target gets only what its agent reserved for this entry. A warm one may get
-// more where it seems to have room: its agent refuses what it can't take.
+// target gets only what its agent reserved for this entry. A warm one may get more if
+// it seems to have capacity, because its agent refuses what exceeds its limit.
 func (t *target) headroom(now time.Time, s *Settings, others float64) int {
 	if now.Before(t.fullUntil) {
 		return 0
@@ -62,7 +64,7 @@
 	}
 }
 
-// maxInFlight returns how many requests the target bears at once, at least 1.
+// maxInFlight returns how many requests the target can handle at once, at least 1.
 func (t *target) maxInFlight() int {
 	switch {
 	case t.limit > 0:
@@ -74,9 +76,10 @@
 	}
 }
 
-// othersInFlight estimates what other entries have in flight there: the last report
-// while it is young, the pool's mean share as it ages. A report that once
-// showed an idle target otherwise draws every entry to it (herding).
+// othersInFlight estimates how many requests of other entries are in flight there. It
+// uses the last report while it is recent, and shifts to the pool's mean share as the
+// report ages. Otherwise a report of an idle target would attract the requests of all
+// entries at once (herding).
 func (t *target) othersInFlight(now time.Time, halfWeightAge time.Duration, meanLoad float64) float64 {
 	mean := meanLoad * float64(t.maxInFlight())
 	if t.reportedAt.IsZero() {
@@ -93,15 +96,15 @@
 	return weight*float64(t.othersReported) + (1-weight)*mean
 }
 
-// setInFlight sets what this entry has in flight there.
+// setInFlight sets how many requests this entry has in flight there.
 func (t *target) setInFlight(now time.Time, n int) {
 	t.inFlight = n
 	t.history.set(now, n)
 }
 
-// desiredSlots is how many slots this entry asks for. At a cold target they are all it
-// may use. At a warm one a reservation only parks room that other entries could
-// use, and what is in flight counts there anyway: one will do.
+// desiredSlots returns how many slots this entry should request. At a cold target it
+// may use no others. At a warm one a reservation only blocks capacity that other
+// entries could use, and requests in flight count there in any case, so one is enough.
 func (t *target) desiredSlots(s *Settings) int {
 	if !t.Cold {
 		return 1
@@ -110,12 +113,12 @@
 	return min(t.inFlight+max(s.InitialSlots, t.inFlight/2), max(t.maxInFlight(), t.inFlight+1))
 }
 
-// requestsCreditAhead reports whether credits are asked for ahead: of a cold target, whose
-// slots no request may do without, and of one that cannot be reached, where the
-// asks find out for the requests when it is back.
+// requestsCreditAhead reports whether credits are requested ahead of requests: for a
+// cold target, because requests can't go there without one, and for an unreachable one,
+// where the credit requests find out when it is back.
 func (t *target) requestsCreditAhead() bool { return t.Cold || t.health.ejectedFor.unreachable() }
 
-// creditRequestDue reports whether a new credit is due.
+// creditRequestDue reports whether a new credit should be requested.
 func (t *target) creditRequestDue(now time.Time, slots int, renewBefore time.Duration) bool {
 	if now.Before(t.nextCreditRequestAt) {
 		return false
@@ -126,9 +129,9 @@
 	return lacksSlot || !t.creditExpiresAt.After(now.Add(renewBefore)) || slots > t.requestedSlots || 2*slots < t.requestedSlots
 }
 
-// creditRequested records an ask. One that finds no slot at a cold target is repeated
-// soon: agents serve those first that have asked longest, and forget who does
-// not come back.
+// creditRequested records a credit request. At a cold target without a free slot it is
+// repeated soon, because agents serve the entries that have waited longest and drop
+// those that do not ask again.
 func (t *target) creditRequested(now time.Time, slots int, s *Settings) {
 	t.requestedSlots = slots
 
--- a/internal/routing/updates.go
+++ b/internal/routing/updates.go
@@ -8,7 +8,7 @@
 	"github.com/parsleygate/parsleygate/internal/prefix"
 )
 
-// ChangeTargets takes in the configuration's targets.
+// ChangeTargets applies the targets of a new configuration.
 func (c *Chooser) ChangeTargets(ev TargetsChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	c.Prefixes.Retain(func(id string) bool { return c.byID[id] != nil })
 }
 
-// ApplyCacheEvent takes in an engine's cache event.
+// ApplyCacheEvent applies a cache event of an engine.
 func (c *Chooser) ApplyCacheEvent(ev prefix.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,8 @@
 	p.countEjected(t.health.ejectedFor)
 }
 
-// find returns the target when it is still of that incarnation.
+// find returns the target and its pool, or nil if the target is unknown or has another
+// incarnation.
 func (c *Chooser) find(agentID string, incarnation uint64) (*target, *pool) {
 	c.initLocked()
 
@@ -76,7 +77,7 @@
 	return t, c.pools[t.Service]
 }
 
-// ApplyReport takes in a load report. One older than the last is dropped.
+// ApplyReport applies a load report. A report older than the last one is dropped.
 func (c *Chooser) ApplyReport(ev ReportReceived) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +100,7 @@
 	p.noteEvent()
 }
 
-// ApplyCredit takes in a credit.
+// ApplyCredit applies a credit.
 func (c *Chooser) ApplyCredit(ev CreditChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +120,7 @@
 	t.markReachable()
 }
 
-// RecordFirstByte takes in the time to an answer's first byte.
+// RecordFirstByte records the time to the first byte of an answer.
 func (c *Chooser) RecordFirstByte(ev FirstByte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	p.noteEvent()
 }
 
-// Finish takes in a request's end and frees its place.
+// Finish records the end of a request and frees its slot.
 func (c *Chooser) Finish(now time.Time, ev Finished) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +148,7 @@
 	c.applyOutcome(now, p, t, ev)
 }
 
-// RecordUnresponsive takes in that a connection went silent.
+// RecordUnresponsive records that a connection stopped responding.
 func (c *Chooser) RecordUnresponsive(now time.Time, ev ConnectionUnresponsive) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/zone_bench_test.go
+++ b/internal/routing/zone_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/routing"
 )
 
-// queuedEntry puts the entry's queue before its choice.
+// queuedEntry is an entry with a fairness queue ahead of its picker.
 type queuedEntry struct {
 	m     *model
 	entry *modelEntry
@@ -28,7 +28,7 @@
 	return d
 }
 
-// updateCapacity follows the room at the targets.
+// updateCapacity sets the queue's capacity to that of the targets.
 func (d *queuedEntry) updateCapacity() {
 	now := d.m.clock()
 	d.apply(d.queue.SetCapacity(now, d.entry.capacity(now).Slots))
@@ -43,7 +43,7 @@
 		delete(d.jobs, id)
 		d.apply(d.queue.Finish(d.m.clock(), id))
 	}
-	// A request without room at any target waits for the next credit.
+	// A request for which no target has capacity waits for the next credit.
 	j.onNoCapacity = func() { d.apply(d.queue.Requeue(d.m.clock(), id)) }
 	itemAction, otherActions := d.queue.Offer(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
 	d.apply(append(otherActions, itemAction))
@@ -64,15 +64,15 @@
 	}
 }
 
-// The times of the scenario: a zone goes, and comes back cold.
+// The times of the scenario: a zone is lost and returns cold.
 const (
 	zoneOutAt   = 30 * time.Second
 	zoneBackAt  = 90 * time.Second
 	arrivalsEnd = 180 * time.Second
 )
 
-// zoneScenario takes the first zone out and back, told to each entry within a
-// second; without notice its targets go silent instead.
+// zoneScenario takes the first zone out and back. With notice, each entry receives the
+// change within a second; without it, the targets stop responding.
 func (m *model) zoneScenario(notice bool) {
 	zone := m.targets[0].Zone
 	m.after(zoneOutAt, func() { m.setZone(zone, notice, true) })
@@ -116,8 +116,9 @@
 	return list
 }
 
-// answeredBetween is what was answered in time from one time to another: by the time of
-// the answer where the targets are full, by that of the request where they keep up.
+// answeredBetween returns how many requests were answered in time, and how many were
+// offered, from one time to another. Answers count by their end if the targets are
+// full, and by the arrival of the request otherwise.
 func (m *model) answeredBetween(from, to time.Duration, byEnd bool) (answered, offered float64) {
 	for s := int(from / time.Second); s < int(to/time.Second); s++ {
 		if byEnd {
@@ -140,16 +141,17 @@
 	}
 }
 
-// BenchmarkZone measures what is answered in time while a zone leaves and
-// returns cold, against what the remaining targets can carry.
+// BenchmarkZone measures the requests answered in time while a zone is out and after it
+// returns cold, relative to the capacity of the other zones.
 func BenchmarkZone(b *testing.B) {
-	list := append(lbPolicies(), lbPolicy{"RoundRobin+Queue", roundRobin}, lbPolicy{"Ours+Queue", chooserPicker(routing.Settings{})})
+	list := append(lbPolicies(), lbPolicy{"RoundRobin+Queue", roundRobin}, lbPolicy{"Chooser+Queue", chooserPicker(routing.Settings{})})
 
 	for _, s := range zoneDeployments() {
 		for _, notice := range []bool{true, false} {
 			for _, load := range []float64{0.55, 0.8} {
 				for _, lb := range list {
-					// The baselines' share of the capacity is that of three entries.
+					// The baselines take a third of the capacity, which is right only
+					// for three entries.
 					if s.entries != 3 && lb.name == "RoundRobin+Queue" {
 						continue
 					}
@@ -165,12 +167,12 @@
 	}
 }
 
-// zoneOutcome is what one run measures, in percent but for tries and p99.
+// zoneOutcome is the result of one run, in percent except attempts, p99 and coldExcess.
 type zoneOutcome struct {
 	duringOutage, afterReturn, answered, refused, late, attempts, p99, coldExcess float64
 }
 
-// runZone reports the means over the size's seeds, and the worst leaving.
+// runZone reports the means over all seeds, and the worst result during the outage.
 func runZone(b *testing.B, s deployment, lb lbPolicy, notice bool, load float64) {
 	b.Helper()
 
