--- a/internal/fairness/memory_bench_test.go
+++ b/internal/fairness/memory_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/parsleygate/parsleygate/internal/fairness"
 )
 
-// BenchmarkMemory is the memory of a queue in which 13,000 workspaces wait with
-// one request each.
+// BenchmarkMemory measures the memory of a queue with 13,000 workspaces that have one
+// waiting request each.
 func BenchmarkMemory(b *testing.B) {
 	const workspaces = 13_000
 
@@ -20,7 +20,7 @@
 		runtime.ReadMemStats(&before)
 
 		q := newQueue(1)
-		q.Settings.Most = workspaces
+		q.Settings.MaxWaiting = workspaces
 		q.SetCapacity(epoch, 1)
 
 		for id := range uint64(workspaces + 1) {
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestEvents runs the tables of late, doubled and missing events.
-func TestEvents(t *testing.T) {
+// TestCacheEvents runs the files in testdata, with late, duplicate and missing events.
+func TestCacheEvents(t *testing.T) {
 	t.Parallel()
 
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -51,19 +51,20 @@
 			case "wait":
 			}
 
-			return state(x, now)
+			return formatMatch(x, now)
 		})
 	})
 }
 
-// state says how much of the prompt 1 2 3 4 is thought to be held.
-func state(x *prefix.Index, now time.Time) string {
+// formatMatch formats how much of the prompt 1 2 3 4 the index expects the target to
+// hold.
+func formatMatch(x *prefix.Index, now time.Time) string {
 	m := x.Match(now, "t1", []uint64{1, 2, 3, 4})
 
-	return strings.TrimSpace(fmt.Sprintf("held=%d certainty=%.2f", m.Blocks, m.Certainty)) + "\n"
+	return strings.TrimSpace(fmt.Sprintf("held=%d certainty=%.2f", m.Blocks, m.Confidence)) + "\n"
 }
 
-func TestIndexIsBounded(t *testing.T) {
+func TestIndexSizeIsBounded(t *testing.T) {
 	t.Parallel()
 
 	x := &prefix.Index{MaxBlocks: 1000}
@@ -73,7 +74,7 @@
 	}
 
 	require.LessOrEqual(t, x.Size(), 1000)
-	require.Equal(t, 1, x.Match(epoch, "t0", []uint64{7}).Blocks, "what is in use stays")
+	require.Equal(t, 1, x.Match(epoch, "t0", []uint64{7}).Blocks, "prefix in use was evicted")
 
 	x.Retain(func(target string) bool { return target == "t0" })
 	require.LessOrEqual(t, x.Size(), 100)
--- a/internal/routing/credits.go
+++ b/internal/routing/credits.go
@@ -6,57 +6,58 @@
 	"time"
 )
 
-// RecordDemand says that requests for a service come or wait. Credits of cold targets
-// are asked for ahead only while they do.
+// RecordDemand records that a service has new or waiting requests. Credits of cold
+// targets are requested ahead only while it has.
 func (c *Chooser) RecordDemand(now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
-	c.demand[service] = now
+	c.initLocked()
+	c.lastRequestAt[service] = now
 }
 
-// CreditRequests returns the credits to ask for now, at cold and unreachable targets
-// of services in demand: first ones, those that end soon, and those that no longer fit what this
-// entry needs. Answers renew a credit only by what was last asked. A credit of a
-// warm target is asked for by the request that needs one (Choice.NeedsCredit): it
-// costs that request a round trip, where renewing each ahead would cost an entry
-// with many targets more than all else that it says. A shell calls it some five
-// times a second.
+// CreditRequests returns the credit requests that are due, for cold and unreachable
+// targets of services in demand: for a first credit, for one that expires soon, and for
+// one that no longer fits the slots this entry needs. Answers renew a credit only for
+// the slots last requested. The credit of a warm target is requested by the request
+// that needs it (Choice.NeedsCredit). This costs that request a round trip, but
+// renewing every credit ahead would cost an entry with many targets more than all of
+// its other messages. It should be called about five times a second.
 func (c *Chooser) CreditRequests(now time.Time) []CreditRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
-	var asks []CreditRequest
+	var requests []CreditRequest
 
 	for service, p := range c.pools {
-		if now.Sub(c.demand[service]) > c.Settings.DemandLife {
+		if now.Sub(c.lastRequestAt[service]) > c.Settings.DemandTTL {
 			continue
 		}
 
 		for _, t := range p.targets {
-			wanted := t.wants(&c.Settings)
-			if !t.needsAsk() || !t.takesNew() || !t.shouldAsk(now, wanted, c.Settings.RenewBefore) {
+			slots := t.desiredSlots(&c.Settings)
+			if !t.requestsCreditAhead() || !t.acceptsNew() || !t.creditRequestDue(now, slots, c.Settings.CreditRenewBefore) {
 				continue
 			}
 
-			t.asked(now, wanted, &c.Settings)
-			asks = append(asks, CreditRequest{
-				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: wanted, Using: t.own,
+			t.creditRequested(now, slots, &c.Settings)
+			requests = append(requests, CreditRequest{
+				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: slots, Using: t.inFlight,
 			})
 		}
 	}
 
-	slices.SortFunc(asks, func(a, b CreditRequest) int { return strings.Compare(a.AgentID, b.AgentID) })
+	slices.SortFunc(requests, func(a, b CreditRequest) int { return strings.Compare(a.AgentID, b.AgentID) })
 
-	return asks
+	return requests
 }
 
-// Capacity returns what this entry may have in flight at a service's targets.
+// Capacity returns how many requests this entry may have in flight at a service's
+// targets.
 func (c *Chooser) Capacity(now time.Time, service string) Capacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
 	var r Capacity
 
@@ -66,14 +67,14 @@
 	}
 
 	for _, t := range p.targets {
-		r.InFlight += t.own
-		r.Slots += t.own
-		if !t.takesNew() || now.Before(t.stoppedUntil) || t.health.aside != faultNone {
+		r.InFlight += t.inFlight
+		r.Slots += t.inFlight
+		if !t.acceptsNew() || now.Before(t.stoppedUntil) || t.health.ejectedFor != faultNone {
 			continue
 		}
 
 		r.Targets++
-		r.Slots += max(0, t.room(now, &c.Settings, t.others(now, c.Settings.ReportLife, p.meanLoad)))
+		r.Slots += max(0, t.headroom(now, &c.Settings, t.othersInFlight(now, c.Settings.ReportHalfWeightAge, p.meanLoad)))
 	}
 
 	return r
--- a/internal/routing/decisions_test.go
+++ b/internal/routing/decisions_test.go
@@ -13,13 +13,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// script drives a Chooser by the tables under testdata.
+// script runs the commands of the testdata files on a Chooser.
 type script struct {
 	c   *routing.Chooser
 	now time.Time
 }
 
-// TestDecisions runs the tables. Each says in its comment what a caller would see.
+// TestDecisions runs the files in testdata. The comments of each describe the effect on
+// callers.
 func TestDecisions(t *testing.T) {
 	t.Parallel()
 
@@ -57,7 +58,7 @@
 	case "choose":
 		return s.choose(d, n)
 	case "end":
-		s.end(t, d, n)
+		s.finish(t, d, n)
 	case "begin":
 		for range n {
 			s.c.RecordFirstByte(routing.FirstByte{AgentID: d.CmdArgs[0].Key, Incarnation: 1, Wait: wait})
@@ -69,7 +70,7 @@
 	case "demand":
 		s.c.RecordDemand(s.now, service)
 	case "asks":
-		return s.asks()
+		return s.creditRequests()
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 	}
@@ -125,13 +126,14 @@
 	s.c.ApplyReport(ev)
 }
 
-// choose makes n choices that stay in flight, or that end at once with "ends".
+// choose makes n choices. They stay in flight unless the command has the argument
+// "ends".
 func (s *script) choose(d *datadriven.TestData, n int) string {
 	counts := map[string]int{}
-	ask := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
+	req := routing.Request{Service: service, Zone: "ayutthaya", Region: "central-th", Idempotent: !d.HasArg("booking")}
 
 	for range n {
-		got, none := s.c.Choose(s.now, ask)
+		got, none := s.c.Choose(s.now, req)
 		if none != nil {
 			counts[fmt.Sprintf("none: %s, again in %v", none.Cause, none.RetryAt.Sub(s.now).Round(10*time.Millisecond))]++
 
@@ -150,10 +152,10 @@
 		}
 	}
 
-	return lines(counts)
+	return formatCounts(counts)
 }
 
-func lines(counts map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var b strings.Builder
 
 	names := make([]string, 0, len(counts))
@@ -170,7 +172,7 @@
 	return b.String()
 }
 
-func (s *script) end(t *testing.T, d *datadriven.TestData, n int) {
+func (s *script) finish(t *testing.T, d *datadriven.TestData, n int) {
 	t.Helper()
 
 	var cause string
@@ -184,10 +186,10 @@
 	}
 }
 
-func (s *script) asks() string {
+func (s *script) creditRequests() string {
 	var b strings.Builder
-	for _, a := range s.c.CreditRequests(s.now) {
-		fmt.Fprintf(&b, "%s wanted=%d using=%d\n", a.AgentID, a.Wanted, a.Using)
+	for _, req := range s.c.CreditRequests(s.now) {
+		fmt.Fprintf(&b, "%s wanted=%d using=%d\n", req.AgentID, req.Wanted, req.Using)
 	}
 
 	return b.String()
--- a/internal/routing/refusal.go
+++ b/internal/routing/no_target.go
@@ -6,26 +6,26 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// The mean pauses before asking again where nothing says when.
+// The mean retry delays where no target reported one.
 const (
-	waitForRoom    = 300 * time.Millisecond
-	waitForTargets = 3 * time.Second
+	fullRetryDelay     = 300 * time.Millisecond
+	noTargetRetryDelay = 3 * time.Second
 )
 
-// jitter returns between half of d and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (c *Chooser) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(c.Rand.Float64()*float64(d))
 }
 
-// why says why no target could be picked.
-func (c *Chooser) why(now time.Time, p *pool) *NoTarget {
+// noTarget returns the error for a request for which no target could be picked.
+func (c *Chooser) noTarget(now time.Time, p *pool) *NoTarget {
 	cause := verdict.CauseNoTarget
 
 	for _, t := range p.targets {
 		switch {
-		case t.takesNew() && t.Cold:
+		case t.acceptsNew() && t.Cold:
 			cause = verdict.CauseColdLimit
-		case t.takesNew():
+		case t.acceptsNew():
 			cause = verdict.CauseOverload
 		case cause == verdict.CauseNoTarget && t.ZoneOut:
 			cause = verdict.CauseZoneOut
@@ -39,35 +39,35 @@
 	}
 
 	if cause != verdict.CauseOverload && cause != verdict.CauseColdLimit {
-		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(waitForTargets))}
+		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
 	}
 
-	at := p.earliest(now)
+	at := p.earliestRetry(now)
 	if at.IsZero() {
-		at = now.Add(c.jitter(waitForRoom))
+		at = now.Add(c.jitter(fullRetryDelay))
 	}
 
 	return &NoTarget{Cause: cause, RetryAt: at}
 }
 
-// Unavailable says why none of a service's targets takes new work, as when all are in
-// zones that are out; nil when one does, however full. A request that meets it
-// need not wait in a queue for room.
+// Unavailable returns why none of a service's targets accepts new requests, for example
+// because all are in zones that are out. It returns nil if one does, even if it is
+// full. A request that gets this error need not wait in a queue for capacity.
 func (c *Chooser) Unavailable(now time.Time, service string) *NoTarget {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
 	p := c.pools[service]
 	if p == nil {
-		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(waitForTargets))}
+		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
 	}
 
 	for _, t := range p.targets {
-		if t.takesNew() {
+		if t.acceptsNew() {
 			return nil
 		}
 	}
 
-	return c.why(now, p)
+	return c.noTarget(now, p)
 }
--- a/internal/routing/listen.go
+++ b/internal/routing/updates.go
@@ -8,18 +8,18 @@
 	"github.com/parsleygate/parsleygate/internal/prefix"
 )
 
-// ChangeTargets takes in the configuration's targets.
+// ChangeTargets applies the targets of a new configuration.
 func (c *Chooser) ChangeTargets(ev TargetsChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.start()
+	c.initLocked()
 
-	former := c.byID
+	previous := c.byID
 	c.pools = map[string]*pool{}
 	c.byID = make(map[string]*target, len(ev.Targets))
 
 	for _, d := range ev.Targets {
-		t := former[d.AgentID]
+		t := previous[d.AgentID]
 		if t == nil || t.Incarnation != d.Incarnation {
 			t = &target{hash: xxhash.Sum64String(d.AgentID)}
 		}
@@ -43,7 +43,7 @@
 	c.Prefixes.Retain(func(id string) bool { return c.byID[id] != nil })
 }
 
-// ApplyCacheEvent takes in an engine's cache event.
+// ApplyCacheEvent applies a cache event of an engine.
 func (c *Chooser) ApplyCacheEvent(ev prefix.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,12 +61,13 @@
 	}
 
 	p.targets = append(p.targets, t)
-	p.count(t.health.aside)
+	p.countEjected(t.health.ejectedFor)
 }
 
-// find returns the target when it is still of that incarnation.
+// find returns the target and its pool, or nil if the target is unknown or has another
+// incarnation.
 func (c *Chooser) find(agentID string, incarnation uint64) (*target, *pool) {
-	c.start()
+	c.initLocked()
 
 	t := c.byID[agentID]
 	if t == nil || t.Incarnation != incarnation {
@@ -76,7 +77,7 @@
 	return t, c.pools[t.Service]
 }
 
-// ApplyReport takes in a load report. One older than the last is dropped.
+// ApplyReport applies a load report. A report older than the last one is dropped.
 func (c *Chooser) ApplyReport(ev ReportReceived) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,20 +87,20 @@
 		return
 	}
 
-	t.reported = max(0, ev.InFlight+ev.Queued-t.history.at(ev.TakenAt))
+	t.othersReported = max(0, ev.InFlight+ev.Queued-t.history.at(ev.TakenAt))
 	t.reportedAt = ev.TakenAt
 	t.limit = ev.Limit
 	t.Cold = ev.Cold
 
 	t.stoppedUntil = time.Time{}
 	if ev.Leaving {
-		t.stoppedUntil = ev.TakenAt.Add(c.Settings.StoppedFor)
+		t.stoppedUntil = ev.TakenAt.Add(c.Settings.StopReportTTL)
 	}
 
-	p.changed()
+	p.noteEvent()
 }
 
-// ApplyCredit takes in a credit.
+// ApplyCredit applies a credit.
 func (c *Chooser) ApplyCredit(ev CreditChanged) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,17 +110,17 @@
 		return
 	}
 
-	t.slots = ev.Slots
-	t.creditEnds = ev.ExpiresAt
+	t.creditSlots = ev.Slots
+	t.creditExpiresAt = ev.ExpiresAt
 
 	if !ev.RetryAt.IsZero() && t.Cold {
-		t.askAt = ev.RetryAt
+		t.nextCreditRequestAt = ev.RetryAt
 	}
 
-	t.reached()
+	t.markReachable()
 }
 
-// RecordFirstByte takes in the time to an answer's first byte.
+// RecordFirstByte records the time to the first byte of an answer.
 func (c *Chooser) RecordFirstByte(ev FirstByte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,11 +130,11 @@
 		return
 	}
 
-	t.health.waited(ev.Wait)
-	p.changed()
+	t.health.recordWait(ev.Wait)
+	p.noteEvent()
 }
 
-// Finish takes in a request's end and frees its place.
+// Finish records the end of a request and frees its slot.
 func (c *Chooser) Finish(now time.Time, ev Finished) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,11 +144,11 @@
 		return
 	}
 
-	t.count(now, max(0, t.own-1))
-	c.learn(now, p, t, ev)
+	t.setInFlight(now, max(0, t.inFlight-1))
+	c.applyOutcome(now, p, t, ev)
 }
 
-// RecordUnresponsive takes in that a connection went silent.
+// RecordUnresponsive records that a connection stopped responding.
 func (c *Chooser) RecordUnresponsive(now time.Time, ev ConnectionUnresponsive) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,6 +158,6 @@
 		return
 	}
 
-	t.health.silences++
-	c.judge(now, p, t)
+	t.health.unresponsive++
+	c.ejectIfFaulty(now, p, t)
 }
