--- a/internal/lockstep/tallies.go
+++ b/internal/lockstep/count_deltas.go
@@ -14,46 +14,46 @@
 	// above those of all earlier lives, whose counts an asker may still hold.
 	Mark uint64
 
-	told []tally
+	sent []sentCounts
 }
 
-// tally is counts of some ranks, by their names, as they were told.
-type tally struct {
+// sentCounts is counts of some ranks, by their names, as they were told.
+type sentCounts struct {
 	ranks  string
 	mark   uint64
 	counts []uint64
 }
 
-// mostTallies bounds the counts that are kept: the last ones told to a directing agent, its
+// maxKeptCounts bounds the counts that are kept: the last ones told to a directing agent, its
 // successor, and one that adds them up, with some whose answer was lost.
-const mostTallies = 6
+const maxKeptCounts = 6
 
 // Encode puts counts of some ranks into an answer to who holds those with the mark known.
-func (t *CountEncoder) Encode(out *wire.LookAnswer, ranks string, counts []uint64, known uint64) {
+func (t *CountEncoder) Encode(out *wire.LookAnswer, ranks string, counts []uint64, knownMark uint64) {
 	t.Mark++
 	out.Mark = t.Mark
 	out.Counts = counts
 
-	for _, base := range t.told {
-		if base.mark != known || base.ranks != ranks {
+	for _, base := range t.sent {
+		if base.mark != knownMark || base.ranks != ranks {
 			continue
 		}
 
-		if more, ok := added(base.counts, counts); ok {
-			out.Base, out.Counts = known, more
+		if diff, ok := countDiff(base.counts, counts); ok {
+			out.Base, out.Counts = knownMark, diff
 		}
 	}
 
-	if len(t.told) == mostTallies {
-		t.told = t.told[1:]
+	if len(t.sent) == maxKeptCounts {
+		t.sent = t.sent[1:]
 	}
 
-	t.told = append(t.told, tally{ranks: ranks, mark: t.Mark, counts: slices.Clone(counts)})
+	t.sent = append(t.sent, sentCounts{ranks: ranks, mark: t.Mark, counts: slices.Clone(counts)})
 }
 
-// added returns what has been added to counts. It reports false where they have fallen: an
+// countDiff returns what has been added to counts. It reports false where they have fallen: an
 // engine has started anew.
-func added(before, now []uint64) ([]uint64, bool) {
+func countDiff(before, now []uint64) ([]uint64, bool) {
 	if len(before) != len(now) {
 		return nil, false
 	}
--- a/internal/lockstep/tallies_test.go
+++ b/internal/lockstep/count_deltas_test.go
@@ -13,14 +13,14 @@
 
 // Answers with counts are lost, agents start anew, and two askers hold different ones.
 // Guards against counts that an asker adds to others than they were told for.
-func TestCountsToldAsAdditionsAreTheCounts(t *testing.T) {
+func TestDecodedCountsMatchEncodedCounts(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
-		var told lockstep.CountEncoder
+		var encoder lockstep.CountEncoder
 
 		counts := make([]uint64, 5)
-		heard := make([]lockstep.CountDecoder, 2)
+		decoders := make([]lockstep.CountDecoder, 2)
 
 		for range 40 {
 			for i := range counts {
@@ -32,21 +32,21 @@
 			}
 
 			if rapid.IntRange(0, 20).Draw(t, "agent starts anew") == 0 {
-				told = lockstep.CountEncoder{Mark: told.Mark + 1000}
+				encoder = lockstep.CountEncoder{Mark: encoder.Mark + 1000}
 			}
 
-			h := &heard[rapid.IntRange(0, 1).Draw(t, "asker")]
+			decoder := &decoders[rapid.IntRange(0, 1).Draw(t, "asker")]
 
 			var out wire.LookAnswer
 
-			told.Encode(&out, "0", counts, h.Mark)
+			encoder.Encode(&out, "0", counts, decoder.Mark)
 
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 				continue
 			}
 
-			if h.Decode(&out) {
-				require.Equal(t, counts, h.Counts)
+			if decoder.Decode(&out) {
+				require.Equal(t, counts, decoder.Counts)
 			}
 		}
 	})
@@ -54,31 +54,31 @@
 
 // The counts of a rank of a large group after a minute, told each tenth of a second.
 // Guards against looks that fill the link of the agent that adds them up.
-func TestCountsTravelShort(t *testing.T) {
+func TestCountDifferencesAreSmall(t *testing.T) {
 	t.Parallel()
 
 	const numbers = 16 * 258
 
 	var (
-		told lockstep.CountEncoder
-		h    lockstep.CountDecoder
-		size int
+		encoder lockstep.CountEncoder
+		decoder lockstep.CountDecoder
+		size    int
 	)
 
 	counts := make([]uint64, numbers)
 
-	for look := range 3 {
+	for n := range 3 {
 		for i := range counts {
 			counts[i] += uint64(20 + i%60)
-			if look == 0 {
+			if n == 0 {
 				counts[i] += 30_000
 			}
 		}
 
 		var out wire.LookAnswer
 
-		told.Encode(&out, "0", counts, h.Mark)
-		require.True(t, h.Decode(&out))
+		encoder.Encode(&out, "0", counts, decoder.Mark)
+		require.True(t, decoder.Decode(&out))
 
 		size = proto.Size(&out)
 	}
--- a/internal/lockstep/engine.go
+++ b/internal/lockstep/engine.go
@@ -155,12 +155,12 @@
 	Err error
 }
 
-// leastSpread is from how many ranks on an errand is spread by way of agents. Fewer are
+// minFanOutRanks is from how many ranks on an errand is spread by way of agents. Fewer are
 // sooner spoken to directly.
-const leastSpread = 24
+const minFanOutRanks = 24
 
-// spreads reports whether an errand to so many ranks goes by way of agents.
-func (r *GroupClient) spreads(n int) bool { return r.FanOut != nil && n >= leastSpread }
+// usesFanOut reports whether an errand to so many ranks goes by way of agents.
+func (r *GroupClient) usesFanOut(n int) bool { return r.FanOut != nil && n >= minFanOutRanks }
 
 // Shape is how experts may be placed.
 type Shape struct {
@@ -217,10 +217,10 @@
 	CountAggregators int
 }
 
-// askTimeout bounds an order or look that goes to a group of so many ranks. A standby
+// requestTimeout bounds an order or look that goes to a group of so many ranks. A standby
 // that has no connections yet needs longer the more ranks there are: with one bound for
 // all sizes it heard from too few ranks of a large group, and could not free it.
-func (s *Settings) askTimeout(ranks int) time.Duration {
+func (s *Settings) requestTimeout(ranks int) time.Duration {
 	return s.OrderTimeout + time.Duration(ranks)*s.PerRankTimeout
 }
 
--- a/internal/lockstep/export_test.go
+++ b/internal/lockstep/export_test.go
@@ -1,21 +1,21 @@
 package lockstep
 
 // ImproveMap returns ImproveAt where all ranks are alike.
-func ImproveMap(shape Shape, m Map, d Demand, copies CopyLimits) Map {
-	return ImproveMapWithSlowdowns(shape, m, d, nil, copies)
+func ImproveMap(shape Shape, m Map, d Demand, limits CopyLimits) Map {
+	return ImproveMapWithSlowdowns(shape, m, d, nil, limits)
 }
 
 // ImproveMapWithSlowdowns returns the map that one search finds.
-func ImproveMapWithSlowdowns(shape Shape, m Map, d Demand, paces Slowdowns, copies CopyLimits) Map {
-	return newPlan(shape, m, d, paces).improve(copies)
+func ImproveMapWithSlowdowns(shape Shape, m Map, d Demand, slowdowns Slowdowns, limits CopyLimits) Map {
+	return newMapSearch(shape, m, d, slowdowns).improve(limits)
 }
 
 // ImproveMapStepwise returns the maps that one search finds with more and more copies.
-func ImproveMapStepwise(shape Shape, m Map, d Demand, most []int) []Map {
-	p := newPlan(shape, m, d, nil)
+func ImproveMapStepwise(shape Shape, m Map, d Demand, maxPerRank []int) []Map {
+	p := newMapSearch(shape, m, d, nil)
 
 	var out []Map
-	for _, n := range most {
+	for _, n := range maxPerRank {
 		out = append(out, p.improve(CopyLimits{MaxPerRank: n, MinGain: 0.004}))
 	}
 
--- a/internal/lockstep/group_test.go
+++ b/internal/lockstep/fake_group_test.go
@@ -22,80 +22,80 @@
 type fakeGroup struct {
 	shape lockstep.Shape
 
-	mu     sync.Mutex
-	ranks  []*fakeRank
-	epoch  uint64
-	step   uint64
-	idle   bool
-	broken string // what broke, or nothing
-	// pass is how long a step takes; waited is for how long steps were held beyond
+	mu        sync.Mutex
+	ranks     []*fakeRank
+	epoch     uint64
+	step      uint64
+	idle      bool
+	violation string // what broke, or nothing
+	// stepTime is how long a step takes; waited is for how long steps were held beyond
 	// that, waits by how much each of them was.
-	pass   time.Duration
-	waited time.Duration
-	waits  []time.Duration
+	stepTime  time.Duration
+	totalHeld time.Duration
+	holdTimes []time.Duration
 	// weight is how often each expert is chosen in a step, set by set.
 	weight [][]float64
 	// fault decides what becomes of the n-th order.
 	fault  func(n int) fault
 	orders int
-	// lookTakes is how long a look takes.
-	lookTakes time.Duration
-	// lost decides whether the answer to a look at a rank is lost.
-	lost func(rank int) bool
-	// slow is how much longer an order takes for each rank, so that orders given
+	// pollTime is how long a look takes.
+	pollTime time.Duration
+	// pollLost decides whether the answer to a look at a rank is lost.
+	pollLost func(rank int) bool
+	// orderDelayPerRank is how much longer an order takes for each rank, so that orders given
 	// together arrive one after the other.
-	slow time.Duration
-	// lostErrand decides whether the n-th errand by way of an agent is lost with it.
-	lostErrand func(n int) bool
-	errands    int
-	// countRanks is of how many ranks the director reads the counts in one look.
-	countRanks int
+	orderDelayPerRank time.Duration
+	// fanOutLost decides whether the n-th errand by way of an agent is lost with it.
+	fanOutLost func(n int) bool
+	fanOuts    int
+	// countAggregators is of how many ranks the director reads the counts in one look.
+	countAggregators int
 	// logs are what the director says.
 	logs io.Writer
-	// lateBy is how much later a late order is carried out.
-	lateBy time.Duration
+	// lateDelay is how much later a late order is carried out.
+	lateDelay time.Duration
 }
 
 type fakeRank struct {
-	version, prepared, armed, armedFor, highest, fence uint64
-	held                                               uint64
-	holds                                              bool
-	lists, next                                        [][]uint16
-	// whole and nextWhole are the whole map as it was ordered.
-	whole, nextWhole string
-	readyAt          time.Time
-	counts           []uint64
-	pace             float64
+	version, prepared, armed, armedFor, highestVersion, fence uint64
+	heldStep                                                  uint64
+	holds                                                     bool
+	experts, nextExperts                                      [][]uint16
+	// wholeMap and nextWhole are the whole map as it was ordered.
+	wholeMap, nextWholeMap string
+	readyAt                time.Time
+	counts                 []uint64
+	slowdown               float64
 }
 
 // fault is what becomes of one order.
 type fault uint8
 
 const (
-	faultNone   fault = iota
-	faultLost         // it never arrives
-	faultAnswer       // it is carried out, and the answer is lost
-	faultLate         // the answer is lost, and it is carried out seconds later
-	faultUnsure       // the same, and its fencing number was looked at on arrival only
+	faultNone         fault = iota
+	faultLost               // it never arrives
+	faultAnswerLost         // it is carried out, and the answer is lost
+	faultLate               // the answer is lost, and it is carried out seconds later
+	faultLateAccepted       // the same, and its fencing number was looked at on arrival only
 )
 
 const (
-	stepTime = 10 * time.Millisecond
-	copyTime = 20 * time.Millisecond
-	// lookTimeout is how long an agent waits for another one's look.
-	lookTimeout = 100 * time.Millisecond
-	// heldPoll is how often a group looks whether a held step may begin.
-	heldPoll = time.Millisecond
+	defaultStepTime = 10 * time.Millisecond
+	expertCopyTime  = 20 * time.Millisecond
+	// pollTimeout is how long an agent waits for another one's look.
+	pollTimeout = 100 * time.Millisecond
+	// heldPollInterval is how often a group looks whether a held step may begin.
+	heldPollInterval = time.Millisecond
 )
 
 func newGroup(shape lockstep.Shape, weight [][]float64) *fakeGroup {
-	g := &fakeGroup{shape: shape, epoch: 1, weight: weight, pass: stepTime, logs: io.Discard, countRanks: lockstep.DefaultSettings().CountAggregators, lateBy: 2300 * time.Millisecond, fault: func(int) fault { return faultNone }, lost: func(int) bool { return false }}
+	g := &fakeGroup{shape: shape, epoch: 1, weight: weight, stepTime: defaultStepTime, logs: io.Discard, countAggregators: lockstep.DefaultSettings().CountAggregators, lateDelay: 2300 * time.Millisecond, fault: func(int) fault { return faultNone }, pollLost: func(int) bool { return false }}
 	first := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 
 	for r := range shape.Ranks {
 		k := &fakeRank{counts: make([]uint64, shape.Sets*shape.Experts)}
 		for s := range first {
-			k.lists = append(k.lists, first[s][r])
+			k.experts = append(k.experts, first[s][r])
 		}
 
 		g.ranks = append(g.ranks, k)
@@ -107,13 +107,13 @@
 // run makes steps until ctx ends.
 func (g *fakeGroup) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(g.pass)
-		g.begin(ctx)
+		time.Sleep(g.stepTime)
+		g.beginStep(ctx)
 	}
 }
 
-// begin begins the next step, once no rank holds it any more.
-func (g *fakeGroup) begin(ctx context.Context) {
+// beginStep begins the next step, once no rank holds it any more.
+func (g *fakeGroup) beginStep(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -125,31 +125,31 @@
 
 	for g.isHeld() && ctx.Err() == nil {
 		g.mu.Unlock()
-		time.Sleep(heldPoll)
+		time.Sleep(heldPollInterval)
 		g.mu.Lock()
 
-		waited += heldPoll
-		g.waited += heldPoll
+		waited += heldPollInterval
+		g.totalHeld += heldPollInterval
 	}
 
 	if waited > 0 {
-		g.waits = append(g.waits, waited)
+		g.holdTimes = append(g.holdTimes, waited)
 	}
 
-	g.makeStep()
+	g.runStep()
 }
 
 func (g *fakeGroup) isHeld() bool {
-	return slices.ContainsFunc(g.ranks, func(k *fakeRank) bool { return k.holds && k.held == g.step+1 })
+	return slices.ContainsFunc(g.ranks, func(k *fakeRank) bool { return k.holds && k.heldStep == g.step+1 })
 }
 
-func (g *fakeGroup) makeStep() {
+func (g *fakeGroup) runStep() {
 	g.step++
 
 	for _, k := range g.ranks {
 		if k.armed != 0 && k.armedFor == g.step {
-			k.version, k.lists, k.armed, k.prepared = k.armed, k.next, 0, 0
-			k.whole = k.nextWhole
+			k.version, k.experts, k.armed, k.prepared = k.armed, k.nextExperts, 0, 0
+			k.wholeMap = k.nextWholeMap
 		}
 
 		for s := range g.weight {
@@ -160,12 +160,12 @@
 	}
 
 	for i, k := range g.ranks {
-		if k.version == g.ranks[0].version && k.whole != g.ranks[0].whole && g.broken == "" {
-			g.broken = fmt.Sprintf("step %d began with two maps %d", g.step, k.version)
+		if k.version == g.ranks[0].version && k.wholeMap != g.ranks[0].wholeMap && g.violation == "" {
+			g.violation = fmt.Sprintf("step %d began with two maps %d", g.step, k.version)
 		}
 
-		if k.version != g.ranks[0].version && g.broken == "" {
-			g.broken = fmt.Sprintf("step %d began with map %d at rank 0 and map %d at rank %d", g.step, g.ranks[0].version, k.version, i)
+		if k.version != g.ranks[0].version && g.violation == "" {
+			g.violation = fmt.Sprintf("step %d began with map %d at rank 0 and map %d at rank %d", g.step, g.ranks[0].version, k.version, i)
 		}
 	}
 }
@@ -175,11 +175,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	fresh := newGroup(g.shape, g.weight)
+	initial := newGroup(g.shape, g.weight)
 	g.epoch++
 	g.step = 0
 
-	for i, k := range fresh.ranks {
+	for i, k := range initial.ranks {
 		k.fence = 0
 		*g.ranks[i] = *k
 	}
@@ -192,8 +192,8 @@
 	group *fakeGroup
 	mu    sync.Mutex
 	// killAt is the order before which it dies; 0 for never.
-	killAt, given int
-	dead          bool
+	killAt, orders int
+	dead           bool
 }
 
 func (a *agent) alive(order bool) bool {
@@ -201,30 +201,30 @@
 	defer a.mu.Unlock()
 
 	if order {
-		a.given++
-		a.dead = a.dead || a.given == a.killAt
+		a.orders++
+		a.dead = a.dead || a.orders == a.killAt
 	}
 
 	return !a.dead
 }
 
-func (a *agent) ranks() lockstep.GroupClient {
+func (a *agent) groupClient() lockstep.GroupClient {
 	a.group.mu.Lock()
 	defer a.group.mu.Unlock()
 
-	return lockstep.GroupClient{Size: a.group.shape.Ranks, Epoch: a.group.epoch, Poll: a.look, Order: a.order, FanOut: a.spread}
+	return lockstep.GroupClient{Size: a.group.shape.Ranks, Epoch: a.group.epoch, Poll: a.poll, Order: a.order, FanOut: a.fanOut}
 }
 
-// spread brings an errand to the ranks by way of an agent for each part of them. One that
+// fanOut brings an errand to the ranks by way of an agent for each part of them. One that
 // is lost leaves its part untold.
-func (a *agent) spread(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
+func (a *agent) fanOut(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
 	out := make([]lockstep.FanOutResult, len(ranks))
 	size := int(math.Ceil(math.Sqrt(float64(len(ranks)))))
 
 	var g sync.WaitGroup
 
 	for first := 0; first < len(ranks); first += size {
-		if a.group.loses() {
+		if a.group.losesFanOut() {
 			for i := first; i < min(first+size, len(ranks)); i++ {
 				out[i].Err = errKilled
 			}
@@ -240,7 +240,7 @@
 					out[i].Result = a.order(ctx, ranks[i], e.Order(ranks[i]))
 				}
 
-				out[i].Poll, out[i].Err = a.look(ctx, ranks[i], lockstep.PollRequest{Experts: e.Experts})
+				out[i].Poll, out[i].Err = a.poll(ctx, ranks[i], lockstep.PollRequest{Experts: e.Experts})
 			})
 		}
 	}
@@ -250,16 +250,16 @@
 	return out
 }
 
-func (g *fakeGroup) loses() bool {
+func (g *fakeGroup) losesFanOut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	g.errands++
+	g.fanOuts++
 
-	return g.lostErrand != nil && g.lostErrand(g.errands)
+	return g.fanOutLost != nil && g.fanOutLost(g.fanOuts)
 }
 
-func (a *agent) look(ctx context.Context, rank int, q lockstep.PollRequest) (lockstep.PollResult, error) {
+func (a *agent) poll(ctx context.Context, rank int, q lockstep.PollRequest) (lockstep.PollResult, error) {
 	if !a.alive(false) {
 		return lockstep.PollResult{}, errKilled
 	}
@@ -268,8 +268,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	if g.lookTakes > 0 {
-		wait := time.NewTimer(g.lookTakes)
+	if g.pollTime > 0 {
+		wait := time.NewTimer(g.pollTime)
 		defer wait.Stop()
 
 		g.mu.Unlock()
@@ -286,8 +286,8 @@
 		}
 	}
 
-	if g.lost(rank) {
-		ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	if g.pollLost(rank) {
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 
 		g.mu.Unlock()
@@ -298,52 +298,52 @@
 	}
 
 	k := g.ranks[rank]
-	l := lockstep.PollResult{Report: lockstep.Report{
+	result := lockstep.PollResult{Report: lockstep.Report{
 		Group: "g", Epoch: g.epoch, Rank: rank, Size: len(g.ranks), Open: true, Step: g.step,
-		Map: k.version, Armed: k.armed, Held: k.held, Holds: k.holds, Pace: k.pace,
+		Map: k.version, Armed: k.armed, Held: k.heldStep, Holds: k.holds, Pace: k.slowdown,
 	}, Slowdowns: map[int]float64{}}
 
 	if k.prepared != 0 && !time.Now().Before(k.readyAt) {
-		l.Report.Prepared = k.prepared
+		result.Report.Prepared = k.prepared
 	}
 
 	if q.Counts {
-		l.Counts = append(l.Counts, k.counts...)
+		result.Counts = append(result.Counts, k.counts...)
 
 		for other := rank + 1; other < rank+q.SumRanks; other++ {
 			for i, n := range g.ranks[other].counts {
-				l.Counts[i] += n
+				result.Counts[i] += n
 			}
 
-			l.Slowdowns[other] = g.ranks[other].pace
+			result.Slowdowns[other] = g.ranks[other].slowdown
 		}
 	}
 
 	if q.Experts {
-		l.Experts, l.MapVersion = k.lists, k.version
+		result.Experts, result.MapVersion = k.experts, k.version
 	}
 
-	return l, nil
+	return result, nil
 }
 
 // order gives an order by way of the rank's agent. One without an answer is waited for
 // until the sender gives it up.
 func (a *agent) order(ctx context.Context, rank int, o *wire.EngineOrder) wire.EngineResult {
-	got := a.give(rank, o)
-	if got == wire.EngineResult_EngineUnknown {
+	result := a.deliver(rank, o)
+	if result == wire.EngineResult_EngineUnknown {
 		<-ctx.Done()
 	}
 
-	return got
+	return result
 }
 
-func (a *agent) give(rank int, o *wire.EngineOrder) wire.EngineResult {
+func (a *agent) deliver(rank int, o *wire.EngineOrder) wire.EngineResult {
 	if !a.alive(true) {
 		return wire.EngineResult_EngineUnknown
 	}
 
 	g := a.group
-	time.Sleep(time.Duration(rank) * g.slow)
+	time.Sleep(time.Duration(rank) * g.orderDelayPerRank)
 	g.mu.Lock()
 	g.orders++
 	f := g.fault(g.orders)
@@ -354,19 +354,19 @@
 	switch f {
 	case faultLost:
 		return wire.EngineResult_EngineUnknown
-	case faultLate, faultUnsure:
-		if f == faultUnsure && o.GetFence() >= k.fence {
+	case faultLate, faultLateAccepted:
+		if f == faultLateAccepted && o.GetFence() >= k.fence {
 			k.fence = o.GetFence()
 		}
 
 		// What arrives late is a copy: the sender may send its own once more.
 		late := proto.CloneOf(o)
 
-		time.AfterFunc(g.lateBy, func() {
+		time.AfterFunc(g.lateDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 
-			if f == faultUnsure {
+			if f == faultLateAccepted {
 				late.Fence = max(late.GetFence(), k.fence)
 			}
 
@@ -374,7 +374,7 @@
 		})
 
 		return wire.EngineResult_EngineUnknown
-	case faultAnswer:
+	case faultAnswerLost:
 		g.carryOut(k, rank, o)
 
 		return wire.EngineResult_EngineUnknown
@@ -412,13 +412,13 @@
 			k.armed = 0
 		}
 	case wire.EngineOrderKind_EngineOrderHold:
-		if k.holds && k.held != o.GetStep() || g.step >= o.GetStep() {
+		if k.holds && k.heldStep != o.GetStep() || g.step >= o.GetStep() {
 			return wire.EngineResult_EngineMisfit
 		}
 
-		k.held, k.holds = o.GetStep(), true
+		k.heldStep, k.holds = o.GetStep(), true
 	case wire.EngineOrderKind_EngineOrderGo:
-		if k.holds && k.held == o.GetStep() {
+		if k.holds && k.heldStep == o.GetStep() {
 			k.holds = false
 		}
 	default:
@@ -429,48 +429,48 @@
 }
 
 func (k *fakeRank) prepare(rank int, o *wire.EngineOrder, shape lockstep.Shape) wire.EngineResult {
-	if o.GetVersion() <= k.highest || k.armed != 0 {
+	if o.GetVersion() <= k.highestVersion || k.armed != 0 {
 		return wire.EngineResult_EngineMisfit
 	}
 
 	var lists [][]uint16
 
-	fresh := 0
+	totalNew := 0
 
 	for s := range shape.Sets {
 		var experts []uint16
 
 		had := map[uint16]bool{}
-		for _, e := range k.lists[s] {
+		for _, e := range k.experts[s] {
 			had[e] = true
 		}
 
-		here := 0
+		newInSet := 0
 
 		for _, e := range o.GetMap()[s*shape.Ranks+rank].GetExperts() {
 			experts = append(experts, uint16(e))
 			if !had[uint16(e)] {
-				here++
+				newInSet++
 			}
 		}
 
-		if here > shape.SpareSlots || len(experts) > shape.Slots {
+		if newInSet > shape.SpareSlots || len(experts) > shape.Slots {
 			return wire.EngineResult_EngineMisfit
 		}
 
-		fresh += here
+		totalNew += newInSet
 		lists = append(lists, experts)
 	}
 
-	k.highest, k.prepared, k.next = o.GetVersion(), o.GetVersion(), lists
-	k.nextWhole = fmt.Sprint(o.GetMap())
-	k.readyAt = time.Now().Add(time.Duration(fresh) * copyTime)
+	k.highestVersion, k.prepared, k.nextExperts = o.GetVersion(), o.GetVersion(), lists
+	k.nextWholeMap = fmt.Sprint(o.GetMap())
+	k.readyAt = time.Now().Add(time.Duration(totalNew) * expertCopyTime)
 
 	return wire.EngineResult_EngineDone
 }
 
-// skewed returns weights of which some experts get most.
-func skewed(shape lockstep.Shape, seed uint64) [][]float64 {
+// skewedWeights returns weights of which some experts get most.
+func skewedWeights(shape lockstep.Shape, seed uint64) [][]float64 {
 	r := rand.New(rand.NewPCG(seed, 1))
 	out := make([][]float64, shape.Sets)
 
--- a/internal/lockstep/spread_test.go
+++ b/internal/lockstep/fan_out_test.go
@@ -12,28 +12,28 @@
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 )
 
-// many is a group that is spoken to by way of some of its agents.
-var many = lockstep.Shape{Sets: 2, Experts: 54, Ranks: 27, Slots: 3, SpareSlots: 2, CopyTime: copyTime}
+// fanOutShape is a group that is spoken to by way of some of its agents.
+var fanOutShape = lockstep.Shape{Sets: 2, Experts: 54, Ranks: 27, Slots: 3, SpareSlots: 2, CopyTime: expertCopyTime}
 
 // An agent that brings orders to a part of a large group is lost in each phase of a switch.
 // Guards against a part that is armed or held for good, and against a long hold meanwhile.
-func TestHelperIsLostInEachPhase(t *testing.T) {
+func TestFanOutLostInEachPhase(t *testing.T) {
 	t.Parallel()
 
 	for n := 1; n <= 42; n++ {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(many, skewed(many, 2))
-				g.lostErrand = func(i int) bool { return i == n }
+				g := newGroup(fanOutShape, skewedWeights(fanOutShape, 2))
+				g.fanOutLost = func(i int) bool { return i == n }
 
 				ctx, stop := context.WithCancel(t.Context())
 				go g.run(ctx)
 
-				direct(g, 0, 6*time.Second)
-				g.settled(t, fmt.Sprintf("errand %d lost", n))
+				runDirector(g, 0, 6*time.Second)
+				g.requireConsistent(t, fmt.Sprintf("errand %d lost", n))
 				require.NotZero(t, g.ranks[0].version, "the group is balanced all the same")
-				require.Less(t, g.waited, 500*time.Millisecond, "held in all")
+				require.Less(t, g.totalHeld, 500*time.Millisecond, "held in all")
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -43,15 +43,17 @@
 
 // Orders to a large group are lost, or carried out late, and its director dies after them.
 // Guards against a step with two maps where orders go by way of other agents.
-func TestOrdersToALargeGroupGoAstray(t *testing.T) {
+func TestSingleOrderLostOrLateInLargeGroup(t *testing.T) {
 	t.Parallel()
 
-	for _, f := range []fault{faultLost, faultAnswer, faultLate, faultUnsure} {
+	for _, f := range []fault{faultLost, faultAnswerLost, faultLate, faultLateAccepted} {
 		for n := 1; n <= 60; n += 7 {
 			for _, killAfter := range []int{0, 1, 20} {
 				t.Run(fmt.Sprintf("%d at %d, killed after %d", f, n, killAfter), func(t *testing.T) {
 					t.Parallel()
-					synctest.Test(t, func(t *testing.T) { astray(t, newGroup(many, skewed(many, 3)), f, n, killAfter) })
+					synctest.Test(t, func(t *testing.T) {
+						testOrderFault(t, newGroup(fanOutShape, skewedWeights(fanOutShape, 3)), f, n, killAfter)
+					})
 				})
 			}
 		}
--- a/internal/lockstep/fence.go
+++ b/internal/lockstep/fence.go
@@ -11,12 +11,12 @@
 // RaiseFence sets the first fencing number above all that a predecessor can have used
 // for maps up to version: it used two for each at most.
 func (s *Switcher) RaiseFence(version uint64) {
-	s.fence = max(s.fence, (version*fencesPerMap+fenceMargin)<<fenceShift)
+	s.fence = max(s.fence, (version*fencesPerVersion+fenceMargin)<<fenceShift)
 }
 
 const (
-	fencesPerMap = 4
-	fenceMargin  = 16
+	fencesPerVersion = 4
+	fenceMargin      = 16
 )
 
 // nextFence returns a number above all that this agent has used, and far above
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -17,10 +17,10 @@
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 )
 
-var small = lockstep.Shape{Sets: 2, Experts: 12, Ranks: 4, Slots: 5, SpareSlots: 2}
+var smallShape = lockstep.Shape{Sets: 2, Experts: 12, Ranks: 4, Slots: 5, SpareSlots: 2}
 
-// direct runs a directing agent until it is killed or d has passed.
-func direct(g *fakeGroup, killAt int, d time.Duration) {
+// runDirector runs a directing agent until it is killed or d has passed.
+func runDirector(g *fakeGroup, killAt int, d time.Duration) {
 	a := &agent{group: g, killAt: killAt}
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
@@ -31,8 +31,8 @@
 		defer close(done)
 
 		cfg := lockstep.DefaultSettings()
-		cfg.CountAggregators = g.countRanks
-		(&lockstep.Director{Shape: g.shape, Group: a.ranks(), Settings: cfg, Logger: slog.New(slog.NewTextHandler(g.logs, nil))}).Run(ctx)
+		cfg.CountAggregators = g.countAggregators
+		(&lockstep.Director{Shape: g.shape, Group: a.groupClient(), Settings: cfg, Logger: slog.New(slog.NewTextHandler(g.logs, nil))}).Run(ctx)
 	}()
 
 	for a.alive(false) && ctx.Err() == nil {
@@ -47,40 +47,40 @@
 	<-done
 }
 
-// settled holds what must be true some time after the last fault.
-func (g *fakeGroup) settled(t *testing.T, what string) {
+// requireConsistent holds what must be true some time after the last fault.
+func (g *fakeGroup) requireConsistent(t *testing.T, what string) {
 	t.Helper()
 
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	require.Empty(t, g.broken, what)
+	require.Empty(t, g.violation, what)
 
 	for i, k := range g.ranks {
-		require.False(t, k.holds, "%s: rank %d still holds step %d", what, i, k.held)
+		require.False(t, k.holds, "%s: rank %d still holds step %d", what, i, k.heldStep)
 	}
 }
 
 // A group runs with its first map, in which a few experts get most of the work.
 // The director finds it out and switches to a map in which all ranks get alike.
-func TestDirectorBalancesTheRanks(t *testing.T) {
+func TestDirectorBalancesRanks(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(small, skewed(small, 1))
+		g := newGroup(smallShape, skewedWeights(smallShape, 1))
 
 		ctx, stop := context.WithCancel(t.Context())
 		go g.run(ctx)
 
-		direct(g, 0, 5*time.Second)
-		g.settled(t, "after 5 s")
+		runDirector(g, 0, 5*time.Second)
+		g.requireConsistent(t, "after 5 s")
 
-		m := g.inUse()
-		before := lockstep.InitialMap(small.Sets, small.Experts, small.Ranks).Skew(g.weight)
+		m := g.currentMap()
+		before := lockstep.InitialMap(smallShape.Sets, smallShape.Experts, smallShape.Ranks).Skew(g.weight)
 		require.Greater(t, before, 1.4)
 		require.Less(t, m.Skew(g.weight), 1.1)
 		require.NotZero(t, g.ranks[0].version)
-		require.Less(t, g.waited, 50*time.Millisecond, "a switch costs the group next to nothing")
+		require.Less(t, g.totalHeld, 50*time.Millisecond, "a switch costs the group next to nothing")
 		stop()
 		time.Sleep(10 * time.Second)
 	})
@@ -89,19 +89,19 @@
 // A rank of a large group turns slow. The director reads the counts of a few ranks
 // only, which add up those of the others: it must hear from them which rank is slow, or
 // the whole group waits for it until it is well again.
-func TestSlowRankIsFoundInALargeGroup(t *testing.T) {
+func TestDirectorDetectsSlowRankThroughAggregators(t *testing.T) {
 	t.Parallel()
 
-	for rank := range small.Ranks {
+	for rank := range smallShape.Ranks {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(small, skewed(small, 1))
-			g.countRanks = 2
+			g := newGroup(smallShape, skewedWeights(smallShape, 1))
+			g.countAggregators = 2
 
-			var said bytes.Buffer
+			var logged bytes.Buffer
 
-			g.logs = &said
-			paces := make(lockstep.Slowdowns, small.Ranks)
-			paces[rank] = 5
+			g.logs = &logged
+			slowdowns := make(lockstep.Slowdowns, smallShape.Ranks)
+			slowdowns[rank] = 5
 
 			ctx, stop := context.WithCancel(t.Context())
 			go g.run(ctx)
@@ -109,33 +109,33 @@
 			var balanced lockstep.Map
 
 			time.AfterFunc(5*time.Second, func() {
-				balanced = g.inUse()
+				balanced = g.currentMap()
 
 				g.mu.Lock()
 				defer g.mu.Unlock()
 
-				g.ranks[rank].pace = 5
+				g.ranks[rank].slowdown = 5
 			})
-			direct(g, 0, 10*time.Second)
-			g.settled(t, "slow")
-			require.Equal(t, 1, strings.Count(said.String(), "A rank is slow"), "told once, by its number")
-			require.Contains(t, said.String(), fmt.Sprintf("rank=%d pace=5", rank))
-			require.Less(t, g.inUse().SkewWithSlowdowns(g.weight, paces), balanced.SkewWithSlowdowns(g.weight, paces)*0.75)
+			runDirector(g, 0, 10*time.Second)
+			g.requireConsistent(t, "slow")
+			require.Equal(t, 1, strings.Count(logged.String(), "A rank is slow"), "told once, by its number")
+			require.Contains(t, logged.String(), fmt.Sprintf("rank=%d pace=5", rank))
+			require.Less(t, g.currentMap().SkewWithSlowdowns(g.weight, slowdowns), balanced.SkewWithSlowdowns(g.weight, slowdowns)*0.75)
 			stop()
 			time.Sleep(10 * time.Second)
 		})
 	}
 }
 
-// inUse returns the map of the ranks' own lists.
-func (g *fakeGroup) inUse() lockstep.Map {
+// currentMap returns the map of the ranks' own lists.
+func (g *fakeGroup) currentMap() lockstep.Map {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	m := make(lockstep.Map, g.shape.Sets)
 	for s := range m {
 		for _, k := range g.ranks {
-			m[s] = append(m[s], k.lists[s])
+			m[s] = append(m[s], k.experts[s])
 		}
 	}
 
@@ -146,24 +146,24 @@
 // copy, while a step is held, between two arms, before and after it lets the group
 // go on. Its successor must find the group as it is: no step may begin with two
 // maps, and no step may stay held.
-func TestDirectorDiesAtEachOrder(t *testing.T) {
+func TestDirectorKilledBeforeEachOrder(t *testing.T) {
 	t.Parallel()
 
 	for killAt := 1; killAt <= 30; killAt++ {
 		t.Run(fmt.Sprint(killAt), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(small, skewed(small, 2))
+				g := newGroup(smallShape, skewedWeights(smallShape, 2))
 
 				ctx, stop := context.WithCancel(t.Context())
 				go g.run(ctx)
 
-				direct(g, killAt, 6*time.Second)
+				runDirector(g, killAt, 6*time.Second)
 				time.Sleep(500 * time.Millisecond)
-				direct(g, 0, 6*time.Second)
-				g.settled(t, fmt.Sprintf("killed before order %d", killAt))
+				runDirector(g, 0, 6*time.Second)
+				g.requireConsistent(t, fmt.Sprintf("killed before order %d", killAt))
 				require.NotZero(t, g.ranks[0].version, "the successor goes on balancing")
-				require.Less(t, g.waited, 1200*time.Millisecond, "500 ms without a director, and what the successor needs")
+				require.Less(t, g.totalHeld, 1200*time.Millisecond, "500 ms without a director, and what the successor needs")
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -174,22 +174,24 @@
 // One order after the other is lost, loses its answer, or is carried out seconds
 // after newer ones, and the director dies now and then as well. An arm that comes
 // late would switch one rank alone; a hold that comes late would stop the group.
-func TestOrdersThatGoAstray(t *testing.T) {
+func TestSingleOrderLostOrLate(t *testing.T) {
 	t.Parallel()
 
-	for _, f := range []fault{faultLost, faultAnswer, faultLate, faultUnsure} {
+	for _, f := range []fault{faultLost, faultAnswerLost, faultLate, faultLateAccepted} {
 		for n := 1; n <= 28; n++ {
 			for _, killAfter := range []int{0, 1, 5} {
 				t.Run(fmt.Sprintf("%d at %d, killed after %d", f, n, killAfter), func(t *testing.T) {
 					t.Parallel()
-					synctest.Test(t, func(t *testing.T) { astray(t, newGroup(small, skewed(small, 3)), f, n, killAfter) })
+					synctest.Test(t, func(t *testing.T) {
+						testOrderFault(t, newGroup(smallShape, skewedWeights(smallShape, 3)), f, n, killAfter)
+					})
 				})
 			}
 		}
 	}
 }
 
-func astray(t *testing.T, g *fakeGroup, f fault, n, killAfter int) {
+func testOrderFault(t *testing.T, g *fakeGroup, f fault, n, killAfter int) {
 	t.Helper()
 
 	g.fault = func(i int) fault {
@@ -204,12 +206,12 @@
 	go g.run(ctx)
 
 	if killAfter > 0 {
-		direct(g, n+killAfter, 6*time.Second)
+		runDirector(g, n+killAfter, 6*time.Second)
 		time.Sleep(300 * time.Millisecond)
 	}
 
-	direct(g, 0, 6*time.Second)
-	g.settled(t, "after the order went astray")
+	runDirector(g, 0, 6*time.Second)
+	g.requireConsistent(t, "after the order went astray")
 	stop()
 	time.Sleep(10 * time.Second)
 }
@@ -217,18 +219,18 @@
 // The director dies just after it let the group go on, and that order is still on
 // its way while the successor, which sees the step held, disarms one rank after the
 // other. The step must not begin between two of them.
-func TestGoOnItsWayWhileTheSuccessorDisarms(t *testing.T) {
+func TestLateGoWhileSuccessorDisarms(t *testing.T) {
 	t.Parallel()
 
-	const letGo = 2*4 + 2 // the order after preparing, holding and arming four ranks
+	const goOrder = 2*4 + 2 // the order after preparing, holding and arming four ranks
 
-	for late := 440; late <= 560; late++ {
+	for delayMillis := 440; delayMillis <= 560; delayMillis++ {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(small, skewed(small, 3))
-			g.lateBy = time.Duration(late) * time.Millisecond
-			g.slow = 6 * time.Millisecond
+			g := newGroup(smallShape, skewedWeights(smallShape, 3))
+			g.lateDelay = time.Duration(delayMillis) * time.Millisecond
+			g.orderDelayPerRank = 6 * time.Millisecond
 
-			astray(t, g, faultUnsure, letGo, 1)
+			testOrderFault(t, g, faultLateAccepted, goOrder, 1)
 		})
 	}
 }
@@ -236,14 +238,14 @@
 // A third of all orders goes astray for seconds, in every way, with directors that
 // die again and again, and a group that is idle at times: late orders then find
 // their step still to come.
-func TestManyOrdersGoAstray(t *testing.T) {
+func TestManyOrdersLostOrLate(t *testing.T) {
 	t.Parallel()
 
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(small, skewed(small, seed))
+				g := newGroup(smallShape, skewedWeights(smallShape, seed))
 				// Orders draw from another goroutine than the test does.
 				faults, r := newRandom(seed), newRandom(^seed)
 				g.fault = func(int) fault {
@@ -259,7 +261,7 @@
 
 				for range 6 {
 					g.setIdle(r.IntN(3) == 0)
-					direct(g, 5+r.IntN(40), 3*time.Second)
+					runDirector(g, 5+r.IntN(40), 3*time.Second)
 					time.Sleep(time.Duration(r.IntN(900)) * time.Millisecond)
 				}
 
@@ -267,8 +269,8 @@
 				g.fault = func(int) fault { return faultNone }
 				g.mu.Unlock()
 				g.setIdle(false)
-				direct(g, 0, 12*time.Second)
-				g.settled(t, "after all faults")
+				runDirector(g, 0, 12*time.Second)
+				g.requireConsistent(t, "after all faults")
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -278,12 +280,12 @@
 
 // The group loses a rank in the middle of a switch and is formed again: map 0, and
 // nothing prepared, armed or held. Orders of the earlier epoch change nothing.
-func TestNewEpochInASwitch(t *testing.T) {
+func TestNewEpochDuringSwitch(t *testing.T) {
 	t.Parallel()
 
 	for after := 1; after <= 20; after++ {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(small, skewed(small, 4))
+			g := newGroup(smallShape, skewedWeights(smallShape, 4))
 
 			ctx, stop := context.WithCancel(t.Context())
 			go g.run(ctx)
@@ -296,9 +298,9 @@
 				return faultNone
 			}
 
-			direct(g, 0, 2*time.Second)
-			direct(g, 0, 3*time.Second)
-			g.settled(t, fmt.Sprintf("formed again after order %d", after))
+			runDirector(g, 0, 2*time.Second)
+			runDirector(g, 0, 3*time.Second)
+			g.requireConsistent(t, fmt.Sprintf("formed again after order %d", after))
 			require.NotZero(t, g.ranks[0].version)
 			stop()
 			time.Sleep(10 * time.Second)
@@ -306,42 +308,42 @@
 	}
 }
 
-// followsShift lets demand shift, and holds the group to a map that follows within a time.
-func followsShift(t *testing.T, g *fakeGroup, within time.Duration) {
+// requireMapFollowsShift lets demand shift, and holds the group to a map that follows within a time.
+func requireMapFollowsShift(t *testing.T, g *fakeGroup, maxTime time.Duration) {
 	t.Helper()
-	require.LessOrEqual(t, timeToFollow(t, g), within)
+	require.LessOrEqual(t, timeToFollowShift(t, g), maxTime)
 }
 
-// timeToFollow lets demand shift, and returns how long it took until a new map was in use.
-func timeToFollow(t *testing.T, g *fakeGroup) time.Duration {
+// timeToFollowShift lets demand shift, and returns how long it took until a new map was in use.
+func timeToFollowShift(t *testing.T, g *fakeGroup) time.Duration {
 	t.Helper()
 
 	const (
-		look  = time.Millisecond
-		after = 10 * time.Second
+		pollInterval = time.Millisecond
+		settleTime   = 10 * time.Second
 	)
 
 	ctx, stop := context.WithCancel(t.Context())
 	go g.run(ctx)
 
-	go direct(g, 0, 5*time.Second+after)
+	go runDirector(g, 0, 5*time.Second+settleTime)
 	time.Sleep(5 * time.Second)
 
 	g.mu.Lock()
-	g.weight = skewed(small, 77)
+	g.weight = skewedWeights(smallShape, 77)
 	g.mu.Unlock()
 
-	was, began := g.version(), time.Now()
-	for g.version() == was && time.Since(began) < after/2 {
-		time.Sleep(look)
+	before, began := g.version(), time.Now()
+	for g.version() == before && time.Since(began) < settleTime/2 {
+		time.Sleep(pollInterval)
 	}
 
 	took := time.Since(began)
 
-	time.Sleep(after)
+	time.Sleep(settleTime)
 	stop()
 	time.Sleep(10 * time.Second)
-	g.settled(t, "after the shift")
+	g.requireConsistent(t, "after the shift")
 
 	return took
 }
@@ -356,16 +358,16 @@
 
 // Demand shifts to other experts. What was counted for a second must not hide that
 // for as long: the map follows within half a second and a few copies.
-func TestShiftIsFollowedSoon(t *testing.T) {
+func TestMapFollowsDemandShift(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		followsShift(t, newGroup(small, skewed(small, 5)), 600*time.Millisecond)
+		requireMapFollowsShift(t, newGroup(smallShape, skewedWeights(smallShape, 5)), 600*time.Millisecond)
 	})
 }
 
-// oneInTenLate leaves one order in ten unanswered, which is carried out later.
-func oneInTenLate(seed uint64) func(int) fault {
+// oneInTenOrdersLate leaves one order in ten unanswered, which is carried out later.
+func oneInTenOrdersLate(seed uint64) func(int) fault {
 	r := newRandom(seed)
 
 	return func(int) fault {
@@ -380,17 +382,17 @@
 // One order in ten is not answered, and carried out two seconds later. The map must
 // follow demand nearly as soon as without: each order was waited for until its fixed
 // time-out, and drafts went through steps of the wrong map for a second.
-func TestShiftIsFollowedSoonWithoutAnswers(t *testing.T) {
+func TestMapFollowsDemandShiftWithUnansweredOrders(t *testing.T) {
 	t.Parallel()
 
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(small, skewed(small, 5))
-				g.fault = oneInTenLate(seed)
+				g := newGroup(smallShape, skewedWeights(smallShape, 5))
+				g.fault = oneInTenOrdersLate(seed)
 
-				followsShift(t, g, 700*time.Millisecond)
+				requireMapFollowsShift(t, g, 700*time.Millisecond)
 			})
 		})
 	}
@@ -400,42 +402,42 @@
 // of demand has made them twice as long, and one order in ten is not answered. Each
 // switch held its step until the last rank was armed, and the pause that this added to
 // one long step made every draft of the group late.
-func TestSwitchHoldsNoLongStep(t *testing.T) {
+func TestSwitchRarelyHoldsLongSteps(t *testing.T) {
 	t.Parallel()
 
 	const (
-		// bearable is by how much a step of 100 ms may be held where callers bear 120 ms.
-		bearable = 20 * time.Millisecond
-		shifts   = 20
+		// maxHold is by how much a step of 100 ms may be held where callers bear 120 ms.
+		maxHold = 20 * time.Millisecond
+		shifts  = 20
 	)
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(small, skewed(small, 5))
-		g.pass = 100 * time.Millisecond
-		g.slow = 3 * time.Millisecond
-		g.fault = oneInTenLate(1)
+		g := newGroup(smallShape, skewedWeights(smallShape, 5))
+		g.stepTime = 100 * time.Millisecond
+		g.orderDelayPerRank = 3 * time.Millisecond
+		g.fault = oneInTenOrdersLate(1)
 
 		ctx, stop := context.WithCancel(t.Context())
 		go g.run(ctx)
 
-		go direct(g, 0, 3*shifts*time.Second)
+		go runDirector(g, 0, 3*shifts*time.Second)
 
 		for seed := range uint64(shifts) {
 			time.Sleep(3 * time.Second)
 			g.mu.Lock()
-			g.weight = skewed(small, seed)
+			g.weight = skewedWeights(smallShape, seed)
 			g.mu.Unlock()
 		}
 
 		g.mu.Lock()
-		long := slices.DeleteFunc(slices.Clone(g.waits), func(d time.Duration) bool { return d <= bearable })
+		long := slices.DeleteFunc(slices.Clone(g.holdTimes), func(d time.Duration) bool { return d <= maxHold })
 		version := g.ranks[0].version
 		g.mu.Unlock()
 
 		time.Sleep(8 * time.Second)
 		stop()
 		time.Sleep(10 * time.Second)
-		g.settled(t, "after all shifts")
+		g.requireConsistent(t, "after all shifts")
 		require.GreaterOrEqual(t, version, uint64(shifts))
 		require.LessOrEqual(t, len(long), shifts/10, "one switch in ten may meet two lost answers: %v", long)
 	})
@@ -445,7 +447,7 @@
 // no answer in time. A look that missed one rank told nothing, and a switch looked at all
 // ranks again until all answered at once: the map followed demand a second later, and the
 // step of the switch was held meanwhile. It must follow as soon as without, as a rule.
-func TestShiftIsFollowedSoonWithLostLooks(t *testing.T) {
+func TestMapFollowsDemandShiftWithLostPolls(t *testing.T) {
 	t.Parallel()
 
 	const seeds = 30
@@ -454,17 +456,17 @@
 
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(small, skewed(small, 5))
+			g := newGroup(smallShape, skewedWeights(smallShape, 5))
 
 			// Each rank has its own chance: the order in which looks at once arrive must
 			// not decide.
 			var losses []*rand.Rand
-			for rank := range small.Ranks {
+			for rank := range smallShape.Ranks {
 				losses = append(losses, newRandom(seed*100+uint64(rank)))
 			}
 
-			g.lost = func(rank int) bool { return rank > 0 && losses[rank].IntN(7) == 0 }
-			times = append(times, timeToFollow(t, g))
+			g.pollLost = func(rank int) bool { return rank > 0 && losses[rank].IntN(7) == 0 }
+			times = append(times, timeToFollowShift(t, g))
 		})
 	}
 
@@ -477,21 +479,21 @@
 // The bound on looks is learnt from those that were answered: with none answered in time
 // it stayed as it was, and the director saw nothing any more while the VM was slow. It
 // must go on to follow demand.
-func TestDirectorSeesOnWhenLooksTakeLonger(t *testing.T) {
+func TestPollTimeoutAdaptsToSlowerPolls(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(small, skewed(small, 5))
-		g.lookTakes = 4 * time.Millisecond
+		g := newGroup(smallShape, skewedWeights(smallShape, 5))
+		g.pollTime = 4 * time.Millisecond
 
 		time.AfterFunc(4*time.Second, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 
-			g.lookTakes = 60 * time.Millisecond
+			g.pollTime = 60 * time.Millisecond
 		})
 
-		followsShift(t, g, 3*time.Second)
+		requireMapFollowsShift(t, g, 3*time.Second)
 	})
 }
 
@@ -499,11 +501,11 @@
 // to free the group with a higher fencing number, of which it gets no further than that.
 // The director gave its old order to go on for two seconds, refused each time, while the
 // group stood still and callers left. It frees the group itself at once.
-func TestFencedDirectorFreesTheGroup(t *testing.T) {
+func TestFencedDirectorReleasesHold(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(small, skewed(small, 3))
+		g := newGroup(smallShape, skewedWeights(smallShape, 3))
 		raised := false
 
 		// Called with the group locked, before each order.
@@ -527,13 +529,13 @@
 
 		ctx, stop := context.WithCancel(t.Context())
 		go g.run(ctx)
-		direct(g, 0, 6*time.Second)
+		runDirector(g, 0, 6*time.Second)
 
 		g.mu.Lock()
 		require.True(t, raised)
-		require.Less(t, g.waited, 500*time.Millisecond)
+		require.Less(t, g.totalHeld, 500*time.Millisecond)
 		g.mu.Unlock()
-		g.settled(t, "after it was fenced")
+		g.requireConsistent(t, "after it was fenced")
 		stop()
 		time.Sleep(10 * time.Second)
 	})
--- a/internal/lockstep/pack.go
+++ b/internal/lockstep/map_pack.go
@@ -8,8 +8,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errPacked says that a packed map cannot be read.
-var errPacked = errors.New("lockstep: a packed map cannot be read")
+// errMalformedMap says that a packed map cannot be read.
+var errMalformedMap = errors.New("lockstep: a packed map cannot be read")
 
 // Pack returns m as it travels between agents.
 func (m Map) Pack() []byte {
@@ -36,17 +36,17 @@
 
 // unpacker reads numbers, and remembers whether one could not be read.
 type unpacker struct {
-	data []byte
-	bad  bool
+	data   []byte
+	failed bool
 }
 
-// mostPacked bounds the numbers in a packed map.
-const mostPacked = 1 << 16
+// maxPackedNumber bounds the numbers in a packed map.
+const maxPackedNumber = 1 << 16
 
 func (u *unpacker) number() int {
 	n, size := binary.Uvarint(u.data)
-	if size <= 0 || n > mostPacked {
-		u.bad = true
+	if size <= 0 || n > maxPackedNumber {
+		u.failed = true
 		u.data = nil
 
 		return 0
@@ -62,7 +62,7 @@
 	out := make([]uint16, 0, min(n, len(u.data)))
 
 	for range n {
-		if u.bad {
+		if u.failed {
 			return nil
 		}
 
@@ -86,8 +86,8 @@
 		m = append(m, ranks)
 	}
 
-	if u.bad || len(u.data) > 0 {
-		return nil, errPacked
+	if u.failed || len(u.data) > 0 {
+		return nil, errMalformedMap
 	}
 
 	return m, nil
@@ -100,14 +100,14 @@
 
 	for s := range m {
 		for r := range m[s] {
-			left, came := missing(m[s][r], next[s][r]), missing(next[s][r], m[s][r])
-			if len(left)+len(came) == 0 {
+			removed, added := missing(m[s][r], next[s][r]), missing(next[s][r], m[s][r])
+			if len(removed)+len(added) == 0 {
 				continue
 			}
 
 			out = binary.AppendUvarint(out, uint64(s))
 			out = binary.AppendUvarint(out, uint64(r))
-			out = appendExperts(appendExperts(out, left), came)
+			out = appendExperts(appendExperts(out, removed), added)
 		}
 	}
 
@@ -134,13 +134,13 @@
 
 	for len(u.data) > 0 {
 		s, r := u.number(), u.number()
-		left, came := u.experts(), u.experts()
+		removed, added := u.experts(), u.experts()
 
-		if u.bad || s >= len(out) || r >= len(out[s]) {
-			return nil, errPacked
+		if u.failed || s >= len(out) || r >= len(out[s]) {
+			return nil, errMalformedMap
 		}
 
-		out[s][r] = append(slices.DeleteFunc(out[s][r], func(e uint16) bool { return slices.Contains(left, e) }), came...)
+		out[s][r] = append(slices.DeleteFunc(out[s][r], func(e uint16) bool { return slices.Contains(removed, e) }), added...)
 	}
 
 	out.sort()
@@ -172,44 +172,44 @@
 
 // SetMap puts m into an order.
 func SetMap(o *wire.EngineOrder, m Map) {
-	o.Map = toWire(m)
+	o.Map = mapToWire(m)
 
 	if len(m) > 0 {
 		o.Ranks = uint32(len(m[0]))
 	}
 }
 
-// mostMaps is how many maps an agent remembers: that in use, and some that were
+// maxCachedMaps is how many maps an agent remembers: that in use, and some that were
 // prepared and given up.
-const mostMaps = 4
+const maxCachedMaps = 4
 
 // MapCache are the maps that an agent knows, by version, the latest last. One goroutine
 // at a time uses it.
 type MapCache struct {
-	known []knownMap
+	entries []cachedMap
 }
 
-type knownMap struct {
+type cachedMap struct {
 	version uint64
 	m       Map
 }
 
 // Put remembers a map.
 func (k *MapCache) Put(version uint64, m Map) {
-	k.known = slices.DeleteFunc(k.known, func(o knownMap) bool { return o.version == version })
+	k.entries = slices.DeleteFunc(k.entries, func(e cachedMap) bool { return e.version == version })
 
-	if len(k.known) == mostMaps {
-		k.known = k.known[1:]
+	if len(k.entries) == maxCachedMaps {
+		k.entries = k.entries[1:]
 	}
 
-	k.known = append(k.known, knownMap{version: version, m: m})
+	k.entries = append(k.entries, cachedMap{version: version, m: m})
 }
 
 // Get returns the map of a version, or nil.
 func (k *MapCache) Get(version uint64) Map {
-	for _, o := range k.known {
-		if o.version == version {
-			return o.m
+	for _, e := range k.entries {
+		if e.version == version {
+			return e.m
 		}
 	}
 
--- a/internal/lockstep/pack_test.go
+++ b/internal/lockstep/map_pack_test.go
@@ -11,11 +11,11 @@
 
 // A map of 63 ranks goes to 63 agents over a thin link with each switch. Packed as
 // changes it is a small part of what it was, and what an agent makes of it is the same.
-func TestMapsTravelAsChanges(t *testing.T) {
+func TestMapChangesAreSmallerThanWholeMap(t *testing.T) {
 	t.Parallel()
 
-	first := lockstep.InitialMap(grown.Sets, grown.Experts, grown.Ranks)
-	next := lockstep.ImproveMap(grown, first, lockstep.Demand(skewed(grown, 3)), copies(3))
+	first := lockstep.InitialMap(shape63Ranks.Sets, shape63Ranks.Experts, shape63Ranks.Ranks)
+	next := lockstep.ImproveMap(shape63Ranks, first, lockstep.Demand(skewedWeights(shape63Ranks, 3)), copyLimits(3))
 
 	whole, err := lockstep.Unpack(next.Pack())
 	require.NoError(t, err)
@@ -24,13 +24,13 @@
 	changes := first.Changes(next)
 	require.Less(t, len(changes), len(next.Pack())/2)
 
-	var agent lockstep.MapCache
+	var cache lockstep.MapCache
 
 	order := func(edit func(o *wire.EngineOrder)) (*wire.EngineOrder, bool) {
 		o := &wire.EngineOrder{Kind: wire.EngineOrderKind_EngineOrderPrepare, Version: 8}
 		edit(o)
 
-		ok, err := agent.UnpackOrder(o)
+		ok, err := cache.UnpackOrder(o)
 		require.NoError(t, err)
 
 		return o, ok
@@ -45,20 +45,20 @@
 	o, ok = order(func(o *wire.EngineOrder) { o.Base, o.Changes = 7, changes })
 	require.True(t, ok)
 	require.Equal(t, next, lockstep.MapFromOrder(o))
-	require.Equal(t, next, agent.Get(8))
+	require.Equal(t, next, cache.Get(8))
 }
 
 // Some agents get a map as changes, others whole. Engines compare maps with the order
 // of each rank's experts: one that left and came back in the search must not stand
 // elsewhere in one of the two, or a step begins with two maps of one version.
-func TestChangesGiveTheVerySameMap(t *testing.T) {
+func TestChangesKeepExpertOrder(t *testing.T) {
 	t.Parallel()
 
-	for _, shape := range []lockstep.Shape{today, grown} {
+	for _, shape := range []lockstep.Shape{shape12Ranks, shape63Ranks} {
 		m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 
 		for seed := range uint64(20) {
-			next := lockstep.ImproveMap(shape, m, lockstep.Demand(skewed(shape, seed)), copies(8))
+			next := lockstep.ImproveMap(shape, m, lockstep.Demand(skewedWeights(shape, seed)), copyLimits(8))
 
 			got, err := m.Apply(m.Changes(next))
 			require.NoError(t, err)
--- a/internal/lockstep/maps_bench_test.go
+++ b/internal/lockstep/maps_bench_test.go
@@ -5,96 +5,96 @@
 	"time"
 )
 
-// day is demand as readers choose it, with shifts, and the maps of a strategy over it.
-type day struct {
+// demandSimulation is demand as readers choose it, with shifts, and the maps of a strategy over it.
+type demandSimulation struct {
 	shape Shape
 	// requests run at once, replaced of them end between two looks, moved of the most
 	// liked experts give way at a shift.
 	requests, replaced, moved int
-	every                     time.Duration
+	pollInterval              time.Duration
 }
 
 const (
-	dayLooks   = 200
-	shiftLooks = 36
-	// switchLooks is how many looks pass until a map that was chosen is in use.
-	switchLooks = 3
+	simulationPolls = 200
+	pollsPerShift   = 36
+	// pollsPerSwitch is how many looks pass until a map that was chosen is in use.
+	pollsPerSwitch = 3
 )
 
 // strategy returns the map that is in use after a look.
-type strategy func(look int, c *counter) Map
+type strategy func(look int, c *demandEstimator) Map
 
-// skew is the mean skew, over the looks of a day, of what each look itself brought.
-func (d day) skew(seed uint64, s strategy) float64 {
-	x := newReaders(d.shape, d.requests, seed)
-	c := newCounter(d.shape, time.Second)
-	now := c.at
+// meanSkew is the mean skew, over the looks of a day, of what each look itself brought.
+func (d demandSimulation) meanSkew(seed uint64, s strategy) float64 {
+	x := newFakeRequests(d.shape, d.requests, seed)
+	c := newDemandEstimator(d.shape, time.Second)
+	now := c.observedAt
 	total := 0.0
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
-	for look := range dayLooks {
-		if look%shiftLooks == shiftLooks-1 {
+	for n := range simulationPolls {
+		if n%pollsPerShift == pollsPerShift-1 {
 			x.shift(d.moved)
 		}
 
-		now = now.Add(d.every)
-		c.observe(now, x.look(d.replaced))
-		total += m.Skew(c.fresh)
-		m = s(look, c)
+		now = now.Add(d.pollInterval)
+		c.observe(now, x.nextPoll(d.replaced))
+		total += m.Skew(c.latest)
+		m = s(n, c)
 	}
 
-	return total / dayLooks
+	return total / simulationPolls
 }
 
-// kept is the first map for the whole day.
-func (d day) kept() strategy {
+// initialOnly is the first map for the whole day.
+func (d demandSimulation) initialOnly() strategy {
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
-	return func(int, *counter) Map { return m }
+	return func(int, *demandEstimator) Map { return m }
 }
 
-// packed packs all experts anew each ten looks, as if copies took no time.
-func (d day) packed() strategy {
+// repacked packs all experts anew each ten looks, as if copies took no time.
+func (d demandSimulation) repacked() strategy {
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
-	return func(look int, c *counter) Map {
-		if look%10 == 0 {
-			m = d.pack(c.demand())
+	return func(n int, c *demandEstimator) Map {
+		if n%10 == 0 {
+			m = d.pack(c.expected())
 		}
 
 		return m
 	}
 }
 
-// foreseen packs all experts for what the look that was just taken brought, which is as
+// oracle packs all experts for what the look that was just taken brought, which is as
 // near as a map can come to the next look.
-func (d day) foreseen() strategy {
-	return func(_ int, c *counter) Map { return d.pack(c.fresh) }
+func (d demandSimulation) oracle() strategy {
+	return func(_ int, c *demandEstimator) Map { return d.pack(c.latest) }
 }
 
-func (d day) pack(demand Demand) Map {
-	free := d.shape
-	free.SpareSlots = free.Slots
+func (d demandSimulation) pack(demand Demand) Map {
+	unlimited := d.shape
+	unlimited.SpareSlots = unlimited.Slots
 
-	return ImproveMap(free, InitialMap(free.Sets, free.Experts, free.Ranks), demand, CopyLimits{MaxPerRank: free.Slots * free.Sets, MinGain: 0.001})
+	return ImproveMap(unlimited, InitialMap(unlimited.Sets, unlimited.Experts, unlimited.Ranks), demand, CopyLimits{MaxPerRank: unlimited.Slots * unlimited.Sets, MinGain: 0.001})
 }
 
 // directed is what the director does: a map that is worth its copies, some looks later.
-func (d day) directed() strategy {
+func (d demandSimulation) directed() strategy {
 	director := &Director{Shape: d.shape, Settings: DefaultSettings(), current: InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)}
 	next, due := director.current, 0
 
-	return func(look int, c *counter) Map {
+	return func(n int, c *demandEstimator) Map {
 		switch {
-		case look < due:
-		case look == due:
+		case n < due:
+		case n == due:
 			director.current = next
 		default:
-			demand := c.demand()
+			demand := c.expected()
 			before := director.current.Skew(demand)
 
-			if m, after, _ := director.best(demand, before); (before-after)/before >= director.Settings.MinGain {
-				next, due = m, look+switchLooks
+			if m, after, _ := director.bestMap(demand, before); (before-after)/before >= director.Settings.MinGain {
+				next, due = m, n+pollsPerSwitch
 			}
 		}
 
@@ -103,24 +103,24 @@
 }
 
 // The maps of four strategies side by side on the same demand: the mean skew of steps.
-func benchmarkMaps(b *testing.B, d day) {
+func benchmarkMaps(b *testing.B, d demandSimulation) {
 	for b.Loop() {
-		for name, s := range map[string]strategy{"kept": d.kept(), "packed": d.packed(), "foreseen": d.foreseen(), "directed": d.directed()} {
-			b.ReportMetric(d.skew(1, s), "skew-"+name)
+		for name, s := range map[string]strategy{"kept": d.initialOnly(), "packed": d.repacked(), "foreseen": d.oracle(), "directed": d.directed()} {
+			b.ReportMetric(d.meanSkew(1, s), "skew-"+name)
 		}
 	}
 }
 
-func BenchmarkMapsToday(b *testing.B) {
-	benchmarkMaps(b, day{
+func BenchmarkMaps12Ranks(b *testing.B) {
+	benchmarkMaps(b, demandSimulation{
 		shape:    Shape{Sets: 4, Experts: 72, Ranks: 12, Slots: 8, SpareSlots: 3, CopyTime: 98 * time.Millisecond},
-		requests: 70, replaced: 6, moved: 4, every: 100 * time.Millisecond,
+		requests: 70, replaced: 6, moved: 4, pollInterval: 100 * time.Millisecond,
 	})
 }
 
-func BenchmarkMapsGrown(b *testing.B) {
-	benchmarkMaps(b, day{
+func BenchmarkMaps63Ranks(b *testing.B) {
+	benchmarkMaps(b, demandSimulation{
 		shape:    Shape{Sets: 8, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 2, CopyTime: 14 * time.Millisecond},
-		requests: 300, replaced: 40, moved: 2, every: 180 * time.Millisecond,
+		requests: 300, replaced: 40, moved: 2, pollInterval: 180 * time.Millisecond,
 	})
 }
--- a/internal/lockstep/free.go
+++ b/internal/lockstep/release.go
@@ -9,15 +9,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// guard is the rank that holds a step beside the holder while ranks are disarmed.
-func (s *Switcher) guard() int { return min(2, s.Group.Size-1) }
+// secondHolder is the rank that holds a step beside the holder while ranks are disarmed.
+func (s *Switcher) secondHolder() int { return min(2, s.Group.Size-1) }
 
 // ReleaseHolds lifts holds that no switch needs any more. Before that, all ranks are
 // disarmed under a higher fencing number, so that arms on their way no longer
 // count. A group that is not held is left alone: its ranks are all armed, or none.
 func (s *Switcher) ReleaseHolds(ctx context.Context) error {
 	for {
-		err := s.freeOnce(ctx)
+		err := s.releaseOnce(ctx)
 		// Another agent's numbers may be higher than can be known. Each refusal
 		// doubles them, so a few tries are enough.
 		if err == nil || !s.fenced.Load() || !pauses.For(ctx, s.Settings.SwitchPollInterval) {
@@ -26,8 +26,8 @@
 	}
 }
 
-func (s *Switcher) freeOnce(ctx context.Context) error {
-	reports, err := s.lookAll(ctx)
+func (s *Switcher) releaseOnce(ctx context.Context) error {
+	reports, err := s.pollReports(ctx)
 	if err != nil {
 		return err
 	}
@@ -39,12 +39,12 @@
 	step, held := heldStep(reports)
 	if !held {
 		// A hold that nobody answered may still be on its way.
-		s.orderAt(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderGo, fence, 0, reports[0].Step), orderTries)
+		s.orderWithRetry(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderGo, fence, 0, reports[0].Step), maxOrderAttempts)
 
 		return nil
 	}
 
-	if err := s.holdTwice(ctx, fence, step); err != nil {
+	if err := s.holdAtTwoRanks(ctx, fence, step); err != nil {
 		return err
 	}
 
@@ -59,11 +59,11 @@
 	s.Logger.Warn("Hold lifted.", "step", step, "fence", fence)
 
 	for rank := range reports {
-		if rank != s.holder() && rank != s.guard() && !reports[rank].Holds {
+		if rank != s.holder() && rank != s.secondHolder() && !reports[rank].Holds {
 			continue
 		}
 
-		if err := s.goOn(ctx, rank, fence, step); err != nil {
+		if err := s.liftHold(ctx, rank, fence, step); err != nil {
 			return err
 		}
 	}
@@ -71,22 +71,22 @@
 	return nil
 }
 
-// holdTwice lets two ranks hold the step. The predecessor may have let the holder go
+// holdAtTwoRanks lets two ranks hold the step. The predecessor may have let the holder go
 // on just before it died, and that order may still be on its way: the step would
 // begin while some ranks are disarmed and others are not.
-func (s *Switcher) holdTwice(ctx context.Context, fence, step uint64) error {
-	for _, rank := range []int{s.guard(), s.holder()} {
-		if got := s.orderAt(ctx, rank, s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), orderTries); got != wire.EngineResult_EngineDone {
-			return fmt.Errorf("%w: rank %d: %s", errNotFreed, rank, got)
+func (s *Switcher) holdAtTwoRanks(ctx context.Context, fence, step uint64) error {
+	for _, rank := range []int{s.secondHolder(), s.holder()} {
+		if result := s.orderWithRetry(ctx, rank, s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), maxOrderAttempts); result != wire.EngineResult_EngineDone {
+			return fmt.Errorf("%w: rank %d: %s", errNotReleased, rank, result)
 		}
 
-		look, err := s.Group.Poll(ctx, rank, PollRequest{})
+		poll, err := s.Group.Poll(ctx, rank, PollRequest{})
 		if err != nil {
 			return err
 		}
 
-		if r := look.Report; !r.Holds || r.Held != step || r.Step >= step {
-			return fmt.Errorf("%w: rank %d: %+v", errNotFreed, rank, r)
+		if r := poll.Report; !r.Holds || r.Held != step || r.Step >= step {
+			return fmt.Errorf("%w: rank %d: %+v", errNotReleased, rank, r)
 		}
 	}
 
@@ -109,18 +109,18 @@
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.GoTimeout)
 	defer cancel()
 
-	if err := s.drive(ctx, errNotFreed, disarm, nil); err != nil {
+	if err := s.orderAll(ctx, errNotReleased, disarm, nil); err != nil {
 		return err
 	}
 
-	after, err := s.lookAll(ctx)
+	reportsAfter, err := s.pollReports(ctx)
 	if err != nil {
 		return err
 	}
 
-	for i := range after {
-		if after[i].Armed != 0 {
-			return fmt.Errorf("%w: rank %d is armed", errNotFreed, i)
+	for i := range reportsAfter {
+		if reportsAfter[i].Armed != 0 {
+			return fmt.Errorf("%w: rank %d is armed", errNotReleased, i)
 		}
 	}
 
@@ -151,24 +151,24 @@
 // copies nothing. An arm on its way that an engine took in before it saw the higher
 // fencing number, and carries out later, then no longer finds its version prepared.
 func (s *Switcher) supersede(ctx context.Context, fence uint64, reports []Report) error {
-	looks, err := s.PollAll(ctx, PollRequest{Experts: true})
+	polls, err := s.PollAll(ctx, PollRequest{Experts: true})
 	if err != nil {
 		return err
 	}
 
-	version := highestVersion(reports) + supersedeBy
-	m, err := mapOf(looks)
+	version := highestVersion(reports) + supersedeVersionGap
+	m, err := mapFromPolls(polls)
 	if err != nil {
 		return err
 	}
 
 	if err := s.prepare(ctx, fence, version, m); err != nil {
-		return errors.Join(errNotFreed, err)
+		return errors.Join(errNotReleased, err)
 	}
 
 	return nil
 }
 
-// supersedeBy is how far the version goes up: a rank may have had some that were
+// supersedeVersionGap is how far the version goes up: a rank may have had some that were
 // prepared at others only.
-const supersedeBy = 16
+const supersedeVersionGap = 16
--- a/internal/lockstep/standby.go
+++ b/internal/lockstep/standby.go
@@ -19,9 +19,9 @@
 	DirectorAlive func(ctx context.Context) bool
 }
 
-// standbyLooks is how many times in a row the directing agent must not have
+// standbyMissedPolls is how many times in a row the directing agent must not have
 // answered while a step is held.
-const standbyLooks = 2
+const standbyMissedPolls = 2
 
 // Run watches until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
@@ -35,24 +35,24 @@
 			continue
 		}
 
-		if missed++; missed < standbyLooks {
+		if missed++; missed < standbyMissedPolls {
 			continue
 		}
 
-		look, err := s.Group.Poll(ctx, switcher.holder(), PollRequest{})
-		if err != nil || !look.Report.Holds {
+		poll, err := s.Group.Poll(ctx, switcher.holder(), PollRequest{})
+		if err != nil || !poll.Report.Holds {
 			continue
 		}
 
-		if err := s.free(ctx, switcher); err != nil {
+		if err := s.release(ctx, switcher); err != nil {
 			s.Logger.Warn("A step is held, its director is gone, and it is not freed yet.", "error", err)
 		}
 	}
 }
 
-// free frees the group, and leaves it to the directing agent as soon as that one
+// release frees the group, and leaves it to the directing agent as soon as that one
 // answers again: two that raise their numbers against each other free nothing.
-func (s *Standby) free(ctx context.Context, switcher *Switcher) error {
+func (s *Standby) release(ctx context.Context, switcher *Switcher) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -32,42 +32,42 @@
 	Logger   *slog.Logger
 
 	fence uint64
-	// steps is when steps begin, commits how long it takes from the order to hold a step
+	// stepClock is when steps begin, commits how long it takes from the order to hold a step
 	// until it is known not to be held any more.
-	steps   stepClock
-	commits latency.Estimator
-	// looks is how long a look at a rank takes, unseen how many looks in a row most ranks
+	stepClock   stepClock
+	commitTimes latency.Estimator
+	// pollTimes is how long a look at a rank takes, unseen how many looks in a row most ranks
 	// did not answer in time.
-	looks  latency.Estimator
-	unseen int
-	// answers is how soon single ranks answer orders, spread how soon those that are
+	pollTimes    latency.Estimator
+	missedRounds int
+	// answerTimes is how soon single ranks answer orders, spread how soon those that are
 	// brought to many of them are answered.
-	answers answers
-	spread  answers
+	answerTimes answerTimes
+	fanOutTimes answerTimes
 	// fenced is set once an engine refused a fencing number as too low.
 	fenced atomic.Bool
 }
 
 // Errors of a switch that did not come about. Nothing has changed then.
 var (
-	errNotAll   = errors.New("lockstep: not all ranks answered")
-	errState    = errors.New("lockstep: the ranks are not ready for a switch")
-	errPrepare  = errors.New("lockstep: not all ranks have the experts")
-	errHold     = errors.New("lockstep: the step could not be held")
-	errArm      = errors.New("lockstep: not all ranks are armed")
-	errNotFreed = errors.New("lockstep: a hold is not lifted yet")
+	errMissingAnswers = errors.New("lockstep: not all ranks answered")
+	errNotReady       = errors.New("lockstep: the ranks are not ready for a switch")
+	errPrepare        = errors.New("lockstep: not all ranks have the experts")
+	errHold           = errors.New("lockstep: the step could not be held")
+	errArm            = errors.New("lockstep: not all ranks are armed")
+	errNotReleased    = errors.New("lockstep: a hold is not lifted yet")
 )
 
 // Switch brings m, as version, to all ranks and switches them in one step.
 func (s *Switcher) Switch(ctx context.Context, version uint64, m Map) error {
 	fence := s.nextFence()
 
-	reports, err := s.lookAll(ctx)
+	reports, err := s.pollReports(ctx)
 	if err != nil {
 		return err
 	}
 
-	if err := ready(reports); err != nil {
+	if err := checkReady(reports); err != nil {
 		return err
 	}
 
@@ -90,12 +90,12 @@
 	return nil
 }
 
-// ready reports whether a switch may begin.
-func ready(reports []Report) error {
+// checkReady reports whether a switch may begin.
+func checkReady(reports []Report) error {
 	for i := range reports {
 		r := &reports[i]
 		if !r.Open || r.Armed != 0 || r.Holds || r.Map != reports[0].Map {
-			return fmt.Errorf("%w: rank %d: %+v", errState, i, *r)
+			return fmt.Errorf("%w: rank %d: %+v", errNotReady, i, *r)
 		}
 	}
 
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.PrepareTimeout)
 	defer cancel()
 
-	return s.drive(ctx, errPrepare, func(int) *wire.EngineOrder { return o },
+	return s.orderAll(ctx, errPrepare, func(int) *wire.EngineOrder { return o },
 		func(r *Report) bool { return r.Prepared == version })
 }
 
@@ -123,26 +123,26 @@
 		return err
 	}
 
-	err = s.goOn(ctx, s.holder(), fence, step)
-	s.commits.Observe(time.Since(began), commitMemory)
+	err = s.liftHold(ctx, s.holder(), fence, step)
+	s.commitTimes.Observe(time.Since(began), commitTimeWindow)
 
 	return err
 }
 
 const (
-	// commitMemory is over how many switches the time of a commit is averaged, and
+	// commitTimeWindow is over how many switches the time of a commit is averaged, and
 	// commitMargin how many mean distances above that mean a commit may take.
-	commitMemory = 8
-	commitMargin = 3
+	commitTimeWindow = 8
+	commitTimeMargin = 3
 )
 
-// ahead returns how far away the step of a switch should be. One that comes sooner than
+// stepLead returns how far away the step of a switch should be. One that comes sooner than
 // all ranks are armed and the hold is lifted waits for that, and every stream of the
 // group with it; each further step is one more with the old map.
-func (s *Switcher) ahead() time.Duration {
-	within, _ := s.commits.UpperBound(commitMargin)
+func (s *Switcher) stepLead() time.Duration {
+	bound, _ := s.commitTimes.UpperBound(commitTimeMargin)
 
-	return min(max(within, s.Settings.MinStepLead), s.Settings.MaxStepLead)
+	return min(max(bound, s.Settings.MinStepLead), s.Settings.MaxStepLead)
 }
 
 // armAll holds a step and arms all ranks for it, and returns the step once all of
@@ -159,17 +159,17 @@
 	arm := s.order(wire.EngineOrderKind_EngineOrderArm, fence, version, step)
 	armed := func(r *Report) bool { return r.Armed == version }
 
-	if err := s.drive(ctx, errArm, func(int) *wire.EngineOrder { return arm }, armed); err != nil {
+	if err := s.orderAll(ctx, errArm, func(int) *wire.EngineOrder { return arm }, armed); err != nil {
 		return 0, err
 	}
 
-	look, err := s.lookAgain(ctx, s.holder())
+	poll, err := s.pollWithRetry(ctx, s.holder())
 	if err != nil {
 		return 0, err
 	}
 
-	if h := look.Report; !h.Holds || h.Held != step {
-		return 0, fmt.Errorf("%w: %+v", errHold, h)
+	if report := poll.Report; !report.Holds || report.Held != step {
+		return 0, fmt.Errorf("%w: %+v", errHold, report)
 	}
 
 	return step, nil
@@ -182,64 +182,64 @@
 
 // hold lets the holder hold a step that is near, and returns it once that is seen.
 func (s *Switcher) hold(ctx context.Context, fence uint64) (uint64, error) {
-	look, err := s.lookAgain(ctx, s.holder())
+	poll, err := s.pollWithRetry(ctx, s.holder())
 
-	for range holdTries {
+	for range maxHoldAttempts {
 		if err != nil {
 			return 0, err
 		}
 
 		now := time.Now()
-		s.steps.saw(now, look.Report.Step)
-		step := s.steps.after(now, now.Add(s.ahead()))
-		got := s.orderAt(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), 1)
+		s.stepClock.observe(now, poll.Report.Step)
+		step := s.stepClock.firstStepAfter(now, now.Add(s.stepLead()))
+		result := s.orderWithRetry(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), 1)
 
 		// What the engine reports counts, not what it answered: an order without an
 		// answer may have been carried out, and then any step that is still to come will do.
-		look, err = s.lookAgain(ctx, s.holder())
-		if err == nil && look.Report.Holds && look.Report.Held > look.Report.Step {
-			return look.Report.Held, nil
+		poll, err = s.pollWithRetry(ctx, s.holder())
+		if err == nil && poll.Report.Holds && poll.Report.Held > poll.Report.Step {
+			return poll.Report.Held, nil
 		}
 
-		if got == wire.EngineResult_EngineFenced {
+		if result == wire.EngineResult_EngineFenced {
 			break
 		}
 	}
 
-	return 0, fmt.Errorf("%w: %+v", errHold, look.Report)
+	return 0, fmt.Errorf("%w: %+v", errHold, poll.Report)
 }
 
-// holdTries is how many steps are tried to be held.
-const holdTries = 4
+// maxHoldAttempts is how many steps are tried to be held.
+const maxHoldAttempts = 4
 
-// shortestStep bounds from below how long a step is thought to take.
-const shortestStep = 15 * time.Millisecond
+// minStepLength bounds from below how long a step is thought to take.
+const minStepLength = 15 * time.Millisecond
 
-// goOn lifts the hold of a rank. While that is not seen, the group may stand
+// liftHold lifts the hold of a rank. While that is not seen, the group may stand
 // still, so it is tried until it is seen. One that is given up is found again by
 // the next look. One that is fenced is given up at once: no number of tries would help
 // it, and who frees the group with a higher number does.
-func (s *Switcher) goOn(ctx context.Context, rank int, fence, step uint64) error {
+func (s *Switcher) liftHold(ctx context.Context, rank int, fence, step uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.GoTimeout)
 	defer cancel()
 
 	for {
-		if got := s.orderAt(ctx, rank, s.order(wire.EngineOrderKind_EngineOrderGo, fence, 0, step), 1); got == wire.EngineResult_EngineFenced {
-			return errNotFreed
+		if result := s.orderWithRetry(ctx, rank, s.order(wire.EngineOrderKind_EngineOrderGo, fence, 0, step), 1); result == wire.EngineResult_EngineFenced {
+			return errNotReleased
 		}
 
-		look, err := s.Group.Poll(ctx, rank, PollRequest{})
+		poll, err := s.Group.Poll(ctx, rank, PollRequest{})
 
 		switch {
-		case err == nil && (!look.Report.Holds || look.Report.Held != step || look.Report.Epoch != s.Group.Epoch):
+		case err == nil && (!poll.Report.Holds || poll.Report.Held != step || poll.Report.Epoch != s.Group.Epoch):
 			return nil
 		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
-			return errNotFreed
+			return errNotReleased
 		}
 	}
 }
 
-func toWire(m Map) []*wire.ExpertSet {
+func mapToWire(m Map) []*wire.ExpertSet {
 	var out []*wire.ExpertSet
 
 	for _, ranks := range m {
