--- a/internal/lockstep/answer_times.go
+++ b/internal/lockstep/answer_times.go
@@ -7,39 +7,39 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// answerTimes learns how soon ranks answer orders of each kind.
+// answerTimes estimates how long ranks take to answer orders, by kind of order, and derives
+// time-outs from that.
 //
-// The failure is an order that is never answered, and may be carried out seconds later.
-// A switch needs an answer from every rank, so with one order in ten lost most switches
-// met one or more, and each cost a fixed time-out of 150 to 250 ms while the group worked
-// on with the old map. Answers come within a few ms as a rule: what takes much longer is
-// given again. Ranks take an order that they have already as done, or refuse it, so that
-// one more of them does no harm.
+// A switch needs an answer from every rank. With one order in ten unanswered, most switches met
+// at least one, and with a fixed time-out each of them cost 150 to 250 ms, during which the
+// group kept using the old map. Answers usually arrive within a few milliseconds, so an order
+// that takes much longer is resent. Resending is safe: a rank reports an order that it has
+// already carried out as done, or refuses it.
 type answerTimes struct {
 	byKind latency.Estimators[wire.EngineOrderKind]
 }
 
 const (
-	// answerTimeWindow is over how many answers the mean is taken: those of a few switches
-	// of a group of twelve.
+	// answerTimeWindow is the number of answers in the running mean, about those of a few
+	// switches of a group of twelve ranks.
 	answerTimeWindow = 64
-	// answerTimeMargin is how many mean distances above the mean an answer may take.
+	// answerTimeMargin is the number of mean deviations above the mean that an answer may take.
 	answerTimeMargin = 4
-	// minAnswerTimeout bounds from below how long an answer is waited for: some times the
-	// longest way within a region. Each rank that is ordered at once adds leastPerRank: all
-	// of that leaves one VM with a quarter of a processor.
+	// minAnswerTimeout is the shortest time-out for an answer, several times the longest
+	// network latency within a region. Each rank that is addressed at the same time adds
+	// minTimeoutPerRank, because all requests leave one VM that has a quarter of a processor.
 	minAnswerTimeout  = 25 * time.Millisecond
 	minTimeoutPerRank = time.Millisecond
 )
 
-// record takes in how long the answer to an order took.
+// record adds the time that an answer to an order of this kind took.
 func (a *answerTimes) record(kind wire.EngineOrderKind, took time.Duration) {
 	a.byKind.Observe(kind, took, answerTimeWindow)
 }
 
-// timeout says how long the answer to an order that got none so many times before is
-// waited for: twice as long each time, since ranks may have become slower, and never
-// longer than most.
+// timeout returns how long to wait for the answer to an order that has already timed out the
+// given number of times. It doubles with each time-out, because ranks may have become slower,
+// up to maxWait.
 func (a *answerTimes) timeout(kind wire.EngineOrderKind, ranks int, maxWait time.Duration, timeouts int) time.Duration {
 	bound, known := a.byKind.UpperBound(kind, answerTimeMargin)
 	if !known {
@@ -51,5 +51,5 @@
 	return min(max(bound, minWait)<<min(timeouts, maxTimeoutDoublings), maxWait)
 }
 
-// maxTimeoutDoublings keeps the doubled time within its type.
+// maxTimeoutDoublings keeps the shifted duration from overflowing.
 const maxTimeoutDoublings = 10
--- a/internal/lockstep/count_deltas.go
+++ b/internal/lockstep/count_deltas.go
@@ -6,29 +6,32 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// CountEncoder keeps counts as they were told, so that later ones can be told as what has been
-// added: counts grow for the whole life of an engine, and those of a large group filled the
-// links of the agents that add them up. One goroutine at a time uses it.
+// CountEncoder sends expert counts as differences from counts that the receiver already has.
+// Counts grow over the whole life of an engine, and sending them in full used up the bandwidth
+// of the agents that sum the counts of a large group. A CountEncoder must not be used
+// concurrently.
 type CountEncoder struct {
-	// Mark is the last one that was given. It is set before the first call to a number
-	// above those of all earlier lives, whose counts an asker may still hold.
+	// Mark identifies the counts sent last. Set it before the first call to Encode, above the
+	// marks of all earlier runs of this agent, whose counts a receiver may still hold.
 	Mark uint64
 
 	sent []sentCounts
 }
 
-// sentCounts is counts of some ranks, by their names, as they were told.
+// sentCounts holds the counts of the named ranks as they were sent.
 type sentCounts struct {
 	ranks  string
 	mark   uint64
 	counts []uint64
 }
 
-// maxKeptCounts bounds the counts that are kept: the last ones told to a directing agent, its
-// successor, and one that adds them up, with some whose answer was lost.
+// maxKeptCounts bounds the sent counts that are kept as bases: the latest ones sent to a
+// directing agent, to its successor and to an agent that sums them, and a few whose answer was
+// lost.
 const maxKeptCounts = 6
 
-// Encode puts counts of some ranks into an answer to who holds those with the mark known.
+// Encode writes counts of the named ranks into an answer to a receiver that holds the counts
+// with the mark knownMark.
 func (t *CountEncoder) Encode(out *wire.LookAnswer, ranks string, counts []uint64, knownMark uint64) {
 	t.Mark++
 	out.Mark = t.Mark
@@ -51,8 +54,8 @@
 	t.sent = append(t.sent, sentCounts{ranks: ranks, mark: t.Mark, counts: slices.Clone(counts)})
 }
 
-// countDiff returns what has been added to counts. It reports false where they have fallen: an
-// engine has started anew.
+// countDiff returns the increase from before to now. It returns false if a count has fallen,
+// which means that an engine has restarted.
 func countDiff(before, now []uint64) ([]uint64, bool) {
 	if len(before) != len(now) {
 		return nil, false
@@ -71,13 +74,14 @@
 	return out, true
 }
 
-// CountDecoder is the counts that an asker holds of what one agent told. The zero value holds none.
+// CountDecoder holds the counts that one agent has sent. The zero value holds none.
 type CountDecoder struct {
 	Mark   uint64
 	Counts []uint64
 }
 
-// Decode takes in an answer, and reports whether the counts are known with it.
+// Decode applies an answer. It returns false if the answer is based on counts that the decoder
+// does not hold.
 func (h *CountDecoder) Decode(a *wire.LookAnswer) bool {
 	switch {
 	case a.GetBase() == 0:
--- a/internal/lockstep/count_deltas_test.go
+++ b/internal/lockstep/count_deltas_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Answers with counts are lost, agents start anew, and two askers hold different ones.
-// Guards against counts that an asker adds to others than they were told for.
+// Answers with counts are lost, agents restart, and two receivers hold different counts. Guards
+// against a receiver that adds differences to counts other than those they are based on.
 func TestDecodedCountsMatchEncodedCounts(t *testing.T) {
 	t.Parallel()
 
@@ -24,18 +24,18 @@
 
 		for range 40 {
 			for i := range counts {
-				counts[i] += uint64(rapid.IntRange(0, 9).Draw(t, "more"))
+				counts[i] += uint64(rapid.IntRange(0, 9).Draw(t, "increase"))
 			}
 
-			if rapid.IntRange(0, 20).Draw(t, "engine starts anew") == 0 {
+			if rapid.IntRange(0, 20).Draw(t, "engine restarts") == 0 {
 				counts = make([]uint64, 5)
 			}
 
-			if rapid.IntRange(0, 20).Draw(t, "agent starts anew") == 0 {
+			if rapid.IntRange(0, 20).Draw(t, "agent restarts") == 0 {
 				encoder = lockstep.CountEncoder{Mark: encoder.Mark + 1000}
 			}
 
-			decoder := &decoders[rapid.IntRange(0, 1).Draw(t, "asker")]
+			decoder := &decoders[rapid.IntRange(0, 1).Draw(t, "receiver")]
 
 			var out wire.LookAnswer
 
@@ -52,8 +52,9 @@
 	})
 }
 
-// The counts of a rank of a large group after a minute, told each tenth of a second.
-// Guards against looks that fill the link of the agent that adds them up.
+// Guards against answers that use up the bandwidth of the agent that sums the counts: each
+// contains the counts of a rank of a large group, polled every 100 ms, one minute after the
+// start.
 func TestCountDifferencesAreSmall(t *testing.T) {
 	t.Parallel()
 
@@ -83,5 +84,5 @@
 		size = proto.Size(&out)
 	}
 
-	require.Less(t, size, numbers+100, "bytes; a count is a byte")
+	require.Less(t, size, numbers+100, "bytes, about one per count")
 }
--- a/internal/lockstep/demand.go
+++ b/internal/lockstep/demand.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// demandEstimator turns counts that only grow into the demand of now. What runs now runs
-// on for a while, so what was chosen lately tells best what is chosen next; a part
-// of a longer memory is kept for what comes and goes.
+// demandEstimator estimates the current demand for experts from counters that only grow.
+// Running requests continue for a while, so recent choices predict the next ones best; a small
+// share of a long-term average covers demand that comes and goes.
 type demandEstimator struct {
 	shape Shape
-	// decay is over how long the recent demand counts.
+	// decay is the time constant by which recent counts decay.
 	decay time.Duration
 
-	lastCounts [][]uint64 // by rank, as read last
+	lastCounts [][]uint64 // by rank, from the latest poll
 	observedAt time.Time
-	latest     Demand // what the last look alone brought
+	latest     Demand // increase of the counts in the latest poll
 	recent     Demand
 	longTerm   Demand
-	// baselineDistance is by how much a look usually differs from the recent demand, as learnt from
-	// some looks.
+	// baselineDistance is the mean distance between the counts of one poll and recent, over
+	// baselineSamples polls.
 	baselineDistance float64
 	baselineSamples  int
-	// lastShift is when demand was last seen to shift.
+	// lastShift is when a shift of demand was last detected.
 	lastShift time.Time
 }
 
 const (
-	// longDecayFactor is how many times longer the long memory is.
+	// longDecayFactor is the ratio of the long-term decay to the recent one.
 	longDecayFactor = 12
-	// longTermWeight is the part of the long memory in the demand.
+	// longTermWeight is the share of the long-term counts in the expected demand.
 	longTermWeight = 0.15
 )
 
-// observe takes in all ranks' counts at now. It returns how many choices were new.
+// observe adds the counts of all ranks as of now. It returns how many expert choices are new.
 func (c *demandEstimator) observe(now time.Time, polls []PollResult) float64 {
 	latest := newDemand(c.shape)
 	total := 0.0
@@ -60,8 +60,8 @@
 	elapsed := now.Sub(c.observedAt)
 	c.observedAt, c.latest = now, latest
 
-	// A look that saw the shift half way still holds choices from before it: what has
-	// been counted since counts for no longer than the shift is ago.
+	// A poll taken halfway through a shift still contains choices from before it. Limiting the
+	// decay to the time since the shift makes these choices fade quickly.
 	decay := min(c.decay, now.Sub(c.lastShift))
 
 	if c.shifted(latest) {
@@ -76,23 +76,23 @@
 }
 
 const (
-	// minShift is the part of the choices that must have gone to other experts for
-	// what was counted before to be forgotten at once: a memory of a second would hide a
-	// shift for as long. It is low enough for a large group, whose looks each hold a part
-	// of the choices from before.
+	// minShift is the smallest share of choices that must have moved to other experts before
+	// earlier counts are dropped at once. Without that, a decay of one second would hide a
+	// shift for as long. The value is low enough for a large group, where each poll contains
+	// some choices from before the shift.
 	minShift = 0.04
-	// shiftFactor is how many times further than usual that must be: requests that come
-	// and go move a part of the choices as well, more in a small group.
+	// shiftFactor is how many times larger than the baseline distance the distance of a shift
+	// must be. Turnover of requests also moves some of the choices, more so in a small group.
 	shiftFactor = 1.7
-	// baselineWindow is over how many looks the usual distance is averaged.
+	// baselineWindow is the number of polls in the baseline distance.
 	baselineWindow = 20
-	// minBaselineSamples is how many looks tell what is usual. Until then nothing is, and all that
-	// differs is learnt from.
+	// minBaselineSamples is the number of polls needed for a baseline. Until then every
+	// distance is added to it.
 	minBaselineSamples = 4
 )
 
-// shifted reports whether fresh differs from the recent demand far more than by the
-// requests that came and went.
+// shifted reports whether latest differs from the recent demand by much more than turnover of
+// requests explains.
 func (c *demandEstimator) shifted(latest Demand) bool {
 	distance := c.recent.distance(latest)
 	exceeds := distance > max(minShift, shiftFactor*c.baselineDistance)
@@ -105,8 +105,7 @@
 	return exceeds
 }
 
-// distance returns the part of the choices that went to other experts, in the mean
-// over the sets.
+// distance returns the share of choices that moved to other experts, averaged over the sets.
 func (d Demand) distance(latest Demand) float64 {
 	moved, sets := 0.0, 0.0
 
@@ -126,8 +125,8 @@
 	return moved / max(sets, 1)
 }
 
-// decayAndAdd adds fresh to d, of which a part of 1/e is left after memory, and nothing
-// where memory is 0.
+// decayAndAdd adds latest to d, whose earlier counts decay to 1/e within decay, or to nothing
+// if decay is 0.
 func (d Demand) decayAndAdd(latest Demand, elapsed, decay time.Duration) {
 	retained := 0.0
 	if decay > 0 {
@@ -141,8 +140,8 @@
 	}
 }
 
-// expected returns the expected shares.
-func (c *demandEstimator) expected() Demand {
+// demand returns the expected share of each expert.
+func (c *demandEstimator) demand() Demand {
 	out := newDemand(c.shape)
 
 	for s := range out {
--- a/internal/lockstep/demand_test.go
+++ b/internal/lockstep/demand_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRequests stands for the requests of a group: each of them chooses experts in its own
-// way, and now and then one ends and another begins.
+// fakeRequests simulates the running requests of a group. Each of them has its own demand for
+// experts, and some end and are replaced by others.
 type fakeRequests struct {
 	shape  Shape
 	r      *rand.Rand
 	counts [][]uint64
-	// popularity are the experts of a set from the most liked on.
+	// popularity lists the experts of a set, the most popular first.
 	popularity []int
 	active     []Demand
 }
@@ -35,8 +35,8 @@
 	return x
 }
 
-// meanDemand is how often each expert is chosen in the mean: the n-th most liked one in
-// proportion to 1/n.
+// meanDemand returns the mean demand: the n-th most popular expert is chosen in proportion to
+// 1/n.
 func (x *fakeRequests) meanDemand() Demand {
 	d := newDemand(x.shape)
 
@@ -60,7 +60,7 @@
 	return d
 }
 
-// shift lets other experts take the places of some of the most liked ones.
+// shift swaps the most popular experts with the least popular ones and replaces all requests.
 func (x *fakeRequests) shift(moved int) {
 	for n := range moved {
 		other := len(x.popularity) - 1 - n
@@ -72,9 +72,9 @@
 	}
 }
 
-// nextPoll returns the ranks' counts after one more step, in which a part of the requests
-// was replaced by others.
-func (x *fakeRequests) nextPoll(replaced int) []PollResult {
+// poll replaces some of the requests, runs one more step and returns the counts of the
+// ranks.
+func (x *fakeRequests) poll(replaced int) []PollResult {
 	polls := make([]PollResult, x.shape.Ranks)
 
 	for range replaced {
@@ -100,10 +100,10 @@
 
 var largeShape = Shape{Sets: 2, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 3}
 
-// A group of 63 ranks reads a few hundred requests, and some of the most liked experts
-// give way to others: a fifth of all choices move. That was taken for requests that come
-// and go, which move a fifth in a small group. For two seconds the map followed what had
-// been liked before, steps took twice as long, and half of the drafts came late.
+// In a group of 63 ranks with a few hundred requests, some of the most popular experts change,
+// which moves a fifth of all choices. Guards against mistaking that for turnover of requests,
+// which moves as much in a small group: the map then matched the old demand for two seconds,
+// steps took twice as long, and half of the drafts were late.
 func TestDemandShiftDetectedInLargeGroup(t *testing.T) {
 	t.Parallel()
 
@@ -112,28 +112,29 @@
 		c := newDemandEstimator(x.shape, time.Second)
 		now := c.observedAt
 
-		observe := func() {
+		poll := func() {
 			now = now.Add(150 * time.Millisecond)
-			c.observe(now, x.nextPoll(10))
+			c.observe(now, x.poll(10))
 		}
 
 		for range 30 {
-			observe()
+			poll()
 		}
 
-		before := c.expected()
+		before := c.demand()
 		x.shift(1)
-		require.InDelta(t, 0.2, before.distance(x.meanDemand()), 0.07, "so many of the choices move")
+		require.InDelta(t, 0.2, before.distance(x.meanDemand()), 0.07, "share of choices that move")
 
-		// The first look may still hold some of the choices from before.
-		observe()
-		observe()
-		require.Less(t, c.expected().distance(x.meanDemand()), 0.08, "seed %d", seed)
+		// The first poll may still contain choices from before the shift.
+		poll()
+		poll()
+		require.Less(t, c.demand().distance(x.meanDemand()), 0.08, "seed %d", seed)
 	}
 }
 
-// Requests come and go in a small group: what was counted for a second tells more of
-// the next step than one look does, and must not be forgotten for that.
+// Guards against taking the turnover of requests in a small group for a shift: counts of the
+// last second predict the next step better than those of a single poll, and must not be
+// dropped.
 func TestRequestTurnoverIsNotADemandShift(t *testing.T) {
 	t.Parallel()
 
@@ -148,10 +149,10 @@
 
 		for n := range 60 {
 			now = now.Add(100 * time.Millisecond)
-			c.observe(now, x.nextPoll(8))
+			c.observe(now, x.poll(8))
 
 			if n > 20 {
-				maxDistance = math.Max(maxDistance, c.expected().distance(x.meanDemand()))
+				maxDistance = math.Max(maxDistance, c.demand().distance(x.meanDemand()))
 			}
 		}
 
--- a/internal/lockstep/director.go
+++ b/internal/lockstep/director.go
@@ -11,50 +11,52 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// Director keeps the map of one group in one epoch. Its fields are set before Run.
+// Director maintains the expert map of one group during one epoch. Its exported fields are set
+// before Run.
 type Director struct {
 	Shape    Shape
 	Group    GroupClient
 	Settings Settings
 	Logger   *slog.Logger
-	// HighestAttempted is the highest version that a switch was tried with, also in earlier
-	// epochs: ranks that outlived them take only higher ones.
+	// HighestAttempted is the highest version with which a switch was attempted, in earlier
+	// epochs too. Ranks that remain from an earlier epoch accept only higher versions.
 	HighestAttempted uint64
 
-	switcher  *Switcher
-	demand    *demandEstimator
-	slowdowns Slowdowns
-	current   Map
-	version   uint64
-	// lastSearch is what the last search for a better map found.
+	switcher        *Switcher
+	demandEstimator *demandEstimator
+	slowdowns       Slowdowns
+	current         Map
+	version         uint64
+	// lastSearch is the result of the last search for a better map.
 	lastSearch searchResult
-	// refusedSwitches counts the switches in a row that ranks would not prepare.
+	// refusedSwitches counts consecutive switches that ranks refused to prepare.
 	refusedSwitches int
 }
 
-// minPollCounts is how many choices a look must bring to tell something of demand.
+// minPollCounts is the number of expert choices that a poll must add before the director acts
+// on the demand.
 const minPollCounts = 200
 
-// Run directs until ctx ends or the group has another epoch. A switch that has
-// begun is finished first.
+// Run directs the group until ctx ends, as it must when the group begins another epoch. A
+// switch that has begun is finished first.
 func (d *Director) Run(ctx context.Context) {
 	d.switcher = &Switcher{Group: d.Group, Settings: d.Settings, Logger: d.Logger}
-	d.demand = newDemandEstimator(d.Shape, d.Settings.DemandDecay)
+	d.demandEstimator = newDemandEstimator(d.Shape, d.Settings.DemandDecay)
 	d.slowdowns = make(Slowdowns, d.Shape.Ranks)
 
-	d.Logger.Info("Directing.", "epoch", d.Group.Epoch, "ranks", d.Group.Size)
-	defer d.Logger.Info("Directing ended.", "epoch", d.Group.Epoch)
+	d.Logger.Info("Directing the group.", "epoch", d.Group.Epoch, "ranks", d.Group.Size)
+	defer d.Logger.Info("Stopped directing the group.", "epoch", d.Group.Epoch)
 
 	for pauses.For(ctx, d.Settings.PollInterval) {
 		d.runOnce(context.WithoutCancel(ctx))
 	}
 }
 
-// runOnce looks at some ranks once, and switches the group where that is worth it.
+// runOnce polls some of the ranks and switches the group to a better map if there is one.
 func (d *Director) runOnce(ctx context.Context) {
 	polls, err := d.poll(ctx)
 	if err != nil {
-		d.Logger.Debug("Ranks not all seen.", "error", err)
+		d.Logger.Debug("Poll of the ranks failed; skipping this interval.", "error", err)
 
 		return
 	}
@@ -76,7 +78,7 @@
 		return
 	}
 
-	if d.demand.observe(time.Now(), polls) < minPollCounts || !first.Open || first.Armed != 0 || first.Map != d.version {
+	if d.demandEstimator.observe(time.Now(), polls) < minPollCounts || !first.Open || first.Armed != 0 || first.Map != d.version {
 		if first.Map != d.version && first.Armed == 0 {
 			d.current = nil
 		}
@@ -87,9 +89,8 @@
 	d.switchIfBetter(ctx)
 }
 
-// poll looks at all ranks while the map in use is not known, and then at those that
-// add up the counts. The first one and the holder are always among them. A few may be
-// missing then.
+// poll polls all ranks while the current map is unknown, and afterwards only the count
+// aggregators and the holder. Rank 0 is always among them, and a few of them may not answer.
 func (d *Director) poll(ctx context.Context) ([]PollResult, error) {
 	ranksPerAggregator := (d.Group.Size + d.Settings.CountAggregators - 1) / d.Settings.CountAggregators
 
@@ -106,15 +107,15 @@
 
 func (d *Director) releaseHolds(ctx context.Context) {
 	if err := d.switcher.ReleaseHolds(ctx); err != nil {
-		d.Logger.Warn("A step is held, and not freed yet.", "error", err)
+		d.Logger.Warn("Release of a held step failed; retrying at the next poll.", "error", err)
 	}
 }
 
-// loadCurrentMap takes the map in use from the ranks' own lists.
+// loadCurrentMap builds the current map from the experts that the ranks report.
 func (d *Director) loadCurrentMap(polls []PollResult, highest uint64) bool {
 	m, err := mapFromPolls(polls)
 	if err != nil || len(m) != d.Shape.Sets {
-		d.Logger.Info("The map in use is not known yet.", "error", err)
+		d.Logger.Info("Current map not known yet; polling all ranks again.", "error", err)
 
 		return false
 	}
@@ -125,11 +126,11 @@
 	return true
 }
 
-// switchIfBetter switches to the map that saves most until demand is expected to change,
-// where that is worth it.
+// switchIfBetter switches to the map that is expected to save the most work within the horizon,
+// if it saves enough.
 func (d *Director) switchIfBetter(ctx context.Context) {
 	began := time.Now()
-	demand := d.demand.expected()
+	demand := d.demandEstimator.demand()
 	before := d.current.SkewWithSlowdowns(demand, d.slowdowns)
 
 	if !d.lastSearch.mayGain(began, before, d.Settings.MinGain) {
@@ -147,49 +148,49 @@
 	version := d.nextVersion()
 	err := d.switcher.Switch(ctx, version, next)
 
-	// A skew of the last look far above that of the expected demand is a shift that
-	// was not seen. The map is still the one from before the switch here.
-	latestSkew := d.current.SkewWithSlowdowns(d.demand.latest, d.slowdowns)
-	d.Logger.Info("Map switch.", "version", version, "skewNow", fmt.Sprintf("%.2f", latestSkew), "skewBefore", fmt.Sprintf("%.2f", before), "skewAfter", fmt.Sprintf("%.2f", after),
+	// d.current is still the map from before the switch. A skew of the latest poll far above
+	// that of the expected demand indicates a shift that was not detected.
+	latestSkew := d.current.SkewWithSlowdowns(d.demandEstimator.latest, d.slowdowns)
+	d.Logger.Info("Map switch attempted.", "version", version, "skewNow", fmt.Sprintf("%.2f", latestSkew), "skewBefore", fmt.Sprintf("%.2f", before), "skewAfter", fmt.Sprintf("%.2f", after),
 		"planned", planned.Sub(began).Round(time.Millisecond), "took", time.Since(planned).Round(time.Millisecond), "error", err)
 
 	switch {
 	case err == nil:
 		d.current, d.version, d.refusedSwitches = next, version, 0
 	case errors.Is(err, errPrepare):
-		// Some rank has had a higher version, in an epoch that this agent has not seen.
+		// Some rank has seen a higher version in an epoch that this agent did not observe.
 		d.refusedSwitches++
 		d.HighestAttempted += 1 << min(d.refusedSwitches, maxVersionJumpBits)
 	}
 }
 
-// searchValidity is how long a search tells what the next one can find.
+// searchValidity is how long the result of a search predicts that of the next one.
 const searchValidity = time.Second
 
-// searchResult is what a search for a better map found: the least skew of those that it weighed.
-// Another one soon after it finds about the same, and takes far longer than a look.
+// searchResult holds the smallest skew that a search has found. Another search soon afterwards
+// finds about the same, and takes far longer than a poll.
 type searchResult struct {
 	minSkew    float64
 	validUntil time.Time
 }
 
-// mayGain reports whether a search is worth it where the map in use has the skew before.
+// mayGain reports whether another search is worthwhile if the current map has the skew before.
 func (s searchResult) mayGain(now time.Time, before, minGain float64) bool {
 	return !now.Before(s.validUntil) || (before-s.minSkew)/before >= minGain
 }
 
-// maxVersionJumpBits bounds how far the version jumps at once, as a power of two.
+// maxVersionJumpBits bounds the increase of the version after a refusal, as a power of two.
 const maxVersionJumpBits = 16
 
-// bestMap weighs maps that need few copies, and are there soon, against better ones. It
-// returns the best of them, its skew, and the least skew that any of them has.
+// bestMap compares maps that need few copies, and are in use soon, with better ones that need
+// more. It returns the best of them, its skew, and the smallest skew of all.
 func (d *Director) bestMap(demand Demand, before float64) (bestMap Map, bestAfter, minSkew float64) {
 	bestMap, bestAfter, minSkew = d.current, before, before
 	bestSaved := 0.0
 	search := newMapSearch(d.Shape, d.current, demand, d.slowdowns)
 
 	for i, budget := range d.Settings.CopyBudgets {
-		// A rank cannot get more than its spare experts of all sets.
+		// A rank can load at most SpareSlots experts of each set.
 		if i > 0 && d.Settings.CopyBudgets[i-1] >= d.Shape.Sets*d.Shape.SpareSlots {
 			break
 		}
@@ -207,7 +208,7 @@
 	return bestMap, bestAfter, minSkew
 }
 
-// nextVersion returns a version that no rank has had.
+// nextVersion returns a version that no rank has seen.
 func (d *Director) nextVersion() uint64 {
 	d.HighestAttempted = max(d.HighestAttempted, d.version) + 1
 
--- a/internal/lockstep/director_test.go
+++ b/internal/lockstep/director_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxCopies is the most experts that a rank has to copy for next.
+// maxCopies returns the largest number of experts that a rank has to copy for next.
 func (m Map) maxCopies(next Map) int {
 	highest := 0
 
@@ -23,10 +23,10 @@
 	return highest
 }
 
-// Demand shifts, and the steps of a busy group are three times as long until the next map
-// comes. The map that is best for as long as demand stays needs three copies a rank, one
-// after the other: drafts had pauses that nobody bears for twice as long as with the map
-// that one copy brings, which takes most of the excess away. That one goes first.
+// After a shift of demand, the steps of a busy group take three times as long until the next
+// map is in use. The best map in the long run needs three copies per rank, one after the other.
+// Guards against waiting for it: event gaps were intolerable for twice as long as with the map
+// that needs one copy and removes most of the skew.
 func TestFewCopiesPreferredAfterDemandShift(t *testing.T) {
 	t.Parallel()
 
--- a/internal/lockstep/engine.go
+++ b/internal/lockstep/engine.go
@@ -1,10 +1,10 @@
-// Package lockstep keeps the expert map of a lock-step group whose engines take
-// orders: it reads how often experts are chosen, plans a better map, and switches
-// all ranks to it in one step.
+// Package lockstep maintains the expert map of a lock-step group whose engines take orders. It
+// reads how often experts are chosen, searches for a better map, and switches all ranks to it
+// in the same step.
 //
-// One agent directs a group: the one beside its first rank. It needs no log and no
-// election. Its fencing numbers rise with each attempt, engines refuse lower ones,
-// and an agent that starts anew finds all it must know in the engines' reports.
+// The agent beside the first rank directs the group. This needs no replicated log and no
+// election: fencing numbers rise with each attempt, engines refuse lower ones, and an agent
+// that restarts recovers all state that it needs from the reports of the engines.
 package lockstep
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Map says which experts each rank holds, set by set, rank by rank, in order: engines
-// take maps with another order for other maps.
+// Map lists the experts of each rank, by set and rank, in ascending order. The order matters,
+// because engines treat maps that differ in it as different maps.
 type Map [][][]uint16
 
-// Clone returns a copy that shares nothing with m.
+// Clone returns a deep copy of m.
 func (m Map) Clone() Map {
 	out := make(Map, len(m))
 
@@ -33,7 +33,7 @@
 	return out
 }
 
-// sort puts each rank's experts in order.
+// sort sorts the experts of each rank.
 func (m Map) sort() {
 	for _, ranks := range m {
 		for _, experts := range ranks {
@@ -42,7 +42,7 @@
 	}
 }
 
-// InitialMap returns the map with which a group begins: experts in turn over the ranks.
+// InitialMap returns the map that a group starts with: experts are dealt to the ranks in turn.
 func InitialMap(sets, experts, ranks int) Map {
 	m := make(Map, sets)
 
@@ -56,41 +56,42 @@
 	return m
 }
 
-// Report is what an engine says of itself as a rank.
+// Report is the state that an engine reports as a rank of its group.
 type Report struct {
 	Group string
 	Epoch uint64
 	Rank  int
 	Size  int
-	// Open says that the group makes steps.
+	// Open is set while the group runs steps.
 	Open bool
-	// Step is the last step that was begun.
+	// Step is the last step that has begun.
 	Step uint64
 	Map  uint64
-	// Prepared and Armed are versions, zero for none.
+	// Prepared and Armed are map versions, or zero for none.
 	Prepared uint64
 	Armed    uint64
-	// Held is the step that this rank holds, where Holds is set.
+	// Held is the step that this rank holds, if Holds is set.
 	Held    uint64
 	Holds   bool
 	Running int
 	Waiting int
-	// Pace is how many times longer than usual the engine takes.
+	// Pace is the slowdown of the engine: the ratio of its step time to the baseline.
 	Pace float64
 }
 
-// Engine is the engine on this VM.
+// Engine provides access to the engine on this VM.
 type Engine struct {
-	// Report and Counts are fresh and cost the group nothing from its own VM.
+	// Report and Counts return current values. Calling them from the engine's own VM does not
+	// slow down the group.
 	Report func(ctx context.Context) (Report, error)
 	Counts func(ctx context.Context) ([]uint64, error)
-	// Experts returns the version of the map in use and this rank's experts, set by set.
+	// Experts returns the version of the current map and the experts of this rank by set.
 	Experts func(ctx context.Context) (uint64, [][]uint16, error)
-	// Order gives an order. It never fails: what nobody knows is EngineUnknown.
+	// Order sends an order to the engine. If the outcome is unknown, it returns EngineUnknown.
 	Order func(ctx context.Context, o *wire.EngineOrder) wire.EngineResult
 }
 
-// ToWire returns r as it travels.
+// ToWire returns the wire form of r.
 func (r *Report) ToWire() *wire.EngineReport {
 	return &wire.EngineReport{
 		Group: r.Group, Epoch: r.Epoch, Rank: uint32(r.Rank), Size: uint32(r.Size), Open: r.Open, Step: r.Step,
@@ -99,7 +100,7 @@
 	}
 }
 
-// ReportFromWire reads a report.
+// ReportFromWire returns the report with the wire form w.
 func ReportFromWire(w *wire.EngineReport) Report {
 	return Report{
 		Group: w.GetGroup(), Epoch: w.GetEpoch(), Rank: int(w.GetRank()), Size: int(w.GetSize()), Open: w.GetOpen(),
@@ -108,123 +109,125 @@
 	}
 }
 
-// PollResult is a rank's report and, where they were asked for, its counts.
+// PollResult is a rank's answer to a status poll: its report, and what else was requested.
 type PollResult struct {
 	Report Report
 	Counts []uint64
-	// Experts are the experts of the rank in map ListsOf, set by set.
+	// Experts lists the experts of the rank in map MapVersion, by set.
 	Experts    [][]uint16
 	MapVersion uint64
-	// Slowdowns are those of the ranks whose counts are added up, but for this one's.
+	// Slowdowns holds the slowdowns of the other ranks whose counts are included in Counts.
 	Slowdowns map[int]float64
 }
 
-// PollRequest says what a look is to bring beside the report.
+// PollRequest specifies what a poll returns in addition to the report.
 type PollRequest struct {
 	Counts  bool
 	Experts bool
-	// SumRanks is for how many ranks, from this one on, Counts are added up; 0 and 1 mean
-	// this one alone.
+	// SumRanks is the number of consecutive ranks, starting at the polled one, whose counts are
+	// summed. 0 and 1 both mean the polled rank only.
 	SumRanks int
 }
 
-// GroupClient is the way to all ranks of the group that is directed.
+// GroupClient provides access to all ranks of a group.
 type GroupClient struct {
-	// Size is how many there are. The directing agent's own is rank 0.
+	// Size is the number of ranks. The rank beside the directing agent is rank 0.
 	Size  int
 	Epoch uint64
 	Poll  func(ctx context.Context, rank int, q PollRequest) (PollResult, error)
 	Order func(ctx context.Context, rank int, o *wire.EngineOrder) wire.EngineResult
-	// FanOut brings an errand to some ranks by way of some of their agents, and returns what
-	// became of it, in the order of the ranks; nil where each rank is spoken to directly.
+	// FanOut sends a request to many ranks through some of their agents and returns the outcome
+	// at each rank, in the order of ranks. It is nil if all ranks are addressed directly.
 	FanOut func(ctx context.Context, ranks []int, e FanOutRequest) []FanOutResult
 }
 
-// FanOutRequest is what is brought to a rank: an order, where there is one, and then a look.
+// FanOutRequest is an optional order that is followed by a poll.
 type FanOutRequest struct {
-	// Order returns the order for a rank. Those for all ranks differ in their version only.
+	// Order returns the order for a rank. The orders for different ranks differ only in their
+	// version.
 	Order   func(rank int) *wire.EngineOrder
 	Experts bool
 }
 
-// FanOutResult is what became of an errand at one rank.
+// FanOutResult is the outcome of a fan-out request at one rank.
 type FanOutResult struct {
 	Result wire.EngineResult
 	Poll   PollResult
-	// Err says why the rank was not seen.
+	// Err is why the rank could not be polled.
 	Err error
 }
 
-// minFanOutRanks is from how many ranks on an errand is spread by way of agents. Fewer are
-// sooner spoken to directly.
+// minFanOutRanks is the smallest number of ranks for which fan-out is used. Fewer ranks are
+// reached sooner directly.
 const minFanOutRanks = 24
 
-// usesFanOut reports whether an errand to so many ranks goes by way of agents.
+// usesFanOut reports whether a request to n ranks is sent by fan-out.
 func (r *GroupClient) usesFanOut(n int) bool { return r.FanOut != nil && n >= minFanOutRanks }
 
-// Shape is how experts may be placed.
+// Shape describes the group and the bounds on the placement of experts.
 type Shape struct {
 	Sets    int
 	Experts int
 	Ranks   int
-	// Slots is how many experts of a set fit on a rank, Spare how many of a set one
-	// preparation may bring to it.
+	// Slots is how many experts of a set fit on a rank, SpareSlots how many new experts of a
+	// set one preparation can load there.
 	Slots      int
 	SpareSlots int
-	// CopyTime is how long a rank copies one expert.
+	// CopyTime is how long a rank takes to copy one expert.
 	CopyTime time.Duration
 }
 
-// Settings are the intervals and weights of a directing agent.
+// Settings are the intervals, time-outs and thresholds of a directing agent.
 type Settings struct {
-	// PollInterval is how often counts are read.
+	// PollInterval is the interval at which counts are read.
 	PollInterval time.Duration
-	// SwitchPollInterval is how often ranks are looked at while a switch goes on.
+	// SwitchPollInterval is the interval at which ranks are polled during a switch.
 	SwitchPollInterval time.Duration
 	// PrepareTimeout bounds the copying of experts, ArmTimeout the arming of all ranks.
 	PrepareTimeout time.Duration
 	ArmTimeout     time.Duration
-	// GoTimeout bounds the lifting of a hold before the ranks are looked at anew.
+	// GoTimeout bounds the attempts to lift a hold, and to disarm all ranks, before the ranks
+	// are polled again.
 	GoTimeout time.Duration
-	// OrderTimeout bounds one order or look, with RankTime more for each rank that is
-	// asked beside it; an order that carries a map has MapTime more for each rank.
+	// OrderTimeout bounds one order or poll. Each rank that is addressed at the same time adds
+	// PerRankTimeout, or PerRankMapTimeout if the order carries a map.
 	OrderTimeout      time.Duration
 	PerRankTimeout    time.Duration
 	PerRankMapTimeout time.Duration
-	// MinStepLead is how far away the step of a switch is at least, and MostAhead at most:
-	// where all ranks are armed and let go on before it comes, its hold costs nothing.
+	// MinStepLead and MaxStepLead bound how far ahead the step of a switch is chosen. If all
+	// ranks are armed and the hold is lifted before that step is due, the hold delays nothing.
 	MinStepLead time.Duration
 	MaxStepLead time.Duration
-	// MinGain is the part of the present load of the most loaded ranks that a new
-	// map must save to be worth its copies.
+	// MinGain is the smallest reduction of the load of the most loaded ranks, relative to the
+	// current load, for which a new map is worth its copies.
 	MinGain float64
-	// MinCopyGain is the same for one copy, in parts of the mean load of a rank.
+	// MinCopyGain is the smallest gain of one copy, relative to the mean load of a rank.
 	MinCopyGain float64
-	// CopyBudgets are the numbers of experts that one switch may bring to a rank, over
-	// all sets, that are weighed against each other: fewer are copied sooner.
+	// CopyBudgets lists the limits on copies per rank, over all sets, for which maps are
+	// searched and compared. Fewer copies take less time.
 	CopyBudgets []int
-	// SwitchTime is what a switch takes beside copies, and Horizon for how long a map's
-	// gain counts. It is short against how long demand stays: steps are too long for
-	// callers right after a shift alone, so a map of few copies that comes soon goes
-	// before a better one.
+	// SwitchTime is the duration of a switch without its copies. Horizon is the time over which
+	// the gain of a map counts. It is short compared with how long demand remains stable: steps
+	// are too long for callers only right after a shift, so a map with few copies that is in
+	// use soon is preferred to a better one.
 	SwitchTime time.Duration
 	Horizon    time.Duration
-	// DemandDecay is over how long chosen experts are counted.
+	// DemandDecay is the time constant by which counts of chosen experts decay.
 	DemandDecay time.Duration
-	// CountAggregators is of how many ranks the counts are read in one look. In a larger
-	// group each of these adds up those of its neighbours: the counts of all ranks
-	// would fill the directing VM's link.
+	// CountAggregators is the number of ranks polled for counts. In a larger group, each of
+	// them sums the counts of its neighbours, because the counts of all ranks would saturate
+	// the link of the directing VM.
 	CountAggregators int
 }
 
-// requestTimeout bounds an order or look that goes to a group of so many ranks. A standby
-// that has no connections yet needs longer the more ranks there are: with one bound for
-// all sizes it heard from too few ranks of a large group, and could not free it.
+// requestTimeout bounds an order or poll sent to the given number of ranks. A standby without
+// open connections needs more time the more ranks there are: with a fixed time-out it received
+// answers from too few ranks of a large group and could not release its hold.
 func (s *Settings) requestTimeout(ranks int) time.Duration {
 	return s.OrderTimeout + time.Duration(ranks)*s.PerRankTimeout
 }
 
-// DefaultSettings returns numbers for demand that shifts every few seconds.
+// DefaultSettings returns settings for demand that shifts every few seconds.
 func DefaultSettings() Settings {
 	return Settings{
 		PollInterval: 100 * time.Millisecond, SwitchPollInterval: 15 * time.Millisecond,
--- a/internal/lockstep/export_test.go
+++ b/internal/lockstep/export_test.go
@@ -1,16 +1,16 @@
 package lockstep
 
-// ImproveMap returns ImproveAt where all ranks are alike.
+// ImproveMap returns ImproveMapWithSlowdowns without slow ranks.
 func ImproveMap(shape Shape, m Map, d Demand, limits CopyLimits) Map {
 	return ImproveMapWithSlowdowns(shape, m, d, nil, limits)
 }
 
-// ImproveMapWithSlowdowns returns the map that one search finds.
+// ImproveMapWithSlowdowns returns the map found by one search.
 func ImproveMapWithSlowdowns(shape Shape, m Map, d Demand, slowdowns Slowdowns, limits CopyLimits) Map {
 	return newMapSearch(shape, m, d, slowdowns).improve(limits)
 }
 
-// ImproveMapStepwise returns the maps that one search finds with more and more copies.
+// ImproveMapStepwise returns the maps that one search finds with increasing copy limits.
 func ImproveMapStepwise(shape Shape, m Map, d Demand, maxPerRank []int) []Map {
 	p := newMapSearch(shape, m, d, nil)
 
--- a/internal/lockstep/fake_group_test.go
+++ b/internal/lockstep/fake_group_test.go
@@ -17,8 +17,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// fakeGroup is a lock-step group of engines that take orders. All ranks begin each
-// step together; a rank that is armed for it switches its map then.
+// fakeGroup simulates a lock-step group of engines that take orders. All ranks begin each step
+// together, and a rank that is armed for the step switches its map at that point.
 type fakeGroup struct {
 	shape lockstep.Shape
 
@@ -27,32 +27,33 @@
 	epoch     uint64
 	step      uint64
 	idle      bool
-	violation string // what broke, or nothing
-	// stepTime is how long a step takes; waited is for how long steps were held beyond
-	// that, waits by how much each of them was.
+	violation string // first violated invariant, or empty
+	// stepTime is the duration of a step, heldTime the total time by which holds delayed
+	// steps, and holdTimes the delay of each delayed step.
 	stepTime  time.Duration
-	totalHeld time.Duration
+	heldTime  time.Duration
 	holdTimes []time.Duration
-	// weight is how often each expert is chosen in a step, set by set.
+	// weight is how often each expert is chosen in a step, by set.
 	weight [][]float64
-	// fault decides what becomes of the n-th order.
+	// fault returns the fault that affects the n-th order.
 	fault  func(n int) fault
 	orders int
-	// pollTime is how long a look takes.
+	// pollTime is how long a poll takes.
 	pollTime time.Duration
-	// pollLost decides whether the answer to a look at a rank is lost.
+	// pollLost reports whether the answer to a poll of the rank is lost.
 	pollLost func(rank int) bool
-	// orderDelayPerRank is how much longer an order takes for each rank, so that orders given
-	// together arrive one after the other.
+	// orderDelayPerRank delays an order by this time multiplied by the rank, to make orders
+	// that are sent together arrive one after the other.
 	orderDelayPerRank time.Duration
-	// fanOutLost decides whether the n-th errand by way of an agent is lost with it.
+	// fanOutLost reports whether the n-th fan-out request is lost together with the agent that
+	// forwards it.
 	fanOutLost func(n int) bool
 	fanOuts    int
-	// countAggregators is of how many ranks the director reads the counts in one look.
+	// countAggregators is the number of ranks that the director polls for counts.
 	countAggregators int
-	// logs are what the director says.
+	// logs receives the log of the director.
 	logs io.Writer
-	// lateDelay is how much later a late order is carried out.
+	// lateDelay is the delay of late orders.
 	lateDelay time.Duration
 }
 
@@ -60,31 +61,31 @@
 	version, prepared, armed, armedFor, highestVersion, fence uint64
 	heldStep                                                  uint64
 	holds                                                     bool
-	experts, nextExperts                                      [][]uint16
-	// wholeMap and nextWhole are the whole map as it was ordered.
+	expertSets, nextExpertSets                                [][]uint16
+	// wholeMap and nextWholeMap are the map of the whole group as it was ordered.
 	wholeMap, nextWholeMap string
 	readyAt                time.Time
 	counts                 []uint64
 	slowdown               float64
 }
 
-// fault is what becomes of one order.
+// fault is a fault that affects one order.
 type fault uint8
 
 const (
 	faultNone         fault = iota
-	faultLost               // it never arrives
-	faultAnswerLost         // it is carried out, and the answer is lost
-	faultLate               // the answer is lost, and it is carried out seconds later
-	faultLateAccepted       // the same, and its fencing number was looked at on arrival only
+	faultLost               // the order does not arrive
+	faultAnswerLost         // the order is carried out, but the answer is lost
+	faultLate               // the answer is lost, and the order is carried out after lateDelay
+	faultLateAccepted       // as faultLate, but the fencing number is checked only on arrival
 )
 
 const (
 	defaultStepTime = 10 * time.Millisecond
 	expertCopyTime  = 20 * time.Millisecond
-	// pollTimeout is how long an agent waits for another one's look.
+	// pollTimeout is how long an agent waits for the answer to a poll of another agent.
 	pollTimeout = 100 * time.Millisecond
-	// heldPollInterval is how often a group looks whether a held step may begin.
+	// heldPollInterval is the interval at which the group checks whether a held step may begin.
 	heldPollInterval = time.Millisecond
 )
 
@@ -95,7 +96,7 @@
 	for r := range shape.Ranks {
 		k := &fakeRank{counts: make([]uint64, shape.Sets*shape.Experts)}
 		for s := range first {
-			k.experts = append(k.experts, first[s][r])
+			k.expertSets = append(k.expertSets, first[s][r])
 		}
 
 		g.ranks = append(g.ranks, k)
@@ -104,7 +105,7 @@
 	return g
 }
 
-// run makes steps until ctx ends.
+// run runs steps until ctx ends.
 func (g *fakeGroup) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(g.stepTime)
@@ -112,7 +113,7 @@
 	}
 }
 
-// beginStep begins the next step, once no rank holds it any more.
+// beginStep runs the next step once no rank holds it.
 func (g *fakeGroup) beginStep(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,19 +122,19 @@
 		return
 	}
 
-	waited := time.Duration(0)
+	heldTime := time.Duration(0)
 
 	for g.isHeld() && ctx.Err() == nil {
 		g.mu.Unlock()
 		time.Sleep(heldPollInterval)
 		g.mu.Lock()
 
-		waited += heldPollInterval
-		g.totalHeld += heldPollInterval
+		heldTime += heldPollInterval
+		g.heldTime += heldPollInterval
 	}
 
-	if waited > 0 {
-		g.holdTimes = append(g.holdTimes, waited)
+	if heldTime > 0 {
+		g.holdTimes = append(g.holdTimes, heldTime)
 	}
 
 	g.runStep()
@@ -148,7 +149,7 @@
 
 	for _, k := range g.ranks {
 		if k.armed != 0 && k.armedFor == g.step {
-			k.version, k.experts, k.armed, k.prepared = k.armed, k.nextExperts, 0, 0
+			k.version, k.expertSets, k.armed, k.prepared = k.armed, k.nextExpertSets, 0, 0
 			k.wholeMap = k.nextWholeMap
 		}
 
@@ -161,7 +162,7 @@
 
 	for i, k := range g.ranks {
 		if k.version == g.ranks[0].version && k.wholeMap != g.ranks[0].wholeMap && g.violation == "" {
-			g.violation = fmt.Sprintf("step %d began with two maps %d", g.step, k.version)
+			g.violation = fmt.Sprintf("step %d began with two different maps of version %d", g.step, k.version)
 		}
 
 		if k.version != g.ranks[0].version && g.violation == "" {
@@ -170,7 +171,7 @@
 	}
 }
 
-// restart is a new epoch: map 0 and nothing prepared, armed or held.
+// restart begins a new epoch: map 0 is in use, and nothing is prepared, armed or held.
 func (g *fakeGroup) restart() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -187,11 +188,11 @@
 
 var errKilled = errors.New("the directing agent was killed")
 
-// agent is one life of the directing agent: when it is killed, nothing leaves it.
+// agent is one run of the directing agent. Once it is killed, it sends nothing.
 type agent struct {
 	group *fakeGroup
 	mu    sync.Mutex
-	// killAt is the order before which it dies; 0 for never.
+	// killAt is the number of the order before which the agent is killed, or 0 for never.
 	killAt, orders int
 	dead           bool
 }
@@ -215,8 +216,8 @@
 	return lockstep.GroupClient{Size: a.group.shape.Ranks, Epoch: a.group.epoch, Poll: a.poll, Order: a.order, FanOut: a.fanOut}
 }
 
-// fanOut brings an errand to the ranks by way of an agent for each part of them. One that
-// is lost leaves its part untold.
+// fanOut splits the ranks into parts and sends the request to each part through one agent. If
+// that agent is lost, its part gets no result.
 func (a *agent) fanOut(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
 	out := make([]lockstep.FanOutResult, len(ranks))
 	size := int(math.Ceil(math.Sqrt(float64(len(ranks)))))
@@ -320,14 +321,14 @@
 	}
 
 	if q.Experts {
-		result.Experts, result.MapVersion = k.experts, k.version
+		result.Experts, result.MapVersion = k.expertSets, k.version
 	}
 
 	return result, nil
 }
 
-// order gives an order by way of the rank's agent. One without an answer is waited for
-// until the sender gives it up.
+// order sends an order through the agent of the rank. Without an answer it blocks until the
+// sender's context ends.
 func (a *agent) order(ctx context.Context, rank int, o *wire.EngineOrder) wire.EngineResult {
 	result := a.deliver(rank, o)
 	if result == wire.EngineResult_EngineUnknown {
@@ -359,7 +360,7 @@
 			k.fence = o.GetFence()
 		}
 
-		// What arrives late is a copy: the sender may send its own once more.
+		// A late order is carried out from a copy, because the sender may reuse its own.
 		late := proto.CloneOf(o)
 
 		time.AfterFunc(g.lateDelay, func() {
@@ -383,7 +384,7 @@
 	}
 }
 
-// carryOut is called with mu held.
+// carryOut requires g.mu to be held.
 func (g *fakeGroup) carryOut(k *fakeRank, rank int, o *wire.EngineOrder) wire.EngineResult {
 	switch {
 	case o.GetEpoch() != g.epoch:
@@ -433,7 +434,7 @@
 		return wire.EngineResult_EngineMisfit
 	}
 
-	var lists [][]uint16
+	var expertSets [][]uint16
 
 	totalNew := 0
 
@@ -441,7 +442,7 @@
 		var experts []uint16
 
 		had := map[uint16]bool{}
-		for _, e := range k.experts[s] {
+		for _, e := range k.expertSets[s] {
 			had[e] = true
 		}
 
@@ -459,18 +460,18 @@
 		}
 
 		totalNew += newInSet
-		lists = append(lists, experts)
+		expertSets = append(expertSets, experts)
 	}
 
-	k.highestVersion, k.prepared, k.nextExperts = o.GetVersion(), o.GetVersion(), lists
+	k.highestVersion, k.prepared, k.nextExpertSets = o.GetVersion(), o.GetVersion(), expertSets
 	k.nextWholeMap = fmt.Sprint(o.GetMap())
 	k.readyAt = time.Now().Add(time.Duration(totalNew) * expertCopyTime)
 
 	return wire.EngineResult_EngineDone
 }
 
-// skewedWeights returns weights of which some experts get most.
-func skewedWeights(shape lockstep.Shape, seed uint64) [][]float64 {
+// skewed returns weights that give most of the load to a few experts.
+func skewed(shape lockstep.Shape, seed uint64) [][]float64 {
 	r := rand.New(rand.NewPCG(seed, 1))
 	out := make([][]float64, shape.Sets)
 
--- a/internal/lockstep/fan_out_test.go
+++ b/internal/lockstep/fan_out_test.go
@@ -12,11 +12,11 @@
 	"github.com/parsleygate/parsleygate/internal/lockstep"
 )
 
-// fanOutShape is a group that is spoken to by way of some of its agents.
+// fanOutShape is the shape of a group that is large enough for fan-out.
 var fanOutShape = lockstep.Shape{Sets: 2, Experts: 54, Ranks: 27, Slots: 3, SpareSlots: 2, CopyTime: expertCopyTime}
 
-// An agent that brings orders to a part of a large group is lost in each phase of a switch.
-// Guards against a part that is armed or held for good, and against a long hold meanwhile.
+// An agent that forwards orders to a part of a large group is lost in each phase of a switch.
+// Guards against ranks that stay armed or held, and against a long hold meanwhile.
 func TestFanOutLostInEachPhase(t *testing.T) {
 	t.Parallel()
 
@@ -24,16 +24,16 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(fanOutShape, skewedWeights(fanOutShape, 2))
+				g := newGroup(fanOutShape, skewed(fanOutShape, 2))
 				g.fanOutLost = func(i int) bool { return i == n }
 
 				ctx, stop := context.WithCancel(t.Context())
 				go g.run(ctx)
 
 				runDirector(g, 0, 6*time.Second)
-				g.requireConsistent(t, fmt.Sprintf("errand %d lost", n))
-				require.NotZero(t, g.ranks[0].version, "the group is balanced all the same")
-				require.Less(t, g.totalHeld, 500*time.Millisecond, "held in all")
+				g.requireConsistent(t, fmt.Sprintf("fan-out request %d lost", n))
+				require.NotZero(t, g.ranks[0].version, "the director still switches maps")
+				require.Less(t, g.heldTime, 500*time.Millisecond, "total delay by holds")
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -41,8 +41,8 @@
 	}
 }
 
-// Orders to a large group are lost, or carried out late, and its director dies after them.
-// Guards against a step with two maps where orders go by way of other agents.
+// Orders to a large group are lost or carried out late, and then its director is killed. Guards
+// against a step with two maps if orders are forwarded by other agents.
 func TestSingleOrderLostOrLateInLargeGroup(t *testing.T) {
 	t.Parallel()
 
@@ -51,9 +51,7 @@
 			for _, killAfter := range []int{0, 1, 20} {
 				t.Run(fmt.Sprintf("%d at %d, killed after %d", f, n, killAfter), func(t *testing.T) {
 					t.Parallel()
-					synctest.Test(t, func(t *testing.T) {
-						testOrderFault(t, newGroup(fanOutShape, skewedWeights(fanOutShape, 3)), f, n, killAfter)
-					})
+					synctest.Test(t, func(t *testing.T) { testOrderFault(t, newGroup(fanOutShape, skewed(fanOutShape, 3)), f, n, killAfter) })
 				})
 			}
 		}
--- a/internal/lockstep/fence.go
+++ b/internal/lockstep/fence.go
@@ -4,12 +4,12 @@
 	"math/rand/v2"
 )
 
-// fenceShift leaves room for a random part: a directing agent that starts anew
-// does not know its predecessor's numbers, and must not use an equal one.
+// fenceShift reserves the low bits of a fencing number for a random part. A directing agent
+// that restarts does not have the numbers of its predecessor and must not use an equal one.
 const fenceShift = 24
 
-// RaiseFence sets the first fencing number above all that a predecessor can have used
-// for maps up to version: it used two for each at most.
+// RaiseFence raises the fencing number above all that a predecessor can have used for maps up
+// to version. A predecessor uses at most two for each version.
 func (s *Switcher) RaiseFence(version uint64) {
 	s.fence = max(s.fence, (version*fencesPerVersion+fenceMargin)<<fenceShift)
 }
@@ -19,8 +19,8 @@
 	fenceMargin      = 16
 )
 
-// nextFence returns a number above all that this agent has used, and far above
-// one that was refused as too low.
+// nextFence returns a number above all that this agent has used, and far above one that was
+// refused as too low.
 func (s *Switcher) nextFence() uint64 {
 	if s.fenced.Swap(false) {
 		s.fence *= 2
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -40,14 +40,14 @@
 	}
 
 	if ctx.Err() == nil {
-		// It is dead: what it still does leads nowhere.
+		// The agent was killed: whatever it still does has no effect.
 		return
 	}
 
 	<-done
 }
 
-// requireConsistent holds what must be true some time after the last fault.
+// requireConsistent checks the invariants that hold some time after the last fault.
 func (g *fakeGroup) requireConsistent(t *testing.T, what string) {
 	t.Helper()
 
@@ -61,13 +61,13 @@
 	}
 }
 
-// A group runs with its first map, in which a few experts get most of the work.
-// The director finds it out and switches to a map in which all ranks get alike.
+// A few experts get most of the load under the initial map. The director must detect that and
+// switch to a map that balances the ranks.
 func TestDirectorBalancesRanks(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(smallShape, skewedWeights(smallShape, 1))
+		g := newGroup(smallShape, skewed(smallShape, 1))
 
 		ctx, stop := context.WithCancel(t.Context())
 		go g.run(ctx)
@@ -80,21 +80,21 @@
 		require.Greater(t, before, 1.4)
 		require.Less(t, m.Skew(g.weight), 1.1)
 		require.NotZero(t, g.ranks[0].version)
-		require.Less(t, g.totalHeld, 50*time.Millisecond, "a switch costs the group next to nothing")
+		require.Less(t, g.heldTime, 50*time.Millisecond, "switches hardly delay steps")
 		stop()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// A rank of a large group turns slow. The director reads the counts of a few ranks
-// only, which add up those of the others: it must hear from them which rank is slow, or
-// the whole group waits for it until it is well again.
+// A rank of a large group becomes slow. The director polls a few ranks only, which sum the
+// counts of the others. Guards against slowdowns that are not reported through them, with which
+// the whole group waits for the slow rank until it recovers.
 func TestDirectorDetectsSlowRankThroughAggregators(t *testing.T) {
 	t.Parallel()
 
 	for rank := range smallShape.Ranks {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(smallShape, skewedWeights(smallShape, 1))
+			g := newGroup(smallShape, skewed(smallShape, 1))
 			g.countAggregators = 2
 
 			var logged bytes.Buffer
@@ -117,8 +117,8 @@
 				g.ranks[rank].slowdown = 5
 			})
 			runDirector(g, 0, 10*time.Second)
-			g.requireConsistent(t, "slow")
-			require.Equal(t, 1, strings.Count(logged.String(), "A rank is slow"), "told once, by its number")
+			g.requireConsistent(t, "after the rank became slow")
+			require.Equal(t, 1, strings.Count(logged.String(), "A rank is slow"), "reported once, with its rank")
 			require.Contains(t, logged.String(), fmt.Sprintf("rank=%d pace=5", rank))
 			require.Less(t, g.currentMap().SkewWithSlowdowns(g.weight, slowdowns), balanced.SkewWithSlowdowns(g.weight, slowdowns)*0.75)
 			stop()
@@ -127,7 +127,7 @@
 	}
 }
 
-// currentMap returns the map of the ranks' own lists.
+// currentMap returns the map that the ranks use.
 func (g *fakeGroup) currentMap() lockstep.Map {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,17 +135,17 @@
 	m := make(lockstep.Map, g.shape.Sets)
 	for s := range m {
 		for _, k := range g.ranks {
-			m[s] = append(m[s], k.experts[s])
+			m[s] = append(m[s], k.expertSets[s])
 		}
 	}
 
 	return m
 }
 
-// The directing agent is killed before each of its orders in turn: while ranks
-// copy, while a step is held, between two arms, before and after it lets the group
-// go on. Its successor must find the group as it is: no step may begin with two
-// maps, and no step may stay held.
+// The directing agent is killed before each of its orders in turn: while ranks copy experts,
+// while a step is held, between two arm orders, and before and after the hold is lifted. Its
+// successor continues from the state that it finds. Guards against a step with two maps and
+// against a step that stays held.
 func TestDirectorKilledBeforeEachOrder(t *testing.T) {
 	t.Parallel()
 
@@ -153,7 +153,7 @@
 		t.Run(fmt.Sprint(killAt), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(smallShape, skewedWeights(smallShape, 2))
+				g := newGroup(smallShape, skewed(smallShape, 2))
 
 				ctx, stop := context.WithCancel(t.Context())
 				go g.run(ctx)
@@ -162,8 +162,8 @@
 				time.Sleep(500 * time.Millisecond)
 				runDirector(g, 0, 6*time.Second)
 				g.requireConsistent(t, fmt.Sprintf("killed before order %d", killAt))
-				require.NotZero(t, g.ranks[0].version, "the successor goes on balancing")
-				require.Less(t, g.totalHeld, 1200*time.Millisecond, "500 ms without a director, and what the successor needs")
+				require.NotZero(t, g.ranks[0].version, "the successor still switches maps")
+				require.Less(t, g.heldTime, 1200*time.Millisecond, "500 ms without a director, plus the release by its successor")
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -171,9 +171,9 @@
 	}
 }
 
-// One order after the other is lost, loses its answer, or is carried out seconds
-// after newer ones, and the director dies now and then as well. An arm that comes
-// late would switch one rank alone; a hold that comes late would stop the group.
+// Each order in turn is lost, loses its answer, or is carried out seconds after newer ones, in
+// some runs with the director killed as well. Guards against a late arm order that switches a
+// single rank, and a late hold order that stops the group.
 func TestSingleOrderLostOrLate(t *testing.T) {
 	t.Parallel()
 
@@ -182,9 +182,7 @@
 			for _, killAfter := range []int{0, 1, 5} {
 				t.Run(fmt.Sprintf("%d at %d, killed after %d", f, n, killAfter), func(t *testing.T) {
 					t.Parallel()
-					synctest.Test(t, func(t *testing.T) {
-						testOrderFault(t, newGroup(smallShape, skewedWeights(smallShape, 3)), f, n, killAfter)
-					})
+					synctest.Test(t, func(t *testing.T) { testOrderFault(t, newGroup(smallShape, skewed(smallShape, 3)), f, n, killAfter) })
 				})
 			}
 		}
@@ -211,14 +209,14 @@
 	}
 
 	runDirector(g, 0, 6*time.Second)
-	g.requireConsistent(t, "after the order went astray")
+	g.requireConsistent(t, "after the faulty order")
 	stop()
 	time.Sleep(10 * time.Second)
 }
 
-// The director dies just after it let the group go on, and that order is still on
-// its way while the successor, which sees the step held, disarms one rank after the
-// other. The step must not begin between two of them.
+// The director is killed just after it sent the order to lift the hold. That order is still in
+// flight while its successor, which sees the step held, disarms the ranks one after the other.
+// Guards against the step beginning while only some of them are disarmed.
 func TestLateGoWhileSuccessorDisarms(t *testing.T) {
 	t.Parallel()
 
@@ -226,7 +224,7 @@
 
 	for delayMillis := 440; delayMillis <= 560; delayMillis++ {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(smallShape, skewedWeights(smallShape, 3))
+			g := newGroup(smallShape, skewed(smallShape, 3))
 			g.lateDelay = time.Duration(delayMillis) * time.Millisecond
 			g.orderDelayPerRank = 6 * time.Millisecond
 
@@ -235,9 +233,9 @@
 	}
 }
 
-// A third of all orders goes astray for seconds, in every way, with directors that
-// die again and again, and a group that is idle at times: late orders then find
-// their step still to come.
+// A third of all orders is lost or late, in every way, while directors are killed repeatedly
+// and the group is idle at times. With an idle group, the step of a late order may not have
+// begun yet.
 func TestManyOrdersLostOrLate(t *testing.T) {
 	t.Parallel()
 
@@ -245,8 +243,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(smallShape, skewedWeights(smallShape, seed))
-				// Orders draw from another goroutine than the test does.
+				g := newGroup(smallShape, skewed(smallShape, seed))
+				// Orders draw random numbers from another goroutine than the test.
 				faults, r := newRandom(seed), newRandom(^seed)
 				g.fault = func(int) fault {
 					if faults.IntN(3) > 0 {
@@ -278,14 +276,14 @@
 	}
 }
 
-// The group loses a rank in the middle of a switch and is formed again: map 0, and
-// nothing prepared, armed or held. Orders of the earlier epoch change nothing.
+// The group loses a rank during a switch and is formed again: map 0 is in use, and nothing is
+// prepared, armed or held. Orders of the earlier epoch must have no effect.
 func TestNewEpochDuringSwitch(t *testing.T) {
 	t.Parallel()
 
 	for after := 1; after <= 20; after++ {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(smallShape, skewedWeights(smallShape, 4))
+			g := newGroup(smallShape, skewed(smallShape, 4))
 
 			ctx, stop := context.WithCancel(t.Context())
 			go g.run(ctx)
@@ -300,7 +298,7 @@
 
 			runDirector(g, 0, 2*time.Second)
 			runDirector(g, 0, 3*time.Second)
-			g.requireConsistent(t, fmt.Sprintf("formed again after order %d", after))
+			g.requireConsistent(t, fmt.Sprintf("new epoch after order %d", after))
 			require.NotZero(t, g.ranks[0].version)
 			stop()
 			time.Sleep(10 * time.Second)
@@ -308,13 +306,13 @@
 	}
 }
 
-// requireMapFollowsShift lets demand shift, and holds the group to a map that follows within a time.
+// requireMapFollowsShift shifts demand and requires a new map to be in use within maxTime.
 func requireMapFollowsShift(t *testing.T, g *fakeGroup, maxTime time.Duration) {
 	t.Helper()
 	require.LessOrEqual(t, timeToFollowShift(t, g), maxTime)
 }
 
-// timeToFollowShift lets demand shift, and returns how long it took until a new map was in use.
+// timeToFollowShift shifts demand and returns how long it takes until a new map is in use.
 func timeToFollowShift(t *testing.T, g *fakeGroup) time.Duration {
 	t.Helper()
 
@@ -330,7 +328,7 @@
 	time.Sleep(5 * time.Second)
 
 	g.mu.Lock()
-	g.weight = skewedWeights(smallShape, 77)
+	g.weight = skewed(smallShape, 77)
 	g.mu.Unlock()
 
 	before, began := g.version(), time.Now()
@@ -348,7 +346,7 @@
 	return took
 }
 
-// version is that of the map in use.
+// version returns the version of the map in use.
 func (g *fakeGroup) version() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -356,17 +354,17 @@
 	return g.ranks[0].version
 }
 
-// Demand shifts to other experts. What was counted for a second must not hide that
-// for as long: the map follows within half a second and a few copies.
+// Demand shifts to other experts. Guards against counts of the last second that hide the shift
+// for as long: the new map must be in use within 600 ms, which includes a few copies.
 func TestMapFollowsDemandShift(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		requireMapFollowsShift(t, newGroup(smallShape, skewedWeights(smallShape, 5)), 600*time.Millisecond)
+		requireMapFollowsShift(t, newGroup(smallShape, skewed(smallShape, 5)), 600*time.Millisecond)
 	})
 }
 
-// oneInTenOrdersLate leaves one order in ten unanswered, which is carried out later.
+// oneInTenOrdersLate leaves one order in ten unanswered and carries it out later.
 func oneInTenOrdersLate(seed uint64) func(int) fault {
 	r := newRandom(seed)
 
@@ -379,9 +377,9 @@
 	}
 }
 
-// One order in ten is not answered, and carried out two seconds later. The map must
-// follow demand nearly as soon as without: each order was waited for until its fixed
-// time-out, and drafts went through steps of the wrong map for a second.
+// One order in ten is unanswered and carried out two seconds later. Guards against waiting for
+// a fixed time-out for each order, which kept the wrong map in use for a second: the map must
+// follow demand nearly as soon as without lost answers.
 func TestMapFollowsDemandShiftWithUnansweredOrders(t *testing.T) {
 	t.Parallel()
 
@@ -389,7 +387,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(smallShape, skewedWeights(smallShape, 5))
+				g := newGroup(smallShape, skewed(smallShape, 5))
 				g.fault = oneInTenOrdersLate(seed)
 
 				requireMapFollowsShift(t, g, 700*time.Millisecond)
@@ -398,21 +396,22 @@
 	}
 }
 
-// Steps of a busy group take nearly as long as callers bear between two events: a shift
-// of demand has made them twice as long, and one order in ten is not answered. Each
-// switch held its step until the last rank was armed, and the pause that this added to
-// one long step made every draft of the group late.
+// The steps of a busy group take nearly as long as the event gap that callers tolerate, because
+// a shift of demand has doubled their duration, and one order in ten is unanswered. Guards
+// against switches that hold their step until the last rank is armed: the added delay made
+// every draft of the group late.
 func TestSwitchRarelyHoldsLongSteps(t *testing.T) {
 	t.Parallel()
 
 	const (
-		// maxHold is by how much a step of 100 ms may be held where callers bear 120 ms.
+		// maxHold is the tolerable delay of a step of 100 ms if callers tolerate an event gap
+		// of 120 ms.
 		maxHold = 20 * time.Millisecond
 		shifts  = 20
 	)
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(smallShape, skewedWeights(smallShape, 5))
+		g := newGroup(smallShape, skewed(smallShape, 5))
 		g.stepTime = 100 * time.Millisecond
 		g.orderDelayPerRank = 3 * time.Millisecond
 		g.fault = oneInTenOrdersLate(1)
@@ -425,7 +424,7 @@
 		for seed := range uint64(shifts) {
 			time.Sleep(3 * time.Second)
 			g.mu.Lock()
-			g.weight = skewedWeights(smallShape, seed)
+			g.weight = skewed(smallShape, seed)
 			g.mu.Unlock()
 		}
 
@@ -439,14 +438,14 @@
 		time.Sleep(10 * time.Second)
 		g.requireConsistent(t, "after all shifts")
 		require.GreaterOrEqual(t, version, uint64(shifts))
-		require.LessOrEqual(t, len(long), shifts/10, "one switch in ten may meet two lost answers: %v", long)
+		require.LessOrEqual(t, len(long), shifts/10, "one switch in ten may lose two answers: %v", long)
 	})
 }
 
-// The links of a zone lose packets, so that one look in seven at another VM's rank gets
-// no answer in time. A look that missed one rank told nothing, and a switch looked at all
-// ranks again until all answered at once: the map followed demand a second later, and the
-// step of the switch was held meanwhile. It must follow as soon as without, as a rule.
+// The links of a zone lose packets, and one poll in seven of a rank on another VM is not
+// answered in time. Guards against dropping polls that lack one rank, and against polling all
+// ranks again until all answer at once: the map then followed demand a second later, while the
+// step of the switch was held. It must usually follow as soon as without lost packets.
 func TestMapFollowsDemandShiftWithLostPolls(t *testing.T) {
 	t.Parallel()
 
@@ -456,10 +455,10 @@
 
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGroup(smallShape, skewedWeights(smallShape, 5))
+			g := newGroup(smallShape, skewed(smallShape, 5))
 
-			// Each rank has its own chance: the order in which looks at once arrive must
-			// not decide.
+			// Each rank draws from its own random source, because concurrent polls arrive in
+			// any order.
 			var losses []*rand.Rand
 			for rank := range smallShape.Ranks {
 				losses = append(losses, newRandom(seed*100+uint64(rank)))
@@ -471,19 +470,18 @@
 	}
 
 	slices.Sort(times)
-	require.LessOrEqual(t, times[seeds/2], 600*time.Millisecond, "as without: %v", times)
-	require.LessOrEqual(t, times[seeds-1], 2*time.Second, "%v", times)
+	require.LessOrEqual(t, times[seeds/2], 600*time.Millisecond, "median, with the bound for no lost polls: %v", times)
+	require.LessOrEqual(t, times[seeds-1], 2*time.Second, "maximum: %v", times)
 }
 
-// The directing VM turns slow, so that each look takes ten times as long as all before.
-// The bound on looks is learnt from those that were answered: with none answered in time
-// it stayed as it was, and the director saw nothing any more while the VM was slow. It
-// must go on to follow demand.
+// The directing VM becomes slow, and polls take ten times as long as before. The poll time-out
+// is estimated from answered polls. Guards against a time-out that never grows because no poll
+// is answered in time, with which the director received no reports as long as the VM was slow.
 func TestPollTimeoutAdaptsToSlowerPolls(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(smallShape, skewedWeights(smallShape, 5))
+		g := newGroup(smallShape, skewed(smallShape, 5))
 		g.pollTime = 4 * time.Millisecond
 
 		time.AfterFunc(4*time.Second, func() {
@@ -497,18 +495,18 @@
 	})
 }
 
-// The VM of the director of a large group is deaf for a moment, and the standby begins
-// to free the group with a higher fencing number, of which it gets no further than that.
-// The director gave its old order to go on for two seconds, refused each time, while the
-// group stood still and callers left. It frees the group itself at once.
+// The VM of the director of a large group is unresponsive for a moment, and the standby begins
+// to release the hold with a higher fencing number, but gets no further. Guards against a
+// director that resends its refused order to lift the hold for two seconds, while the group is
+// stopped and callers disconnect: it must release the hold itself at once.
 func TestFencedDirectorReleasesHold(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(smallShape, skewedWeights(smallShape, 3))
+		g := newGroup(smallShape, skewed(smallShape, 3))
 		raised := false
 
-		// Called with the group locked, before each order.
+		// fault is called before each order, with g.mu held.
 		g.fault = func(int) fault {
 			for _, k := range g.ranks {
 				if k.armed == 0 {
@@ -533,9 +531,9 @@
 
 		g.mu.Lock()
 		require.True(t, raised)
-		require.Less(t, g.totalHeld, 500*time.Millisecond)
+		require.Less(t, g.heldTime, 500*time.Millisecond)
 		g.mu.Unlock()
-		g.requireConsistent(t, "after it was fenced")
+		g.requireConsistent(t, "after the director was fenced")
 		stop()
 		time.Sleep(10 * time.Second)
 	})
--- a/internal/lockstep/map_pack.go
+++ b/internal/lockstep/map_pack.go
@@ -8,10 +8,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errMalformedMap says that a packed map cannot be read.
-var errMalformedMap = errors.New("lockstep: a packed map cannot be read")
+// errMalformedMap is returned for a packed map that cannot be decoded.
+var errMalformedMap = errors.New("lockstep: malformed packed map")
 
-// Pack returns m as it travels between agents.
+// Pack returns the encoding of m that is sent between agents.
 func (m Map) Pack() []byte {
 	out := binary.AppendUvarint(nil, uint64(len(m)))
 
@@ -34,7 +34,7 @@
 	return out
 }
 
-// unpacker reads numbers, and remembers whether one could not be read.
+// unpacker decodes numbers and records whether one of them was malformed.
 type unpacker struct {
 	data   []byte
 	failed bool
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Unpack reads what Pack wrote.
+// Unpack decodes the output of Pack.
 func Unpack(data []byte) (Map, error) {
 	u := &unpacker{data: data}
 	m := make(Map, 0, min(u.number(), len(u.data)))
@@ -93,8 +93,8 @@
 	return m, nil
 }
 
-// Changes returns how m becomes next, packed: for each rank of a set that changes its
-// place, what leaves and what comes. A switch changes few of a large group's experts.
+// Changes encodes the difference between m and next: for each set and rank that changes, the
+// experts that are removed and added. A switch changes few of the experts of a large group.
 func (m Map) Changes(next Map) []byte {
 	var out []byte
 
@@ -114,7 +114,7 @@
 	return out
 }
 
-// missing returns what is in a and not in b.
+// missing returns the elements of a that are not in b.
 func missing(a, b []uint16) []uint16 {
 	var out []uint16
 
@@ -127,7 +127,7 @@
 	return out
 }
 
-// Apply returns m after changes.
+// Apply returns the map that results from applying the output of Changes to m.
 func (m Map) Apply(changes []byte) (Map, error) {
 	u := &unpacker{data: changes}
 	out := m.Clone()
@@ -148,7 +148,7 @@
 	return out, nil
 }
 
-// MapFromOrder returns the map of an order.
+// MapFromOrder returns the map that an order carries.
 func MapFromOrder(o *wire.EngineOrder) Map {
 	var out Map
 
@@ -170,7 +170,7 @@
 	return out
 }
 
-// SetMap puts m into an order.
+// SetMap stores m in an order.
 func SetMap(o *wire.EngineOrder, m Map) {
 	o.Map = mapToWire(m)
 
@@ -179,12 +179,11 @@
 	}
 }
 
-// maxCachedMaps is how many maps an agent remembers: that in use, and some that were
-// prepared and given up.
+// maxCachedMaps is how many maps an agent keeps: the current one, and some that were prepared
+// and abandoned.
 const maxCachedMaps = 4
 
-// MapCache are the maps that an agent knows, by version, the latest last. One goroutine
-// at a time uses it.
+// MapCache holds recent maps by version, the latest one last. It must not be used concurrently.
 type MapCache struct {
 	entries []cachedMap
 }
@@ -194,7 +193,7 @@
 	m       Map
 }
 
-// Put remembers a map.
+// Put adds a map. It removes the oldest one if the cache is full.
 func (k *MapCache) Put(version uint64, m Map) {
 	k.entries = slices.DeleteFunc(k.entries, func(e cachedMap) bool { return e.version == version })
 
@@ -205,7 +204,7 @@
 	k.entries = append(k.entries, cachedMap{version: version, m: m})
 }
 
-// Get returns the map of a version, or nil.
+// Get returns the map of a version, or nil if it is not cached.
 func (k *MapCache) Get(version uint64) Map {
 	for _, e := range k.entries {
 		if e.version == version {
@@ -216,8 +215,8 @@
 	return nil
 }
 
-// UnpackOrder fills in the map of an order that came packed. It reports false where the
-// changes are from a map that is not known.
+// UnpackOrder decodes the map of an order that was sent packed. It returns false if the order
+// carries changes to a map that is not cached.
 func (k *MapCache) UnpackOrder(o *wire.EngineOrder) (bool, error) {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare || len(o.GetMap()) > 0 {
 		return true, nil
--- a/internal/lockstep/map_pack_test.go
+++ b/internal/lockstep/map_pack_test.go
@@ -9,13 +9,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A map of 63 ranks goes to 63 agents over a thin link with each switch. Packed as
-// changes it is a small part of what it was, and what an agent makes of it is the same.
+// Each switch sends a map of 63 ranks to 63 agents over a slow link. Guards against changes
+// that are not much smaller than the whole map, and against agents that decode another map from
+// them.
 func TestMapChangesAreSmallerThanWholeMap(t *testing.T) {
 	t.Parallel()
 
 	first := lockstep.InitialMap(shape63Ranks.Sets, shape63Ranks.Experts, shape63Ranks.Ranks)
-	next := lockstep.ImproveMap(shape63Ranks, first, lockstep.Demand(skewedWeights(shape63Ranks, 3)), copyLimits(3))
+	next := lockstep.ImproveMap(shape63Ranks, first, lockstep.Demand(skewed(shape63Ranks, 3)), copyLimits(3))
 
 	whole, err := lockstep.Unpack(next.Pack())
 	require.NoError(t, err)
@@ -36,7 +37,7 @@
 		return o, ok
 	}
 	_, ok := order(func(o *wire.EngineOrder) { o.Base, o.Changes = 7, changes })
-	require.False(t, ok, "it does not know the map that the changes are from")
+	require.False(t, ok, "the base map is not cached")
 
 	o, ok := order(func(o *wire.EngineOrder) { o.Version, o.Whole = 7, first.Pack() })
 	require.True(t, ok)
@@ -48,9 +49,10 @@
 	require.Equal(t, next, cache.Get(8))
 }
 
-// Some agents get a map as changes, others whole. Engines compare maps with the order
-// of each rank's experts: one that left and came back in the search must not stand
-// elsewhere in one of the two, or a step begins with two maps of one version.
+// Some agents receive a map as changes, others receive it whole, and engines compare the order
+// of each rank's experts. Guards against an expert that is removed and added again during the
+// search and ends up at another position in one of the two: a step would begin with two maps of
+// the same version.
 func TestChangesKeepExpertOrder(t *testing.T) {
 	t.Parallel()
 
@@ -58,7 +60,7 @@
 		m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
 
 		for seed := range uint64(20) {
-			next := lockstep.ImproveMap(shape, m, lockstep.Demand(skewedWeights(shape, seed)), copyLimits(8))
+			next := lockstep.ImproveMap(shape, m, lockstep.Demand(skewed(shape, seed)), copyLimits(8))
 
 			got, err := m.Apply(m.Changes(next))
 			require.NoError(t, err)
--- a/internal/lockstep/map_search.go
+++ b/internal/lockstep/map_search.go
@@ -5,16 +5,15 @@
 	"slices"
 )
 
-// Demand is how much of the work each expert is expected to get, set by set. Only
-// the ratios within a set count.
+// Demand is the expected load of each expert, by set. Only the ratios within a set matter.
 type Demand [][]float64
 
-// Skew returns SkewAt where all ranks are alike.
+// Skew returns SkewWithSlowdowns without slow ranks.
 func (m Map) Skew(d Demand) float64 { return m.SkewWithSlowdowns(d, nil) }
 
-// SkewWithSlowdowns returns, in the mean over the sets, how long the last rank works on its
-// experts under m, against the time that the mean load takes at a usual pace: 1 is
-// the least.
+// SkewWithSlowdowns returns how long the last rank works on its experts under m, relative to
+// the time for the mean load on a rank that is not slow, averaged over the sets. The minimum is
+// 1.
 func (m Map) SkewWithSlowdowns(d Demand, slowdowns Slowdowns) float64 {
 	total := 0.0
 
@@ -57,22 +56,22 @@
 	return loads, sum
 }
 
-// CopyLimits bound what a new map may cost.
+// CopyLimits bounds the cost of a new map.
 type CopyLimits struct {
 	// MaxPerRank is how many new experts a rank may get, over all sets.
 	MaxPerRank int
-	// MinGain is the gain, in parts of the mean load, below which a change of one expert
-	// is not worth its copy.
+	// MinGain is the gain, relative to the mean load, below which a change of one expert is not
+	// worth its copy.
 	MinGain float64
 }
 
-// mapSearch is the search for a map that is better for some demand than another one, and can
-// be prepared from it: each rank gets at most shape.Spare new experts of a set. It
-// changes what gains most for each copy first, whichever set that is in. A slow rank,
-// which all others wait for, is left with fewer experts, or none.
+// mapSearch searches for a map that suits a demand better than the current one and can be
+// prepared from it: each rank gets at most shape.SpareSlots new experts of a set. It is a
+// greedy search that always makes the change with the largest gain per copy, over all sets. A
+// slow rank, for which all others wait, ends up with fewer experts or none.
 //
-// It goes on from where it was: a search with more copies takes up the map that was found
-// with fewer, which is sooner done than one from the start, and finds maps as good.
+// A search is incremental: a call of improve with higher limits continues from the map that was
+// found with lower ones. This takes less time than a new search and finds equally good maps.
 type mapSearch struct {
 	shape Shape
 	sets  []*setSearch
@@ -91,8 +90,8 @@
 	return p
 }
 
-// improve makes the changes that copies allow, which bound all new experts of a rank,
-// and returns the map with them.
+// improve makes all worthwhile changes within limits, which apply to all changes since the
+// search began, and returns the resulting map.
 func (p *mapSearch) improve(limits CopyLimits) Map {
 	for _, search := range p.sets {
 		search.nextValid = false
@@ -116,7 +115,7 @@
 		best.apply(p.newPerRank)
 
 		for _, search := range p.sets {
-			// Others were found before this one used up a rank's copies.
+			// The remaining changes were found before this one used copies of its ranks.
 			search.nextValid = search.nextValid && search != best && search.allows(search.next, p.newPerRank, limits.MaxPerRank)
 		}
 	}
@@ -133,17 +132,18 @@
 }
 
 const (
-	// maxChanges bounds the changes of one set.
+	// maxChanges bounds the changes in one call of improve, per set on average.
 	maxChanges = 64
-	// maxReceivers is how many of the least loaded ranks are weighed as new holders.
+	// maxReceivers is how many of the least loaded ranks are considered as new holders of an
+	// expert.
 	maxReceivers = 12
-	// noRank marks that no expert leaves, or that no rank gets one.
+	// noRank means that no expert is removed, or that no rank receives one.
 	noRank = -1
 )
 
-// change brings expert to rank to. Where out is not none, it leaves rank to for it;
-// where moved is set, expert leaves rank from, and for a swap out comes there, unless
-// it is dropped. Without a rank to, expert is only taken from rank from.
+// change places expert on rank to. If replaced is not noRank, that expert is removed from rank
+// to. If moved is set, expert is removed from rank from, which receives replaced in exchange
+// unless discard is set. If to is noRank, expert is only removed from rank from.
 type change struct {
 	gain     float64
 	expert   int
@@ -153,21 +153,21 @@
 	discard  bool
 }
 
-// setSearch is the search in one set.
+// setSearch is the part of a search that covers one set.
 type setSearch struct {
 	shape     Shape
 	ranks     [][]uint16
 	demand    []float64
 	slowdowns Slowdowns
 	holders   []int
-	has       []bool    // rank by rank, expert by expert
-	initial   []bool    // the same as it was
-	loads     []float64 // in the time that the work takes at the rank's pace
+	has       []bool    // indexed by rank*Experts + expert
+	initial   []bool    // has at the start of the search
+	loads     []float64 // by rank, multiplied by its slowdown
 	mean      float64
 	newInSet  []int
-	// rankPowers are the loads' eighth powers, in parts of the mean, powers is their sum
-	// and norm its root; shifts are the changes of the loads of the touched ranks that
-	// are weighed just now.
+	// rankPowers holds the eighth power of each rank's load relative to the mean, powers their
+	// sum, and norm the eighth root of the sum. loadDeltas holds the load changes, at the
+	// touched ranks, of the change being evaluated.
 	rankPowers []float64
 	powers     float64
 	norm       float64
@@ -214,7 +214,7 @@
 
 func (p *setSearch) holds(r, e int) bool { return p.has[r*p.shape.Experts+e] }
 
-// findNext looks for the change with the largest gain, unless it is known still.
+// findNext finds the change with the largest gain, unless the last result is still valid.
 func (p *setSearch) findNext(newPerRank []int, maxPerRank int) {
 	if p.nextValid {
 		return
@@ -258,19 +258,20 @@
 	}
 }
 
-// considerReceiver weighs each way of bringing e from the most loaded rank to another one.
+// considerReceiver evaluates all ways to bring e from rank from, the most loaded one, to rank
+// to.
 func (p *setSearch) considerReceiver(e, from, to int, newPerRank []int, maxPerRank int) {
 	if len(p.ranks[to]) < p.shape.Slots {
 		p.consider(change{expert: e, from: from, to: to, replaced: noRank}, newPerRank, maxPerRank)
 		p.consider(change{expert: e, from: from, to: to, replaced: noRank, moved: true}, newPerRank, maxPerRank)
 	}
 
-	for _, candidate := range p.ranks[to] {
-		f := int(candidate)
+	for _, replaced := range p.ranks[to] {
+		f := int(replaced)
 		if p.holders[f] > 1 {
 			p.consider(change{expert: e, from: from, to: to, replaced: f}, newPerRank, maxPerRank)
 
-			// What leaves a slow rank is not to be paid for with other work there.
+			// A slow rank that gives an expert away should not receive another one for it.
 			if p.slowdowns.at(from) > 1 {
 				p.consider(change{expert: e, from: from, to: to, replaced: f, moved: true, discard: true}, newPerRank, maxPerRank)
 			}
@@ -310,7 +311,7 @@
 	return max(n, noCopyCost)
 }
 
-// noCopyCost stands for the cost of a change that needs no copy.
+// noCopyCost is the cost, in copies, of a change that needs no copy.
 const noCopyCost = 0.25
 
 func (p *setSearch) allows(c change, newPerRank []int, maxPerRank int) bool {
@@ -321,12 +322,12 @@
 	return (c.to == noRank || hasCapacity(c.to, c.expert)) && (!c.swaps() || hasCapacity(c.from, c.replaced))
 }
 
-// swaps reports whether the expert that leaves rank to comes to rank from.
+// swaps reports whether rank c.from receives the expert that rank c.to gives away.
 func (c *change) swaps() bool { return c.moved && c.replaced != noRank && !c.discard }
 
-// gain is by how much a change lowers the norm of the loads, in parts of the mean.
-// The norm stands for the load of the most loaded rank, and sees progress also
-// while several ranks are loaded alike.
+// gain returns how much a change lowers the norm of the loads, relative to the mean load. The
+// norm approximates the load of the most loaded rank, but also falls when one of several
+// equally loaded ranks improves.
 func (p *setSearch) gain(c change) float64 {
 	p.computeLoadDeltas(c)
 
@@ -346,7 +347,7 @@
 	return p.norm - root8(max(after, 0))
 }
 
-// updateRankPower takes in the load of a rank as it is now.
+// updateRankPower updates the powers after a change of the rank's load.
 func (p *setSearch) updateRankPower(r int) {
 	p.powers -= p.rankPowers[r]
 	p.rankPowers[r] = pow8(p.loads[r] / max(p.mean, math.SmallestNonzeroFloat64))
@@ -362,7 +363,7 @@
 
 func root8(x float64) float64 { return math.Sqrt(math.Sqrt(math.Sqrt(x))) }
 
-// computeLoadDeltas notes by how much the loads would change with c.
+// computeLoadDeltas adds the load changes that c causes to loadDeltas.
 func (p *setSearch) computeLoadDeltas(c change) {
 	e, f := c.expert, c.replaced
 
@@ -397,7 +398,8 @@
 	p.loadDeltas[r] += load * p.slowdowns.at(r)
 }
 
-// addShareDeltas changes the loads of e's holders but one as if it had n holders.
+// addShareDeltas adds the load changes at all holders of e, except one, that result if e has n
+// holders.
 func (p *setSearch) addShareDeltas(e, n, except int) {
 	diff := p.demand[e]/float64(n) - p.share(e)
 
@@ -408,7 +410,7 @@
 	}
 }
 
-// apply carries out the change that was found.
+// apply makes the change that findNext has found.
 func (p *setSearch) apply(newPerRank []int) {
 	c := p.next
 	p.nextValid = false
--- a/internal/lockstep/map_search_test.go
+++ b/internal/lockstep/map_search_test.go
@@ -18,7 +18,8 @@
 	g.idle = idle
 }
 
-// copyLimits lets almost any gain be worth a copy, so that the search itself is seen.
+// copyLimits returns limits under which almost any gain is worth a copy, to test the search
+// itself.
 func copyLimits(maxPerRank int) lockstep.CopyLimits {
 	return lockstep.CopyLimits{MaxPerRank: maxPerRank, MinGain: 0.004}
 }
@@ -28,8 +29,9 @@
 	shape63Ranks = lockstep.Shape{Sets: 8, Experts: 252, Ranks: 63, Slots: 5, SpareSlots: 2}
 )
 
-// requireValidMap holds a map against what engines take: each expert somewhere, no rank
-// with more than its places, no expert twice on a rank, and few enough new ones.
+// requireValidMap checks what engines require of a map: each expert is placed, no rank has more
+// experts than slots, no expert is on a rank twice, and the number of new experts is within the
+// limits.
 func requireValidMap(t *testing.T, shape lockstep.Shape, from, to lockstep.Map, maxPerRank int) {
 	t.Helper()
 
@@ -60,7 +62,7 @@
 			newPerRank[r] += newExperts
 		}
 
-		require.Len(t, placed, shape.Experts, "an expert without a rank loses its tokens")
+		require.Len(t, placed, shape.Experts, "each expert must be placed, or its tokens are lost")
 	}
 
 	for r, n := range newPerRank {
@@ -75,7 +77,7 @@
 		m := lockstep.InitialMap(shape12Ranks.Sets, shape12Ranks.Experts, shape12Ranks.Ranks)
 
 		for round := range uint64(4) {
-			d := lockstep.Demand(skewedWeights(shape12Ranks, seed*7+round))
+			d := lockstep.Demand(skewed(shape12Ranks, seed*7+round))
 			maxPerRank := []int{1, 2, 4, 8}[round]
 			next := lockstep.ImproveMap(shape12Ranks, m, d, copyLimits(maxPerRank))
 			requireValidMap(t, shape12Ranks, m, next, maxPerRank)
@@ -85,13 +87,13 @@
 	}
 }
 
-// One copy a rank already takes most of a bad skew away, and a few come near to
-// the best that there is. Nothing is demanded of an idle group.
+// One copy per rank removes most of a large skew, and a few more come close to the optimum. A
+// group without demand keeps its map.
 func TestFewCopiesRemoveMostSkew(t *testing.T) {
 	t.Parallel()
 
 	m := lockstep.InitialMap(shape12Ranks.Sets, shape12Ranks.Experts, shape12Ranks.Ranks)
-	d := lockstep.Demand(skewedWeights(shape12Ranks, 1))
+	d := lockstep.Demand(skewed(shape12Ranks, 1))
 	before := m.Skew(d)
 	one := lockstep.ImproveMap(shape12Ranks, m, d, copyLimits(1)).Skew(d)
 	eight := lockstep.ImproveMap(shape12Ranks, m, d, copyLimits(8)).Skew(d)
@@ -109,13 +111,12 @@
 	require.InDelta(t, 1, m.Skew(noDemand), 0)
 }
 
-// A rank turns slow, and all others wait for it in each set of each step. It is left
-// with less and less as copies get there, keeping all rules of a map; when it is well
-// again it gets its share back.
+// A rank becomes slow, and all others wait for it in each set of each step. It must get less
+// load with each switch, while the maps remain valid, and its share again once it recovers.
 func TestSlowRankGetsLessLoad(t *testing.T) {
 	t.Parallel()
 
-	d := lockstep.Demand(skewedWeights(shape12Ranks, 1))
+	d := lockstep.Demand(skewed(shape12Ranks, 1))
 	m := lockstep.InitialMap(shape12Ranks.Sets, shape12Ranks.Experts, shape12Ranks.Ranks)
 
 	for range 4 {
@@ -132,7 +133,7 @@
 		slow = next
 	}
 
-	require.Greater(t, m.SkewWithSlowdowns(d, slowdowns), 4.5, "nobody has done anything yet")
+	require.Greater(t, m.SkewWithSlowdowns(d, slowdowns), 4.5, "skew before any switch")
 	require.Less(t, slow.SkewWithSlowdowns(d, slowdowns), 1.5)
 
 	recovered := lockstep.ImproveMap(shape12Ranks, slow, d, copyLimits(8))
@@ -140,8 +141,8 @@
 	require.Less(t, recovered.Skew(d), 1.15)
 }
 
-// A search with more copies goes on from the map that was found with fewer. That must
-// find maps as good as a search from the start does, and keep all rules of a map.
+// A search with higher limits continues from the map that was found with lower ones. It must
+// find maps as good as those of a new search, and valid ones.
 func TestStepwiseSearchMatchesFullSearch(t *testing.T) {
 	t.Parallel()
 
@@ -150,7 +151,7 @@
 		fullSkew, stepwiseSkew := 0.0, 0.0
 
 		for seed := range uint64(8) {
-			d := lockstep.Demand(skewedWeights(shape, seed))
+			d := lockstep.Demand(skewed(shape, seed))
 			limits := []int{1, 3, 8, 16}
 
 			for i, m := range lockstep.ImproveMapStepwise(shape, from, d, limits) {
@@ -167,7 +168,7 @@
 
 func benchmarkImprove(b *testing.B, shape lockstep.Shape) {
 	m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
-	d := lockstep.Demand(skewedWeights(shape, 1))
+	d := lockstep.Demand(skewed(shape, 1))
 	after := 0.0
 
 	for b.Loop() {
@@ -178,10 +179,10 @@
 	b.ReportMetric(after, "skew-after")
 }
 
-// The director weighs four maps at each look that shows a skew.
+// The director searches four maps after each poll that shows a skew.
 func benchmarkStepwise(b *testing.B, shape lockstep.Shape) {
 	m := lockstep.InitialMap(shape.Sets, shape.Experts, shape.Ranks)
-	d := lockstep.Demand(skewedWeights(shape, 1))
+	d := lockstep.Demand(skewed(shape, 1))
 
 	for b.Loop() {
 		lockstep.ImproveMapStepwise(shape, m, d, []int{1, 3, 8, 16})
--- a/internal/lockstep/maps_bench_test.go
+++ b/internal/lockstep/maps_bench_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// demandSimulation is demand as readers choose it, with shifts, and the maps of a strategy over it.
+// demandSimulation simulates demand that shifts, and the maps that a strategy chooses for it.
 type demandSimulation struct {
 	shape Shape
-	// requests run at once, replaced of them end between two looks, moved of the most
-	// liked experts give way at a shift.
+	// requests is the number of running requests, replaced how many of them end between two
+	// polls, and moved how many of the most popular experts change in a shift.
 	requests, replaced, moved int
 	pollInterval              time.Duration
 }
@@ -17,14 +17,15 @@
 const (
 	simulationPolls = 200
 	pollsPerShift   = 36
-	// pollsPerSwitch is how many looks pass until a map that was chosen is in use.
+	// pollsPerSwitch is the number of polls until a chosen map is in use.
 	pollsPerSwitch = 3
 )
 
-// strategy returns the map that is in use after a look.
-type strategy func(look int, c *demandEstimator) Map
+// strategy returns the map that is in use after the n-th poll.
+type strategy func(n int, c *demandEstimator) Map
 
-// meanSkew is the mean skew, over the looks of a day, of what each look itself brought.
+// meanSkew returns the skew of the demand of each poll under the map in use, averaged over all
+// polls.
 func (d demandSimulation) meanSkew(seed uint64, s strategy) float64 {
 	x := newFakeRequests(d.shape, d.requests, seed)
 	c := newDemandEstimator(d.shape, time.Second)
@@ -32,42 +33,42 @@
 	total := 0.0
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
-	for n := range simulationPolls {
-		if n%pollsPerShift == pollsPerShift-1 {
+	for poll := range simulationPolls {
+		if poll%pollsPerShift == pollsPerShift-1 {
 			x.shift(d.moved)
 		}
 
 		now = now.Add(d.pollInterval)
-		c.observe(now, x.nextPoll(d.replaced))
+		c.observe(now, x.poll(d.replaced))
 		total += m.Skew(c.latest)
-		m = s(n, c)
+		m = s(poll, c)
 	}
 
 	return total / simulationPolls
 }
 
-// initialOnly is the first map for the whole day.
+// initialOnly keeps the initial map.
 func (d demandSimulation) initialOnly() strategy {
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
 	return func(int, *demandEstimator) Map { return m }
 }
 
-// repacked packs all experts anew each ten looks, as if copies took no time.
+// repacked computes a map from scratch every ten polls, as if copies took no time.
 func (d demandSimulation) repacked() strategy {
 	m := InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)
 
 	return func(n int, c *demandEstimator) Map {
 		if n%10 == 0 {
-			m = d.pack(c.expected())
+			m = d.pack(c.demand())
 		}
 
 		return m
 	}
 }
 
-// oracle packs all experts for what the look that was just taken brought, which is as
-// near as a map can come to the next look.
+// oracle computes a map from scratch for the demand of the latest poll, which is the best
+// possible prediction of the next poll.
 func (d demandSimulation) oracle() strategy {
 	return func(_ int, c *demandEstimator) Map { return d.pack(c.latest) }
 }
@@ -79,7 +80,8 @@
 	return ImproveMap(unlimited, InitialMap(unlimited.Sets, unlimited.Experts, unlimited.Ranks), demand, CopyLimits{MaxPerRank: unlimited.Slots * unlimited.Sets, MinGain: 0.001})
 }
 
-// directed is what the director does: a map that is worth its copies, some looks later.
+// directed simulates the director: it switches to maps that are worth their copies, with a
+// delay of some polls.
 func (d demandSimulation) directed() strategy {
 	director := &Director{Shape: d.shape, Settings: DefaultSettings(), current: InitialMap(d.shape.Sets, d.shape.Experts, d.shape.Ranks)}
 	next, due := director.current, 0
@@ -90,7 +92,7 @@
 		case n == due:
 			director.current = next
 		default:
-			demand := c.expected()
+			demand := c.demand()
 			before := director.current.Skew(demand)
 
 			if m, after, _ := director.bestMap(demand, before); (before-after)/before >= director.Settings.MinGain {
@@ -102,10 +104,10 @@
 	}
 }
 
-// The maps of four strategies side by side on the same demand: the mean skew of steps.
+// benchmarkMaps compares the mean skew of four strategies under the same demand.
 func benchmarkMaps(b *testing.B, d demandSimulation) {
 	for b.Loop() {
-		for name, s := range map[string]strategy{"kept": d.initialOnly(), "packed": d.repacked(), "foreseen": d.oracle(), "directed": d.directed()} {
+		for name, s := range map[string]strategy{"initial": d.initialOnly(), "repacked": d.repacked(), "oracle": d.oracle(), "directed": d.directed()} {
 			b.ReportMetric(d.meanSkew(1, s), "skew-"+name)
 		}
 	}
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -10,16 +10,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// orderAll gives an order to all ranks until each of them has taken it and, where seen
-// is given, its report says so. An order without an answer may be lost, carried out
-// already, or be carried out seconds later: it is given again, and what the reports
-// say counts. A rank that refuses the first one that reaches it will not take it.
+// orderAll sends an order to all ranks until each of them has accepted it and, if confirmed is
+// not nil, its report satisfies confirmed. An order without an answer may be lost, carried out
+// already, or carried out seconds later, so it is resent, and the reports decide. If a rank
+// refuses the first order that reaches it, orderAll fails, because resending would not help.
 func (s *Switcher) orderAll(ctx context.Context, failure error, order func(rank int) *wire.EngineOrder, confirmed func(*Report) bool) error {
 	states := make([]orderState, s.Group.Size)
 
 	for {
 		if refused := s.orderPending(ctx, states, order, confirmed); len(refused) > 0 {
-			return fmt.Errorf("%w: refused by ranks %v", failure, refused)
+			return fmt.Errorf("%w: order refused by ranks %v", failure, refused)
 		}
 
 		if err := s.confirm(ctx, states, confirmed); err != nil {
@@ -38,15 +38,14 @@
 		case missing == 0:
 			return nil
 		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
-			return fmt.Errorf("%w: %d ranks are missing", failure, missing)
+			return fmt.Errorf("%w: %d ranks did not confirm the order in time", failure, missing)
 		}
 	}
 }
 
-// confirm looks at the ranks that have taken an order and were not seen to have carried it
-// out. What a rank was once seen to have done stands while this director's fencing number
-// does: to look at all of them again because one did not answer made a switch wait for as
-// many chances of a lost packet as there are ranks, each time.
+// confirm polls the ranks that have accepted an order and are not confirmed yet. A confirmation
+// stays valid as long as the fencing number of this director does. Polling all ranks again
+// because one of them did not answer would expose each round to packet loss at every rank.
 func (s *Switcher) confirm(ctx context.Context, states []orderState, confirmed func(*Report) bool) error {
 	if confirmed == nil {
 		for rank := range states {
@@ -71,20 +70,20 @@
 	return nil
 }
 
-// orderState is what became of an order at one rank.
+// orderState is the state of an order at one rank.
 type orderState struct {
-	// accepted is set once the rank has, or must have, taken it; unsure once an order
-	// got no answer, and tries how often that was.
+	// accepted is set once the rank has, or must have, accepted the order. unanswered is set
+	// once the order got no answer, and timeouts counts how often.
 	accepted, unanswered bool
-	// confirmed is set once its report says that it has carried the order out.
+	// confirmed is set once the rank's report shows that the order was carried out.
 	confirmed bool
 	timeouts  int
 }
 
 func (d *orderState) done() bool { return d.accepted && d.confirmed }
 
-// orderPending gives the order to the ranks that have not taken it yet, and returns
-// those that refuse it. Who has carried it out at once is seen to have done so.
+// orderPending sends the order to the ranks that have not accepted it yet and returns those
+// that refuse it. By fan-out, ranks are also confirmed by the poll that follows the order.
 func (s *Switcher) orderPending(ctx context.Context, states []orderState, order func(rank int) *wire.EngineOrder, confirmed func(*Report) bool) []int {
 	results := make([]wire.EngineResult, len(states))
 
@@ -120,7 +119,7 @@
 
 		switch {
 		case results[rank] == wire.EngineResult_EngineDone, results[rank] == wire.EngineResult_EngineMisfit && state.unanswered:
-			// One that no longer fits was taken when it got no answer.
+			// The order no longer fits because an earlier, unanswered one was accepted.
 			state.accepted = true
 		case results[rank] == wire.EngineResult_EngineUnknown:
 			state.unanswered = true
@@ -133,7 +132,7 @@
 	return refused
 }
 
-// orderFanOut gives an order to many ranks at once.
+// orderFanOut sends an order to many ranks by fan-out.
 func (s *Switcher) orderFanOut(ctx context.Context, ranks []int, order func(rank int) *wire.EngineOrder) []FanOutResult {
 	o := order(ranks[0])
 	began := time.Now()
@@ -159,26 +158,26 @@
 	return out
 }
 
-// recordResult takes in what became of an order at a rank.
+// recordResult logs an order that was not carried out and records refused fencing numbers.
 func (s *Switcher) recordResult(rank int, o *wire.EngineOrder, result wire.EngineResult) {
 	if result == wire.EngineResult_EngineFenced {
 		s.fenced.Store(true)
 	}
 
 	if result != wire.EngineResult_EngineDone {
-		s.Logger.Info("Order not taken.", "rank", rank, "order", o.GetKind().String(), "result", result.String(),
+		s.Logger.Info("Order refused or not answered.", "rank", rank, "order", o.GetKind().String(), "result", result.String(),
 			"version", o.GetVersion(), "step", o.GetStep(), "fence", o.GetFence(), "epoch", o.GetEpoch())
 	}
 }
 
-// maxOrderAttempts is how often an order to one rank is given where no answer comes.
+// maxOrderAttempts is how often an order to one rank is sent if no answer arrives.
 const maxOrderAttempts = 4
 
 func (s *Switcher) order(kind wire.EngineOrderKind, fence, version, step uint64) *wire.EngineOrder {
 	return &wire.EngineOrder{Kind: kind, Epoch: s.Group.Epoch, Fence: fence, Version: version, Step: step}
 }
 
-// orderWithRetry gives an order, again while nobody can tell what became of it.
+// orderWithRetry sends an order, and resends it as long as its outcome is unknown.
 func (s *Switcher) orderWithRetry(ctx context.Context, rank int, o *wire.EngineOrder, maxAttempts int) wire.EngineResult {
 	result := wire.EngineResult_EngineUnknown
 
@@ -192,8 +191,8 @@
 	return result
 }
 
-// orderOnce gives an order that got no answer so many times before. Its answer is waited for
-// as if so many ranks were ordered at once.
+// orderOnce sends an order that has already timed out the given number of times. The time-out
+// is the one for an order sent to concurrent ranks at once.
 func (s *Switcher) orderOnce(ctx context.Context, rank int, o *wire.EngineOrder, timeouts, concurrent int) wire.EngineResult {
 	began := time.Now()
 
@@ -211,12 +210,13 @@
 	return result
 }
 
-// orderTimeout bounds the wait for the answer to o, which goes to so many ranks at once.
+// orderTimeout returns the upper bound of the time-out for o when it is sent to concurrent
+// ranks at once.
 func (s *Switcher) orderTimeout(o *wire.EngineOrder, concurrent int) time.Duration {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
 		return s.Settings.requestTimeout(concurrent)
 	}
 
-	// The maps share the directing VM's link.
+	// The maps for all ranks share the link of the directing VM.
 	return s.Settings.OrderTimeout + time.Duration(concurrent)*s.Settings.PerRankMapTimeout
 }
--- a/internal/lockstep/polls.go
+++ b/internal/lockstep/polls.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// mapFromPolls returns the map in use by the ranks' own lists.
+// mapFromPolls returns the current map, assembled from the experts that the ranks report.
 func mapFromPolls(polls []PollResult) (Map, error) {
 	m := make(Map, len(polls[0].Experts))
 
 	for r := range polls {
 		p := &polls[r]
 		if p.MapVersion != polls[0].MapVersion || len(p.Experts) != len(m) || len(m) == 0 {
-			return nil, fmt.Errorf("%w: rank %d does not tell its experts", errNotReady, r)
+			return nil, fmt.Errorf("%w: rank %d did not report its experts for the map in use at rank 0", errNotReady, r)
 		}
 
 		for s := range m {
@@ -27,7 +27,7 @@
 	return m, nil
 }
 
-// pollReports returns all ranks' reports of the epoch.
+// pollReports returns the reports of all ranks.
 func (s *Switcher) pollReports(ctx context.Context) ([]Report, error) {
 	polls, err := s.PollAll(ctx, PollRequest{})
 	if err != nil {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// PollAll looks at all ranks at once, and again at those that do not answer in time. All
-// must answer in the end, in the same epoch.
+// PollAll polls all ranks concurrently, and again those that do not answer in time. It fails
+// unless all ranks answer in the end, in the same epoch.
 func (s *Switcher) PollAll(ctx context.Context, q PollRequest) ([]PollResult, error) {
 	var (
 		polls []PollResult
@@ -81,9 +81,9 @@
 	return nil, r.missingErr()
 }
 
-// PollMost looks at some ranks at once, in the same epoch. A few of them need not
-// answer: where packets are lost, nearly every look would miss one, and what most ranks
-// counted tells enough. The looks of the others are empty.
+// PollMost polls some of the ranks concurrently, in the same epoch. A few of them need not
+// answer: with packet loss, nearly every round would lack one, and the counts of most ranks
+// suffice. The results of the ranks that were not polled or did not answer are empty.
 func (s *Switcher) PollMost(ctx context.Context, request func(rank int) (PollRequest, bool)) ([]PollResult, error) {
 	r, err := s.pollRanks(ctx, s.pollTimeout(), request)
 	if err != nil {
@@ -98,15 +98,15 @@
 }
 
 const (
-	// pollTimeWindow is over how many looks at a rank their usual time is averaged, and
-	// lookMargin how many mean distances above that a look may take.
+	// pollTimeWindow is the number of polls in the running mean of poll times, pollTimeMargin
+	// the number of mean deviations above the mean that a poll may take.
 	pollTimeWindow = 256
 	pollTimeMargin = 6
 )
 
-// pollTimeout bounds a look at ranks of which not all must answer. It is twice as long
-// after each look that most ranks did not answer in time: what it is learnt from are
-// answers alone, and where all became slower than it none would ever come again.
+// pollTimeout bounds a round of polls that not all ranks must answer. It doubles after each
+// round that most ranks did not answer in time: the estimate includes only answered polls, so
+// if all ranks became slower than the time-out, it would never recover.
 func (s *Switcher) pollTimeout() time.Duration {
 	maxWait := s.Settings.requestTimeout(s.Group.Size)
 
@@ -120,11 +120,11 @@
 	return min(max(bound, minWait)<<min(s.missedRounds, maxTimeoutDoublings), maxWait)
 }
 
-// maxPollAttempts is how often a look at a rank that a switch depends on is tried.
+// maxPollAttempts is how often a rank is polled if a switch depends on its answer.
 const maxPollAttempts = 4
 
-// pollWithRetry looks at one rank, again where no answer comes in time: a lost packet is no
-// reason to give up a switch for which all ranks are armed.
+// pollWithRetry polls one rank, and again if no answer arrives in time. One lost packet should
+// not abort a switch for which all ranks are armed.
 func (s *Switcher) pollWithRetry(ctx context.Context, rank int) (PollResult, error) {
 	var (
 		poll PollResult
@@ -145,7 +145,7 @@
 	return poll, err
 }
 
-// rankPoll is a look at one rank.
+// rankPoll is the outcome of a poll of one rank.
 type rankPoll struct {
 	rank       int
 	poll       PollResult
@@ -153,10 +153,10 @@
 	answeredAt time.Time
 }
 
-// pollRound is what a look at some ranks brought.
+// pollRound is the outcome of polling some of the ranks.
 type pollRound struct {
-	// polls are by rank, empty for those that were not asked or did not answer in time;
-	// errs is why they did not.
+	// polls holds the results by rank, empty for ranks that were not polled or did not answer
+	// in time. errs holds the errors of the latter.
 	polls  []PollResult
 	errs   map[int]error
 	polled int
@@ -168,7 +168,7 @@
 	return fmt.Errorf("%w: %w", errMissingAnswers, errors.Join(slices.Collect(maps.Values(r.errs))...))
 }
 
-// pollRanks looks at some ranks at once. An answer of another epoch fails all.
+// pollRanks polls some of the ranks concurrently. It fails if a rank reports another epoch.
 func (s *Switcher) pollRanks(ctx context.Context, timeout time.Duration, request func(rank int) (PollRequest, bool)) (pollRound, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -194,7 +194,7 @@
 		switch {
 		case a.err != nil:
 			r.errs[a.rank] = a.err
-			s.Logger.Debug("Rank not seen.", "rank", a.rank, "error", a.err)
+			s.Logger.Debug("Poll of a rank failed.", "rank", a.rank, "error", a.err)
 
 			continue
 		case a.poll.Report.Epoch != s.Group.Epoch:
@@ -218,7 +218,8 @@
 	return r, nil
 }
 
-// sendPolls asks ranks, each directly or many of them by way of some, and brings the answers.
+// sendPolls polls ranks directly, or by fan-out if there are many and their counts are not
+// requested, and sends the results to answers.
 func (s *Switcher) sendPolls(ctx context.Context, requests map[int]PollRequest, answers chan<- rankPoll) {
 	pollDirectly := func(rank int) {
 		poll, err := s.Group.Poll(ctx, rank, requests[rank])
--- a/internal/lockstep/release.go
+++ b/internal/lockstep/release.go
@@ -9,17 +9,18 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// secondHolder is the rank that holds a step beside the holder while ranks are disarmed.
+// secondHolder is the rank that holds a step in addition to the holder while ranks are
+// disarmed.
 func (s *Switcher) secondHolder() int { return min(2, s.Group.Size-1) }
 
-// ReleaseHolds lifts holds that no switch needs any more. Before that, all ranks are
-// disarmed under a higher fencing number, so that arms on their way no longer
-// count. A group that is not held is left alone: its ranks are all armed, or none.
+// ReleaseHolds lifts holds that no switch needs any more. It first disarms all ranks under a
+// higher fencing number, which invalidates arm orders in flight. It leaves a group without
+// holds alone: either all of its ranks are armed, or none.
 func (s *Switcher) ReleaseHolds(ctx context.Context) error {
 	for {
 		err := s.releaseOnce(ctx)
-		// Another agent's numbers may be higher than can be known. Each refusal
-		// doubles them, so a few tries are enough.
+		// The fencing numbers of another agent are unknown and may be higher. Each refusal
+		// doubles this agent's number, so a few attempts suffice.
 		if err == nil || !s.fenced.Load() || !pauses.For(ctx, s.Settings.SwitchPollInterval) {
 			return err
 		}
@@ -38,7 +39,7 @@
 
 	step, held := heldStep(reports)
 	if !held {
-		// A hold that nobody answered may still be on its way.
+		// An unanswered hold order may still be in flight.
 		s.orderWithRetry(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderGo, fence, 0, reports[0].Step), maxOrderAttempts)
 
 		return nil
@@ -56,7 +57,7 @@
 		return err
 	}
 
-	s.Logger.Warn("Hold lifted.", "step", step, "fence", fence)
+	s.Logger.Warn("Lifting the hold of a step that no switch needs.", "step", step, "fence", fence)
 
 	for rank := range reports {
 		if rank != s.holder() && rank != s.secondHolder() && !reports[rank].Holds {
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// holdAtTwoRanks lets two ranks hold the step. The predecessor may have let the holder go
-// on just before it died, and that order may still be on its way: the step would
-// begin while some ranks are disarmed and others are not.
+// holdAtTwoRanks makes two ranks hold the step. The predecessor may have sent the order to lift
+// the hold just before it died. If that order is still in flight, the step could otherwise
+// begin while only some ranks are disarmed.
 func (s *Switcher) holdAtTwoRanks(ctx context.Context, fence, step uint64) error {
 	for _, rank := range []int{s.secondHolder(), s.holder()} {
 		if result := s.orderWithRetry(ctx, rank, s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), maxOrderAttempts); result != wire.EngineResult_EngineDone {
-			return fmt.Errorf("%w: rank %d: %s", errNotReleased, rank, result)
+			return fmt.Errorf("%w: hold order to rank %d: %s", errNotReleased, rank, result)
 		}
 
 		poll, err := s.Group.Poll(ctx, rank, PollRequest{})
@@ -86,18 +87,18 @@
 		}
 
 		if r := poll.Report; !r.Holds || r.Held != step || r.Step >= step {
-			return fmt.Errorf("%w: rank %d: %+v", errNotReleased, rank, r)
+			return fmt.Errorf("%w: rank %d does not hold the step: %+v", errNotReleased, rank, r)
 		}
 	}
 
 	return nil
 }
 
-// disarmAll disarms all ranks and sees that none is armed.
+// disarmAll disarms all ranks and verifies that none is armed.
 func (s *Switcher) disarmAll(ctx context.Context, fence uint64, reports []Report) error {
 	disarm := func(rank int) *wire.EngineOrder {
-		// A rank that is not armed is given the order for its fencing number alone,
-		// and for a version that it cannot use.
+		// A rank that is not armed receives the order only for its fencing number, with a
+		// version that it does not have.
 		version := reports[rank].Armed
 		if version == 0 {
 			version = max(reports[rank].Map, reports[rank].Prepared) + 1
@@ -120,14 +121,14 @@
 
 	for i := range reportsAfter {
 		if reportsAfter[i].Armed != 0 {
-			return fmt.Errorf("%w: rank %d is armed", errNotReleased, i)
+			return fmt.Errorf("%w: rank %d is still armed", errNotReleased, i)
 		}
 	}
 
 	return nil
 }
 
-// heldStep returns the step that some rank holds.
+// heldStep returns the step that some rank holds, if any.
 func heldStep(reports []Report) (uint64, bool) {
 	for i := range reports {
 		if reports[i].Holds {
@@ -147,9 +148,9 @@
 	return highest
 }
 
-// supersede lets all ranks prepare a later version of the map that they use, which
-// copies nothing. An arm on its way that an engine took in before it saw the higher
-// fencing number, and carries out later, then no longer finds its version prepared.
+// supersede makes all ranks prepare their current map under a later version, which copies
+// nothing. If an engine accepted an arm order before it received the higher fencing number and
+// carries it out later, it no longer finds that version prepared.
 func (s *Switcher) supersede(ctx context.Context, fence uint64, reports []Report) error {
 	polls, err := s.PollAll(ctx, PollRequest{Experts: true})
 	if err != nil {
@@ -169,6 +170,6 @@
 	return nil
 }
 
-// supersedeVersionGap is how far the version goes up: a rank may have had some that were
-// prepared at others only.
+// supersedeVersionGap is the increase of the version. It skips versions that were prepared at
+// only some of the ranks.
 const supersedeVersionGap = 16
--- a/internal/lockstep/slowdowns.go
+++ b/internal/lockstep/slowdowns.go
@@ -1,11 +1,11 @@
 package lockstep
 
-// Slowdowns are how many times longer than usual each rank takes, by rank; nil stands
-// for ranks that are all alike.
+// Slowdowns holds the ratio of each rank's step time to the baseline, by rank. nil means that
+// no rank is slow.
 type Slowdowns []float64
 
-// minSlowdown is the pace from which a rank counts as slow: a copy of experts makes
-// steps 15 in 100 longer at ranks that are well.
+// minSlowdown is the slowdown from which a rank counts as slow. Copying experts makes the steps
+// of a healthy rank 15 % longer.
 const minSlowdown = 1.25
 
 func (p Slowdowns) at(rank int) float64 {
@@ -16,8 +16,8 @@
 	return p[rank]
 }
 
-// recordSlowdowns takes in the paces of all ranks that were looked at, by the director or by
-// a rank that adds up counts. Others keep what was seen last.
+// recordSlowdowns stores the slowdowns of all ranks that were polled, by the director or by a
+// count aggregator. Other ranks keep their last value.
 func (d *Director) recordSlowdowns(polls []PollResult) {
 	for r := range polls {
 		d.recordSlowdown(r, polls[r].Report.Pace)
@@ -40,6 +40,6 @@
 	case before == 1 && after > 1:
 		d.Logger.Warn("A rank is slow; all others wait for it.", "rank", rank, "pace", slowdown)
 	case before > 1 && after == 1:
-		d.Logger.Info("A rank is well again.", "rank", rank, "pace", slowdown)
+		d.Logger.Info("A rank is no longer slow.", "rank", rank, "pace", slowdown)
 	}
 }
--- a/internal/lockstep/standby.go
+++ b/internal/lockstep/standby.go
@@ -7,10 +7,10 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// Standby stands in for a directing agent that is gone: without it, a step that was
-// held in a switch would stay held until that agent has started again. It does
-// nothing but free the group, which is safe beside a director that still lives:
-// the one with the lower fencing number is refused. Its fields are set before Run.
+// Standby replaces a directing agent that has failed. Without it, a step that is held for a
+// switch would stay held until that agent has restarted. It only releases holds, which is safe
+// beside a director that is still running: the one with the lower fencing number is refused.
+// Its fields are set before Run.
 type Standby struct {
 	Group    GroupClient
 	Settings Settings
@@ -19,11 +19,11 @@
 	DirectorAlive func(ctx context.Context) bool
 }
 
-// standbyMissedPolls is how many times in a row the directing agent must not have
-// answered while a step is held.
+// standbyMissedPolls is how many times in a row the directing agent must fail to answer before
+// the standby acts on a held step.
 const standbyMissedPolls = 2
 
-// Run watches until ctx ends.
+// Run monitors the directing agent until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
 	switcher := &Switcher{Group: s.Group, Settings: s.Settings, Logger: s.Logger}
 	missed := 0
@@ -45,13 +45,14 @@
 		}
 
 		if err := s.release(ctx, switcher); err != nil {
-			s.Logger.Warn("A step is held, its director is gone, and it is not freed yet.", "error", err)
+			s.Logger.Warn("Director does not answer, and the release of a held step failed; retrying.", "error", err)
 		}
 	}
 }
 
-// release frees the group, and leaves it to the directing agent as soon as that one
-// answers again: two that raise their numbers against each other free nothing.
+// release releases the holds of the group. It stops as soon as the directing agent answers
+// again, because two agents that keep raising their fencing numbers above each other's make no
+// progress.
 func (s *Standby) release(ctx context.Context, switcher *Switcher) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/lockstep/step_clock.go
+++ b/internal/lockstep/step_clock.go
@@ -2,23 +2,21 @@
 
 import "time"
 
-// stepClock tells which step of a group begins when, by the steps that were seen to
-// have begun.
+// stepClock predicts when the steps of a group begin, from the steps that were observed.
 //
-// A switch holds its step until all ranks are armed. Where that takes longer than until
-// the step would have begun, the wait makes every stream of the group late, so the step
-// must be one that leaves enough time.
+// A switch holds its step until all ranks are armed. If that takes longer than until the step
+// is due, the wait delays every stream of the group, so the step must be far enough ahead.
 type stepClock struct {
 	step      uint64
 	startedAt time.Time
 	length    time.Duration
 }
 
-// maxStepLength bounds how long a step is thought to take: what took longer was held, or
-// the group was idle.
+// maxStepLength bounds the estimated duration of a step. An interval above that means that a
+// step was held or the group was idle.
 const maxStepLength = 250 * time.Millisecond
 
-// observe takes in that step was the last one begun at now.
+// observe records that step was the last one begun as of now.
 func (c *stepClock) observe(now time.Time, step uint64) {
 	if step == c.step {
 		return
@@ -31,14 +29,14 @@
 	c.step, c.startedAt = step, now
 }
 
-// firstStepAfter returns the first step that begins at from or later, as far as can be told. It
-// is never one that may have begun at now.
+// firstStepAfter returns the first step that is expected to begin at or after earliest. It
+// never returns a step that may have begun by now.
 func (c *stepClock) firstStepAfter(now, earliest time.Time) uint64 {
 	length := max(c.length, minStepLength)
 
 	next := c.startedAt.Add(length)
 	if next.Before(now) {
-		// It is overdue: it may begin at any moment.
+		// The next step is overdue and may begin at any moment.
 		next = now
 	}
 
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -13,52 +13,52 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Switcher switches a group from one map to another. The points of a switch, and
-// what an agent that starts anew finds and does at each:
+// Switcher switches a group from one map to another. If the directing agent fails during a
+// switch, its successor finds one of these states and recovers from it:
 //
 //	prepared at some ranks   nothing is armed or held: nothing to do
 //	held, none or some armed the hold keeps the step from beginning: hold it at a
-//	                         second rank, disarm all, then let both go on
+//	                         second rank, disarm all ranks, then lift both holds
 //	held, all armed          the same
-//	go on its way            the same: the second hold outlasts it
-//	go carried out           not held: all ranks switch by themselves
+//	go order in flight       the same: the second hold remains when the order arrives
+//	go order carried out     not held: all ranks switch by themselves
 //
-// Ranks are armed only while the holding rank holds the step of the switch, and the hold is
-// lifted only where every rank was seen armed, or every rank was seen disarmed
-// under a higher fencing number. So no step begins with two maps, whoever dies.
+// Ranks are armed only while the holder holds the step of the switch. The hold is lifted only
+// once every rank has reported that it is armed, or that it is disarmed under a higher fencing
+// number. No step can therefore begin with two maps, whichever agent fails.
 type Switcher struct {
 	Group    GroupClient
 	Settings Settings
 	Logger   *slog.Logger
 
 	fence uint64
-	// stepClock is when steps begin, commits how long it takes from the order to hold a step
-	// until it is known not to be held any more.
+	// stepClock predicts when steps begin. commitTimes estimates the time from the order to
+	// hold a step until its hold is seen lifted.
 	stepClock   stepClock
 	commitTimes latency.Estimator
-	// pollTimes is how long a look at a rank takes, unseen how many looks in a row most ranks
-	// did not answer in time.
+	// pollTimes estimates the time that a poll takes. missedRounds counts consecutive rounds of
+	// polls that most ranks did not answer in time.
 	pollTimes    latency.Estimator
 	missedRounds int
-	// answerTimes is how soon single ranks answer orders, spread how soon those that are
-	// brought to many of them are answered.
+	// answerTimes estimates the time until ranks answer orders sent directly, fanOutTimes the
+	// time for orders sent by fan-out.
 	answerTimes answerTimes
 	fanOutTimes answerTimes
-	// fenced is set once an engine refused a fencing number as too low.
+	// fenced is set once an engine has refused a fencing number as too low.
 	fenced atomic.Bool
 }
 
-// Errors of a switch that did not come about. Nothing has changed then.
+// Errors of a switch that did not take place. Nothing has changed then.
 var (
 	errMissingAnswers = errors.New("lockstep: not all ranks answered")
 	errNotReady       = errors.New("lockstep: the ranks are not ready for a switch")
-	errPrepare        = errors.New("lockstep: not all ranks have the experts")
+	errPrepare        = errors.New("lockstep: not all ranks have prepared the map")
 	errHold           = errors.New("lockstep: the step could not be held")
 	errArm            = errors.New("lockstep: not all ranks are armed")
-	errNotReleased    = errors.New("lockstep: a hold is not lifted yet")
+	errNotReleased    = errors.New("lockstep: hold not lifted yet")
 )
 
-// Switch brings m, as version, to all ranks and switches them in one step.
+// Switch distributes m, as version, to all ranks and switches them to it in the same step.
 func (s *Switcher) Switch(ctx context.Context, version uint64, m Map) error {
 	fence := s.nextFence()
 
@@ -82,7 +82,7 @@
 	}
 
 	if err = s.commit(ctx, fence, version); err != nil {
-		s.Logger.Warn("Switch given up.", "version", version, "error", err)
+		s.Logger.Warn("Map switch aborted; releasing its hold.", "version", version, "error", err)
 
 		return errors.Join(err, s.ReleaseHolds(ctx))
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// checkReady reports whether a switch may begin.
+// checkReady returns an error unless a switch may begin.
 func checkReady(reports []Report) error {
 	for i := range reports {
 		r := &reports[i]
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// prepare lets all ranks copy what is new to them, and waits until they have it.
+// prepare makes all ranks copy the experts that are new to them and waits until they have done
+// so.
 func (s *Switcher) prepare(ctx context.Context, fence, version uint64, m Map) error {
 	o := s.order(wire.EngineOrderKind_EngineOrderPrepare, fence, version, 0)
 	SetMap(o, m)
@@ -114,7 +115,7 @@
 		func(r *Report) bool { return r.Prepared == version })
 }
 
-// commit holds a step, arms all ranks for it, and lets it begin.
+// commit holds a step, arms all ranks for it, and lifts the hold.
 func (s *Switcher) commit(ctx context.Context, fence, version uint64) error {
 	began := time.Now()
 
@@ -130,23 +131,23 @@
 }
 
 const (
-	// commitTimeWindow is over how many switches the time of a commit is averaged, and
-	// commitMargin how many mean distances above that mean a commit may take.
+	// commitTimeWindow is the number of switches in the running mean of commit times,
+	// commitTimeMargin the number of mean deviations above the mean that a commit may take.
 	commitTimeWindow = 8
 	commitTimeMargin = 3
 )
 
-// stepLead returns how far away the step of a switch should be. One that comes sooner than
-// all ranks are armed and the hold is lifted waits for that, and every stream of the
-// group with it; each further step is one more with the old map.
+// stepLead returns how far ahead the step of a switch should be. A step that is due before all
+// ranks are armed and the hold is lifted is delayed, and every stream of the group with it. A
+// step further ahead means more steps with the old map.
 func (s *Switcher) stepLead() time.Duration {
 	bound, _ := s.commitTimes.UpperBound(commitTimeMargin)
 
 	return min(max(bound, s.Settings.MinStepLead), s.Settings.MaxStepLead)
 }
 
-// armAll holds a step and arms all ranks for it, and returns the step once all of
-// that is seen.
+// armAll holds a step and arms all ranks for it. It returns the step once the reports confirm
+// both.
 func (s *Switcher) armAll(ctx context.Context, fence, version uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.ArmTimeout)
 	defer cancel()
@@ -169,18 +170,18 @@
 	}
 
 	if report := poll.Report; !report.Holds || report.Held != step {
-		return 0, fmt.Errorf("%w: %+v", errHold, report)
+		return 0, fmt.Errorf("%w: report of the holder: %+v", errHold, report)
 	}
 
 	return step, nil
 }
 
-// holder is the rank that holds the step of a switch. It is not the directing
-// agent's own: the agent beside it gives these orders, and where that one dies the
-// director still lets the group go on.
+// holder is the rank that holds the step of a switch. It is not the rank of the directing
+// agent: if the agent beside the holder fails, the director can still lift the hold.
 func (s *Switcher) holder() int { return min(1, s.Group.Size-1) }
 
-// hold lets the holder hold a step that is near, and returns it once that is seen.
+// hold makes the holder hold a step in the near future and returns that step once the holder
+// reports it.
 func (s *Switcher) hold(ctx context.Context, fence uint64) (uint64, error) {
 	poll, err := s.pollWithRetry(ctx, s.holder())
 
@@ -194,8 +195,8 @@
 		step := s.stepClock.firstStepAfter(now, now.Add(s.stepLead()))
 		result := s.orderWithRetry(ctx, s.holder(), s.order(wire.EngineOrderKind_EngineOrderHold, fence, 0, step), 1)
 
-		// What the engine reports counts, not what it answered: an order without an
-		// answer may have been carried out, and then any step that is still to come will do.
+		// The report of the engine decides, not its answer: an unanswered order may have been
+		// carried out, and then any held step that has not begun yet will do.
 		poll, err = s.pollWithRetry(ctx, s.holder())
 		if err == nil && poll.Report.Holds && poll.Report.Held > poll.Report.Step {
 			return poll.Report.Held, nil
@@ -206,19 +207,19 @@
 		}
 	}
 
-	return 0, fmt.Errorf("%w: %+v", errHold, poll.Report)
+	return 0, fmt.Errorf("%w: report of the holder: %+v", errHold, poll.Report)
 }
 
-// maxHoldAttempts is how many steps are tried to be held.
+// maxHoldAttempts is how many steps the director tries to hold.
 const maxHoldAttempts = 4
 
-// minStepLength bounds from below how long a step is thought to take.
+// minStepLength is a lower bound of the estimated duration of a step.
 const minStepLength = 15 * time.Millisecond
 
-// liftHold lifts the hold of a rank. While that is not seen, the group may stand
-// still, so it is tried until it is seen. One that is given up is found again by
-// the next look. One that is fenced is given up at once: no number of tries would help
-// it, and who frees the group with a higher number does.
+// liftHold lifts the hold of a rank. It repeats the order until the rank reports that the hold
+// is lifted, because the group may be stopped until then. If it times out, the next poll
+// detects the hold again. It returns at once if the order is fenced: repeating the order would
+// not help, and the agent with the higher fencing number releases the hold.
 func (s *Switcher) liftHold(ctx context.Context, rank int, fence, step uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.GoTimeout)
 	defer cancel()
@@ -251,7 +252,7 @@
 	return out
 }
 
-// ExpertSetToWire returns a rank's experts of a set as they travel.
+// ExpertSetToWire returns the wire form of a rank's experts of one set.
 func ExpertSetToWire(experts []uint16) *wire.ExpertSet {
 	set := &wire.ExpertSet{Experts: make([]uint32, 0, len(experts))}
 	for _, e := range experts {
