--- a/internal/lockstep/pack.go
+++ b/internal/lockstep/map_pack.go
@@ -8,10 +8,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errPacked says that a packed map cannot be read.
-var errPacked = errors.New("lockstep: a packed map cannot be read")
+// errMalformedMap is returned for a packed map that cannot be decoded.
+var errMalformedMap = errors.New("lockstep: malformed packed map")
 
-// Pack returns m as it travels between agents.
+// Pack returns the encoding of m that is sent between agents.
 func (m Map) Pack() []byte {
 	out := binary.AppendUvarint(nil, uint64(len(m)))
 
@@ -34,19 +34,19 @@
 	return out
 }
 
-// unpacker reads numbers, and remembers whether one could not be read.
+// unpacker decodes numbers and records whether one of them was malformed.
 type unpacker struct {
-	data []byte
-	bad  bool
+	data   []byte
+	failed bool
 }
 
-// mostPacked bounds the numbers in a packed map.
-const mostPacked = 1 << 16
+// maxPackedNumber bounds the numbers in a packed map.
+const maxPackedNumber = 1 << 16
 
 func (u *unpacker) number() int {
 	n, size := binary.Uvarint(u.data)
-	if size <= 0 || n > mostPacked {
-		u.bad = true
+	if size <= 0 || n > maxPackedNumber {
+		u.failed = true
 		u.data = nil
 
 		return 0
@@ -62,7 +62,7 @@
 	out := make([]uint16, 0, min(n, len(u.data)))
 
 	for range n {
-		if u.bad {
+		if u.failed {
 			return nil
 		}
 
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Unpack reads what Pack wrote.
+// Unpack decodes the output of Pack.
 func Unpack(data []byte) (Map, error) {
 	u := &unpacker{data: data}
 	m := make(Map, 0, min(u.number(), len(u.data)))
@@ -86,35 +86,35 @@
 		m = append(m, ranks)
 	}
 
-	if u.bad || len(u.data) > 0 {
-		return nil, errPacked
+	if u.failed || len(u.data) > 0 {
+		return nil, errMalformedMap
 	}
 
 	return m, nil
 }
 
-// Changes returns how m becomes next, packed: for each rank of a set that changes its
-// place, what leaves and what comes. A switch changes few of a large group's experts.
+// Changes encodes the difference between m and next: for each set and rank that changes, the
+// experts that are removed and added. A switch changes few of the experts of a large group.
 func (m Map) Changes(next Map) []byte {
 	var out []byte
 
 	for s := range m {
 		for r := range m[s] {
-			left, came := missing(m[s][r], next[s][r]), missing(next[s][r], m[s][r])
-			if len(left)+len(came) == 0 {
+			removed, added := missing(m[s][r], next[s][r]), missing(next[s][r], m[s][r])
+			if len(removed)+len(added) == 0 {
 				continue
 			}
 
 			out = binary.AppendUvarint(out, uint64(s))
 			out = binary.AppendUvarint(out, uint64(r))
-			out = appendExperts(appendExperts(out, left), came)
+			out = appendExperts(appendExperts(out, removed), added)
 		}
 	}
 
 	return out
 }
 
-// missing returns what is in a and not in b.
+// missing returns the elements of a that are not in b.
 func missing(a, b []uint16) []uint16 {
 	var out []uint16
 
@@ -127,20 +127,20 @@
 	return out
 }
 
-// Apply returns m after changes.
+// Apply returns the map that results from applying the output of Changes to m.
 func (m Map) Apply(changes []byte) (Map, error) {
 	u := &unpacker{data: changes}
 	out := m.Clone()
 
 	for len(u.data) > 0 {
 		s, r := u.number(), u.number()
-		left, came := u.experts(), u.experts()
+		removed, added := u.experts(), u.experts()
 
-		if u.bad || s >= len(out) || r >= len(out[s]) {
-			return nil, errPacked
+		if u.failed || s >= len(out) || r >= len(out[s]) {
+			return nil, errMalformedMap
 		}
 
-		out[s][r] = append(slices.DeleteFunc(out[s][r], func(e uint16) bool { return slices.Contains(left, e) }), came...)
+		out[s][r] = append(slices.DeleteFunc(out[s][r], func(e uint16) bool { return slices.Contains(removed, e) }), added...)
 	}
 
 	out.sort()
@@ -148,7 +148,7 @@
 	return out, nil
 }
 
-// MapFromOrder returns the map of an order.
+// MapFromOrder returns the map that an order carries.
 func MapFromOrder(o *wire.EngineOrder) Map {
 	var out Map
 
@@ -170,54 +170,53 @@
 	return out
 }
 
-// SetMap puts m into an order.
+// SetMap stores m in an order.
 func SetMap(o *wire.EngineOrder, m Map) {
-	o.Map = toWire(m)
+	o.Map = mapToWire(m)
 
 	if len(m) > 0 {
 		o.Ranks = uint32(len(m[0]))
 	}
 }
 
-// mostMaps is how many maps an agent remembers: that in use, and some that were
-// prepared and given up.
-const mostMaps = 4
+// maxCachedMaps is how many maps an agent keeps: the current one, and some that were prepared
+// and abandoned.
+const maxCachedMaps = 4
 
-// MapCache are the maps that an agent knows, by version, the latest last. One goroutine
-// at a time uses it.
+// MapCache holds recent maps by version, the latest one last. It must not be used concurrently.
 type MapCache struct {
-	known []knownMap
+	entries []cachedMap
 }
 
-type knownMap struct {
+type cachedMap struct {
 	version uint64
 	m       Map
 }
 
-// Put remembers a map.
+// Put adds a map. It removes the oldest one if the cache is full.
 func (k *MapCache) Put(version uint64, m Map) {
-	k.known = slices.DeleteFunc(k.known, func(o knownMap) bool { return o.version == version })
+	k.entries = slices.DeleteFunc(k.entries, func(e cachedMap) bool { return e.version == version })
 
-	if len(k.known) == mostMaps {
-		k.known = k.known[1:]
+	if len(k.entries) == maxCachedMaps {
+		k.entries = k.entries[1:]
 	}
 
-	k.known = append(k.known, knownMap{version: version, m: m})
+	k.entries = append(k.entries, cachedMap{version: version, m: m})
 }
 
-// Get returns the map of a version, or nil.
+// Get returns the map of a version, or nil if it is not cached.
 func (k *MapCache) Get(version uint64) Map {
-	for _, o := range k.known {
-		if o.version == version {
-			return o.m
+	for _, e := range k.entries {
+		if e.version == version {
+			return e.m
 		}
 	}
 
 	return nil
 }
 
-// UnpackOrder fills in the map of an order that came packed. It reports false where the
-// changes are from a map that is not known.
+// UnpackOrder decodes the map of an order that was sent packed. It returns false if the order
+// carries changes to a map that is not cached.
 func (k *MapCache) UnpackOrder(o *wire.EngineOrder) (bool, error) {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare || len(o.GetMap()) > 0 {
 		return true, nil
