--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -13,31 +13,31 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-func outcomeOf(w ResponseInfo) dispatch.Outcome {
+func outcomeOf(info ResponseInfo) dispatch.Outcome {
 	switch {
-	case w.Misdirected:
+	case info.Misdirected:
 		return dispatch.Misdirected
-	case w.NotRun:
+	case info.NotRun:
 		return dispatch.Rejected
 	default:
 		return dispatch.Failed
 	}
 }
 
-// check holds the head of an answer against the request that it must answer.
-func (p *passage) check(answer *targetclient.Answer, word ResponseInfo) error {
+// checkResponse holds the head of an answer against the request that it must answer.
+func (p *proxiedRequest) checkResponse(answer *targetclient.Answer, info ResponseInfo) error {
 	switch {
-	case word.Misdirected:
+	case info.Misdirected:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation}
-	case word.NotRun && answer.Status != http.StatusBadRequest:
+	case info.NotRun && answer.Status != http.StatusBadRequest:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}
-	case word.ID != "" && word.ID != p.call.ID:
-		p.ran = true
+	case info.ID != "" && info.ID != p.call.ID:
+		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCrossed}
-	case isSuccess(answer.Status) && !word.Signed, answer.Header.Get("Content-Encoding") != "", promisesNotRun(answer.Status):
+	case isSuccess(answer.Status) && !info.Signed, answer.Header.Get("Content-Encoding") != "", impliesNotRun(answer.Status):
 		// A target that promises nothing may have run it, whatever the status says.
-		p.ran = true
+		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken}
 	}
@@ -47,8 +47,8 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// promisesNotRun reports whether callers take the status for a promise.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status for a promise.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -57,8 +57,8 @@
 	}
 }
 
-// outbound is the request as it goes to a target now.
-func (p *passage) outbound(target string) *targetclient.Request {
+// targetCall is the request as it goes to a target now.
+func (p *proxiedRequest) targetCall(target string) *targetclient.Request {
 	h := p.req.Header.Clone()
 	dropHopByHop(h)
 	h.Del("Content-Length")
@@ -71,13 +71,13 @@
 	}
 }
 
-// errCallerGone says that the caller left before its answer was whole.
-var errCallerGone = errors.New("relay: the caller left")
+// errCallerDisconnected says that the caller left before its answer was whole.
+var errCallerDisconnected = errors.New("relay: the caller left")
 
 // deliver passes an answer on.
-func (p *passage) deliver(ctx context.Context, answer *targetclient.Answer) error {
+func (p *proxiedRequest) deliver(ctx context.Context, answer *targetclient.Answer) error {
 	if p.route.Stream && isSuccess(answer.Status) {
-		return p.stream(ctx, answer)
+		return p.forwardStream(ctx, answer)
 	}
 
 	if p.streaming {
@@ -91,30 +91,30 @@
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 	}
 
-	p.copyHead(answer)
+	p.copyHeaders(answer)
 
 	if bodyAllowed(answer.Status) && p.req.Method != http.MethodHead {
 		p.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 
-	p.head(answer.Status)
+	p.writeHead(answer.Status)
 
 	if _, err := p.w.Write(body); err != nil && bodyAllowed(answer.Status) {
-		p.relay.counters.left.Add(1)
+		p.relay.counters.disconnected.Add(1)
 	}
 
 	return nil
 }
 
-// head sends the head of a target's answer.
-func (p *passage) head(status int) {
+// writeHead sends the head of a target's answer.
+func (p *proxiedRequest) writeHead(status int) {
 	p.status = status
-	p.first = time.Since(p.began)
-	p.relay.latencies.first.Update(p.first.Milliseconds())
+	p.firstByte = time.Since(p.arrivedAt)
+	p.relay.latencies.firstByte.Update(p.firstByte.Milliseconds())
 	p.w.WriteHeader(status)
 }
 
-func (p *passage) copyHead(answer *targetclient.Answer) {
+func (p *proxiedRequest) copyHeaders(answer *targetclient.Answer) {
 	copyHeader(p.w.Header(), answer.Header)
 
 	if _, stopping := p.relay.StopsAt(); stopping {
--- a/internal/relay/endings.go
+++ b/internal/relay/finish.go
@@ -10,44 +10,44 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// done notes a request that got its answer.
-func (p *passage) done() {
+// complete notes a request that got its answer.
+func (p *proxiedRequest) complete() {
 	now := time.Now()
 
-	p.relay.counters.served.Add(1)
-	p.relay.latencies.whole.Update(millis(p.began, now))
-	p.relay.usual.learn(p.service, now.Sub(p.began))
+	p.relay.counters.completions.Add(1)
+	p.relay.latencies.total.Update(millis(p.arrivedAt, now))
+	p.relay.durations.observe(p.service, now.Sub(p.arrivedAt))
 
-	if p.relay.served.Take(now) {
-		p.log(slog.LevelInfo, "Served.", append(p.pauseArgs(), "target", p.placed.Target.ID, "zone", p.placed.Target.Zone,
-			"status", p.status, "first", p.first.Round(time.Millisecond))...)
+	if p.relay.completions.Take(now) {
+		p.log(slog.LevelInfo, "Served.", append(p.gapAttrs(), "target", p.placed.Target.ID, "zone", p.placed.Target.Zone,
+			"status", p.status, "first", p.firstByte.Round(time.Millisecond))...)
 	}
 }
 
-// pauseArgs tells the longest pause of a stream, and how long ago it was.
-func (p *passage) pauseArgs() []any {
-	if p.longestPause == 0 {
+// gapAttrs tells the longest pause of a stream, and how long ago it was.
+func (p *proxiedRequest) gapAttrs() []any {
+	if p.longestGap == 0 {
 		return nil
 	}
 
-	return []any{"longestPause", p.longestPause.Round(time.Millisecond), "pausedAgo", time.Since(p.longestAt).Round(time.Millisecond)}
+	return []any{"longestPause", p.longestGap.Round(time.Millisecond), "pausedAgo", time.Since(p.longestGapAt).Round(time.Millisecond)}
 }
 
-// end gives the caller its final answer where the request has none.
-func (p *passage) end(err error) {
+// endWithError gives the caller its final answer where the request has none.
+func (p *proxiedRequest) endWithError(err error) {
 	now := time.Now()
 
 	switch {
 	case p.req.Context().Err() != nil:
-		p.relay.counters.left.Add(1)
-		p.log(slog.LevelInfo, "Caller left.", "ran", p.ran, "lastEvent", p.lastEvent, "error", err)
+		p.relay.counters.disconnected.Add(1)
+		p.log(slog.LevelInfo, "Caller left.", "ran", p.mayHaveRun, "lastEvent", p.lastEvent, "error", err)
 		panic(http.ErrAbortHandler)
 	case p.streaming:
 		p.relay.counters.cut.Add(1)
-		p.log(slog.LevelWarn, "Stream cut.", "cause", p.cause(now, err), "lastEvent", p.lastEvent, "room", p.room, "error", err)
+		p.log(slog.LevelWarn, "Stream cut.", "cause", p.cause(now, err), "lastEvent", p.lastEvent, "room", p.capacity, "error", err)
 		// Without its last piece the answer must not look whole.
 		panic(http.ErrAbortHandler)
-	case !p.ran:
+	case !p.mayHaveRun:
 		p.refuse(err)
 	default:
 		p.fail(p.cause(now, err), err)
@@ -56,7 +56,7 @@
 
 // cause tells why a request that may have run has no whole answer. The
 // connection that is closed at the deadline looks like a broken answer.
-func (p *passage) cause(now time.Time, err error) verdict.Cause {
+func (p *proxiedRequest) cause(now time.Time, err error) verdict.Cause {
 	if now.Before(p.deadline) {
 		return verdict.CauseOf(err)
 	}
@@ -65,7 +65,7 @@
 }
 
 // refuse answers a request that has not run and never will.
-func (p *passage) refuse(err error) {
+func (p *proxiedRequest) refuse(err error) {
 	var v *verdict.Error
 
 	wait := p.relay.Settings.MinRetryAfter
@@ -74,13 +74,13 @@
 	}
 
 	p.relay.counters.refused.Add(1)
-	p.log(slog.LevelInfo, "Refused.", "cause", verdict.CauseOf(err), "retryAfter", wait, "room", p.room, "error", err)
+	p.log(slog.LevelInfo, "Refused.", "cause", verdict.CauseOf(err), "retryAfter", wait, "room", p.capacity, "error", err)
 	p.w.Header().Set("Retry-After", p.relay.Dialect.RetryAfter(wait))
 	http.Error(p.w, "not run: "+string(verdict.CauseOf(err)), http.StatusServiceUnavailable)
 }
 
 // fail answers a request that may have run.
-func (p *passage) fail(cause verdict.Cause, err error) {
+func (p *proxiedRequest) fail(cause verdict.Cause, err error) {
 	status := http.StatusBadGateway
 	if cause == verdict.CauseDeadline {
 		status = http.StatusGatewayTimeout
@@ -92,13 +92,13 @@
 }
 
 // deny answers a request that is not proper or not allowed.
-func (p *passage) deny(status int, problem string) {
+func (p *proxiedRequest) deny(status int, problem string) {
 	p.relay.counters.denied.Add(1)
 	p.log(slog.LevelInfo, "Denied.", "status", status, "problem", problem)
 	http.Error(p.w, problem, status)
 }
 
-func (p *passage) log(level slog.Level, text string, args ...any) {
+func (p *proxiedRequest) log(level slog.Level, text string, args ...any) {
 	if !p.relay.Logger.Enabled(p.req.Context(), level) {
 		return
 	}
@@ -109,11 +109,11 @@
 	}
 
 	args = append(args, "request", p.call.ID, "route", name, "service", p.service, "workspace", p.workspaceName(),
-		"sends", p.sends, "tried", p.tried, "waited", p.waited.Round(time.Millisecond), "took", time.Since(p.began).Round(time.Millisecond),
+		"sends", p.sends, "tried", p.tried, "waited", p.waited.Round(time.Millisecond), "took", time.Since(p.arrivedAt).Round(time.Millisecond),
 		"number", p.state.Number, "index", p.state.Index)
 
-	if p.notAgain != retries.ReasonNone {
-		args = append(args, "notAgain", p.notAgain)
+	if p.noRetry != retries.ReasonNone {
+		args = append(args, "notAgain", p.noRetry)
 	}
 
 	// A request that was not admitted has no deadline of its route yet.
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -23,16 +23,16 @@
 func Metrics() []Metric {
 	return []Metric{
 		{"Relay.Requests", "requests", "Requests that callers sent.", func(r *Relay) int64 { return r.counters.requests.Load() }},
-		{"Relay.Served", "requests", "Requests that got a target's answer, failures of the target included.", func(r *Relay) int64 { return r.counters.served.Load() }},
+		{"Relay.Served", "requests", "Requests that got a target's answer, failures of the target included.", func(r *Relay) int64 { return r.counters.completions.Load() }},
 		{"Relay.Refused", "requests", "Requests refused as not run, with Retry-After.", func(r *Relay) int64 { return r.counters.refused.Load() }},
 		{"Relay.Denied", "requests", "Requests denied: no route, no key, malformed or too long.", func(r *Relay) int64 { return r.counters.denied.Load() }},
 		{"Relay.Failed", "requests", "Requests that may have run and got no whole answer (502, 504).", func(r *Relay) int64 { return r.counters.failed.Load() }},
 		{"Relay.Cut", "streams", "Streams that were cut after their first event.", func(r *Relay) int64 { return r.counters.cut.Load() }},
-		{"Relay.SentAgain", "sends", "Sends to a further target.", func(r *Relay) int64 { return r.counters.again.Load() }},
-		{"Relay.SentAgainUnpaid", "sends", "Sends to a further target that took nothing from the retry budget, as no target had read the request.", func(r *Relay) int64 { return r.counters.unpaid.Load() }},
+		{"Relay.SentAgain", "sends", "Sends to a further target.", func(r *Relay) int64 { return r.counters.retries.Load() }},
+		{"Relay.SentAgainUnpaid", "sends", "Sends to a further target that took nothing from the retry budget, as no target had read the request.", func(r *Relay) int64 { return r.counters.freeRetries.Load() }},
 		{"Relay.Misdirected", "sends", "Sends that another target than the one that was meant rejected.", func(r *Relay) int64 { return r.counters.misdirected.Load() }},
-		{"Relay.BudgetSpent", "requests", "Requests that were not sent to a further target since the retry budget was spent.", func(r *Relay) int64 { return r.counters.spent.Load() }},
-		{"Relay.CallersLeft", "requests", "Requests whose caller left before the answer.", func(r *Relay) int64 { return r.counters.left.Load() }},
+		{"Relay.BudgetSpent", "requests", "Requests that were not sent to a further target since the retry budget was spent.", func(r *Relay) int64 { return r.counters.budgetSpent.Load() }},
+		{"Relay.CallersLeft", "requests", "Requests whose caller left before the answer.", func(r *Relay) int64 { return r.counters.disconnected.Load() }},
 		{"Relay.Waiting", "requests", "Requests that wait for a target now.", func(r *Relay) int64 {
 			r.queue.mu.Lock()
 			defer r.queue.mu.Unlock()
@@ -43,13 +43,13 @@
 		{"Relay.Entries", "entries", "Entries that share the targets, this one included.", func(r *Relay) int64 { return int64(r.State().Entries) }},
 		{"Relay.ConfigurationNumber", "number", "The operators' number of the configuration in force.", func(r *Relay) int64 { return int64(r.State().Number) }},
 		{"Relay.StateIndex", "log index", "The log index of the state in force.", func(r *Relay) int64 { return int64(r.State().Index) }},
-		{"Relay.ServedLinesLeftOut", "lines", "Log lines of served requests that sampling left out.", func(r *Relay) int64 { return r.served.Left() }},
+		{"Relay.ServedLinesLeftOut", "lines", "Log lines of served requests that sampling left out.", func(r *Relay) int64 { return r.completions.Left() }},
 	}
 }
 
 // latencies are the histograms of an entry (ms).
 type latencies struct {
-	wait, first, whole metrics.Histogram
+	wait, firstByte, total metrics.Histogram
 }
 
 // Histograms names the histograms with what they measure, all in milliseconds.
@@ -65,8 +65,8 @@
 	// sampleSize and sampleAlpha make histograms weigh the last five minutes most.
 	sampleSize  = 512
 	sampleAlpha = 0.015
-	// servedLines is how many served requests are logged in a second.
-	servedLines = 20
+	// answeredLinesPerSecond is how many served requests are logged in a second.
+	answeredLinesPerSecond = 20
 )
 
 func newLatencies() latencies {
@@ -74,7 +74,7 @@
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}
 
-	return latencies{wait: h(), first: h(), whole: h()}
+	return latencies{wait: h(), firstByte: h(), total: h()}
 }
 
 // Register adds the relay's metrics to a registry.
@@ -85,7 +85,7 @@
 		}
 	}
 
-	for i, h := range []metrics.Histogram{r.latencies.wait, r.latencies.first, r.latencies.whole} {
+	for i, h := range []metrics.Histogram{r.latencies.wait, r.latencies.firstByte, r.latencies.total} {
 		if err := registry.Register(Histograms()[i].Name, h); err != nil {
 			return eris.Wrap(err, "register metric")
 		}
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -10,19 +10,19 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// tickEvery is how often requests that wait are looked at. It is short against
+// tickInterval is how often requests that wait are looked at. It is short against
 // the pauses that keep targets out, and costs nothing while nobody waits.
-const tickEvery = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
 // queue runs the dispatcher: it wakes the goroutines of requests that are placed
 // or refused.
 type queue struct {
 	dispatcher *dispatch.Dispatcher
 
-	mu      sync.Mutex
-	lastID  uint64
-	waiters map[uint64]chan dispatch.Action
-	ticking bool
+	mu          sync.Mutex
+	lastID      uint64
+	waiters     map[uint64]chan dispatch.Action
+	tickPending bool
 	// engines are the targets that an agent tells the load of, by VM: each of a
 	// deployment's agents tells ten times a second.
 	engines map[netip.Addr][]engine
@@ -30,20 +30,20 @@
 
 type engine struct{ service, target string }
 
-// place waits until r has a target, is refused, or its caller leaves.
-func (q *queue) place(ctx context.Context, r dispatch.Request) (dispatch.Action, error) {
+// acquireTarget waits until r has a target, is refused, or its caller leaves.
+func (q *queue) acquireTarget(ctx context.Context, r dispatch.Request) (dispatch.Action, error) {
 	q.mu.Lock()
 	q.lastID++
 	r.ID = q.lastID
 	placed := make(chan dispatch.Action, 1)
 	q.waiters[r.ID] = placed
-	q.tell(q.dispatcher.Submit(time.Now(), r))
-	q.keepTicking()
+	q.notify(q.dispatcher.Submit(time.Now(), r))
+	q.scheduleTick()
 	q.mu.Unlock()
 
 	select {
 	case a := <-placed:
-		return outcome(a)
+		return actionResult(a)
 	case <-ctx.Done():
 	}
 
@@ -63,7 +63,7 @@
 	return dispatch.Action{}, verdict.Refuse(verdict.CauseCancelled, time.Time{})
 }
 
-func outcome(a dispatch.Action) (dispatch.Action, error) {
+func actionResult(a dispatch.Action) (dispatch.Action, error) {
 	if a.Placed {
 		return a, nil
 	}
@@ -75,47 +75,47 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.tell(q.dispatcher.Finish(time.Now(), a, work, o))
+	q.notify(q.dispatcher.Finish(time.Now(), a, work, o))
 }
 
-func (q *queue) report(a dispatch.Action, w ResponseInfo) {
+func (q *queue) recordResponse(a dispatch.Action, info ResponseInfo) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if w.HasLoad {
-		q.tell(q.dispatcher.ReportLoad(time.Now(), a.Target.Service, a.Target.ID, w.Load))
+	if info.HasLoad {
+		q.notify(q.dispatcher.ReportLoad(time.Now(), a.Target.Service, a.Target.ID, info.Load))
 	}
 
-	if w.AtFault != "" {
-		q.dispatcher.ReportFault(time.Now(), a.Target.Service, w.AtFault)
+	if info.AtFault != "" {
+		q.dispatcher.ReportFault(time.Now(), a.Target.Service, info.AtFault)
 	}
 }
 
-// load takes in the load of the engines on a VM.
-func (q *queue) load(vm netip.Addr, l dispatch.Load) {
+// updateLoad takes in the load of the engines on a VM.
+func (q *queue) updateLoad(vm netip.Addr, l dispatch.Load) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	for _, e := range q.engines[vm] {
-		q.tell(q.dispatcher.ReportLoad(time.Now(), e.service, e.target, l))
+		q.notify(q.dispatcher.ReportLoad(time.Now(), e.service, e.target, l))
 	}
 }
 
-func (q *queue) pause(a dispatch.Action, part float64) {
+func (q *queue) eventGap(a dispatch.Action, ratio float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.dispatcher.ReportEventGap(time.Now(), a, part)
+	q.dispatcher.ReportEventGap(time.Now(), a, ratio)
 }
 
-func (q *queue) first(a dispatch.Action, took time.Duration) {
+func (q *queue) recordFirstAnswer(a dispatch.Action, took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	q.dispatcher.ReportFirstAnswer(a, took)
 }
 
-func (q *queue) change(services []dispatch.Service, targets []dispatch.Target) {
+func (q *queue) update(services []dispatch.Service, targets []dispatch.Target) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -128,19 +128,19 @@
 		}
 	}
 
-	q.tell(q.dispatcher.Update(time.Now(), services, targets))
+	q.notify(q.dispatcher.Update(time.Now(), services, targets))
 }
 
-// uses reports whether some target is an engine on a VM.
-func (q *queue) uses(vm netip.Addr) bool {
+// hasEngineOn reports whether some target is an engine on a VM.
+func (q *queue) hasEngineOn(vm netip.Addr) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	return len(q.engines[vm]) > 0
 }
 
-// tell hands out actions. It is called with mu held.
-func (q *queue) tell(actions []dispatch.Action) {
+// notify hands out actions. It is called with mu held.
+func (q *queue) notify(actions []dispatch.Action) {
 	for _, a := range actions {
 		if c := q.waiters[a.ID]; c != nil {
 			c <- a
@@ -150,19 +150,19 @@
 	}
 }
 
-func (q *queue) keepTicking() {
-	if q.ticking || q.dispatcher.Waiting() == 0 {
+func (q *queue) scheduleTick() {
+	if q.tickPending || q.dispatcher.Waiting() == 0 {
 		return
 	}
 
-	q.ticking = true
+	q.tickPending = true
 
-	time.AfterFunc(tickEvery, func() {
+	time.AfterFunc(tickInterval, func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 
-		q.tell(q.dispatcher.Tick(time.Now()))
-		q.ticking = false
-		q.keepTicking()
+		q.notify(q.dispatcher.Tick(time.Now()))
+		q.tickPending = false
+		q.scheduleTick()
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,17 +46,17 @@
 	Settings dispatch.Settings
 
 	// configured is closed once a configuration is known.
-	configured chan struct{}
-	configure  sync.Once
-
-	// changing lets one change after the other be taken in, and guards the keeper of parts.
-	changing  sync.Mutex
-	parts     parts
-	queue     *queue
-	counters  counters
-	latencies latencies
-	usual     usual
-	served    logs.Sampler
+	configured    chan struct{}
+	configureOnce sync.Once
+
+	// applyMu lets one change after the other be taken in, and guards the keeper of parts.
+	applyMu     sync.Mutex
+	entryShares entryShares
+	queue       *queue
+	counters    counters
+	latencies   latencies
+	durations   durations
+	completions logs.Sampler
 }
 
 // Limits bound what one request may hold.
@@ -89,10 +89,10 @@
 	}
 
 	r.configured = make(chan struct{})
-	r.parts.self = shares.Node{ID: r.ID, Zone: r.Zone}
-	r.parts.keeper.SubsetSize = shares.SubsetSize
+	r.entryShares.self = shares.Node{ID: r.ID, Zone: r.Zone}
+	r.entryShares.keeper.SubsetSize = shares.SubsetSize
 	r.latencies = newLatencies()
-	r.served.PerSecond = servedLines
+	r.completions.PerSecond = answeredLinesPerSecond
 	r.queue = &queue{
 		dispatcher: &dispatch.Dispatcher{Settings: r.Settings, Rand: r.Rand, Zone: r.Zone},
 		waiters:    make(map[uint64]chan dispatch.Action),
@@ -105,8 +105,8 @@
 		return
 	}
 
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
 
 	services := make([]dispatch.Service, 0, len(f.Table.Services))
 	for _, s := range f.Table.Services {
@@ -116,37 +116,37 @@
 	}
 
 	now := time.Now()
-	mine := r.parts.change(now, f)
-	targets := make([]dispatch.Target, 0, len(mine))
+	ownShares := r.entryShares.update(now, f)
+	targets := make([]dispatch.Target, 0, len(ownShares))
 
 	for i := range f.Targets {
-		if share, ok := mine[f.Targets[i].ID]; ok {
+		if share, ok := ownShares[f.Targets[i].ID]; ok {
 			targets = append(targets, targetOf(&f.Targets[i], f, share))
 		}
 	}
 
-	r.queue.change(services, targets)
-	r.configure.Do(func() { close(r.configured) })
+	r.queue.update(services, targets)
+	r.configureOnce.Do(func() { close(r.configured) })
 
-	if wait, due := r.parts.keeper.RecomputeDue(now); due {
+	if wait, due := r.entryShares.keeper.RecomputeDue(now); due {
 		time.AfterFunc(wait, func() { r.Apply(r.State()) })
 	}
 }
 
 // Uses reports whether this entry sends requests to the engines of a VM.
-func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.uses(vm) }
+func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.hasEngineOn(vm) }
 
 func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
-		Draining: leaves(t, f), Unresponsive: t.State == directory.Silent,
+		Draining: takesNoNewWork(t, f), Unresponsive: t.State == directory.Silent,
 		Broken: t.Group.Broken, ColdUntil: t.ColdUntil, Share: share,
 	}
 }
 
 // UpdateLoad takes in what the agent on a target's VM says of its load.
 func (r *Relay) UpdateLoad(vm netip.Addr, l loadreport.Load) {
-	r.queue.load(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
+	r.queue.updateLoad(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
 }
 
 // Ready reports whether this entry can serve: it knows a configuration and targets.
@@ -167,7 +167,7 @@
 		w.Header().Set("Connection", "close")
 	}
 
-	p := &passage{relay: r, w: w, req: req, began: now, state: r.State()}
+	p := &proxiedRequest{relay: r, w: w, req: req, arrivedAt: now, state: r.State()}
 
 	if err := p.readCall(); err != nil {
 		p.deny(http.StatusBadRequest, err.Error())
@@ -176,7 +176,7 @@
 	}
 
 	if p.state.Table == nil {
-		r.awaitTable(req.Context(), now, p.call.Deadline)
+		r.awaitConfiguration(req.Context(), now, p.call.Deadline)
 
 		p.state = r.State()
 	}
@@ -193,7 +193,7 @@
 		return
 	}
 
-	if stopping && r.usual.endsBy(now, p.service).After(stopsAt) {
+	if stopping && r.durations.expectedEnd(now, p.service).After(stopsAt) {
 		p.refuse(verdict.Refuse(verdict.CauseStopping, now.Add(r.Settings.MinRetryAfter)))
 
 		return
@@ -203,8 +203,8 @@
 }
 
 // readCall reads the head of the request.
-func (p *passage) readCall() error {
-	call, err := p.relay.Dialect.ReadRequest(p.req, p.began)
+func (p *proxiedRequest) readCall() error {
+	call, err := p.relay.Dialect.ReadRequest(p.req, p.arrivedAt)
 	if err != nil {
 		return err
 	}
@@ -217,7 +217,7 @@
 
 // admit finds the route and the workspace, and reads the body. A status other
 // than 0 denies the request.
-func (p *passage) admit() (int, string) {
+func (p *proxiedRequest) admit() (int, string) {
 	table := p.state.Table
 
 	path, _, _ := strings.Cut(p.req.RequestURI, "?")
@@ -231,14 +231,14 @@
 		}
 	}
 
-	most := table.Limits.BodyBytes
-	if most <= 0 {
-		most = p.relay.Limits.BodyBytes
+	maxBody := table.Limits.BodyBytes
+	if maxBody <= 0 {
+		maxBody = p.relay.Limits.BodyBytes
 	}
 
 	var err error
 
-	p.body, err = io.ReadAll(http.MaxBytesReader(p.w, p.req.Body, most))
+	p.body, err = io.ReadAll(http.MaxBytesReader(p.w, p.req.Body, maxBody))
 
 	var tooLong *http.MaxBytesError
 
@@ -256,27 +256,27 @@
 }
 
 // setDeadlines stores until when the request is of use.
-func (p *passage) setDeadlines() {
-	now := p.began
+func (p *proxiedRequest) setDeadlines() {
+	now := p.arrivedAt
 
 	p.deadline = now.Add(p.route.Timeout)
 	if !p.call.Deadline.IsZero() && p.call.Deadline.Before(p.deadline) {
 		p.deadline = p.call.Deadline
 	}
 
-	p.giveUpAt = p.deadline
+	p.eventDeadline = p.deadline
 
 	if p.route.Stream {
-		if first := now.Add(p.relay.Dialect.EventTimeout(p.route)); first.Before(p.giveUpAt) {
-			p.giveUpAt = first
+		if firstEventBy := now.Add(p.relay.Dialect.EventTimeout(p.route)); firstEventBy.Before(p.eventDeadline) {
+			p.eventDeadline = firstEventBy
 		}
 	}
 
-	p.aimAt = now.Add(p.route.Aim)
+	p.softDeadline = now.Add(p.route.Aim)
 }
 
-// rank orders requests: a workspace's priority goes before its route's.
-func (p *passage) rank() uint32 {
+// priority orders requests: a workspace's priority goes before its route's.
+func (p *proxiedRequest) priority() uint32 {
 	if p.workspace != nil {
 		return p.workspace.Priority
 	}
@@ -284,26 +284,26 @@
 	return p.route.Priority
 }
 
-// usualTokens is the size of a usual draft, for which Work is 1: prompt tokens
+// baselineTokens is the size of a usual draft, for which Work is 1: prompt tokens
 // count a tenth of generated ones, which take a step each.
-const usualTokens = 180
+const baselineTokens = 180
 
-func (p *passage) work() float64 {
+func (p *proxiedRequest) work() float64 {
 	if p.call.PromptTokens == 0 {
 		return 1
 	}
 
-	return (float64(p.call.PromptTokens)/10 + float64(p.call.AnswerTokens)) / usualTokens
+	return (float64(p.call.PromptTokens)/10 + float64(p.call.AnswerTokens)) / baselineTokens
 }
 
 // mayRepeat reports whether a request that may have run may be sent again.
-func (p *passage) mayRepeat() bool {
+func (p *proxiedRequest) mayRepeat() bool {
 	return p.route.Repeat == routes.Always || p.route.Repeat == routes.Resume && p.route.Stream
 }
 
 // counters are totals since the start.
 type counters struct {
-	requests, served, refused, denied, failed, cut, left atomic.Int64
+	requests, completions, refused, denied, failed, cut, disconnected atomic.Int64
 
-	again, unpaid, misdirected, spent atomic.Int64
+	retries, freeRetries, misdirected, budgetSpent atomic.Int64
 }
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -11,43 +11,43 @@
 	"github.com/parsleygate/parsleygate/internal/view"
 )
 
-// parts works out this entry's part of what entries hold together.
-type parts struct {
+// entryShares works out this entry's part of what entries hold together.
+type entryShares struct {
 	self   shares.Node
 	keeper shares.SubsetCache
 	// budgets are the parts of the retry budget, by service.
 	budgets atomic.Pointer[map[string]shares.Share]
 }
 
-// change takes in the entries and targets as they are now, and returns those targets that
+// update takes in the entries and targets as they are now, and returns those targets that
 // this entry uses, by ID. One goroutine at a time calls it.
-func (p *parts) change(now time.Time, f *view.Followed) map[string]shares.Share {
-	entries := p.entries(f)
+func (e *entryShares) update(now time.Time, f *view.Followed) map[string]shares.Share {
+	entries := e.entries(f)
 	budgets := make(map[string]shares.Share, len(f.Table.Services))
-	mine := make(map[string]shares.Share, len(f.Targets))
+	targetShares := make(map[string]shares.Share, len(f.Targets))
 
 	for _, s := range f.Table.Services {
-		budgets[s.Name] = shares.ForLimit(p.self, entries, s.Name)
-		used := p.keeper.Targets(now, s.Name, p.self, entries, placesOf(f, s.Name))
+		budgets[s.Name] = shares.ForLimit(e.self, entries, s.Name)
+		serviceShares := e.keeper.Targets(now, s.Name, e.self, entries, assignableTargets(f, s.Name))
 
 		for i := range f.Targets {
-			if share, ok := used[place(&f.Targets[i])]; ok && f.Targets[i].Service == s.Name {
-				mine[f.Targets[i].ID] = share
+			if share, ok := serviceShares[addressKey(&f.Targets[i])]; ok && f.Targets[i].Service == s.Name {
+				targetShares[f.Targets[i].ID] = share
 			}
 		}
 	}
 
-	p.budgets.Store(&budgets)
+	e.budgets.Store(&budgets)
 
-	return mine
+	return targetShares
 }
 
 // entries lists the entries that share, and stand-ins for those that are counted and not
 // known by ID.
-func (p *parts) entries(f *view.Followed) []shares.Node {
+func (e *entryShares) entries(f *view.Followed) []shares.Node {
 	out := append([]shares.Node{}, f.Roster...)
-	if !slices.ContainsFunc(out, func(e shares.Node) bool { return e.ID == p.self.ID }) {
-		out = append(out, p.self)
+	if !slices.ContainsFunc(out, func(node shares.Node) bool { return node.ID == e.self.ID }) {
+		out = append(out, e.self)
 	}
 
 	for i := len(out); i < f.Entries; i++ {
@@ -57,33 +57,33 @@
 	return out
 }
 
-// budget returns this entry's part of the retry budget of a service.
-func (p *parts) budget(service string) shares.Share {
-	if known := p.budgets.Load(); known != nil {
+// budgetShare returns this entry's part of the retry budget of a service.
+func (e *entryShares) budgetShare(service string) shares.Share {
+	if known := e.budgets.Load(); known != nil {
 		return (*known)[service]
 	}
 
 	return shares.Share{}
 }
 
-// placesOf lists the targets of a service that may get new work.
-func placesOf(f *view.Followed, service string) []shares.Node {
+// assignableTargets lists the targets of a service that may get new work.
+func assignableTargets(f *view.Followed, service string) []shares.Node {
 	var out []shares.Node
 
 	for i := range f.Targets {
-		if t := &f.Targets[i]; t.Service == service && !leaves(t, f) {
-			out = append(out, shares.Node{ID: place(t), Zone: t.Zone})
+		if t := &f.Targets[i]; t.Service == service && !takesNoNewWork(t, f) {
+			out = append(out, shares.Node{ID: addressKey(t), Zone: t.Zone})
 		}
 	}
 
 	return out
 }
 
-// place names where a target is. A target that starts anew has another ID at the same
+// addressKey names where a target is. A target that starts anew has another ID at the same
 // address, and is to be used by the same entries.
-func place(t *directory.Target) string { return t.Address.String() }
+func addressKey(t *directory.Target) string { return t.Address.String() }
 
-// leaves reports whether a target gets no new work any more.
-func leaves(t *directory.Target, f *view.Followed) bool {
+// takesNoNewWork reports whether a target gets no new work any more.
+func takesNoNewWork(t *directory.Target, f *view.Followed) bool {
 	return t.State == directory.Draining || f.Out(t.Zone)
 }
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -18,9 +18,9 @@
 	f := r.State()
 	c := &r.counters
 	s := State{
-		Requests: c.requests.Load(), Served: c.served.Load(), Refused: c.refused.Load(), Denied: c.denied.Load(),
-		Failed: c.failed.Load(), Cut: c.cut.Load(), Left: c.left.Load(),
-		Again: c.again.Load(), Unpaid: c.unpaid.Load(), Misdirected: c.misdirected.Load(), BudgetSpent: c.spent.Load(),
+		Requests: c.requests.Load(), Served: c.completions.Load(), Refused: c.refused.Load(), Denied: c.denied.Load(),
+		Failed: c.failed.Load(), Cut: c.cut.Load(), Left: c.disconnected.Load(),
+		Again: c.retries.Load(), Unpaid: c.freeRetries.Load(), Misdirected: c.misdirected.Load(), BudgetSpent: c.budgetSpent.Load(),
 		Number: f.Number, Index: f.Index, Entries: f.Entries,
 	}
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -12,8 +12,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// stream passes a stream on, event by event, each as soon as it is whole.
-func (p *passage) stream(ctx context.Context, answer *targetclient.Answer) error {
+// forwardStream passes a stream on, event by event, each as soon as it is whole.
+func (p *proxiedRequest) forwardStream(ctx context.Context, answer *targetclient.Answer) error {
 	flusher := http.NewResponseController(p.w)
 	events := targetclient.NewEventReader(answer.Body, p.relay.Limits.EventBytes)
 
@@ -22,16 +22,16 @@
 		// refused or sent elsewhere in full.
 		first, err := events.Next()
 		if err != nil {
-			return p.streamEnd(err)
+			return p.streamResult(err)
 		}
 
-		p.copyHead(answer)
+		p.copyHeaders(answer)
 		p.w.Header().Del("Content-Length")
-		p.head(answer.Status)
+		p.writeHead(answer.Status)
 
 		p.streaming = true
 
-		if err := p.pass(flusher, events, first); err != nil {
+		if err := p.writeEvent(flusher, events, first); err != nil {
 			return err
 		}
 	}
@@ -39,21 +39,21 @@
 	for {
 		ev, err := events.Next()
 		if err != nil {
-			return p.streamEnd(err)
+			return p.streamResult(err)
 		}
 
-		if err := p.pass(flusher, events, ev); err != nil {
+		if err := p.writeEvent(flusher, events, ev); err != nil {
 			return err
 		}
 
 		if ctx.Err() != nil {
-			return errCallerGone
+			return errCallerDisconnected
 		}
 	}
 }
 
-// streamEnd says how a stream ended: nil where it is whole.
-func (p *passage) streamEnd(err error) error {
+// streamResult says how a stream ended: nil where it is whole.
+func (p *proxiedRequest) streamResult(err error) error {
 	if errors.Is(err, io.EOF) && p.streaming {
 		return nil
 	}
@@ -61,10 +61,10 @@
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 }
 
-// pass writes one event. An event that the caller has already, which a target may
+// writeEvent writes one event. An event that the caller has already, which a target may
 // repeat when it goes on with a stream, is left out.
-func (p *passage) pass(flusher *http.ResponseController, events *targetclient.EventReader, ev targetclient.Event) error {
-	p.measure()
+func (p *proxiedRequest) writeEvent(flusher *http.ResponseController, events *targetclient.EventReader, ev targetclient.Event) error {
+	p.recordEventTime()
 
 	if ev.HasID {
 		if p.streaming && p.lastID > 0 && ev.ID <= p.lastID {
@@ -74,11 +74,11 @@
 		p.lastID = ev.ID
 		p.lastEvent = strconv.FormatUint(ev.ID, 10)
 		// A caller that has got an event waits for the next one anew.
-		p.giveUpAt = p.deadline
+		p.eventDeadline = p.deadline
 	}
 
 	if _, err := p.w.Write(ev.Bytes); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 
 	if events.Buffered() {
@@ -86,30 +86,30 @@
 	}
 
 	if err := flusher.Flush(); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 
 	return nil
 }
 
-// notePause takes in a pause between two events that ended at now.
-func (p *passage) notePause(now time.Time, pause time.Duration) {
-	p.relay.queue.pause(p.placed, float64(pause)/float64(p.route.Gap))
+// recordGap takes in a pause between two events that ended at now.
+func (p *proxiedRequest) recordGap(now time.Time, eventGap time.Duration) {
+	p.relay.queue.eventGap(p.placed, float64(eventGap)/float64(p.route.Gap))
 
-	if pause > p.longestPause {
-		p.longestPause, p.longestAt = pause, now
+	if eventGap > p.longestGap {
+		p.longestGap, p.longestGapAt = eventGap, now
 	}
 }
 
-// measure tells the dispatcher how long the target took for this event.
-func (p *passage) measure() {
+// recordEventTime tells the dispatcher how long the target took for this event.
+func (p *proxiedRequest) recordEventTime() {
 	now := time.Now()
 
 	switch {
 	case p.eventAt.IsZero():
-		p.relay.queue.first(p.placed, now.Sub(p.placedAt))
+		p.relay.queue.recordFirstAnswer(p.placed, now.Sub(p.placedAt))
 	case p.route.Gap > 0:
-		p.notePause(now, now.Sub(p.eventAt))
+		p.recordGap(now, now.Sub(p.eventAt))
 	}
 
 	p.eventAt = now
