--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -13,6 +13,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
+// outcomeOf returns the outcome of a response that checkResponse rejects.
 func outcomeOf(info ResponseInfo) dispatch.Outcome {
 	switch {
 	case info.Misdirected:
@@ -24,19 +25,19 @@
 	}
 }
 
-// checkResponse holds the head of an answer against the request that it must answer.
+// checkResponse returns an error unless the response head is a valid answer to this request.
 func (p *proxiedRequest) checkResponse(answer *targetclient.Answer, info ResponseInfo) error {
 	switch {
 	case info.Misdirected:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation}
 	case info.NotRun && answer.Status != http.StatusBadRequest:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}
-	case info.ID != "" && info.ID != p.call.ID:
+	case info.ID != "" && info.ID != p.caller.ID:
 		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCrossed}
 	case isSuccess(answer.Status) && !info.Signed, answer.Header.Get("Content-Encoding") != "", impliesNotRun(answer.Status):
-		// A target that promises nothing may have run it, whatever the status says.
+		// Without the header that says so, no status proves that the request did not run.
 		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken}
@@ -47,7 +48,7 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// impliesNotRun reports whether callers take the status for a promise.
+// impliesNotRun reports whether callers conclude from the status that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -57,8 +58,8 @@
 	}
 }
 
-// targetCall is the request as it goes to a target now.
-func (p *proxiedRequest) targetCall(target string) *targetclient.Request {
+// targetRequest returns the request to send to target, with the time that remains now.
+func (p *proxiedRequest) targetRequest(target string) *targetclient.Request {
 	h := p.req.Header.Clone()
 	dropHopByHop(h)
 	h.Del("Content-Length")
@@ -71,10 +72,10 @@
 	}
 }
 
-// errCallerDisconnected says that the caller left before its answer was whole.
-var errCallerDisconnected = errors.New("relay: the caller left")
+// errCallerDisconnected means that the caller disconnected before its answer was complete.
+var errCallerDisconnected = errors.New("relay: caller disconnected before the answer was complete")
 
-// deliver passes an answer on.
+// deliver forwards a target's answer to the caller.
 func (p *proxiedRequest) deliver(ctx context.Context, answer *targetclient.Answer) error {
 	if p.route.Stream && isSuccess(answer.Status) {
 		return p.forwardStream(ctx, answer)
@@ -84,8 +85,8 @@
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken}
 	}
 
-	// The answer is held until it is whole: a part of one must not look complete,
-	// and one that broke off may still be had from another target.
+	// The answer is buffered until it is complete: a truncated answer must not look
+	// complete, and the request may still be retried at another target.
 	body, err := io.ReadAll(io.LimitReader(answer.Body, p.relay.Limits.AnswerBytes+1))
 	if err != nil || int64(len(body)) > p.relay.Limits.AnswerBytes {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// writeHead sends the head of a target's answer.
+// writeHead sends the status and headers of a target's answer to the caller.
 func (p *proxiedRequest) writeHead(status int) {
 	p.status = status
 	p.firstByte = time.Since(p.arrivedAt)
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -8,21 +8,22 @@
 	"github.com/parsleygate/parsleygate/internal/routes"
 )
 
-// RequestInfo is what a caller says of its request beside method, path and body.
+// RequestInfo holds the request headers of a caller that the relay evaluates.
 type RequestInfo struct {
-	// ID is the caller's own name of this try; answers carry it.
+	// ID is the ID that the caller gave to this attempt. Answers repeat it.
 	ID  string
 	Key string
-	// Deadline is when the caller stops waiting; zero where it does not say.
+	// Deadline is when the caller stops waiting; zero if not given.
 	Deadline time.Time
-	// LastEvent is the event after which a stream is to go on; empty for its beginning.
+	// LastEvent is the ID of the event after which the stream resumes; empty to start at the
+	// beginning.
 	LastEvent string
-	// PromptTokens and AnswerTokens are the size of a draft; zero where unknown.
+	// PromptTokens and AnswerTokens are the size of a generation request; zero if unknown.
 	PromptTokens int
 	AnswerTokens int
 }
 
-// ForwardInfo is what a target is told beside the caller's own request.
+// ForwardInfo holds the values that the relay adds to a forwarded request as headers.
 type ForwardInfo struct {
 	TargetID  string
 	Workspace string
@@ -30,35 +31,36 @@
 	LastEvent string
 }
 
-// ResponseInfo is what a target says on the head of an answer beside the answer itself.
+// ResponseInfo holds what the relay evaluates in the head of a target's response.
 type ResponseInfo struct {
-	// ID repeats the request's.
+	// ID is the ID of the request that the target answers.
 	ID string
-	// Signed answers were made by a target for a request.
+	// Signed is set if the response carries a target's signature.
 	Signed bool
-	// NotRun: the target did not run the request and never will.
+	// NotRun is set if the target did not run the request and never will.
 	NotRun bool
-	// Misdirected: another target than the one that was meant answers at this address.
+	// Misdirected is set if a target other than the intended one answers at this address.
 	Misdirected bool
-	// Load is the target's, where it tells.
+	// Load is the target's load; valid if HasLoad is set.
 	Load    dispatch.Load
 	HasLoad bool
-	// AtFault names the target because of which this one refused; empty for none.
+	// AtFault is the ID of the target that made this one refuse; empty if there is none.
 	AtFault string
 }
 
-// Dialect is how callers and targets of a deployment speak beside plain HTTP.
+// Dialect implements the header conventions and timeouts that a deployment's callers and
+// targets use on top of HTTP.
 type Dialect struct {
-	// ReadRequest reads the head of a caller's request.
+	// ReadRequest decodes the headers of a caller's request that arrived at now.
 	ReadRequest func(r *http.Request, now time.Time) (RequestInfo, error)
-	// SetForwardHeaders sets the headers of a request to a target. Those of the caller that
-	// only concern the system are taken off.
-	SetForwardHeaders func(h http.Header, s ForwardInfo)
-	// ReadResponse reads the head of a target's answer.
+	// SetForwardHeaders sets the headers of a request to a target, and removes those of the
+	// caller that are meant for the load balancer only.
+	SetForwardHeaders func(h http.Header, info ForwardInfo)
+	// ReadResponse decodes the head of a target's response.
 	ReadResponse func(status int, h http.Header) ResponseInfo
-	// RetryAfter is the text of the header Retry-After.
+	// RetryAfter formats the value of the Retry-After header.
 	RetryAfter func(d time.Duration) string
-	// EventTimeout is how long a caller waits for the next event of a stream, its first
-	// included.
+	// EventTimeout returns how long a caller waits for the first or the next event of a
+	// stream before it disconnects.
 	EventTimeout func(r *routes.Route) time.Duration
 }
--- a/internal/relay/durations.go
+++ b/internal/relay/durations.go
@@ -6,24 +6,25 @@
 	"github.com/parsleygate/parsleygate/internal/latency"
 )
 
-// durations learns how long requests of each service take, from arrival to the last byte, so
-// that an entry that stops refuses what would not end before it does.
+// durations estimates how long requests of each service take, from arrival to the last byte.
+// A stopping entry refuses requests that would not finish before it ends.
 type durations struct{ services latency.Estimators[string] }
 
 const (
-	// durationWindow is over how many answers the mean is taken.
+	// durationWindow is the number of answers over which the mean is taken.
 	durationWindow = 32
-	// durationMargin is how many mean distances above the mean an answer may still take.
+	// durationMargin is how many mean deviations above the mean an answer is expected to take
+	// at most.
 	durationMargin = 3
 )
 
-// observe takes in how long a whole answer took.
+// observe records the duration of a completed request.
 func (d *durations) observe(service string, took time.Duration) {
 	d.services.Observe(service, took, durationWindow)
 }
 
-// expectedEnd says until when nearly all requests of a service that arrive at now have
-// ended; now itself for a service that nothing is known of.
+// expectedEnd returns when nearly all requests of a service that arrive at now will have
+// ended. For a service without observations it returns now.
 func (d *durations) expectedEnd(now time.Time, service string) time.Time {
 	within, _ := d.services.UpperBound(service, durationMargin)
 
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// complete notes a request that got its answer.
+// complete counts and logs a request that was answered.
 func (p *proxiedRequest) complete() {
 	now := time.Now()
 
@@ -24,7 +24,7 @@
 	}
 }
 
-// gapAttrs tells the longest pause of a stream, and how long ago it was.
+// gapAttrs returns log attributes for the longest event gap of a stream and how long ago it ended.
 func (p *proxiedRequest) gapAttrs() []any {
 	if p.longestGap == 0 {
 		return nil
@@ -33,7 +33,8 @@
 	return []any{"longestPause", p.longestGap.Round(time.Millisecond), "pausedAgo", time.Since(p.longestGapAt).Round(time.Millisecond)}
 }
 
-// endWithError gives the caller its final answer where the request has none.
+// endWithError ends a request that no target answered: with an error response, or by closing
+// the caller's connection.
 func (p *proxiedRequest) endWithError(err error) {
 	now := time.Now()
 
@@ -45,7 +46,7 @@
 	case p.streaming:
 		p.relay.counters.cut.Add(1)
 		p.log(slog.LevelWarn, "Stream cut.", "cause", p.cause(now, err), "lastEvent", p.lastEvent, "room", p.capacity, "error", err)
-		// Without its last piece the answer must not look whole.
+		// Closing the connection without the final chunk marks the stream as truncated.
 		panic(http.ErrAbortHandler)
 	case !p.mayHaveRun:
 		p.refuse(err)
@@ -54,8 +55,8 @@
 	}
 }
 
-// cause tells why a request that may have run has no whole answer. The
-// connection that is closed at the deadline looks like a broken answer.
+// cause returns why a request that may have run has no complete answer. The connection to
+// the target is closed at the deadline, so after it err looks like a broken answer.
 func (p *proxiedRequest) cause(now time.Time, err error) verdict.Cause {
 	if now.Before(p.deadline) {
 		return verdict.CauseOf(err)
@@ -64,7 +65,7 @@
 	return verdict.CauseDeadline
 }
 
-// refuse answers a request that has not run and never will.
+// refuse answers a request that did not run and never will: 503 with Retry-After.
 func (p *proxiedRequest) refuse(err error) {
 	var v *verdict.Error
 
@@ -79,7 +80,7 @@
 	http.Error(p.w, "not run: "+string(verdict.CauseOf(err)), http.StatusServiceUnavailable)
 }
 
-// fail answers a request that may have run.
+// fail answers a request that may have run: 502, or 504 after the deadline.
 func (p *proxiedRequest) fail(cause verdict.Cause, err error) {
 	status := http.StatusBadGateway
 	if cause == verdict.CauseDeadline {
@@ -91,13 +92,14 @@
 	http.Error(p.w, "may have run: "+string(cause), status)
 }
 
-// deny answers a request that is not proper or not allowed.
+// deny answers an invalid or unauthorized request with status.
 func (p *proxiedRequest) deny(status int, problem string) {
 	p.relay.counters.denied.Add(1)
 	p.log(slog.LevelInfo, "Denied.", "status", status, "problem", problem)
 	http.Error(p.w, problem, status)
 }
 
+// log writes a log line with the attributes that identify the request.
 func (p *proxiedRequest) log(level slog.Level, text string, args ...any) {
 	if !p.relay.Logger.Enabled(p.req.Context(), level) {
 		return
@@ -108,7 +110,7 @@
 		name = p.route.Name
 	}
 
-	args = append(args, "request", p.call.ID, "route", name, "service", p.service, "workspace", p.workspaceName(),
+	args = append(args, "request", p.caller.ID, "route", name, "service", p.service, "workspace", p.workspaceName(),
 		"sends", p.sends, "tried", p.tried, "waited", p.waited.Round(time.Millisecond), "took", time.Since(p.arrivedAt).Round(time.Millisecond),
 		"number", p.state.Number, "index", p.state.Index)
 
@@ -116,7 +118,7 @@
 		args = append(args, "notAgain", p.noRetry)
 	}
 
-	// A request that was not admitted has no deadline of its route yet.
+	// The deadline is set on admission; before, the time left would be meaningless.
 	if !p.deadline.IsZero() {
 		args = append(args, "left", time.Until(p.deadline).Round(time.Millisecond))
 	}
--- a/internal/relay/headers.go
+++ b/internal/relay/headers.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = []string{ //nolint:gochecknoglobals // a constant table
+// hopByHop lists the headers that apply to one connection and are not forwarded.
+var hopByHop = []string{ //nolint:gochecknoglobals // constant table
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
+// dropHopByHop removes the hop-by-hop headers, those named in Connection included.
 func dropHopByHop(h http.Header) {
 	for _, named := range h.Values("Connection") {
 		for _, name := range splitList(named) {
@@ -23,6 +24,7 @@
 	}
 }
 
+// copyHeader copies the end-to-end headers of from into to.
 func copyHeader(to, from http.Header) {
 	from = from.Clone()
 	dropHopByHop(from)
@@ -32,7 +34,7 @@
 	}
 }
 
-// splitList splits the value of a header that is a list with commas.
+// splitList splits a comma-separated header value.
 func splitList(v string) []string {
 	var out []string
 
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// Metric is one metric of an entry that is the door of its targets.
+// Metric describes one metric of an entry that proxies directly to its targets.
 type Metric struct {
 	Name string
 	Unit string
@@ -19,7 +19,7 @@
 	read func(r *Relay) int64
 }
 
-// Metrics returns the counters and gauges, in the order of the reference.
+// Metrics returns the counters and gauges in the order in which the reference lists them.
 func Metrics() []Metric {
 	return []Metric{
 		{"Relay.Requests", "requests", "Requests that callers sent.", func(r *Relay) int64 { return r.counters.requests.Load() }},
@@ -47,12 +47,12 @@
 	}
 }
 
-// latencies are the histograms of an entry (ms).
+// latencies holds the histograms of an entry (ms).
 type latencies struct {
 	wait, firstByte, total metrics.Histogram
 }
 
-// Histograms names the histograms with what they measure, all in milliseconds.
+// Histograms describes the histograms, in the order in which Register adds them.
 func Histograms() []Metric {
 	return []Metric{
 		{Name: "Relay.WaitMillis", Unit: "ms", Help: "From a request's arrival until it has a target."},
@@ -62,11 +62,11 @@
 }
 
 const (
-	// sampleSize and sampleAlpha make histograms weigh the last five minutes most.
+	// sampleSize and sampleAlpha weight the histograms towards the last five minutes.
 	sampleSize  = 512
 	sampleAlpha = 0.015
-	// answeredLinesPerSecond is how many served requests are logged in a second.
-	answeredLinesPerSecond = 20
+	// maxCompletionLines bounds the log lines for completed requests, per second.
+	maxCompletionLines = 20
 )
 
 func newLatencies() latencies {
@@ -77,7 +77,7 @@
 	return latencies{wait: h(), firstByte: h(), total: h()}
 }
 
-// Register adds the relay's metrics to a registry.
+// Register adds the relay's metrics to registry.
 func (r *Relay) Register(registry metrics.Registry) error {
 	for _, m := range Metrics() {
 		if err := registry.Register(m.Name, metrics.NewFunctionalGauge(func() int64 { return m.read(r) })); err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// MetricsReference returns the metrics reference, in Markdown.
+// MetricsReference returns the metrics reference page in Markdown.
 func MetricsReference() string {
 	var b strings.Builder
 
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -10,12 +10,12 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// tickInterval is how often requests that wait are looked at. It is short against
-// the pauses that keep targets out, and costs nothing while nobody waits.
+// tickInterval is how often waiting requests are reconsidered. It is short compared with the
+// ejection times of targets, and no timer runs while nothing waits.
 const tickInterval = 20 * time.Millisecond
 
-// queue runs the dispatcher: it wakes the goroutines of requests that are placed
-// or refused.
+// queue serializes calls of the dispatcher, and wakes the goroutines of requests that were
+// assigned to a target or refused.
 type queue struct {
 	dispatcher *dispatch.Dispatcher
 
@@ -23,14 +23,14 @@
 	lastID      uint64
 	waiters     map[uint64]chan dispatch.Action
 	tickPending bool
-	// engines are the targets that an agent tells the load of, by VM: each of a
-	// deployment's agents tells ten times a second.
+	// engines holds the targets whose load an agent reports, by VM. It is an index because
+	// each agent of a deployment sends ten reports per second.
 	engines map[netip.Addr][]engine
 }
 
 type engine struct{ service, target string }
 
-// acquireTarget waits until r has a target, is refused, or its caller leaves.
+// acquireTarget waits until r is assigned to a target or refused, or ctx ends.
 func (q *queue) acquireTarget(ctx context.Context, r dispatch.Request) (dispatch.Action, error) {
 	q.mu.Lock()
 	q.lastID++
@@ -78,6 +78,7 @@
 	q.notify(q.dispatcher.Finish(time.Now(), a, work, o))
 }
 
+// recordResponse passes on the load and the fault that a target's response reports.
 func (q *queue) recordResponse(a dispatch.Action, info ResponseInfo) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// updateLoad takes in the load of the engines on a VM.
+// updateLoad records a reported load for the engines on a VM.
 func (q *queue) updateLoad(vm netip.Addr, l dispatch.Load) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,6 +102,8 @@
 	}
 }
 
+// eventGap records a gap between two events of a stream, as a ratio to the gap that the route
+// allows.
 func (q *queue) eventGap(a dispatch.Action, ratio float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,6 +118,7 @@
 	q.dispatcher.ReportFirstAnswer(a, took)
 }
 
+// update replaces the services and targets.
 func (q *queue) update(services []dispatch.Service, targets []dispatch.Target) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -131,7 +135,7 @@
 	q.notify(q.dispatcher.Update(time.Now(), services, targets))
 }
 
-// hasEngineOn reports whether some target is an engine on a VM.
+// hasEngineOn reports whether a target is an engine on a VM.
 func (q *queue) hasEngineOn(vm netip.Addr) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -139,7 +143,7 @@
 	return len(q.engines[vm]) > 0
 }
 
-// notify hands out actions. It is called with mu held.
+// notify sends actions to the requests that wait for them. The caller holds mu.
 func (q *queue) notify(actions []dispatch.Action) {
 	for _, a := range actions {
 		if c := q.waiters[a.ID]; c != nil {
@@ -150,6 +154,7 @@
 	}
 }
 
+// scheduleTick starts a timer for the next tick while requests wait. The caller holds mu.
 func (q *queue) scheduleTick() {
 	if q.tickPending || q.dispatcher.Waiting() == 0 {
 		return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,5 @@
-// Package relay is the shell of an entry that is itself the door of its targets:
-// it speaks HTTP with callers, finds their route, and passes each request on to a
-// target that has no agent.
+// Package relay implements an entry that proxies directly to targets without an agent: it
+// accepts HTTP requests of callers, matches their route, and forwards each to a target.
 package relay
 
 import (
@@ -27,54 +26,56 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Relay serves callers. Set its exported fields before Init.
+// Relay is an http.Handler that forwards callers' requests to targets. Its exported fields must
+// be set before Init.
 type Relay struct {
 	Dialect Dialect
-	// ID and Zone are this entry's.
+	// ID and Zone identify this entry.
 	ID   string
 	Zone string
-	// State returns what the control VMs published.
+	// State returns the state that the control VMs published last.
 	State     func() *view.Followed
 	Transport *targetclient.Client
 	Budget    *retries.SharedBudget
-	// StopsAt says when this entry ends, and whether it stops at all. Once it does,
-	// answers end their connections.
+	// StopsAt returns whether this entry is stopping, and when it ends. While it stops, each
+	// answer closes its connection.
 	StopsAt  func() (at time.Time, stopping bool)
 	Limits   Limits
 	Logger   *slog.Logger
 	Rand     *rand.Rand
 	Settings dispatch.Settings
 
-	// configured is closed once a configuration is known.
+	// configured is closed when the first configuration is applied.
 	configured    chan struct{}
 	configureOnce sync.Once
 
-	// applyMu lets one change after the other be taken in, and guards the keeper of parts.
+	// applyMu serializes Apply and guards entryShares.subsets.
 	applyMu     sync.Mutex
 	entryShares entryShares
 	queue       *queue
 	counters    counters
 	latencies   latencies
 	durations   durations
+	// completions limits the log lines for completed requests.
 	completions logs.Sampler
 }
 
-// Limits bound what one request may hold.
+// Limits bounds the memory that one request may hold.
 type Limits struct {
-	// AnswerBytes is the longest answer that is held until it is whole.
+	// AnswerBytes is the maximum length of an answer that is buffered until it is complete.
 	AnswerBytes int64
-	// EventBytes is the longest event of a stream.
+	// EventBytes is the maximum length of a stream event.
 	EventBytes int
-	// BodyBytes is the longest body of a request where the operators declare none.
+	// BodyBytes is the maximum length of a request body if the configuration sets none.
 	BodyBytes int64
 }
 
-// DefaultLimits returns limits for drafts and bookings.
+// DefaultLimits returns limits that fit generation streams and small API calls.
 func DefaultLimits() Limits {
 	return Limits{AnswerBytes: 8 << 20, EventBytes: 1 << 20, BodyBytes: 4 << 20}
 }
 
-// Init prepares the relay. It must be called once, before the first request.
+// Init must be called once, before the first request.
 func (r *Relay) Init() {
 	if r.Limits == (Limits{}) {
 		r.Limits = DefaultLimits()
@@ -90,16 +91,17 @@
 
 	r.configured = make(chan struct{})
 	r.entryShares.self = shares.Node{ID: r.ID, Zone: r.Zone}
-	r.entryShares.keeper.SubsetSize = shares.SubsetSize
+	r.entryShares.subsets.SubsetSize = shares.SubsetSize
 	r.latencies = newLatencies()
-	r.completions.PerSecond = answeredLinesPerSecond
+	r.completions.PerSecond = maxCompletionLines
 	r.queue = &queue{
 		dispatcher: &dispatch.Dispatcher{Settings: r.Settings, Rand: r.Rand, Zone: r.Zone},
 		waiters:    make(map[uint64]chan dispatch.Action),
 	}
 }
 
-// Apply takes in what the control VMs published.
+// Apply updates the services and targets from the state that the control VMs published. It
+// ignores a state without a configuration.
 func (r *Relay) Apply(f *view.Followed) {
 	if f.Table == nil {
 		return
@@ -128,28 +130,28 @@
 	r.queue.update(services, targets)
 	r.configureOnce.Do(func() { close(r.configured) })
 
-	if wait, due := r.entryShares.keeper.RecomputeDue(now); due {
+	if wait, due := r.entryShares.subsets.RecomputeDue(now); due {
 		time.AfterFunc(wait, func() { r.Apply(r.State()) })
 	}
 }
 
-// Uses reports whether this entry sends requests to the engines of a VM.
+// Uses reports whether this entry sends requests to an engine on vm.
 func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.hasEngineOn(vm) }
 
 func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
-		Draining: takesNoNewWork(t, f), Unresponsive: t.State == directory.Silent,
+		Draining: isDraining(t, f), Unresponsive: t.State == directory.Silent,
 		Broken: t.Group.Broken, ColdUntil: t.ColdUntil, Share: share,
 	}
 }
 
-// UpdateLoad takes in what the agent on a target's VM says of its load.
+// UpdateLoad records a load report of the agent on vm.
 func (r *Relay) UpdateLoad(vm netip.Addr, l loadreport.Load) {
 	r.queue.updateLoad(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
 }
 
-// Ready reports whether this entry can serve: it knows a configuration and targets.
+// Ready reports whether this entry has a configuration and targets.
 func (r *Relay) Ready() bool {
 	f := r.State()
 
@@ -169,14 +171,14 @@
 
 	p := &proxiedRequest{relay: r, w: w, req: req, arrivedAt: now, state: r.State()}
 
-	if err := p.readCall(); err != nil {
+	if err := p.readCallerInfo(); err != nil {
 		p.deny(http.StatusBadRequest, err.Error())
 
 		return
 	}
 
 	if p.state.Table == nil {
-		r.awaitConfiguration(req.Context(), now, p.call.Deadline)
+		r.awaitConfiguration(req.Context(), now, p.caller.Deadline)
 
 		p.state = r.State()
 	}
@@ -202,21 +204,21 @@
 	p.run()
 }
 
-// readCall reads the head of the request.
-func (p *proxiedRequest) readCall() error {
-	call, err := p.relay.Dialect.ReadRequest(p.req, p.arrivedAt)
+// readCallerInfo decodes the request's headers.
+func (p *proxiedRequest) readCallerInfo() error {
+	caller, err := p.relay.Dialect.ReadRequest(p.req, p.arrivedAt)
 	if err != nil {
 		return err
 	}
 
-	p.call = call
-	p.lastEvent = call.LastEvent
+	p.caller = caller
+	p.lastEvent = caller.LastEvent
 
 	return nil
 }
 
-// admit finds the route and the workspace, and reads the body. A status other
-// than 0 denies the request.
+// admit finds the route and the workspace, and reads the body. It returns status 0 if the
+// request is admitted, else the status and text to deny it with.
 func (p *proxiedRequest) admit() (int, string) {
 	table := p.state.Table
 
@@ -226,7 +228,7 @@
 	}
 
 	if table.Keyed() && !p.route.Anonymous {
-		if p.workspace = table.Workspace(p.call.Key); p.workspace == nil {
+		if p.workspace = table.Workspace(p.caller.Key); p.workspace == nil {
 			return http.StatusUnauthorized, "the key is not known"
 		}
 	}
@@ -255,13 +257,13 @@
 	return 0, ""
 }
 
-// setDeadlines stores until when the request is of use.
+// setDeadlines sets the deadlines from the route's times and the caller's deadline.
 func (p *proxiedRequest) setDeadlines() {
 	now := p.arrivedAt
 
 	p.deadline = now.Add(p.route.Timeout)
-	if !p.call.Deadline.IsZero() && p.call.Deadline.Before(p.deadline) {
-		p.deadline = p.call.Deadline
+	if !p.caller.Deadline.IsZero() && p.caller.Deadline.Before(p.deadline) {
+		p.deadline = p.caller.Deadline
 	}
 
 	p.eventDeadline = p.deadline
@@ -275,7 +277,7 @@
 	p.softDeadline = now.Add(p.route.Aim)
 }
 
-// priority orders requests: a workspace's priority goes before its route's.
+// priority returns the workspace's priority, or the route's for a request without a workspace.
 func (p *proxiedRequest) priority() uint32 {
 	if p.workspace != nil {
 		return p.workspace.Priority
@@ -284,16 +286,17 @@
 	return p.route.Priority
 }
 
-// baselineTokens is the size of a usual draft, for which Work is 1: prompt tokens
-// count a tenth of generated ones, which take a step each.
+// baselineTokens is the size of a typical generation request, for which Work is 1. A generated
+// token takes a step of its own; a prompt token counts as a tenth of one.
 const baselineTokens = 180
 
+// work returns the expected work relative to a typical request.
 func (p *proxiedRequest) work() float64 {
-	if p.call.PromptTokens == 0 {
+	if p.caller.PromptTokens == 0 {
 		return 1
 	}
 
-	return (float64(p.call.PromptTokens)/10 + float64(p.call.AnswerTokens)) / baselineTokens
+	return (float64(p.caller.PromptTokens)/10 + float64(p.caller.AnswerTokens)) / baselineTokens
 }
 
 // mayRepeat reports whether a request that may have run may be sent again.
@@ -301,7 +304,7 @@
 	return p.route.Repeat == routes.Always || p.route.Repeat == routes.Resume && p.route.Stream
 }
 
-// counters are totals since the start.
+// counters holds totals since the start of the process.
 type counters struct {
 	requests, completions, refused, denied, failed, cut, disconnected atomic.Int64
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -14,7 +14,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// proxiedRequest is one request on its way through this entry.
+// proxiedRequest is the state of one request while this entry handles it.
 type proxiedRequest struct {
 	relay     *Relay
 	w         http.ResponseWriter
@@ -22,63 +22,63 @@
 	state     *view.Followed
 	arrivedAt time.Time
 
-	call      RequestInfo
+	caller    RequestInfo
 	route     *routes.Route
 	workspace *routes.Workspace
 	service   string
 	body      []byte
-	// deadline is when the caller or the route ends it; giveUpAt when a caller that
-	// has heard nothing leaves; aimAt until when the first answer is of full use.
+	// deadline is the earlier of the caller's and the route's. eventDeadline is when the
+	// caller disconnects if it has received no event. softDeadline is the end of the route's
+	// latency target for the first answer.
 	deadline      time.Time
 	eventDeadline time.Time
 	softDeadline  time.Time
 
-	// placed is the target that has it now, since placedAt; eventAt is when the last
-	// event came from there.
+	// placed is the current target, since placedAt. eventAt is when its last event arrived,
+	// zero before the first.
 	placed   dispatch.Action
 	placedAt time.Time
 	eventAt  time.Time
 
-	// waited is how long it has waited for targets so far.
+	// waited is the total time in the queue over all attempts.
 	waited time.Duration
 
-	// longestGap is the longest time between two events of its stream, which ended at
-	// longestAt.
+	// longestGap is the longest gap between two events of the stream. It ended at longestGapAt.
 	longestGap   time.Duration
 	longestGapAt time.Time
 
-	// status is that of the answer that was passed on, first how long it took to begin.
+	// status is the forwarded answer's; firstByte is the time from arrival to its head.
 	status    int
 	firstByte time.Duration
-	// capacity is the state of the targets when it was refused.
+	// capacity is the state of the targets when the request was refused.
 	capacity dispatch.CapacitySummary
 
-	// tried are the targets that it was sent to, reached how far the last try got.
+	// tried lists the targets of all attempts. readBy belongs to the last attempt.
 	tried  []string
 	readBy readStatus
-	// sends is how many targets may have read it, misdirected how many of them were
-	// others than those that were meant.
+	// sends counts the targets that may have read the request; misdirected counts those of
+	// them that were not the intended ones.
 	sends       int
 	misdirected int
-	// noRetry is why it is not sent to another target after its last try.
+	// noRetry is why the request was not retried after the last attempt.
 	noRetry retries.Reason
-	// mayHaveRun is set once some target may have run it.
+	// mayHaveRun is set once a target may have run the request.
 	mayHaveRun bool
-	// streaming is set once the head of a stream has left; lastEvent is the last
-	// event that the caller has.
-	streaming bool
-	lastEvent string
-	lastID    uint64
+	// streaming is set once the head of a stream was sent to the caller. lastEvent is the ID of
+	// the last event that the caller has; lastForwardedID is the last ID sent by this entry.
+	streaming       bool
+	lastEvent       string
+	lastForwardedID uint64
 }
 
-// run sends the request until it is answered, or must not be sent again.
+// run sends the request to targets until one answers it or it must not be retried.
 func (p *proxiedRequest) run() {
 	ctx, cancel := context.WithDeadline(p.req.Context(), p.deadline)
 	defer cancel()
 
 	p.relay.Budget.RecordRequest(p.arrivedAt, p.service, p.relay.entryShares.budgetShare(p.service))
 
-	var lastErr error // the try before
+	var lastErr error // of the previous attempt
 
 	for {
 		placed, err := p.acquireTarget(ctx)
@@ -106,7 +106,7 @@
 	}
 }
 
-// acquireTarget waits for a target.
+// acquireTarget waits until the dispatcher assigns a target or refuses the request.
 func (p *proxiedRequest) acquireTarget(ctx context.Context) (dispatch.Action, error) {
 	startedAt := time.Now()
 	placed, err := p.relay.queue.acquireTarget(ctx, p.dispatchRequest())
@@ -140,8 +140,8 @@
 	return p.workspace.Name
 }
 
-// attempt sends the request to one target and delivers its answer. An error says
-// what became of it there.
+// attempt sends the request to one target and forwards its answer to the caller. The error
+// says whether the target may have run the request.
 func (p *proxiedRequest) attempt(ctx context.Context, placed dispatch.Action) error {
 	outcome := dispatch.Canceled
 	defer func() { p.relay.queue.finish(placed, p.work(), outcome) }()
@@ -150,7 +150,7 @@
 	p.placed, p.placedAt, p.eventAt = placed, time.Now(), time.Time{}
 	p.readBy = readByNone
 
-	answer, err := p.relay.Transport.Open(ctx, placed.Target.Address, p.targetCall(placed.Target.ID))
+	answer, err := p.relay.Transport.Open(ctx, placed.Target.Address, p.targetRequest(placed.Target.ID))
 	if err != nil {
 		if verdict.Of(err) != verdict.NotRun {
 			p.recordRead(readByTarget)
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// recordRead takes in that a target may have read the request.
+// recordRead counts a target that may have read the request.
 func (p *proxiedRequest) recordRead(r readStatus) {
 	p.readBy = r
 	p.sends++
@@ -202,7 +202,8 @@
 	}
 }
 
-// failureOutcome says whether a failure tells something of the target.
+// failureOutcome returns Canceled for errors that the caller or the deadline caused, and Failed
+// for those that count against the target.
 func (p *proxiedRequest) failureOutcome(ctx context.Context, err error) dispatch.Outcome {
 	if ctx.Err() != nil || errors.Is(err, errCallerDisconnected) {
 		return dispatch.Canceled
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -11,25 +11,25 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// readStatus is how far a try got.
+// readStatus says which target may have read the request in an attempt.
 type readStatus uint8
 
 const (
-	// readByNone: no target has read the request.
+	// readByNone means that no target read the request.
 	readByNone readStatus = iota
-	// readByOther: another target than the one that was meant has read and rejected it.
+	// readByOther means that a target other than the intended one read and rejected it.
 	readByOther
-	// readByTarget: the target that was meant may have read it.
+	// readByTarget means that the intended target may have read it.
 	readByTarget
 )
 
-// maxUndelivered bounds how many targets are tried that do not get the request: their
-// connection did not come up, or another target has their address.
+// maxUndelivered bounds the attempts of a request that do not reach the intended target:
+// the connection failed, or another target has its address.
 const maxUndelivered = 4
 
-// checkRetry returns why the request is not sent to another target after a try that failed;
-// ReasonNone where it is. Whatever has read the request had work with it, so that the
-// next send draws on the retry budget.
+// checkRetry returns why a failed request must not be sent to another target, or ReasonNone
+// if it may. A target that read the request has spent work on it, so the next attempt
+// counts against the retry budget.
 func (p *proxiedRequest) checkRetry(ctx context.Context, err error) retries.Reason {
 	now := time.Now()
 	delivered := p.sends - p.misdirected
@@ -49,7 +49,8 @@
 		return retries.ReasonMayHaveRun
 	}
 
-	// Right after a restart the entries that were known as the request arrived may be few.
+	// The share is read now: when the request arrived, shortly after a restart, this entry
+	// may have known few of the others and taken its share for larger.
 	share := p.relay.entryShares.budgetShare(p.service)
 
 	if p.readBy != readByNone && !p.relay.Budget.Allow(now, p.service, share) {
@@ -61,7 +62,7 @@
 	return retries.ReasonNone
 }
 
-// recordRetry counts and logs that the request goes to placed, after a try that failed.
+// recordRetry counts and logs a retry at the target in placed.
 func (p *proxiedRequest) recordRetry(lastErr error, placed dispatch.Action) {
 	charged := p.readBy != readByNone
 
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -11,16 +11,16 @@
 	"github.com/parsleygate/parsleygate/internal/view"
 )
 
-// entryShares works out this entry's part of what entries hold together.
+// entryShares computes this entry's shares of the limits that all entries have in common.
 type entryShares struct {
-	self   shares.Node
-	keeper shares.SubsetCache
-	// budgets are the parts of the retry budget, by service.
+	self    shares.Node
+	subsets shares.SubsetCache
+	// budgets holds the shares of the retry budgets, by service.
 	budgets atomic.Pointer[map[string]shares.Share]
 }
 
-// update takes in the entries and targets as they are now, and returns those targets that
-// this entry uses, by ID. One goroutine at a time calls it.
+// update recomputes the shares from the current entries and targets. It returns the shares of
+// the targets that this entry uses, by target ID. It must not be called concurrently.
 func (e *entryShares) update(now time.Time, f *view.Followed) map[string]shares.Share {
 	entries := e.entries(f)
 	budgets := make(map[string]shares.Share, len(f.Table.Services))
@@ -28,7 +28,7 @@
 
 	for _, s := range f.Table.Services {
 		budgets[s.Name] = shares.ForLimit(e.self, entries, s.Name)
-		serviceShares := e.keeper.Targets(now, s.Name, e.self, entries, assignableTargets(f, s.Name))
+		serviceShares := e.subsets.Targets(now, s.Name, e.self, entries, assignableTargets(f, s.Name))
 
 		for i := range f.Targets {
 			if share, ok := serviceShares[addressKey(&f.Targets[i])]; ok && f.Targets[i].Service == s.Name {
@@ -42,8 +42,8 @@
 	return targetShares
 }
 
-// entries lists the entries that share, and stand-ins for those that are counted and not
-// known by ID.
+// entries lists the entries that share the limits, with placeholders for entries that are
+// counted but not known by ID.
 func (e *entryShares) entries(f *view.Followed) []shares.Node {
 	out := append([]shares.Node{}, f.Roster...)
 	if !slices.ContainsFunc(out, func(node shares.Node) bool { return node.ID == e.self.ID }) {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// budgetShare returns this entry's part of the retry budget of a service.
+// budgetShare returns this entry's share of the retry budget of a service.
 func (e *entryShares) budgetShare(service string) shares.Share {
 	if known := e.budgets.Load(); known != nil {
 		return (*known)[service]
@@ -66,12 +66,12 @@
 	return shares.Share{}
 }
 
-// assignableTargets lists the targets of a service that may get new work.
+// assignableTargets lists the targets of a service that accept new requests.
 func assignableTargets(f *view.Followed, service string) []shares.Node {
 	var out []shares.Node
 
 	for i := range f.Targets {
-		if t := &f.Targets[i]; t.Service == service && !takesNoNewWork(t, f) {
+		if t := &f.Targets[i]; t.Service == service && !isDraining(t, f) {
 			out = append(out, shares.Node{ID: addressKey(t), Zone: t.Zone})
 		}
 	}
@@ -79,11 +79,11 @@
 	return out
 }
 
-// addressKey names where a target is. A target that starts anew has another ID at the same
-// address, and is to be used by the same entries.
+// addressKey identifies a target by its address. A restarted target has another ID at the same
+// address, and is assigned to the same entries.
 func addressKey(t *directory.Target) string { return t.Address.String() }
 
-// takesNoNewWork reports whether a target gets no new work any more.
-func takesNoNewWork(t *directory.Target, f *view.Followed) bool {
+// isDraining reports whether a target gets no new requests: it drains, or its zone is out.
+func isDraining(t *directory.Target, f *view.Followed) bool {
 	return t.State == directory.Draining || f.Out(t.Zone)
 }
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// maxStartupWait is how long a caller of an entry without a configuration waits for one at
-	// most.
+	// maxStartupWait bounds how long a request waits at an entry that has no configuration yet.
 	maxStartupWait = time.Second
-	// startupWaitDivisor is the part of a caller's time that it may wait so, as a divisor.
+	// startupWaitDivisor bounds that wait to this fraction of the caller's remaining time.
 	startupWaitDivisor = 4
 )
 
-// awaitConfiguration waits for the first configuration, as long as that is worth the caller's
-// time: after a loss of power callers come back before the control VMs have a leader,
-// most with one retry left. An entry that loses touch later keeps its configuration.
+// awaitConfiguration waits for the first configuration, up to a part of the caller's time.
+// After a power loss callers retry before the control VMs have elected a leader, most of them
+// with one retry left. An entry that loses its connection later keeps its configuration.
 func (r *Relay) awaitConfiguration(ctx context.Context, now, deadline time.Time) {
 	until := now.Add(maxStartupWait)
 
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// State is the relay's state for a dump.
+// State is the relay's state in a dump. Counters are totals since the start of the process.
 type State struct {
 	Requests, Served, Refused, Denied, Failed, Cut, Left int64
 	Again, Unpaid, Misdirected, BudgetSpent              int64
@@ -13,7 +13,7 @@
 	Entries, Waiting                                     int
 }
 
-// Dump returns the state as of now.
+// Dump returns the current state.
 func (r *Relay) Dump() State {
 	f := r.State()
 	c := &r.counters
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -12,14 +12,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// forwardStream passes a stream on, event by event, each as soon as it is whole.
+// forwardStream forwards a stream event by event, each as soon as it is complete.
 func (p *proxiedRequest) forwardStream(ctx context.Context, answer *targetclient.Answer) error {
 	flusher := http.NewResponseController(p.w)
 	events := targetclient.NewEventReader(answer.Body, p.relay.Limits.EventBytes)
 
 	if !p.streaming {
-		// The head waits for the first event: until then the request may still be
-		// refused or sent elsewhere in full.
+		// The head is sent with the first event: until then the request can still be
+		// refused, or retried from its beginning at another target.
 		first, err := events.Next()
 		if err != nil {
 			return p.streamResult(err)
@@ -52,7 +52,8 @@
 	}
 }
 
-// streamResult says how a stream ended: nil where it is whole.
+// streamResult returns nil if the stream ended after at least one event and without an error,
+// else an error that says the answer is broken.
 func (p *proxiedRequest) streamResult(err error) error {
 	if errors.Is(err, io.EOF) && p.streaming {
 		return nil
@@ -61,19 +62,19 @@
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 }
 
-// writeEvent writes one event. An event that the caller has already, which a target may
-// repeat when it goes on with a stream, is left out.
+// writeEvent writes one event to the caller. It skips events that the caller already has: a
+// target that resumes a stream may repeat them.
 func (p *proxiedRequest) writeEvent(flusher *http.ResponseController, events *targetclient.EventReader, ev targetclient.Event) error {
 	p.recordEventTime()
 
 	if ev.HasID {
-		if p.streaming && p.lastID > 0 && ev.ID <= p.lastID {
+		if p.streaming && p.lastForwardedID > 0 && ev.ID <= p.lastForwardedID {
 			return nil
 		}
 
-		p.lastID = ev.ID
+		p.lastForwardedID = ev.ID
 		p.lastEvent = strconv.FormatUint(ev.ID, 10)
-		// A caller that has got an event waits for the next one anew.
+		// With an event received, the caller's timeout for the first one no longer applies.
 		p.eventDeadline = p.deadline
 	}
 
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// recordGap takes in a pause between two events that ended at now.
+// recordGap records a gap between two events that ended at now.
 func (p *proxiedRequest) recordGap(now time.Time, eventGap time.Duration) {
 	p.relay.queue.eventGap(p.placed, float64(eventGap)/float64(p.route.Gap))
 
@@ -101,7 +102,7 @@
 	}
 }
 
-// recordEventTime tells the dispatcher how long the target took for this event.
+// recordEventTime reports to the dispatcher how long the target took for this event.
 func (p *proxiedRequest) recordEventTime() {
 	now := time.Now()
 
