--- a/internal/relay/durations.go
+++ b/internal/relay/durations.go
@@ -26,7 +26,7 @@
 // expectedEnd returns when nearly all requests of a service that arrive at now will have
 // ended. For a service without observations it returns now.
 func (d *durations) expectedEnd(now time.Time, service string) time.Time {
-	within, _ := d.services.UpperBound(service, durationMargin)
+	upperBound, _ := d.services.UpperBound(service, durationMargin)
 
-	return now.Add(within)
+	return now.Add(upperBound)
 }
