--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -13,31 +13,32 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-func outcomeOf(w ResponseInfo) dispatch.Outcome {
+// outcomeOf returns the outcome of a response that checkResponse rejects.
+func outcomeOf(info ResponseInfo) dispatch.Outcome {
 	switch {
-	case w.Misdirected:
+	case info.Misdirected:
 		return dispatch.Misdirected
-	case w.NotRun:
+	case info.NotRun:
 		return dispatch.Rejected
 	default:
 		return dispatch.Failed
 	}
 }
 
-// check holds the head of an answer against the request that it must answer.
-func (p *passage) check(answer *targetclient.Answer, word ResponseInfo) error {
+// checkResponse returns an error unless the response head is a valid answer to this request.
+func (p *proxiedRequest) checkResponse(answer *targetclient.Answer, info ResponseInfo) error {
 	switch {
-	case word.Misdirected:
+	case info.Misdirected:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation}
-	case word.NotRun && answer.Status != http.StatusBadRequest:
+	case info.NotRun && answer.Status != http.StatusBadRequest:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}
-	case word.ID != "" && word.ID != p.call.ID:
-		p.ran = true
+	case info.ID != "" && info.ID != p.caller.ID:
+		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCrossed}
-	case isSuccess(answer.Status) && !word.Signed, answer.Header.Get("Content-Encoding") != "", promisesNotRun(answer.Status):
-		// A target that promises nothing may have run it, whatever the status says.
-		p.ran = true
+	case isSuccess(answer.Status) && !info.Signed, answer.Header.Get("Content-Encoding") != "", impliesNotRun(answer.Status):
+		// Without the header that says so, no status proves that the request did not run.
+		p.mayHaveRun = true
 
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken}
 	}
@@ -47,8 +48,8 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// promisesNotRun reports whether callers take the status for a promise.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers conclude from the status that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -57,8 +58,8 @@
 	}
 }
 
-// outbound is the request as it goes to a target now.
-func (p *passage) outbound(target string) *targetclient.Request {
+// targetRequest returns the request to send to target, with the time that remains now.
+func (p *proxiedRequest) targetRequest(target string) *targetclient.Request {
 	h := p.req.Header.Clone()
 	dropHopByHop(h)
 	h.Del("Content-Length")
@@ -71,50 +72,50 @@
 	}
 }
 
-// errCallerGone says that the caller left before its answer was whole.
-var errCallerGone = errors.New("relay: the caller left")
+// errCallerDisconnected means that the caller disconnected before its answer was complete.
+var errCallerDisconnected = errors.New("relay: caller disconnected before the answer was complete")
 
-// deliver passes an answer on.
-func (p *passage) deliver(ctx context.Context, answer *targetclient.Answer) error {
+// deliver forwards a target's answer to the caller.
+func (p *proxiedRequest) deliver(ctx context.Context, answer *targetclient.Answer) error {
 	if p.route.Stream && isSuccess(answer.Status) {
-		return p.stream(ctx, answer)
+		return p.forwardStream(ctx, answer)
 	}
 
 	if p.streaming {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken}
 	}
 
-	// The answer is held until it is whole: a part of one must not look complete,
-	// and one that broke off may still be had from another target.
+	// The answer is buffered until it is complete: a truncated answer must not look
+	// complete, and the request may still be retried at another target.
 	body, err := io.ReadAll(io.LimitReader(answer.Body, p.relay.Limits.AnswerBytes+1))
 	if err != nil || int64(len(body)) > p.relay.Limits.AnswerBytes {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 	}
 
-	p.copyHead(answer)
+	p.copyHeaders(answer)
 
 	if bodyAllowed(answer.Status) && p.req.Method != http.MethodHead {
 		p.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 
-	p.head(answer.Status)
+	p.writeHead(answer.Status)
 
 	if _, err := p.w.Write(body); err != nil && bodyAllowed(answer.Status) {
-		p.relay.counters.left.Add(1)
+		p.relay.counters.disconnected.Add(1)
 	}
 
 	return nil
 }
 
-// head sends the head of a target's answer.
-func (p *passage) head(status int) {
+// writeHead sends the status and headers of a target's answer to the caller.
+func (p *proxiedRequest) writeHead(status int) {
 	p.status = status
-	p.first = time.Since(p.began)
-	p.relay.latencies.first.Update(p.first.Milliseconds())
+	p.firstByte = time.Since(p.arrivedAt)
+	p.relay.latencies.firstByte.Update(p.firstByte.Milliseconds())
 	p.w.WriteHeader(status)
 }
 
-func (p *passage) copyHead(answer *targetclient.Answer) {
+func (p *proxiedRequest) copyHeaders(answer *targetclient.Answer) {
 	copyHeader(p.w.Header(), answer.Header)
 
 	if _, stopping := p.relay.StopsAt(); stopping {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,5 @@
-// Package relay is the shell of an entry that is itself the door of its targets:
-// it speaks HTTP with callers, finds their route, and passes each request on to a
-// target that has no agent.
+// Package relay implements an entry that proxies directly to targets without an agent: it
+// accepts HTTP requests of callers, matches their route, and forwards each to a target.
 package relay
 
 import (
@@ -27,54 +26,56 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Relay serves callers. Set its exported fields before Init.
+// Relay is an http.Handler that forwards callers' requests to targets. Its exported fields must
+// be set before Init.
 type Relay struct {
 	Dialect Dialect
-	// ID and Zone are this entry's.
+	// ID and Zone identify this entry.
 	ID   string
 	Zone string
-	// State returns what the control VMs published.
+	// State returns the state that the control VMs published last.
 	State     func() *view.Followed
 	Transport *targetclient.Client
 	Budget    *retries.SharedBudget
-	// StopsAt says when this entry ends, and whether it stops at all. Once it does,
-	// answers end their connections.
+	// StopsAt returns whether this entry is stopping, and when it ends. While it stops, each
+	// answer closes its connection.
 	StopsAt  func() (at time.Time, stopping bool)
 	Limits   Limits
 	Logger   *slog.Logger
 	Rand     *rand.Rand
 	Settings dispatch.Settings
 
-	// configured is closed once a configuration is known.
-	configured chan struct{}
-	configure  sync.Once
-
-	// changing lets one change after the other be taken in, and guards the keeper of parts.
-	changing  sync.Mutex
-	parts     parts
-	queue     *queue
-	counters  counters
-	latencies latencies
-	usual     usual
-	served    logs.Sampler
+	// configured is closed when the first configuration is applied.
+	configured    chan struct{}
+	configureOnce sync.Once
+
+	// applyMu serializes Apply and guards entryShares.subsets.
+	applyMu     sync.Mutex
+	entryShares entryShares
+	queue       *queue
+	counters    counters
+	latencies   latencies
+	durations   durations
+	// completions limits the log lines for completed requests.
+	completions logs.Sampler
 }
 
-// Limits bound what one request may hold.
+// Limits bounds the memory that one request may hold.
 type Limits struct {
-	// AnswerBytes is the longest answer that is held until it is whole.
+	// AnswerBytes is the maximum length of an answer that is buffered until it is complete.
 	AnswerBytes int64
-	// EventBytes is the longest event of a stream.
+	// EventBytes is the maximum length of a stream event.
 	EventBytes int
-	// BodyBytes is the longest body of a request where the operators declare none.
+	// BodyBytes is the maximum length of a request body if the configuration sets none.
 	BodyBytes int64
 }
 
-// DefaultLimits returns limits for drafts and bookings.
+// DefaultLimits returns limits that fit generation streams and small API calls.
 func DefaultLimits() Limits {
 	return Limits{AnswerBytes: 8 << 20, EventBytes: 1 << 20, BodyBytes: 4 << 20}
 }
 
-// Init prepares the relay. It must be called once, before the first request.
+// Init must be called once, before the first request.
 func (r *Relay) Init() {
 	if r.Limits == (Limits{}) {
 		r.Limits = DefaultLimits()
@@ -89,24 +90,25 @@
 	}
 
 	r.configured = make(chan struct{})
-	r.parts.self = shares.Node{ID: r.ID, Zone: r.Zone}
-	r.parts.keeper.SubsetSize = shares.SubsetSize
+	r.entryShares.self = shares.Node{ID: r.ID, Zone: r.Zone}
+	r.entryShares.subsets.SubsetSize = shares.SubsetSize
 	r.latencies = newLatencies()
-	r.served.PerSecond = servedLines
+	r.completions.PerSecond = maxCompletionLines
 	r.queue = &queue{
 		dispatcher: &dispatch.Dispatcher{Settings: r.Settings, Rand: r.Rand, Zone: r.Zone},
 		waiters:    make(map[uint64]chan dispatch.Action),
 	}
 }
 
-// Apply takes in what the control VMs published.
+// Apply updates the services and targets from the state that the control VMs published. It
+// ignores a state without a configuration.
 func (r *Relay) Apply(f *view.Followed) {
 	if f.Table == nil {
 		return
 	}
 
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
 
 	services := make([]dispatch.Service, 0, len(f.Table.Services))
 	for _, s := range f.Table.Services {
@@ -116,40 +118,40 @@
 	}
 
 	now := time.Now()
-	mine := r.parts.change(now, f)
-	targets := make([]dispatch.Target, 0, len(mine))
+	ownShares := r.entryShares.update(now, f)
+	targets := make([]dispatch.Target, 0, len(ownShares))
 
 	for i := range f.Targets {
-		if share, ok := mine[f.Targets[i].ID]; ok {
+		if share, ok := ownShares[f.Targets[i].ID]; ok {
 			targets = append(targets, targetOf(&f.Targets[i], f, share))
 		}
 	}
 
-	r.queue.change(services, targets)
-	r.configure.Do(func() { close(r.configured) })
+	r.queue.update(services, targets)
+	r.configureOnce.Do(func() { close(r.configured) })
 
-	if wait, due := r.parts.keeper.RecomputeDue(now); due {
+	if wait, due := r.entryShares.subsets.RecomputeDue(now); due {
 		time.AfterFunc(wait, func() { r.Apply(r.State()) })
 	}
 }
 
-// Uses reports whether this entry sends requests to the engines of a VM.
-func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.uses(vm) }
+// Uses reports whether this entry sends requests to an engine on vm.
+func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.hasEngineOn(vm) }
 
 func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
-		Draining: leaves(t, f), Unresponsive: t.State == directory.Silent,
+		Draining: isDraining(t, f), Unresponsive: t.State == directory.Silent,
 		Broken: t.Group.Broken, ColdUntil: t.ColdUntil, Share: share,
 	}
 }
 
-// UpdateLoad takes in what the agent on a target's VM says of its load.
+// UpdateLoad records a load report of the agent on vm.
 func (r *Relay) UpdateLoad(vm netip.Addr, l loadreport.Load) {
-	r.queue.load(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
+	r.queue.updateLoad(vm, dispatch.Load{Running: l.Running, Waiting: l.Waiting, Slowdown: l.Slowdown})
 }
 
-// Ready reports whether this entry can serve: it knows a configuration and targets.
+// Ready reports whether this entry has a configuration and targets.
 func (r *Relay) Ready() bool {
 	f := r.State()
 
@@ -167,16 +169,16 @@
 		w.Header().Set("Connection", "close")
 	}
 
-	p := &passage{relay: r, w: w, req: req, began: now, state: r.State()}
+	p := &proxiedRequest{relay: r, w: w, req: req, arrivedAt: now, state: r.State()}
 
-	if err := p.readCall(); err != nil {
+	if err := p.readCallerInfo(); err != nil {
 		p.deny(http.StatusBadRequest, err.Error())
 
 		return
 	}
 
 	if p.state.Table == nil {
-		r.awaitTable(req.Context(), now, p.call.Deadline)
+		r.awaitConfiguration(req.Context(), now, p.caller.Deadline)
 
 		p.state = r.State()
 	}
@@ -193,7 +195,7 @@
 		return
 	}
 
-	if stopping && r.usual.endsBy(now, p.service).After(stopsAt) {
+	if stopping && r.durations.expectedEnd(now, p.service).After(stopsAt) {
 		p.refuse(verdict.Refuse(verdict.CauseStopping, now.Add(r.Settings.MinRetryAfter)))
 
 		return
@@ -202,22 +204,22 @@
 	p.run()
 }
 
-// readCall reads the head of the request.
-func (p *passage) readCall() error {
-	call, err := p.relay.Dialect.ReadRequest(p.req, p.began)
+// readCallerInfo decodes the request's headers.
+func (p *proxiedRequest) readCallerInfo() error {
+	caller, err := p.relay.Dialect.ReadRequest(p.req, p.arrivedAt)
 	if err != nil {
 		return err
 	}
 
-	p.call = call
-	p.lastEvent = call.LastEvent
+	p.caller = caller
+	p.lastEvent = caller.LastEvent
 
 	return nil
 }
 
-// admit finds the route and the workspace, and reads the body. A status other
-// than 0 denies the request.
-func (p *passage) admit() (int, string) {
+// admit finds the route and the workspace, and reads the body. It returns status 0 if the
+// request is admitted, else the status and text to deny it with.
+func (p *proxiedRequest) admit() (int, string) {
 	table := p.state.Table
 
 	path, _, _ := strings.Cut(p.req.RequestURI, "?")
@@ -226,19 +228,19 @@
 	}
 
 	if table.Keyed() && !p.route.Anonymous {
-		if p.workspace = table.Workspace(p.call.Key); p.workspace == nil {
+		if p.workspace = table.Workspace(p.caller.Key); p.workspace == nil {
 			return http.StatusUnauthorized, "the key is not known"
 		}
 	}
 
-	most := table.Limits.BodyBytes
-	if most <= 0 {
-		most = p.relay.Limits.BodyBytes
+	maxBody := table.Limits.BodyBytes
+	if maxBody <= 0 {
+		maxBody = p.relay.Limits.BodyBytes
 	}
 
 	var err error
 
-	p.body, err = io.ReadAll(http.MaxBytesReader(p.w, p.req.Body, most))
+	p.body, err = io.ReadAll(http.MaxBytesReader(p.w, p.req.Body, maxBody))
 
 	var tooLong *http.MaxBytesError
 
@@ -255,28 +257,28 @@
 	return 0, ""
 }
 
-// setDeadlines stores until when the request is of use.
-func (p *passage) setDeadlines() {
-	now := p.began
+// setDeadlines sets the deadlines from the route's times and the caller's deadline.
+func (p *proxiedRequest) setDeadlines() {
+	now := p.arrivedAt
 
 	p.deadline = now.Add(p.route.Timeout)
-	if !p.call.Deadline.IsZero() && p.call.Deadline.Before(p.deadline) {
-		p.deadline = p.call.Deadline
+	if !p.caller.Deadline.IsZero() && p.caller.Deadline.Before(p.deadline) {
+		p.deadline = p.caller.Deadline
 	}
 
-	p.giveUpAt = p.deadline
+	p.eventDeadline = p.deadline
 
 	if p.route.Stream {
-		if first := now.Add(p.relay.Dialect.EventTimeout(p.route)); first.Before(p.giveUpAt) {
-			p.giveUpAt = first
+		if firstEventBy := now.Add(p.relay.Dialect.EventTimeout(p.route)); firstEventBy.Before(p.eventDeadline) {
+			p.eventDeadline = firstEventBy
 		}
 	}
 
-	p.aimAt = now.Add(p.route.Aim)
+	p.softDeadline = now.Add(p.route.Aim)
 }
 
-// rank orders requests: a workspace's priority goes before its route's.
-func (p *passage) rank() uint32 {
+// priority returns the workspace's priority, or the route's for a request without a workspace.
+func (p *proxiedRequest) priority() uint32 {
 	if p.workspace != nil {
 		return p.workspace.Priority
 	}
@@ -284,26 +286,27 @@
 	return p.route.Priority
 }
 
-// usualTokens is the size of a usual draft, for which Work is 1: prompt tokens
-// count a tenth of generated ones, which take a step each.
-const usualTokens = 180
+// baselineTokens is the size of a typical generation request, for which Work is 1. A generated
+// token takes a step of its own; a prompt token counts as a tenth of one.
+const baselineTokens = 180
 
-func (p *passage) work() float64 {
-	if p.call.PromptTokens == 0 {
+// work returns the expected work relative to a typical request.
+func (p *proxiedRequest) work() float64 {
+	if p.caller.PromptTokens == 0 {
 		return 1
 	}
 
-	return (float64(p.call.PromptTokens)/10 + float64(p.call.AnswerTokens)) / usualTokens
+	return (float64(p.caller.PromptTokens)/10 + float64(p.caller.AnswerTokens)) / baselineTokens
 }
 
 // mayRepeat reports whether a request that may have run may be sent again.
-func (p *passage) mayRepeat() bool {
+func (p *proxiedRequest) mayRepeat() bool {
 	return p.route.Repeat == routes.Always || p.route.Repeat == routes.Resume && p.route.Stream
 }
 
-// counters are totals since the start.
+// counters holds totals since the start of the process.
 type counters struct {
-	requests, served, refused, denied, failed, cut, left atomic.Int64
+	requests, completions, refused, denied, failed, cut, disconnected atomic.Int64
 
-	again, unpaid, misdirected, spent atomic.Int64
+	retries, freeRetries, misdirected, budgetSpent atomic.Int64
 }
--- /dev/null
+++ b/internal/relay/request.go
@@ -0,0 +1,213 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/parsleygate/parsleygate/internal/dispatch"
+	"github.com/parsleygate/parsleygate/internal/retries"
+	"github.com/parsleygate/parsleygate/internal/routes"
+	"github.com/parsleygate/parsleygate/internal/view"
+	"github.com/parsleygate/parsleygate/pkg/verdict"
+)
+
+// proxiedRequest is the state of one request while this entry handles it.
+type proxiedRequest struct {
+	relay     *Relay
+	w         http.ResponseWriter
+	req       *http.Request
+	state     *view.Followed
+	arrivedAt time.Time
+
+	caller    RequestInfo
+	route     *routes.Route
+	workspace *routes.Workspace
+	service   string
+	body      []byte
+	// deadline is the earlier of the caller's and the route's. eventDeadline is when the
+	// caller disconnects if it has received no event. softDeadline is the end of the route's
+	// latency target for the first answer.
+	deadline      time.Time
+	eventDeadline time.Time
+	softDeadline  time.Time
+
+	// placed is the current target, since placedAt. eventAt is when its last event arrived,
+	// zero before the first.
+	placed   dispatch.Action
+	placedAt time.Time
+	eventAt  time.Time
+
+	// waited is the total time in the queue over all attempts.
+	waited time.Duration
+
+	// longestGap is the longest gap between two events of the stream. It ended at longestGapAt.
+	longestGap   time.Duration
+	longestGapAt time.Time
+
+	// status is the forwarded answer's; firstByte is the time from arrival to its head.
+	status    int
+	firstByte time.Duration
+	// capacity is the state of the targets when the request was refused.
+	capacity dispatch.CapacitySummary
+
+	// tried lists the targets of all attempts. readBy belongs to the last attempt.
+	tried  []string
+	readBy readStatus
+	// sends counts the targets that may have read the request; misdirected counts those of
+	// them that were not the intended ones.
+	sends       int
+	misdirected int
+	// noRetry is why the request was not retried after the last attempt.
+	noRetry retries.Reason
+	// mayHaveRun is set once a target may have run the request.
+	mayHaveRun bool
+	// streaming is set once the head of a stream was sent to the caller. lastEvent is the ID of
+	// the last event that the caller has; lastForwardedID is the last ID sent by this entry.
+	streaming       bool
+	lastEvent       string
+	lastForwardedID uint64
+}
+
+// run sends the request to targets until one answers it or it must not be retried.
+func (p *proxiedRequest) run() {
+	ctx, cancel := context.WithDeadline(p.req.Context(), p.deadline)
+	defer cancel()
+
+	p.relay.Budget.RecordRequest(p.arrivedAt, p.service, p.relay.entryShares.budgetShare(p.service))
+
+	var lastErr error // of the previous attempt
+
+	for {
+		placed, err := p.acquireTarget(ctx)
+		if err != nil {
+			p.endWithError(err)
+
+			return
+		}
+
+		if lastErr != nil {
+			p.recordRetry(lastErr, placed)
+		}
+
+		if lastErr = p.attempt(ctx, placed); lastErr == nil {
+			p.complete()
+
+			return
+		}
+
+		if p.noRetry = p.checkRetry(ctx, lastErr); p.noRetry != retries.ReasonNone {
+			p.endWithError(lastErr)
+
+			return
+		}
+	}
+}
+
+// acquireTarget waits until the dispatcher assigns a target or refuses the request.
+func (p *proxiedRequest) acquireTarget(ctx context.Context) (dispatch.Action, error) {
+	startedAt := time.Now()
+	placed, err := p.relay.queue.acquireTarget(ctx, p.dispatchRequest())
+	now := time.Now()
+
+	p.waited += now.Sub(startedAt)
+
+	if err != nil {
+		p.capacity = placed.Capacity
+
+		return placed, err
+	}
+
+	p.relay.latencies.wait.Update(millis(p.arrivedAt, now))
+
+	return placed, nil
+}
+
+func (p *proxiedRequest) dispatchRequest() dispatch.Request {
+	return dispatch.Request{
+		Service: p.service, Workspace: p.workspaceName(), Priority: p.priority(),
+		SoftDeadline: p.softDeadline, Deadline: p.eventDeadline, Work: p.work(), Excluded: p.tried,
+	}
+}
+
+func (p *proxiedRequest) workspaceName() string {
+	if p.workspace == nil {
+		return ""
+	}
+
+	return p.workspace.Name
+}
+
+// attempt sends the request to one target and forwards its answer to the caller. The error
+// says whether the target may have run the request.
+func (p *proxiedRequest) attempt(ctx context.Context, placed dispatch.Action) error {
+	outcome := dispatch.Canceled
+	defer func() { p.relay.queue.finish(placed, p.work(), outcome) }()
+
+	p.tried = append(slices.Clip(p.tried), placed.Target.ID)
+	p.placed, p.placedAt, p.eventAt = placed, time.Now(), time.Time{}
+	p.readBy = readByNone
+
+	answer, err := p.relay.Transport.Open(ctx, placed.Target.Address, p.targetRequest(placed.Target.ID))
+	if err != nil {
+		if verdict.Of(err) != verdict.NotRun {
+			p.recordRead(readByTarget)
+			p.mayHaveRun = true
+		}
+
+		outcome = p.failureOutcome(ctx, err)
+
+		return err
+	}
+	defer answer.Close()
+
+	info := p.relay.Dialect.ReadResponse(answer.Status, answer.Header)
+	if info.Misdirected {
+		p.recordRead(readByOther)
+	} else {
+		p.recordRead(readByTarget)
+	}
+
+	p.relay.queue.recordResponse(placed, info)
+
+	if err := p.checkResponse(answer, info); err != nil {
+		outcome = outcomeOf(info)
+
+		return err
+	}
+
+	p.mayHaveRun = true
+
+	if err := p.deliver(ctx, answer); err != nil {
+		outcome = p.failureOutcome(ctx, err)
+
+		return err
+	}
+
+	outcome = dispatch.Completed
+
+	return nil
+}
+
+// recordRead counts a target that may have read the request.
+func (p *proxiedRequest) recordRead(r readStatus) {
+	p.readBy = r
+	p.sends++
+
+	if r == readByOther {
+		p.misdirected++
+		p.relay.counters.misdirected.Add(1)
+	}
+}
+
+// failureOutcome returns Canceled for errors that the caller or the deadline caused, and Failed
+// for those that count against the target.
+func (p *proxiedRequest) failureOutcome(ctx context.Context, err error) dispatch.Outcome {
+	if ctx.Err() != nil || errors.Is(err, errCallerDisconnected) {
+		return dispatch.Canceled
+	}
+
+	return dispatch.Failed
+}
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// State is the relay's state for a dump.
+// State is the relay's state in a dump. Counters are totals since the start of the process.
 type State struct {
 	Requests, Served, Refused, Denied, Failed, Cut, Left int64
 	Again, Unpaid, Misdirected, BudgetSpent              int64
@@ -13,14 +13,14 @@
 	Entries, Waiting                                     int
 }
 
-// Dump returns the state as of now.
+// Dump returns the current state.
 func (r *Relay) Dump() State {
 	f := r.State()
 	c := &r.counters
 	s := State{
-		Requests: c.requests.Load(), Served: c.served.Load(), Refused: c.refused.Load(), Denied: c.denied.Load(),
-		Failed: c.failed.Load(), Cut: c.cut.Load(), Left: c.left.Load(),
-		Again: c.again.Load(), Unpaid: c.unpaid.Load(), Misdirected: c.misdirected.Load(), BudgetSpent: c.spent.Load(),
+		Requests: c.requests.Load(), Served: c.completions.Load(), Refused: c.refused.Load(), Denied: c.denied.Load(),
+		Failed: c.failed.Load(), Cut: c.cut.Load(), Left: c.disconnected.Load(),
+		Again: c.retries.Load(), Unpaid: c.freeRetries.Load(), Misdirected: c.misdirected.Load(), BudgetSpent: c.budgetSpent.Load(),
 		Number: f.Number, Index: f.Index, Entries: f.Entries,
 	}
 
