--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkWrite(b *testing.B) {
 	for _, group := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprintf("group=%d", group), func(b *testing.B) {
-			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewBirth: func() uint64 { return 1 }}
+			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewCreationID: func() uint64 { return 1 }}
 			if _, err := j.Open(); err != nil {
 				b.Fatal(err)
 			}
@@ -50,7 +50,7 @@
 		snap := quorum.Persist{State: &quorum.HardState{Term: 1}, Snapshot: &quorum.Snapshot{Index: 1, Term: 1, Data: data}}
 
 		b.Run(fmt.Sprintf("write/MiB=%d", mib), func(b *testing.B) {
-			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewBirth: func() uint64 { return 1 }}
+			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewCreationID: func() uint64 { return 1 }}
 			if _, err := j.Open(); err != nil {
 				b.Fatal(err)
 			}
@@ -63,7 +63,7 @@
 		})
 
 		b.Run(fmt.Sprintf("open/MiB=%d", mib), func(b *testing.B) {
-			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewBirth: func() uint64 { return 1 }}
+			j := &journal.Journal{Dir: b.TempDir(), Cluster: "bench", ID: "vm0", NewCreationID: func() uint64 { return 1 }}
 			if _, err := j.Open(); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// DamageError says that a file holds something else than what was written. The
+// CorruptionError says that a file holds something else than what was written. The
 // replica must not take part: it may have forgotten what it acknowledged.
-type DamageError struct {
+type CorruptionError struct {
 	File   string
 	Offset int
-	What   string
+	Detail string
 }
 
 // Error implements error.
-func (e *DamageError) Error() string {
-	return fmt.Sprintf("journal: %s is damaged at byte %d: %s", e.File, e.Offset, e.What)
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("journal: %s is damaged at byte %d: %s", e.File, e.Offset, e.Detail)
 }
 
-// MissingError says that a part of the data folder is gone.
-type MissingError struct {
+// MissingFileError says that a part of the data folder is gone.
+type MissingFileError struct {
 	File string
 }
 
 // Error implements error.
-func (e *MissingError) Error() string {
+func (e *MissingFileError) Error() string {
 	return fmt.Sprintf("journal: %s is missing from the data folder", e.File)
 }
 
@@ -40,13 +40,13 @@
 // WriteError says that a write or sync failed. Nobody can tell what the disk
 // holds now, so the journal takes no further writes until it is opened again.
 type WriteError struct {
-	What string
-	Err  error
+	Op  string
+	Err error
 }
 
 // Error implements error.
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("journal: %s failed: %v", e.What, e.Err)
+	return fmt.Sprintf("journal: %s failed: %v", e.Op, e.Err)
 }
 
 // Unwrap returns the fault below.
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -44,11 +44,11 @@
 // readFileHead returns the birth in the head of a file.
 func readFileHead(name string, k kind, b []byte) (uint64, error) {
 	if len(b) < fileHeadSize || binary.LittleEndian.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
-		return 0, &DamageError{File: name, What: "head of file"}
+		return 0, &CorruptionError{File: name, Detail: "head of file"}
 	}
 
 	if binary.LittleEndian.Uint64(b) != uint64(k) {
-		return 0, &DamageError{File: name, What: "kind of file"}
+		return 0, &CorruptionError{File: name, Detail: "kind of file"}
 	}
 
 	return binary.LittleEndian.Uint64(b[8:]), nil
@@ -81,7 +81,7 @@
 	var out [][]byte
 
 	for seq := uint64(1); len(b) > 0; seq++ {
-		damage := &DamageError{File: name, Offset: offset, What: "frame"}
+		damage := &CorruptionError{File: name, Offset: offset, Detail: "frame"}
 
 		if !isFrameHead(b) {
 			if len(bytes.TrimRight(b, "\x00")) < frameHeadSize {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -32,8 +32,8 @@
 	Dir     string
 	Cluster string
 	ID      string
-	// NewBirth returns a random number other than 0, for an empty data folder.
-	NewBirth func() uint64
+	// NewCreationID returns a random number other than 0, for an empty data folder.
+	NewCreationID func() uint64
 	// Files are the file operations; the zero value stands for OSFiles.
 	Files Files
 
@@ -49,18 +49,18 @@
 // Open reads the data folder, or fills an empty one. The log is written anew
 // and synced: after a failed sync the operating system may show what the disk
 // does not hold, and a replica that restarts must not vouch for that.
-func (j *Journal) Open() (quorum.Stored, error) {
+func (j *Journal) Open() (quorum.StoredState, error) {
 	if j.Files.Read == nil {
 		j.Files = OSFiles()
 	}
 
 	if err := j.Files.MakeDir(j.Dir); err != nil {
-		return quorum.Stored{}, &WriteError{What: "make data folder", Err: err}
+		return quorum.StoredState{}, &WriteError{Op: "make data folder", Err: err}
 	}
 
 	release, err := j.Files.Lock(j.path(lockName))
 	if err != nil {
-		return quorum.Stored{}, &WriteError{What: "lock data folder", Err: err}
+		return quorum.StoredState{}, &WriteError{Op: "lock data folder", Err: err}
 	}
 
 	j.release = release
@@ -76,14 +76,14 @@
 	}
 
 	if err != nil {
-		return quorum.Stored{}, errors.Join(err, j.Close())
+		return quorum.StoredState{}, errors.Join(err, j.Close())
 	}
 
 	return stored, nil
 }
 
-// Birth returns the random number made with the data folder. It is known after Open.
-func (j *Journal) Birth() uint64 { return j.birth }
+// CreationID returns the random number made with the data folder. It is known after Open.
+func (j *Journal) CreationID() uint64 { return j.birth }
 
 // Stats returns what was made durable since Open.
 func (j *Journal) Stats() Stats { return j.stats }
@@ -147,10 +147,10 @@
 	j.seq++
 
 	payload, err := proto.Marshal(&wire.JournalBatch{
-		Term: j.hard.Term, Vote: j.hard.Vote, VoteBirth: j.hard.VoteBirth, Entries: quorum.EntriesToWire(entries),
+		Term: j.hard.Term, Vote: j.hard.Vote, VoteBirth: j.hard.VoteCreationID, Entries: quorum.EntriesToWire(entries),
 	})
 	if err != nil {
-		return nil, &WriteError{What: "encode batch", Err: err}
+		return nil, &WriteError{Op: "encode batch", Err: err}
 	}
 
 	return appendFrame(b, j.seq, payload), nil
@@ -178,7 +178,7 @@
 	}
 
 	if err := old.Close(); err != nil {
-		return &WriteError{What: "close former log", Err: err}
+		return &WriteError{Op: "close former log", Err: err}
 	}
 
 	return nil
@@ -189,7 +189,7 @@
 		Index: s.Index, Term: s.Term, MembersIndex: s.MembersIndex, Members: quorum.MembersToWire(s.Members), Data: s.Data,
 	})
 	if err != nil {
-		return &WriteError{What: "encode snapshot", Err: err}
+		return &WriteError{Op: "encode snapshot", Err: err}
 	}
 
 	return j.replaceClosed(snapshotName, appendFrame(fileHead(kindSnapshot, j.birth), 1, payload))
@@ -204,7 +204,7 @@
 
 	payload, err := proto.Marshal(&wire.JournalIdentity{Cluster: j.Cluster, ID: j.ID, Birth: j.birth})
 	if err != nil {
-		return &WriteError{What: "encode identity", Err: err}
+		return &WriteError{Op: "encode identity", Err: err}
 	}
 
 	return j.replaceClosed(identityName, appendFrame(fileHead(kindIdentity, j.birth), 1, payload))
@@ -215,7 +215,7 @@
 func (j *Journal) replace(name string, b []byte) (*File, error) {
 	f, err := j.Files.Create(j.path(name + tmpSuffix))
 	if err != nil {
-		return nil, &WriteError{What: "create " + name, Err: err}
+		return nil, &WriteError{Op: "create " + name, Err: err}
 	}
 
 	err = j.writeSynced(f, b)
@@ -228,7 +228,7 @@
 	}
 
 	if err != nil {
-		return nil, &WriteError{What: "replace " + name, Err: errors.Join(err, f.Close())}
+		return nil, &WriteError{Op: "replace " + name, Err: errors.Join(err, f.Close())}
 	}
 
 	return f, nil
@@ -241,7 +241,7 @@
 	}
 
 	if err := f.Close(); err != nil {
-		return &WriteError{What: "close " + name, Err: err}
+		return &WriteError{Op: "close " + name, Err: err}
 	}
 
 	return nil
@@ -254,11 +254,11 @@
 	}
 
 	if err != nil {
-		return &WriteError{What: "write", Err: err}
+		return &WriteError{Op: "write", Err: err}
 	}
 
 	if err := f.Sync(); err != nil {
-		return &WriteError{What: "sync", Err: err}
+		return &WriteError{Op: "sync", Err: err}
 	}
 
 	j.stats.Syncs++
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -12,9 +12,9 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-func open(d *disk) (*journal.Journal, quorum.Stored, error) {
+func open(d *disk) (*journal.Journal, quorum.StoredState, error) {
 	j := &journal.Journal{
-		Dir: "data", Cluster: "test", ID: "vm0", NewBirth: func() uint64 { return 7 }, Files: d.operations(),
+		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 7 }, Files: d.operations(),
 	}
 	stored, err := j.Open()
 
@@ -31,10 +31,10 @@
 	return []quorum.Persist{
 		{State: &quorum.HardState{Term: 1, Vote: "vm0"}, Snapshot: &quorum.Snapshot{Members: quorum.Members{{ID: "vm0", Birth: 7}}}},
 		{Entries: []quorum.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
-		{State: &quorum.HardState{Term: 3, Vote: "vm1", VoteBirth: 5}},
+		{State: &quorum.HardState{Term: 3, Vote: "vm1", VoteCreationID: 5}},
 		{Entries: []quorum.Entry{entry(3, 3, "d"), entry(4, 3, "e")}},
 		{
-			State: &quorum.HardState{Term: 3, Vote: "vm1", VoteBirth: 5}, Snapshot: &quorum.Snapshot{Index: 3, Term: 3, Data: []byte("abd")},
+			State: &quorum.HardState{Term: 3, Vote: "vm1", VoteCreationID: 5}, Snapshot: &quorum.Snapshot{Index: 3, Term: 3, Data: []byte("abd")},
 			Entries: []quorum.Entry{entry(3, 3, "d"), entry(4, 3, "e")},
 		},
 		{Entries: []quorum.Entry{entry(5, 3, "f"), entry(6, 3, "deposed")}},
@@ -47,8 +47,8 @@
 
 // after returns what must be found after the first n writes. Entries up to the
 // snapshot do not matter.
-func after(n int) quorum.Stored {
-	var s quorum.Stored
+func after(n int) quorum.StoredState {
+	var s quorum.StoredState
 
 	for _, p := range writes()[:n] {
 		if p.State != nil {
@@ -67,7 +67,7 @@
 	return s
 }
 
-func show(s quorum.Stored) string {
+func show(s quorum.StoredState) string {
 	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e quorum.Entry) bool { return e.Index <= s.Snapshot.Index })
 
 	return fmt.Sprintf("%v %v %q %v", s.State, s.Snapshot.Index, s.Snapshot.Data, s.Entries)
@@ -107,7 +107,7 @@
 	_, stored, err := open(d)
 	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepNames)
 
-	_, err = quorum.New(quorum.Config{ID: "vm0", Birth: 7, Rand: func(int64) int64 { return 0 }}, stored, time.Time{})
+	_, err = quorum.New(quorum.Config{ID: "vm0", CreationID: 7, Rand: func(int64) int64 { return 0 }}, stored, time.Time{})
 	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepNames)
 
 	got, want := show(stored), []string{show(after(acked))}
@@ -143,7 +143,7 @@
 			f.bytes[i] ^= 0x40
 			_, _, err := open(&disk{files: d.files, durable: d.durable})
 
-			var damage *journal.DamageError
+			var damage *journal.CorruptionError
 
 			require.ErrorAs(t, err, &damage, "%s byte %d", name, i)
 
@@ -217,7 +217,7 @@
 		}
 
 		again := &journal.Journal{
-			Dir: "data", Cluster: "test", ID: "vm0", NewBirth: func() uint64 { return 8 }, Files: d.operations(),
+			Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 8 }, Files: d.operations(),
 		}
 		change(d, again)
 
@@ -229,7 +229,7 @@
 func foreignLog(t *testing.T) []byte {
 	d := newDisk()
 	j := &journal.Journal{
-		Dir: "data", Cluster: "test", ID: "vm0", NewBirth: func() uint64 { return 99 }, Files: d.operations(),
+		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 99 }, Files: d.operations(),
 	}
 	_, err := j.Open()
 	require.NoError(t, err)
@@ -243,8 +243,8 @@
 	t.Parallel()
 
 	dir := t.TempDir()
-	first := &journal.Journal{Dir: dir, Cluster: "test", ID: "vm0", NewBirth: func() uint64 { return 7 }}
-	second := &journal.Journal{Dir: dir, Cluster: "test", ID: "vm0", NewBirth: func() uint64 { return 8 }}
+	first := &journal.Journal{Dir: dir, Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 7 }}
+	second := &journal.Journal{Dir: dir, Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 8 }}
 
 	_, err := first.Open()
 	require.NoError(t, err)
@@ -255,6 +255,6 @@
 
 	_, err = second.Open()
 	require.NoError(t, err)
-	require.Equal(t, uint64(7), second.Birth())
+	require.Equal(t, uint64(7), second.CreationID())
 	require.NoError(t, second.Close())
 }
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -13,23 +13,23 @@
 var errShortWrite = errors.New("short write")
 
 // load reads the data folder, and makes a birth for an empty one.
-func (j *Journal) load() (quorum.Stored, error) {
+func (j *Journal) load() (quorum.StoredState, error) {
 	identity, err := j.readOne(identityName, kindIdentity)
 	if errors.Is(err, fs.ErrNotExist) {
 		return j.loadEmpty()
 	}
 
 	if err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
 
 	var id wire.JournalIdentity
 	if err := proto.Unmarshal(identity, &id); err != nil {
-		return quorum.Stored{}, &DamageError{File: identityName, What: err.Error()}
+		return quorum.StoredState{}, &CorruptionError{File: identityName, Detail: err.Error()}
 	}
 
 	if id.GetCluster() != j.Cluster || id.GetID() != j.ID {
-		return quorum.Stored{}, &IdentityError{
+		return quorum.StoredState{}, &IdentityError{
 			Cluster: id.GetCluster(), ID: id.GetID(), WantCluster: j.Cluster, WantID: j.ID,
 		}
 	}
@@ -38,7 +38,7 @@
 
 	stored, err := j.loadSnapshot()
 	if err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
 
 	err = j.loadLog(&stored)
@@ -48,9 +48,9 @@
 
 // loadEmpty accepts a folder that never got as far as an identity. Nothing was
 // promised from it, so there can be no more than an empty log.
-func (j *Journal) loadEmpty() (quorum.Stored, error) {
+func (j *Journal) loadEmpty() (quorum.StoredState, error) {
 	if _, err := j.Files.Read(j.path(snapshotName)); !errors.Is(err, fs.ErrNotExist) {
-		return quorum.Stored{}, &MissingError{File: identityName}
+		return quorum.StoredState{}, &MissingFileError{File: identityName}
 	}
 
 	payloads, err := j.read(logName, kindLog)
@@ -59,20 +59,20 @@
 	}
 
 	if err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
 
 	if len(payloads) > 1 || len(payloads) == 1 && len(payloads[0]) > 0 {
-		return quorum.Stored{}, &MissingError{File: identityName}
+		return quorum.StoredState{}, &MissingFileError{File: identityName}
 	}
 
-	j.birth = j.NewBirth()
+	j.birth = j.NewCreationID()
 
-	return quorum.Stored{}, nil
+	return quorum.StoredState{}, nil
 }
 
-func (j *Journal) loadSnapshot() (quorum.Stored, error) {
-	var stored quorum.Stored
+func (j *Journal) loadSnapshot() (quorum.StoredState, error) {
+	var stored quorum.StoredState
 
 	payload, err := j.readOne(snapshotName, kindSnapshot)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -85,12 +85,12 @@
 
 	var s wire.JournalSnapshot
 	if err := proto.Unmarshal(payload, &s); err != nil {
-		return stored, &DamageError{File: snapshotName, What: err.Error()}
+		return stored, &CorruptionError{File: snapshotName, Detail: err.Error()}
 	}
 
 	members, err := quorum.MembersFromWire(s.GetMembers())
 	if err != nil {
-		return stored, &DamageError{File: snapshotName, What: err.Error()}
+		return stored, &CorruptionError{File: snapshotName, Detail: err.Error()}
 	}
 
 	stored.Snapshot = quorum.Snapshot{
@@ -100,10 +100,10 @@
 	return stored, nil
 }
 
-func (j *Journal) loadLog(stored *quorum.Stored) error {
+func (j *Journal) loadLog(stored *quorum.StoredState) error {
 	payloads, err := j.read(logName, kindLog)
 	if errors.Is(err, fs.ErrNotExist) {
-		return &MissingError{File: logName}
+		return &MissingFileError{File: logName}
 	}
 
 	if err != nil {
@@ -112,7 +112,7 @@
 
 	// The log is only ever put in place with its first frame in it.
 	if len(payloads) == 0 {
-		return &DamageError{File: logName, Offset: fileHeadSize, What: "first frame"}
+		return &CorruptionError{File: logName, Offset: fileHeadSize, Detail: "first frame"}
 	}
 
 	for _, payload := range payloads {
@@ -122,7 +122,7 @@
 	}
 
 	if len(stored.Entries) > 0 && stored.Entries[0].Index > stored.Snapshot.Index+1 {
-		return &DamageError{File: snapshotName, What: "gap between snapshot and log"}
+		return &CorruptionError{File: snapshotName, Detail: "gap between snapshot and log"}
 	}
 
 	stored.Entries = usable(stored.Entries, stored.Snapshot)
@@ -131,17 +131,17 @@
 }
 
 // replay adds one batch to what is known.
-func replay(stored *quorum.Stored, payload []byte) error {
+func replay(stored *quorum.StoredState, payload []byte) error {
 	var b wire.JournalBatch
 	if err := proto.Unmarshal(payload, &b); err != nil {
-		return &DamageError{File: logName, What: err.Error()}
+		return &CorruptionError{File: logName, Detail: err.Error()}
 	}
 
-	stored.State = quorum.HardState{Term: b.GetTerm(), Vote: b.GetVote(), VoteBirth: b.GetVoteBirth()}
+	stored.State = quorum.HardState{Term: b.GetTerm(), Vote: b.GetVote(), VoteCreationID: b.GetVoteBirth()}
 
 	entries, err := quorum.EntriesFromWire(b.GetEntries())
 	if err != nil {
-		return &DamageError{File: logName, What: err.Error()}
+		return &CorruptionError{File: logName, Detail: err.Error()}
 	}
 
 	if len(entries) == 0 {
@@ -153,7 +153,7 @@
 		last := first + uint64(len(stored.Entries)) - 1
 
 		if entries[0].Index < first || entries[0].Index > last+1 {
-			return &DamageError{File: logName, What: "gap between entries"}
+			return &CorruptionError{File: logName, Detail: "gap between entries"}
 		}
 
 		stored.Entries = stored.Entries[:entries[0].Index-first]
@@ -190,7 +190,7 @@
 	}
 
 	if len(payloads) != 1 {
-		return nil, &DamageError{File: name, Offset: fileHeadSize, What: "frame"}
+		return nil, &CorruptionError{File: name, Offset: fileHeadSize, Detail: "frame"}
 	}
 
 	return payloads[0], nil
@@ -209,7 +209,7 @@
 	}
 
 	if j.birth != 0 && birth != j.birth {
-		return nil, &DamageError{File: name, What: "it belongs to another data folder"}
+		return nil, &CorruptionError{File: name, Detail: "it belongs to another data folder"}
 	}
 
 	return frames(name, fileHeadSize, b[fileHeadSize:])
--- a/internal/journal/memory_test.go
+++ b/internal/journal/memory_test.go
@@ -15,8 +15,8 @@
 	t.Parallel()
 
 	files := journal.MemoryFiles()
-	open := func(files journal.Files) (*journal.Journal, quorum.Stored) {
-		j := &journal.Journal{Dir: "/nowhere/at/all", Cluster: "c", ID: "a", Files: files, NewBirth: func() uint64 { return 7 }}
+	open := func(files journal.Files) (*journal.Journal, quorum.StoredState) {
+		j := &journal.Journal{Dir: "/nowhere/at/all", Cluster: "c", ID: "a", Files: files, NewCreationID: func() uint64 { return 7 }}
 		stored, err := j.Open()
 		require.NoError(t, err)
 
@@ -33,7 +33,7 @@
 	again, stored := open(files)
 	require.Equal(t, []quorum.Entry{entry}, stored.Entries)
 	require.EqualValues(t, 1, stored.State.Term)
-	require.EqualValues(t, 7, again.Birth())
+	require.EqualValues(t, 7, again.CreationID())
 	require.NoError(t, again.Close())
 
 	_, stored = open(journal.MemoryFiles())
--- a/internal/quorum/batch.go
+++ b/internal/quorum/batch.go
@@ -6,8 +6,8 @@
 type HardState struct {
 	Term uint64
 	// Vote and VoteBirth name the candidate; Vote is empty if there is none.
-	Vote      string
-	VoteBirth uint64
+	Vote           string
+	VoteCreationID uint64
 }
 
 // EntryKind tells commands from changes of the members.
@@ -39,8 +39,8 @@
 	Data         []byte
 }
 
-// Stored is what a replica found in its data folder.
-type Stored struct {
+// StoredState is what a replica found in its data folder.
+type StoredState struct {
 	State    HardState
 	Snapshot Snapshot
 	Entries  []Entry
@@ -82,21 +82,21 @@
 
 // The reasons of refusals.
 const (
-	ReasonNone         Reason = ""
-	ReasonNotLeader    Reason = "NotLeader"
-	ReasonLostLeader   Reason = "LeadershipLost"
-	ReasonTransferring Reason = "Transferring"
-	ReasonFull         Reason = "TooManyInFlight"
-	ReasonTooLarge     Reason = "TooLarge"
-	ReasonBusy         Reason = "MembersChanging"
-	ReasonExists       Reason = "MemberExists"
-	ReasonUnknown      Reason = "MemberUnknown"
-	ReasonBehind       Reason = "MemberBehind"
-	ReasonSelf         Reason = "LeaderMustTransferFirst"
-	ReasonUnsafe       Reason = "TooFewCurrentVoters"
-	ReasonBadAddr      Reason = "BadAddress"
-	ReasonTimeout      Reason = "Timeout"
-	ReasonFaulty       Reason = "Faulty"
+	ReasonNone                    Reason = ""
+	ReasonNotLeader               Reason = "NotLeader"
+	ReasonLeadershipLost          Reason = "LeadershipLost"
+	ReasonTransferring            Reason = "Transferring"
+	ReasonTooManyInFlight         Reason = "TooManyInFlight"
+	ReasonTooLarge                Reason = "TooLarge"
+	ReasonMembersChanging         Reason = "MembersChanging"
+	ReasonMemberExists            Reason = "MemberExists"
+	ReasonMemberUnknown           Reason = "MemberUnknown"
+	ReasonMemberBehind            Reason = "MemberBehind"
+	ReasonLeaderMustTransferFirst Reason = "LeaderMustTransferFirst"
+	ReasonTooFewCurrentVoters     Reason = "TooFewCurrentVoters"
+	ReasonBadAddress              Reason = "BadAddress"
+	ReasonTimeout                 Reason = "Timeout"
+	ReasonFaulty                  Reason = "Faulty"
 )
 
 // ReadDone answers a ReadAsked: state applied up to Index, which the same
--- a/internal/quorum/codec.go
+++ b/internal/quorum/codec.go
@@ -100,7 +100,7 @@
 
 // ToWire returns m as it travels.
 func (m Message) ToWire() *wire.QuorumMessage {
-	w := &wire.QuorumMessage{From: m.From, FromBirth: m.FromBirth, To: m.To, ToBirth: m.ToBirth, Term: m.Term}
+	w := &wire.QuorumMessage{From: m.From, FromBirth: m.FromCreationID, To: m.To, ToBirth: m.ToCreationID, Term: m.Term}
 
 	switch b := m.Body.(type) {
 	case Hello:
@@ -132,10 +132,10 @@
 		w.Body = &wire.QuorumMessage_ChunkAnswer{ChunkAnswer: &wire.QuorumChunkAnswer{
 			Index: b.Index, Offset: b.Offset, Round: b.Round,
 		}}
-	case Read:
-		w.Body = &wire.QuorumMessage_Read{Read: &wire.QuorumRead{Ask: b.Ask}}
-	case ReadAnswer:
-		w.Body = &wire.QuorumMessage_ReadAnswer{ReadAnswer: &wire.QuorumReadAnswer{Ask: b.Ask, Index: b.Index}}
+	case ReadIndex:
+		w.Body = &wire.QuorumMessage_Read{Read: &wire.QuorumRead{Ask: b.Seq}}
+	case ReadIndexAnswer:
+		w.Body = &wire.QuorumMessage_ReadAnswer{ReadAnswer: &wire.QuorumReadAnswer{Ask: b.Seq, Index: b.Index}}
 	case TimeoutNow:
 		w.Body = &wire.QuorumMessage_TimeoutNow{TimeoutNow: &wire.QuorumTimeoutNow{}}
 	}
@@ -146,7 +146,7 @@
 // MessageFromWire reads a message. One of an unknown kind, from a later
 // release, is an error and is to be ignored.
 func MessageFromWire(w *wire.QuorumMessage) (Message, error) {
-	m := Message{From: w.GetFrom(), FromBirth: w.GetFromBirth(), To: w.GetTo(), ToBirth: w.GetToBirth(), Term: w.GetTerm()}
+	m := Message{From: w.GetFrom(), FromCreationID: w.GetFromBirth(), To: w.GetTo(), ToCreationID: w.GetToBirth(), Term: w.GetTerm()}
 
 	var err error
 
@@ -175,9 +175,9 @@
 		a := b.ChunkAnswer
 		m.Body = ChunkAnswer{Index: a.GetIndex(), Offset: a.GetOffset(), Round: a.GetRound()}
 	case *wire.QuorumMessage_Read:
-		m.Body = Read{Ask: b.Read.GetAsk()}
+		m.Body = ReadIndex{Seq: b.Read.GetAsk()}
 	case *wire.QuorumMessage_ReadAnswer:
-		m.Body = ReadAnswer{Ask: b.ReadAnswer.GetAsk(), Index: b.ReadAnswer.GetIndex()}
+		m.Body = ReadIndexAnswer{Seq: b.ReadAnswer.GetAsk(), Index: b.ReadAnswer.GetIndex()}
 	case *wire.QuorumMessage_TimeoutNow:
 		m.Body = TimeoutNow{}
 	default:
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -53,10 +53,10 @@
 }
 
 // New returns a core that continues from stored.
-func New(cfg Config, stored Stored, now time.Time) (*Core, error) {
+func New(cfg Config, stored StoredState, now time.Time) (*Core, error) {
 	setDefaults(&cfg)
 
-	if cfg.ID == "" || cfg.Birth == 0 || cfg.Rand == nil {
+	if cfg.ID == "" || cfg.CreationID == 0 || cfg.Rand == nil {
 		return nil, errors.New("quorum: ID, Birth and Rand must be set")
 	}
 
@@ -69,7 +69,7 @@
 	c.firstElection()
 
 	switch {
-	case c.ruling().isVoter(cfg.ID, cfg.Birth) && c.ruling().Voters() == 1:
+	case c.ruling().isVoter(cfg.ID, cfg.CreationID) && c.ruling().Voters() == 1:
 		c.electAt = now
 	case len(c.ruling()) == 0 && len(cfg.Founders) > 0:
 		c.startForming()
@@ -78,7 +78,7 @@
 	return c, nil
 }
 
-func (c *Core) load(stored Stored) error {
+func (c *Core) load(stored StoredState) error {
 	c.members = []membersAt{{Index: c.snap.MembersIndex, Members: c.snap.Members}}
 	c.commit = c.snap.Index
 	c.log.reset(c.snap.Index, c.snap.Term)
@@ -133,13 +133,13 @@
 		c.receive(ev.Message)
 	case Proposed:
 		c.propose(ev)
-	case Changed:
+	case ChangeRequested:
 		c.change(ev)
-	case TransferAsked:
+	case TransferRequested:
 		c.transfer(ev)
-	case ReadAsked:
+	case ReadRequested:
 		c.readAsked(ev)
-	case Compacted:
+	case SnapshotTaken:
 		c.compacted(ev)
 	}
 }
@@ -149,11 +149,11 @@
 	switch ev := ev.(type) {
 	case Proposed:
 		c.notRun(ev.ID, ReasonFaulty)
-	case Changed:
+	case ChangeRequested:
 		c.notRun(ev.ID, ReasonFaulty)
-	case TransferAsked:
+	case TransferRequested:
 		c.notRun(ev.ID, ReasonFaulty)
-	case ReadAsked:
+	case ReadRequested:
 		c.out.Reads = append(c.out.Reads, ReadDone{ID: ev.ID, Failed: true})
 	}
 }
@@ -234,7 +234,7 @@
 	case !c.now.Before(c.electAt):
 		c.resetElection()
 
-		if c.ruling().isVoter(c.cfg.ID, c.cfg.Birth) {
+		if c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID) {
 			c.campaign(true, false)
 		} else if !c.now.Before(c.leaderUntil) {
 			c.leader = ""
@@ -249,12 +249,12 @@
 
 // send addresses body to the member or stranger named to.
 func (c *Core) send(to string, birth, term uint64, body Body) Message {
-	return Message{From: c.cfg.ID, FromBirth: c.cfg.Birth, To: to, ToBirth: birth, Term: term, Body: body}
+	return Message{From: c.cfg.ID, FromCreationID: c.cfg.CreationID, To: to, ToCreationID: birth, Term: term, Body: body}
 }
 
 // reply answers m, after what it depends on is synced.
 func (c *Core) reply(m Message, term uint64, body Body) {
-	c.out.Send = append(c.out.Send, c.send(m.From, m.FromBirth, term, body))
+	c.out.Send = append(c.out.Send, c.send(m.From, m.FromCreationID, term, body))
 }
 
 // firstElection lets a replica that has just started stand sooner than one that
@@ -262,7 +262,7 @@
 // in vain would only lengthen the outage. Where somebody leads, its heartbeat comes
 // first, and the others refuse the vote.
 func (c *Core) firstElection() {
-	least := c.cfg.Election / firstElectionPart
+	least := c.cfg.ElectionTimeout / firstElectionPart
 	c.electAt = c.now.Add(least + time.Duration(c.cfg.Rand(int64(2*least))))
 }
 
@@ -271,5 +271,5 @@
 const firstElectionPart = 5
 
 func (c *Core) resetElection() {
-	c.electAt = c.now.Add(c.cfg.Election + time.Duration(c.cfg.Rand(int64(c.cfg.Election))))
+	c.electAt = c.now.Add(c.cfg.ElectionTimeout + time.Duration(c.cfg.Rand(int64(c.cfg.ElectionTimeout))))
 }
--- a/internal/quorum/core_test.go
+++ b/internal/quorum/core_test.go
@@ -43,20 +43,20 @@
 }
 
 func (s *solo) fromBirth(birth uint64, id string, term uint64, body quorum.Body) {
-	s.step(quorum.Received{Message: quorum.Message{From: id, FromBirth: birth, To: "a", ToBirth: 1, Term: term, Body: body}})
+	s.step(quorum.Received{Message: quorum.Message{From: id, FromCreationID: birth, To: "a", ToCreationID: 1, Term: term, Body: body}})
 }
 
 func least(int64) int64 { return 0 }
 
 // newSolo returns a core named a, with two more voters, that continues from stored.
-func newSolo(t *testing.T, stored quorum.Stored, random func(int64) int64) *solo {
+func newSolo(t *testing.T, stored quorum.StoredState, random func(int64) int64) *solo {
 	for _, id := range []string{"b", "c"} {
 		stored.Snapshot.Members = stored.Snapshot.Members.With(quorum.Member{ID: id, Birth: 2})
 	}
 
 	stored.Snapshot.Members = stored.Snapshot.Members.With(quorum.Member{ID: "a", Birth: 1})
 	now := time.Unix(1e9, 0)
-	c, err := quorum.New(quorum.Config{ID: "a", Birth: 1, Rand: random}, stored, now)
+	c, err := quorum.New(quorum.Config{ID: "a", CreationID: 1, Rand: random}, stored, now)
 	require.NoError(t, err)
 
 	return &solo{Core: c, now: now}
@@ -68,7 +68,7 @@
 func TestEarlierTermsCommitThroughThisOne(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{
+	s := newSolo(t, quorum.StoredState{
 		State:   quorum.HardState{Term: 3},
 		Entries: []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}},
 	}, least)
@@ -86,17 +86,17 @@
 func TestMembersChangeOneAtATime(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	s.lead(t, 2)
 
 	add := func(id string) []quorum.Answer {
-		s.Step(s.now, quorum.Changed{ID: 1, Kind: quorum.AddLearner, Member: quorum.Member{ID: id, Addr: address()}})
+		s.Step(s.now, quorum.ChangeRequested{ID: 1, Kind: quorum.AddLearner, Member: quorum.Member{ID: id, Addr: address()}})
 		b := s.Take()
 		s.Synced()
 
 		return b.Answers
 	}
-	busy := []quorum.Answer{{ID: 1, Verdict: verdict.NotRun, Reason: quorum.ReasonBusy}}
+	busy := []quorum.Answer{{ID: 1, Verdict: verdict.NotRun, Reason: quorum.ReasonMembersChanging}}
 
 	require.Equal(t, busy, add("d"), "before the term has committed")
 	s.from("b", 2, quorum.AppendAnswer{Index: 1})
@@ -111,7 +111,7 @@
 func TestAnswersOfALostDiskDoNotCount(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	s.now = s.Deadline()
 	s.step(quorum.Tick{})
 	s.from("b", 2, quorum.VoteAnswer{Pre: true, Granted: true})
@@ -130,7 +130,7 @@
 func TestVotesAreRefusedWhileALeaderIsHeard(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	s.from("b", 1, quorum.Append{})
 	s.from("c", 7, quorum.Vote{LastIndex: 9, LastTerm: 1})
 	require.Equal(t, uint64(1), s.Status().Term)
@@ -144,7 +144,7 @@
 func TestDeposedLeaderIsTold(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 5}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 5}}, least)
 	s.from("b", 3, quorum.Append{})
 	require.Len(t, s.sent, 1)
 	require.Equal(t, uint64(5), s.sent[0].Term)
@@ -155,7 +155,7 @@
 func TestDroppedMembersDoNotStay(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	changed := s.Members().With(quorum.Member{ID: "d", Birth: 4})
 	s.from("b", 1, quorum.Append{Entries: []quorum.Entry{{Index: 1, Term: 1, Kind: quorum.EntryMembers, Members: changed}}})
 	require.Len(t, s.Members(), 4)
@@ -169,13 +169,13 @@
 func TestLearnerWithAnotherDiskStartsAnew(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	s.lead(t, 2)
 	s.from("b", 2, quorum.AppendAnswer{Index: 1})
-	s.step(quorum.Changed{ID: 1, Kind: quorum.AddLearner, Member: quorum.Member{ID: "d", Addr: address()}})
+	s.step(quorum.ChangeRequested{ID: 1, Kind: quorum.AddLearner, Member: quorum.Member{ID: "d", Addr: address()}})
 	s.from("b", 2, quorum.AppendAnswer{Index: 2})
 	s.fromBirth(5, "d", 2, quorum.AppendAnswer{Index: 2})
-	s.step(quorum.Changed{ID: 2, Kind: quorum.Promote, Member: quorum.Member{ID: "d"}})
+	s.step(quorum.ChangeRequested{ID: 2, Kind: quorum.Promote, Member: quorum.Member{ID: "d"}})
 
 	const latest = 9 // no round is later in this test
 
@@ -193,7 +193,7 @@
 func TestContradictionStopsTheReplica(t *testing.T) {
 	t.Parallel()
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 	first := quorum.Append{Commit: 2, Entries: []quorum.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}}}
 	s.from("b", 1, first)
 	require.Equal(t, uint64(2), s.Status().Commit)
@@ -217,12 +217,12 @@
 	asks := map[uint64]bool{}
 
 	for run := range int64(2) {
-		s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, func(n int64) int64 { return n/2 + run })
+		s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, func(n int64) int64 { return n/2 + run })
 		s.from("b", 1, quorum.Append{})
-		s.Step(s.now, quorum.ReadAsked{ID: 1})
+		s.Step(s.now, quorum.ReadRequested{ID: 1})
 
 		for _, m := range s.Take().SendNow {
-			ask := m.Body.(quorum.Read).Ask
+			ask := m.Body.(quorum.ReadIndex).Seq
 			require.False(t, asks[ask])
 			require.Greater(t, ask, uint64(1)<<32)
 
@@ -258,14 +258,14 @@
 
 	const size, n = 1 << 20, 20
 
-	s := newSolo(t, quorum.Stored{State: quorum.HardState{Term: 1}}, least)
+	s := newSolo(t, quorum.StoredState{State: quorum.HardState{Term: 1}}, least)
 
 	for i := range uint64(n) {
 		e := quorum.Entry{Index: i + 1, Term: 1, Command: make([]byte, size)}
 		s.from("b", 1, quorum.Append{PrevIndex: i, PrevTerm: min(i, 1), Commit: i + 1, Entries: []quorum.Entry{e}})
 	}
 
-	s.Step(s.now, quorum.Compacted{Index: n})
+	s.Step(s.now, quorum.SnapshotTaken{Index: n})
 	require.Len(t, s.Take().Persist.Entries, 8)
 }
 
@@ -275,7 +275,7 @@
 
 	var gap *quorum.GapError
 
-	_, err := quorum.New(quorum.Config{ID: "a", Birth: 1, Rand: least}, quorum.Stored{
+	_, err := quorum.New(quorum.Config{ID: "a", CreationID: 1, Rand: least}, quorum.StoredState{
 		Entries: []quorum.Entry{{Index: 1, Term: 1}, {Index: 3, Term: 1}},
 	}, time.Unix(1e9, 0))
 	require.ErrorAs(t, err, &gap)
@@ -285,8 +285,8 @@
 func ExampleCore() {
 	now := time.Unix(1e9, 0)
 	c, err := quorum.New(quorum.Config{
-		ID: "vm0", Birth: 1, Rand: func(int64) int64 { return 0 }, Founders: []quorum.Member{{ID: "vm0"}},
-	}, quorum.Stored{}, now)
+		ID: "vm0", CreationID: 1, Rand: func(int64) int64 { return 0 }, Founders: []quorum.Member{{ID: "vm0"}},
+	}, quorum.StoredState{}, now)
 	if err != nil {
 		fmt.Println(err)
 
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -5,7 +5,7 @@
 // higher term and unseat a leader that serves everybody else.
 func (c *Core) campaign(pre, transfer bool) {
 	if !pre {
-		c.hard = HardState{Term: c.hard.Term + 1, Vote: c.cfg.ID, VoteBirth: c.cfg.Birth}
+		c.hard = HardState{Term: c.hard.Term + 1, Vote: c.cfg.ID, VoteCreationID: c.cfg.CreationID}
 		c.hardDirty = true
 	}
 
@@ -59,7 +59,7 @@
 		return
 	}
 
-	vote := HardState{Term: c.hard.Term, Vote: m.From, VoteBirth: m.FromBirth}
+	vote := HardState{Term: c.hard.Term, Vote: m.From, VoteCreationID: m.FromCreationID}
 	granted = granted && (c.hard.Vote == "" || c.hard == vote)
 
 	if granted {
--- a/internal/quorum/event.go
+++ b/internal/quorum/event.go
@@ -30,38 +30,38 @@
 	CheckStop
 )
 
-// Changed asks for one change of the members. Its answer carries ID.
-type Changed struct {
+// ChangeRequested asks for one change of the members. Its answer carries ID.
+type ChangeRequested struct {
 	ID   uint64
 	Kind ChangeKind
 	// Member needs an Addr for AddLearner; else only its ID is read.
 	Member Member
 }
 
-// TransferAsked asks the leader to hand over to the voter To, or to the most
+// TransferRequested asks the leader to hand over to the voter To, or to the most
 // up to date one if To is empty. Its answer carries ID.
-type TransferAsked struct {
+type TransferRequested struct {
 	ID uint64
 	To string
 }
 
-// ReadAsked asks for an index that is current as of now. Its answer carries ID.
-type ReadAsked struct {
+// ReadRequested asks for an index that is current as of now. Its answer carries ID.
+type ReadRequested struct {
 	ID uint64
-	// Until is when the asker gives up.
-	Until time.Time
+	// Deadline is when the asker gives up.
+	Deadline time.Time
 }
 
-// Compacted hands in the state machine's state after the entry Index.
-type Compacted struct {
+// SnapshotTaken hands in the state machine's state after the entry Index.
+type SnapshotTaken struct {
 	Index uint64
 	Data  []byte
 }
 
-func (Tick) event()          {}
-func (Received) event()      {}
-func (Proposed) event()      {}
-func (Changed) event()       {}
-func (TransferAsked) event() {}
-func (ReadAsked) event()     {}
-func (Compacted) event()     {}
+func (Tick) event()              {}
+func (Received) event()          {}
+func (Proposed) event()          {}
+func (ChangeRequested) event()   {}
+func (TransferRequested) event() {}
+func (ReadRequested) event()     {}
+func (SnapshotTaken) event()     {}
--- a/internal/quorum/forming.go
+++ b/internal/quorum/forming.go
@@ -17,13 +17,13 @@
 }
 
 func (c *Core) startForming() {
-	c.forming = &forming{helloAt: c.now, births: map[string]uint64{c.cfg.ID: c.cfg.Birth}}
+	c.forming = &forming{helloAt: c.now, births: map[string]uint64{c.cfg.ID: c.cfg.CreationID}}
 
 	// A lone founder has nobody to ask. If its group has grown since, and its disk
 	// was lost, the others still send to the replica that it was: it listens for
 	// that before it forms a second group under the same name.
 	if len(c.cfg.Founders) == 1 {
-		c.forming.helloAt = c.now.Add(listenHeartbeats * c.cfg.Heartbeat)
+		c.forming.helloAt = c.now.Add(listenHeartbeats * c.cfg.HeartbeatInterval)
 	}
 }
 
@@ -32,7 +32,7 @@
 		return
 	}
 
-	c.forming.helloAt = c.now.Add(c.cfg.Heartbeat)
+	c.forming.helloAt = c.now.Add(c.cfg.HeartbeatInterval)
 
 	for _, m := range c.cfg.Founders {
 		if m.ID != c.cfg.ID {
@@ -50,7 +50,7 @@
 	switch {
 	case c.forming != nil:
 		c.forming.lost = true
-	case len(c.ruling()) == 1 && c.ruling().isVoter(c.cfg.ID, c.cfg.Birth):
+	case len(c.ruling()) == 1 && c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID):
 		c.fault = &LostDiskError{ID: c.cfg.ID}
 	}
 }
@@ -70,14 +70,14 @@
 	}
 
 	if len(body.Members) == 0 {
-		c.forming.births[m.From] = m.FromBirth
+		c.forming.births[m.From] = m.FromCreationID
 		c.form()
 
 		return
 	}
 
 	self, ok := body.Members.Find(c.cfg.ID)
-	if !ok || self.Birth != c.cfg.Birth {
+	if !ok || self.Birth != c.cfg.CreationID {
 		c.forming.lost = true
 
 		return
@@ -101,7 +101,7 @@
 		ms = ms.With(Member{ID: m.ID, Birth: birth, Addr: m.Addr})
 	}
 
-	if !c.forming.lost && ms.isVoter(c.cfg.ID, c.cfg.Birth) {
+	if !c.forming.lost && ms.isVoter(c.cfg.ID, c.cfg.CreationID) {
 		c.formed(ms)
 	}
 }
--- a/internal/quorum/leadership.go
+++ b/internal/quorum/leadership.go
@@ -70,7 +70,7 @@
 
 		p := old[m.ID]
 		if p == nil {
-			p = &progress{next: c.log.last() + 1, probing: true, activeUntil: c.now.Add(c.cfg.Election)}
+			p = &progress{next: c.log.last() + 1, probing: true, activeUntil: c.now.Add(c.cfg.ElectionTimeout)}
 		}
 
 		p.member = m
@@ -138,11 +138,11 @@
 		return nil
 	}
 
-	if p.birth != 0 && p.birth != m.FromBirth {
+	if p.birth != 0 && p.birth != m.FromCreationID {
 		*p = progress{member: p.member, next: c.log.last() + 1, probing: true}
 	}
 
-	p.birth = m.FromBirth
+	p.birth = m.FromCreationID
 
 	return p
 }
@@ -155,7 +155,7 @@
 	case c.lead.handover != nil:
 		c.notRun(ev.ID, ReasonTransferring)
 	case len(c.lead.pending) >= maxPending:
-		c.notRun(ev.ID, ReasonFull)
+		c.notRun(ev.ID, ReasonTooManyInFlight)
 	case len(ev.Command) > MaxCommandBytes:
 		c.notRun(ev.ID, ReasonTooLarge)
 	default:
@@ -234,7 +234,7 @@
 // be committed by the next one, so nobody may say that they did not run.
 func (c *Core) loseLeadership() {
 	for _, p := range c.lead.pending {
-		c.out.Answers = append(c.out.Answers, Answer{ID: p.id, Verdict: verdict.MayHaveRun, Reason: ReasonLostLeader})
+		c.out.Answers = append(c.out.Answers, Answer{ID: p.id, Verdict: verdict.MayHaveRun, Reason: ReasonLeadershipLost})
 	}
 
 	if k := c.lead.checking; k != nil {
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -10,7 +10,7 @@
 // checking is a change that waits until enough members have shown, since it was
 // asked for, that the group can go on after it.
 type checking struct {
-	ev    Changed
+	ev    ChangeRequested
 	next  Members
 	round uint64
 	until time.Time
@@ -18,7 +18,7 @@
 
 // change takes in one change of the members. They change one at a time, through
 // the log, so that any two majorities share a voter.
-func (c *Core) change(ev Changed) {
+func (c *Core) change(ev ChangeRequested) {
 	next, reason := c.changed(ev)
 	if reason != ReasonNone {
 		c.notRun(ev.ID, reason)
@@ -34,7 +34,7 @@
 
 	c.beginRound()
 	c.lead.checking = &checking{
-		ev: ev, next: next, round: c.lead.present(), until: c.now.Add(c.cfg.Election / 2),
+		ev: ev, next: next, round: c.lead.present(), until: c.now.Add(c.cfg.ElectionTimeout / 2),
 	}
 	c.check()
 }
@@ -57,10 +57,10 @@
 
 	k := c.lead.checking
 	ready := c.countAnswered(k) >= k.next.Quorum()
-	reason := ReasonUnsafe
+	reason := ReasonTooFewCurrentVoters
 
 	if k.ev.Kind == Promote && !c.hasAnswered(c.lead.peers[k.ev.Member.ID], k.round) {
-		ready, reason = false, ReasonBehind
+		ready, reason = false, ReasonMemberBehind
 	}
 
 	switch {
@@ -110,7 +110,7 @@
 	return p.round >= n && p.match >= c.lead.commitAt(n)
 }
 
-func (c *Core) changed(ev Changed) (Members, Reason) {
+func (c *Core) changed(ev ChangeRequested) (Members, Reason) {
 	if c.state != leader {
 		return nil, ReasonNotLeader
 	}
@@ -122,7 +122,7 @@
 	// The entry that opened the term must be committed too: else two leaders
 	// could each have changed the members by one, and so by two between them.
 	if c.members[len(c.members)-1].Index > c.commit || c.commit < c.lead.first || c.lead.checking != nil {
-		return nil, ReasonBusy
+		return nil, ReasonMembersChanging
 	}
 
 	m, ok := c.ruling().Find(ev.Member.ID)
@@ -131,15 +131,15 @@
 	case ev.Kind == AddLearner:
 		return c.addLearner(ev.Member)
 	case !ok:
-		return nil, ReasonUnknown
+		return nil, ReasonMemberUnknown
 	case ev.Kind == CheckStop:
 		return c.ruling(), ReasonNone
 	case ev.Kind == Remove && m.ID == c.cfg.ID:
-		return nil, ReasonSelf
+		return nil, ReasonLeaderMustTransferFirst
 	case ev.Kind == Remove:
 		return c.ruling().Without(m.ID), ReasonNone
 	case m.Role == Voter:
-		return nil, ReasonExists
+		return nil, ReasonMemberExists
 	}
 
 	m.Role = Voter
@@ -149,11 +149,11 @@
 
 func (c *Core) addLearner(m Member) (Members, Reason) {
 	if _, ok := c.ruling().Find(m.ID); ok || m.ID == "" {
-		return nil, ReasonExists
+		return nil, ReasonMemberExists
 	}
 
 	if !m.Addr.IsValid() {
-		return nil, ReasonBadAddr
+		return nil, ReasonBadAddress
 	}
 
 	return c.ruling().With(Member{ID: m.ID, Addr: m.Addr, Role: Learner}), ReasonNone
@@ -165,7 +165,7 @@
 }
 
 // transfer starts to hand over leadership.
-func (c *Core) transfer(ev TransferAsked) {
+func (c *Core) transfer(ev TransferRequested) {
 	switch {
 	case c.state != leader:
 		c.notRun(ev.ID, ReasonNotLeader)
@@ -186,11 +186,11 @@
 
 	switch {
 	case p == nil:
-		c.notRun(ev.ID, ReasonUnknown)
+		c.notRun(ev.ID, ReasonMemberUnknown)
 	case p.member.Role != Voter || !c.isUpToDate(p):
-		c.notRun(ev.ID, ReasonBehind)
+		c.notRun(ev.ID, ReasonMemberBehind)
 	default:
-		c.lead.handover = &handover{id: ev.ID, to: to, until: c.now.Add(c.cfg.Election)}
+		c.lead.handover = &handover{id: ev.ID, to: to, until: c.now.Add(c.cfg.ElectionTimeout)}
 		c.sendTimeoutNow()
 	}
 }
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -3,13 +3,13 @@
 // Message goes from one replica to another. Any message may be lost, late,
 // doubled or reordered.
 type Message struct {
-	From      string
-	FromBirth uint64
-	To        string
-	// ToBirth is what the sender knows of the receiver's data folder; 0 if nothing.
-	ToBirth uint64
-	Term    uint64
-	Body    Body
+	From           string
+	FromCreationID uint64
+	To             string
+	// ToCreationID is what the sender knows of the receiver's data folder; 0 if nothing.
+	ToCreationID uint64
+	Term         uint64
+	Body         Body
 }
 
 // Body is what a Message says: one of the types in this file.
@@ -83,28 +83,28 @@
 	Round  uint64
 }
 
-// Read asks the leader for an index that was current after the ask.
-type Read struct {
-	Ask uint64
+// ReadIndex asks the leader for an index that was current after the ask.
+type ReadIndex struct {
+	Seq uint64
 }
 
-// ReadAnswer answers a Read.
-type ReadAnswer struct {
-	Ask   uint64
+// ReadIndexAnswer answers a Read.
+type ReadIndexAnswer struct {
+	Seq   uint64
 	Index uint64
 }
 
 // TimeoutNow tells a voter that holds the whole log to stand for election at once.
 type TimeoutNow struct{}
 
-func (Hello) body()        {}
-func (HelloAnswer) body()  {}
-func (Vote) body()         {}
-func (VoteAnswer) body()   {}
-func (Append) body()       {}
-func (AppendAnswer) body() {}
-func (Chunk) body()        {}
-func (ChunkAnswer) body()  {}
-func (Read) body()         {}
-func (ReadAnswer) body()   {}
-func (TimeoutNow) body()   {}
+func (Hello) body()           {}
+func (HelloAnswer) body()     {}
+func (Vote) body()            {}
+func (VoteAnswer) body()      {}
+func (Append) body()          {}
+func (AppendAnswer) body()    {}
+func (Chunk) body()           {}
+func (ChunkAnswer) body()     {}
+func (ReadIndex) body()       {}
+func (ReadIndexAnswer) body() {}
+func (TimeoutNow) body()      {}
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -26,14 +26,14 @@
 	index uint64
 }
 
-func (c *Core) readAsked(ev ReadAsked) {
+func (c *Core) readAsked(ev ReadRequested) {
 	if len(c.asking.reads) >= maxWaitingReads {
 		c.out.Reads = append(c.out.Reads, ReadDone{ID: ev.ID, Failed: true})
 
 		return
 	}
 
-	c.asking.reads = append(c.asking.reads, localRead{id: ev.ID, until: ev.Until})
+	c.asking.reads = append(c.asking.reads, localRead{id: ev.ID, until: ev.Deadline})
 }
 
 // flushReads asks for the reads that came since the last ask was answered, and
@@ -53,7 +53,7 @@
 
 // askLeader asks the leader, which may be this replica, for all reads that wait.
 func (c *Core) askLeader() {
-	c.asking.againAt = c.now.Add(2 * c.cfg.Heartbeat)
+	c.asking.againAt = c.now.Add(2 * c.cfg.HeartbeatInterval)
 
 	if c.leader == "" {
 		return
@@ -74,7 +74,7 @@
 	}
 
 	m, _ := c.ruling().Find(c.leader)
-	c.out.SendNow = append(c.out.SendNow, c.send(c.leader, m.Birth, c.hard.Term, Read{Ask: c.asking.last}))
+	c.out.SendNow = append(c.out.SendNow, c.send(c.leader, m.Birth, c.hard.Term, ReadIndex{Seq: c.asking.last}))
 }
 
 // tickReads gives up reads whose callers have, and asks again for the others.
@@ -102,20 +102,20 @@
 }
 
 // read takes in the ask of another replica.
-func (c *Core) read(m Message, body Read) {
+func (c *Core) read(m Message, body ReadIndex) {
 	if c.state != leader {
 		return
 	}
 
 	for i := range c.lead.waiting {
 		if w := &c.lead.waiting[i]; w.asker.From == m.From {
-			w.ask = max(w.ask, body.Ask)
+			w.ask = max(w.ask, body.Seq)
 
 			return
 		}
 	}
 
-	c.lead.waiting = append(c.lead.waiting, leaderRead{ask: body.Ask, asker: Message{From: m.From, FromBirth: m.FromBirth}})
+	c.lead.waiting = append(c.lead.waiting, leaderRead{ask: body.Seq, asker: Message{From: m.From, FromCreationID: m.FromCreationID}})
 }
 
 // startRound begins a quorum round for waiting reads, unless one is under way.
@@ -158,25 +158,25 @@
 	l.inRound = nil
 
 	for _, r := range done {
-		answer := ReadAnswer{Ask: r.ask, Index: r.index}
+		answer := ReadIndexAnswer{Seq: r.ask, Index: r.index}
 		if r.asker.From == "" {
 			c.readAnswer(answer)
 
 			continue
 		}
 
-		c.out.SendNow = append(c.out.SendNow, c.send(r.asker.From, r.asker.FromBirth, c.hard.Term, answer))
+		c.out.SendNow = append(c.out.SendNow, c.send(r.asker.From, r.asker.FromCreationID, c.hard.Term, answer))
 	}
 }
 
-func (c *Core) readAnswer(body ReadAnswer) {
-	if body.Ask > c.asking.last {
+func (c *Core) readAnswer(body ReadIndexAnswer) {
+	if body.Seq > c.asking.last {
 		return
 	}
 
 	for i := range c.asking.reads {
 		r := &c.asking.reads[i]
-		if r.ask != 0 && r.ask <= body.Ask && !r.answered {
+		if r.ask != 0 && r.ask <= body.Seq && !r.answered {
 			r.answered = true
 			r.index = body.Index
 		}
--- a/internal/quorum/receive.go
+++ b/internal/quorum/receive.go
@@ -11,9 +11,9 @@
 		c.hello(m)
 	case HelloAnswer:
 		c.helloAnswer(m, body)
-	case Read:
+	case ReadIndex:
 		c.read(m, body)
-	case ReadAnswer:
+	case ReadIndexAnswer:
 		c.readAnswer(body)
 	default:
 		if c.forming == nil || isFromLeader(m) {
@@ -28,7 +28,7 @@
 // Who asks or leads is not compared: a member that lags behind may know it by
 // the name only, and its own log made it a voter with the birth that it has.
 func (c *Core) accepts(m Message) bool {
-	if m.ToBirth != 0 && m.ToBirth != c.cfg.Birth {
+	if m.ToCreationID != 0 && m.ToCreationID != c.cfg.CreationID {
 		c.misaddressed()
 
 		return false
@@ -38,7 +38,7 @@
 	case VoteAnswer, AppendAnswer, ChunkAnswer:
 		known, ok := c.ruling().Find(m.From)
 
-		return ok && (known.Birth == 0 || known.Birth == m.FromBirth)
+		return ok && (known.Birth == 0 || known.Birth == m.FromCreationID)
 	default:
 		return true
 	}
@@ -82,7 +82,7 @@
 	case ChunkAnswer:
 		c.chunkAnswer(m, body)
 	case TimeoutNow:
-		if c.ruling().isVoter(c.cfg.ID, c.cfg.Birth) && m.From == c.leader {
+		if c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID) && m.From == c.leader {
 			c.campaign(false, true)
 		}
 	}
@@ -132,7 +132,7 @@
 
 	c.forming = nil
 	c.leader = m.From
-	c.leaderUntil = c.now.Add(c.cfg.Election)
+	c.leaderUntil = c.now.Add(c.cfg.ElectionTimeout)
 	c.resetElection()
 }
 
--- a/internal/quorum/round.go
+++ b/internal/quorum/round.go
@@ -15,10 +15,10 @@
 // beginRound asks all members whether this replica still leads.
 func (c *Core) beginRound() {
 	l := c.lead
-	l.heartbeatAt = c.now.Add(c.cfg.Heartbeat)
+	l.heartbeatAt = c.now.Add(c.cfg.HeartbeatInterval)
 	l.rounds = append(l.rounds, round{number: l.present() + 1, sent: c.now, commit: c.commit})
 
-	for len(l.rounds) > 2 && c.now.Sub(l.rounds[0].sent) > c.cfg.Election {
+	for len(l.rounds) > 2 && c.now.Sub(l.rounds[0].sent) > c.cfg.ElectionTimeout {
 		l.rounds = l.rounds[1:]
 	}
 
@@ -45,7 +45,7 @@
 		return
 	}
 
-	until := r.sent.Add(c.cfg.Election)
+	until := r.sent.Add(c.cfg.ElectionTimeout)
 
 	if until.After(p.activeUntil) {
 		p.activeUntil = until
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -118,7 +118,7 @@
 	case 5:
 		if l := s.leader(); l != nil {
 			id, _ := s.newOp(l, "members")
-			s.step(l, quorum.TransferAsked{ID: id, To: rapid.SampledFrom([]string{"", h.id}).Draw(s.t, "to")})
+			s.step(l, quorum.TransferRequested{ID: id, To: rapid.SampledFrom([]string{"", h.id}).Draw(s.t, "to")})
 		}
 	case 6:
 		s.change(quorum.Remove, h.id)
@@ -157,7 +157,7 @@
 // could save such a group: it may end up without a leader, but nothing else.
 func (s *schedule) changing() bool {
 	for _, o := range s.ops {
-		if o.command == "members" && o.ret == 0 && !o.notRun && s.now.Sub(o.at) < quorum.DefaultElection {
+		if o.command == "members" && o.ret == 0 && !o.notRun && s.now.Sub(o.at) < quorum.DefaultElectionTimeout {
 			return true
 		}
 	}
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -70,7 +70,7 @@
 	}
 
 	o.sent = body.Offset
-	o.againAt = c.now.Add(c.cfg.Election)
+	o.againAt = c.now.Add(c.cfg.ElectionTimeout)
 	end := min(body.Offset+uint64(c.cfg.ChunkBytes), uint64(len(o.snap.Data)))
 	c.sendChunk(p, body.Offset, o.snap.Data[body.Offset:end])
 }
@@ -137,7 +137,7 @@
 
 	for _, done := range c.out.Apply {
 		if done.ProposalID != 0 {
-			c.out.Answers = append(c.out.Answers, Answer{ID: done.ProposalID, Verdict: verdict.MayHaveRun, Reason: ReasonLostLeader})
+			c.out.Answers = append(c.out.Answers, Answer{ID: done.ProposalID, Verdict: verdict.MayHaveRun, Reason: ReasonLeadershipLost})
 		}
 	}
 
@@ -146,7 +146,7 @@
 }
 
 // compacted takes over the state machine's state and forgets old entries.
-func (c *Core) compacted(ev Compacted) {
+func (c *Core) compacted(ev SnapshotTaken) {
 	t, ok := c.log.term(ev.Index)
 	if !ok || ev.Index <= c.snap.Index || ev.Index > c.commit {
 		return
@@ -163,8 +163,8 @@
 	c.snap = Snapshot{Index: ev.Index, Term: t, MembersIndex: ruling.Index, Members: ruling.Members, Data: ev.Data}
 	c.snapDirty = true
 
-	if ev.Index > c.cfg.Keep {
-		c.log.compact(ev.Index - c.cfg.Keep)
+	if ev.Index > c.cfg.CatchUpEntries {
+		c.log.compact(ev.Index - c.cfg.CatchUpEntries)
 	}
 
 	c.log.compact(c.log.tail(ev.Index, keepBytes))
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -33,7 +33,7 @@
 // Status returns the state for dumps. Only a leader can say that a stop is safe.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.cfg.ID, Birth: c.cfg.Birth, State: c.state.String(), Term: c.hard.Term, Leader: c.leader,
+		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hard.Term, Leader: c.leader,
 		Commit: c.commit, Last: c.log.last(), Snapshot: c.snap.Index,
 	}
 
--- a/internal/quorum/world_test.go
+++ b/internal/quorum/world_test.go
@@ -28,7 +28,7 @@
 	birth   uint64
 	found   []quorum.Member
 	core    *quorum.Core // nil while down
-	disk    quorum.Stored
+	disk    quorum.StoredState
 	state   []string // applied commands
 	applied uint64
 	skew    time.Duration
@@ -121,7 +121,7 @@
 // restart starts h on what its disk holds.
 func (w *world) restart(h *host) {
 	c, err := quorum.New(quorum.Config{
-		ID: h.id, Birth: h.birth, Founders: h.found, Keep: 20, ChunkBytes: 64, AppendBytes: w.appendBytes, Rand: w.rng.Int64N,
+		ID: h.id, CreationID: h.birth, Founders: h.found, CatchUpEntries: 20, ChunkBytes: 64, AppendBytes: w.appendBytes, Rand: w.rng.Int64N,
 	}, h.disk, w.clock(h))
 	if err != nil {
 		w.fail("%s does not start: %v", h.id, err)
@@ -138,7 +138,7 @@
 // wipe loses h's disk. The next start makes a new birth under the same ID.
 func (w *world) wipe(h *host) {
 	w.kill(h)
-	h.disk = quorum.Stored{}
+	h.disk = quorum.StoredState{}
 
 	if !h.keepBirth {
 		h.birth = w.rng.Uint64() | 1
@@ -331,7 +331,7 @@
 
 func (w *world) read(h *host) *op {
 	id, o := w.newOp(h, "")
-	w.step(h, quorum.ReadAsked{ID: id, Until: w.clock(h).Add(time.Minute)})
+	w.step(h, quorum.ReadRequested{ID: id, Deadline: w.clock(h).Add(time.Minute)})
 
 	return o
 }
@@ -361,20 +361,20 @@
 	}
 
 	n, o := w.newOp(h, "members")
-	w.step(h, quorum.Changed{ID: n, Kind: kind, Member: quorum.Member{ID: id, Addr: address()}})
+	w.step(h, quorum.ChangeRequested{ID: n, Kind: kind, Member: quorum.Member{ID: id, Addr: address()}})
 
 	return o
 }
 
 func (w *world) transfer(h *host) *op {
 	id, o := w.newOp(h, "members")
-	w.step(h, quorum.TransferAsked{ID: id})
+	w.step(h, quorum.TransferRequested{ID: id})
 
 	return o
 }
 
 func (w *world) compact(h *host) {
 	if h.core != nil {
-		w.step(h, quorum.Compacted{Index: h.applied, Data: []byte(strings.Join(h.state, " "))})
+		w.step(h, quorum.SnapshotTaken{Index: h.applied, Data: []byte(strings.Join(h.state, " "))})
 	}
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -33,7 +33,7 @@
 		r.MaxBatch = batch
 		r.Apply = func(uint64, []byte) []byte { return nil }
 		r.Snapshot = func() []byte { return nil }
-		r.Heartbeat, r.Election = quorum.DefaultHeartbeat, quorum.DefaultElection
+		r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 	})
 	defer g.stop()
 
@@ -132,7 +132,7 @@
 					r.SnapshotEvery, r.Keep = 2, 1
 					r.Snapshot = func() []byte { return state }
 					r.Restore = func([]byte) error { return nil }
-					r.Heartbeat, r.Election = quorum.DefaultHeartbeat, quorum.DefaultElection
+					r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 				})
 				leader := g.leader(b)
 				_, _, err := leader.Propose(within(10*time.Second), []byte("second"))
@@ -160,7 +160,7 @@
 	for _, n := range []int{3, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
 			g := newHTTPGroup(b, n, func(r *replica.Replica) {
-				r.Heartbeat, r.Election = quorum.DefaultHeartbeat, quorum.DefaultElection
+				r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 			})
 			defer g.stop()
 
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -260,7 +260,7 @@
 		var refused *replica.OrderError
 
 		require.ErrorAs(t, err, &refused)
-		require.Equal(t, quorum.ReasonUnknown, refused.Reason)
+		require.Equal(t, quorum.ReasonMemberUnknown, refused.Reason)
 		require.NoError(t, others[0].AddLearner(within(5*time.Second), quorum.Member{ID: fresh.ID, Addr: fresh.Addr}))
 		time.Sleep(5 * time.Second)
 		require.NoError(t, others[0].Promote(within(5*time.Second), fresh.ID))
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -167,7 +167,7 @@
 
 	r.snapshot = r.applied
 	r.unsaved = 0
-	r.core.Step(time.Now(), quorum.Compacted{Index: r.applied, Data: r.Snapshot()})
+	r.core.Step(time.Now(), quorum.SnapshotTaken{Index: r.applied, Data: r.Snapshot()})
 
 	return true
 }
--- a/internal/replica/order.go
+++ b/internal/replica/order.go
@@ -62,7 +62,7 @@
 	defer cancel()
 
 	until, _ := ctx.Deadline()
-	out := r.ask(ctx, func(id uint64) quorum.Event { return quorum.ReadAsked{ID: id, Until: until} })
+	out := r.ask(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: until} })
 
 	if !out.done {
 		// A read changes nothing, so it may always be repeated.
@@ -153,7 +153,7 @@
 // isPassing reports whether a refusal may soon be over.
 func isPassing(reason quorum.Reason) bool {
 	switch reason {
-	case quorum.ReasonNotLeader, quorum.ReasonTransferring, quorum.ReasonBusy:
+	case quorum.ReasonNotLeader, quorum.ReasonTransferring, quorum.ReasonMembersChanging:
 		return true
 	default:
 		return false
@@ -164,21 +164,21 @@
 func (r *Replica) give(ctx context.Context, o *wire.PeerOrder) outcome {
 	m, err := quorum.MemberFromWire(o.GetMember())
 	if err != nil {
-		return outcome{verdict: verdict.NotRun, reason: quorum.ReasonBadAddr}
+		return outcome{verdict: verdict.NotRun, reason: quorum.ReasonBadAddress}
 	}
 
 	out := r.ask(ctx, func(id uint64) quorum.Event {
 		switch o.GetKind() {
 		case wire.PeerOrderKind_PeerOrderAddLearner:
-			return quorum.Changed{ID: id, Kind: quorum.AddLearner, Member: m}
+			return quorum.ChangeRequested{ID: id, Kind: quorum.AddLearner, Member: m}
 		case wire.PeerOrderKind_PeerOrderPromote:
-			return quorum.Changed{ID: id, Kind: quorum.Promote, Member: m}
+			return quorum.ChangeRequested{ID: id, Kind: quorum.Promote, Member: m}
 		case wire.PeerOrderKind_PeerOrderRemove:
-			return quorum.Changed{ID: id, Kind: quorum.Remove, Member: m}
+			return quorum.ChangeRequested{ID: id, Kind: quorum.Remove, Member: m}
 		case wire.PeerOrderKind_PeerOrderCheckStop:
-			return quorum.Changed{ID: id, Kind: quorum.CheckStop, Member: m}
+			return quorum.ChangeRequested{ID: id, Kind: quorum.CheckStop, Member: m}
 		case wire.PeerOrderKind_PeerOrderTransfer:
-			return quorum.TransferAsked{ID: id, To: m.ID}
+			return quorum.TransferRequested{ID: id, To: m.ID}
 		default:
 			return quorum.Proposed{ID: id, Command: o.GetCommand()}
 		}
@@ -312,7 +312,7 @@
 		cause = verdict.CauseDeadline
 	case quorum.ReasonTooLarge:
 		cause = verdict.CauseTooLarge
-	case quorum.ReasonFull:
+	case quorum.ReasonTooManyInFlight:
 		cause = verdict.CauseOverload
 	}
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -120,11 +120,11 @@
 		}
 
 		if r.Heartbeat == 0 {
-			r.Heartbeat = quorum.DefaultHeartbeat
+			r.Heartbeat = quorum.DefaultHeartbeatInterval
 		}
 
 		if r.Election == 0 {
-			r.Election = quorum.DefaultElection
+			r.Election = quorum.DefaultElectionTimeout
 		}
 	})
 }
@@ -163,7 +163,7 @@
 func (r *Replica) open() error {
 	r.journal = &journal.Journal{
 		Dir: r.Dir, Cluster: r.Cluster, ID: r.ID, Files: r.Files,
-		NewBirth: func() uint64 { return uint64(r.Rand(1<<62)) + 1 },
+		NewCreationID: func() uint64 { return uint64(r.Rand(1<<62)) + 1 },
 	}
 
 	stored, err := r.journal.Open()
@@ -172,8 +172,8 @@
 	}
 
 	r.core, err = quorum.New(quorum.Config{
-		ID: r.ID, Birth: r.journal.Birth(), Founders: r.Founders,
-		Heartbeat: r.Heartbeat, Election: r.Election, Keep: r.Keep, Rand: r.Rand,
+		ID: r.ID, CreationID: r.journal.CreationID(), Founders: r.Founders,
+		HeartbeatInterval: r.Heartbeat, ElectionTimeout: r.Election, CatchUpEntries: r.Keep, Rand: r.Rand,
 	}, stored, time.Now())
 	if err != nil {
 		return errors.Join(eris.Wrap(err, "start core"), r.journal.Close())
--- a/internal/replica/transport_test.go
+++ b/internal/replica/transport_test.go
@@ -49,11 +49,11 @@
 		quorum.AppendAnswer{Rejected: true, Index: 1, PrevIndex: 2, Round: 3},
 		quorum.Chunk{Index: 1, Term: 2, MembersIndex: 3, Members: members, Size: 4, Digest: 5, Offset: 6, Data: []byte("d"), Round: 7},
 		quorum.ChunkAnswer{Index: 1, Offset: 2, Round: 3},
-		quorum.Read{Ask: 1},
-		quorum.ReadAnswer{Ask: 1, Index: 2},
+		quorum.ReadIndex{Seq: 1},
+		quorum.ReadIndexAnswer{Seq: 1, Index: 2},
 		quorum.TimeoutNow{},
 	} {
-		sent := quorum.Message{From: "a", FromBirth: 1, To: "b", ToBirth: 2, Term: 3, Body: body}
+		sent := quorum.Message{From: "a", FromCreationID: 1, To: "b", ToCreationID: 2, Term: 3, Body: body}
 		b, err := proto.Marshal(sent.ToWire())
 		require.NoError(t, err)
 
--- a/internal/role/endings_test.go
+++ b/internal/role/endings_test.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	errFull     = &journal.WriteError{What: "write", Err: &fs.PathError{Op: "write", Path: "log", Err: syscall.ENOSPC}}
+	errFull     = &journal.WriteError{Op: "write", Err: &fs.PathError{Op: "write", Path: "log", Err: syscall.ENOSPC}}
 	errReadOnly = &os.LinkError{Op: "rename", Old: "a", New: "b", Err: syscall.EROFS}
 )
 
@@ -84,7 +84,7 @@
 func TestDamageEndsTheProcess(t *testing.T) {
 	t.Parallel()
 
-	for _, err := range []error{&journal.DamageError{File: "log"}, errors.New("address in use")} {
+	for _, err := range []error{&journal.CorruptionError{File: "log"}, errors.New("address in use")} {
 		starts, cleared, out := endings(t, err)
 		require.ErrorIs(t, out, err)
 		require.Len(t, starts, 1)
