--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -22,9 +22,9 @@
 		all[i] = dispatch.Target{ID: fmt.Sprintf("t%d", i), Service: "drafts", Slots: 12}
 	}
 
-	d.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, all)
+	d.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, all)
 
-	now, n := begin, 0
+	now, n := startTime, 0
 
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond / targets)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -114,42 +114,42 @@
 // Update takes in the targets and services as they are now.
 func (d *Dispatcher) Update(now time.Time, services []Service, targets []Target) []Action {
 	if d.newUntil.IsZero() {
-		d.newUntil = now.Add(newFor)
+		d.newUntil = now.Add(newDuration)
 	}
 
-	known := d.services
+	previous := d.services
 	d.services = make(map[string]*service, len(services))
 
 	for _, s := range services {
-		have := known[s.Name]
-		if have == nil {
-			have = &service{targets: map[string]*target{}}
+		svc := previous[s.Name]
+		if svc == nil {
+			svc = &service{targets: map[string]*target{}}
 		}
 
-		have.Service = s
-		d.services[s.Name] = have
+		svc.Service = s
+		d.services[s.Name] = svc
 	}
 
-	fresh := make(map[string]bool, len(targets))
+	ids := make(map[string]bool, len(targets))
 
 	for _, t := range targets {
 		if s := d.services[t.Service]; s != nil {
-			s.set(now, t)
+			s.setTarget(now, t)
 
-			fresh[t.ID] = true
+			ids[t.ID] = true
 		}
 	}
 
 	var out []Action
 
 	for _, s := range d.services {
-		s.keepOnly(fresh)
-		s.pacesUntil = time.Time{} // of other targets than before
+		s.retainTargets(ids)
+		s.slowdownsUntil = time.Time{} // of other targets than before
 
 		out = append(out, d.place(now, s)...)
 	}
 
-	for name, s := range known {
+	for name, s := range previous {
 		if d.services[name] == nil {
 			out = append(out, s.refuseAll(now, verdict.CauseUnknownService, d.Settings.MinRetryAfter)...)
 		}
@@ -169,8 +169,8 @@
 		r.Work = 1
 	}
 
-	if _, ok := s.opensAt(now, &r); !ok {
-		return []Action{{ID: r.ID, Cause: s.absence(&r), RetryAt: now.Add(d.Settings.NoTargetRetryAfter)}}
+	if _, ok := s.availableAt(now, &r); !ok {
+		return []Action{{ID: r.ID, Cause: s.noTargetCause(&r), RetryAt: now.Add(d.Settings.NoTargetRetryAfter)}}
 	}
 
 	s.waiting = append(s.waiting, waiting{Request: r, since: now})
@@ -181,7 +181,7 @@
 // Cancel takes back a request that waits.
 func (d *Dispatcher) Cancel(name string, id uint64) {
 	if s := d.services[name]; s != nil {
-		s.drop(id)
+		s.removeWaiting(id)
 	}
 }
 
@@ -192,29 +192,29 @@
 		return nil
 	}
 
-	s.report(now, s.targets[targetID], l)
+	s.reportLoad(now, s.targets[targetID], l)
 
 	return d.place(now, s)
 }
 
 // ReportEventGap takes in a pause between two events of a stream, in parts of what its
 // caller accepts.
-func (d *Dispatcher) ReportEventGap(now time.Time, placed Action, part float64) {
+func (d *Dispatcher) ReportEventGap(now time.Time, placed Action, ratio float64) {
 	if s := d.services[placed.Target.Service]; s != nil && placed.Target.Slots > 0 {
-		s.crowding.pause(now, part*s.crowdedPart(), placed.Target.Slots, &d.Settings)
-		s.surge.pause(now, part, &d.Settings)
+		s.concurrencyLimit.observeGap(now, ratio*s.loadDependentFraction(), placed.Target.Slots, &d.Settings)
+		s.startLimit.observeGap(now, ratio, &d.Settings)
 	}
 }
 
 // ReportFirstAnswer takes in how long a placed request waited for its first answer.
-func (d *Dispatcher) ReportFirstAnswer(placed Action, took time.Duration) {
+func (d *Dispatcher) ReportFirstAnswer(placed Action, elapsed time.Duration) {
 	if s := d.services[placed.Target.Service]; s != nil {
-		s.firstAnswer += (min(took, d.Settings.MaxFirstAnswerTime) - s.firstAnswer) / firstMemory
+		s.firstAnswer += (min(elapsed, d.Settings.MaxFirstAnswerTime) - s.firstAnswer) / firstAnswerWindow
 	}
 }
 
-// firstMemory is over how many requests the time of a first answer is averaged.
-const firstMemory = 16
+// firstAnswerWindow is over how many requests the time of a first answer is averaged.
+const firstAnswerWindow = 16
 
 // Finish ends a placed request. Place holds what it held.
 func (d *Dispatcher) Finish(now time.Time, placed Action, work float64, o Outcome) []Action {
@@ -228,7 +228,7 @@
 	}
 
 	if o == Completed {
-		s.ends.add(now)
+		s.completions.add(now)
 	}
 
 	return d.place(now, s)
@@ -237,7 +237,7 @@
 // ReportFault takes in that a target made another one fail: its group waits for it.
 func (d *Dispatcher) ReportFault(now time.Time, serviceName, targetID string) {
 	if s := d.services[serviceName]; s != nil {
-		s.faultAt(now, targetID, &d.Settings)
+		s.ejectGroup(now, targetID, &d.Settings)
 	}
 }
 
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -11,62 +11,62 @@
 	"github.com/parsleygate/parsleygate/internal/dispatch"
 )
 
-// groupDay is a lock-step group under load, as one entry drives it: a model in which all
+// groupConfig is a lock-step group under load, as one entry drives it: a model in which all
 // drafts get an event each step, and a step takes longer the more drafts run, the more of
 // a prompt is read in it, and the worse the expert map fits the demand.
-type groupDay struct {
+type groupConfig struct {
 	ranks, slots int
 	// fixed is what a step takes without drafts, perDraft what each draft of a rank adds,
 	// perToken what a prompt's token does at a rank of its own.
-	fixed, perDraft, perToken time.Duration
-	perSecond                 float64
-	gap, aim, patience        time.Duration
+	fixed, perRequest, perToken    time.Duration
+	perSecond                      float64
+	maxGap, latencyTarget, timeout time.Duration
 	// skew is how many times longer than by a perfect map the experts take; for the last
 	// shiftFor of each shiftEvery it is shifted, while copies make steps longer by the
 	// part copying.
-	skew, shifted        float64
-	copying              float64
-	shiftEvery, shiftFor time.Duration
-	length               time.Duration
-	settings             dispatch.Settings
+	skew, shiftedSkew            float64
+	copyOverhead                 float64
+	shiftInterval, shiftDuration time.Duration
+	duration                     time.Duration
+	settings                     dispatch.Settings
 }
 
-// usualDay is a busy group whose demand shifts each three seconds.
-func usualDay() groupDay {
-	return groupDay{
-		ranks: 12, slots: 12, fixed: 29 * time.Millisecond, perDraft: 2200 * time.Microsecond, perToken: 13 * time.Microsecond,
-		perSecond: 74, gap: 120 * time.Millisecond, aim: 400 * time.Millisecond, patience: 2 * time.Second,
-		skew: 1.25, shifted: 3.5, copying: 0.15, shiftEvery: 3200 * time.Millisecond, shiftFor: 450 * time.Millisecond,
-		length: 60 * time.Second, settings: dispatch.DefaultSettings(),
+// busyGroup is a busy group whose demand shifts each three seconds.
+func busyGroup() groupConfig {
+	return groupConfig{
+		ranks: 12, slots: 12, fixed: 29 * time.Millisecond, perRequest: 2200 * time.Microsecond, perToken: 13 * time.Microsecond,
+		perSecond: 74, maxGap: 120 * time.Millisecond, latencyTarget: 400 * time.Millisecond, timeout: 2 * time.Second,
+		skew: 1.25, shiftedSkew: 3.5, copyOverhead: 0.15, shiftInterval: 3200 * time.Millisecond, shiftDuration: 450 * time.Millisecond,
+		duration: 60 * time.Second, settings: dispatch.DefaultSettings(),
 	}
 }
 
-type draft struct {
-	arrived time.Time
-	tokens  float64
-	events  int
-	placed  dispatch.Action
-	eventAt time.Time
-	late    bool
-	read    bool
+type groupRequest struct {
+	arrived    time.Time
+	tokens     float64
+	eventsLeft int
+	placed     dispatch.Action
+	eventAt    time.Time
+	late       bool
+	promptRead bool
 }
 
-// groupRun is one play of a groupDay.
-type groupRun struct {
-	groupDay
+// groupSim is one play of a groupDay.
+type groupSim struct {
+	groupConfig
 
 	d       *dispatch.Dispatcher
 	r       *rand.Rand
 	id      uint64
-	waiting map[uint64]*draft
-	running []*draft
+	waiting map[uint64]*groupRequest
+	running []*groupRequest
 
 	inTime, late, refused int
 }
 
-func (g groupDay) play(seed uint64) *groupRun {
-	x := &groupRun{
-		groupDay: g, r: rand.New(rand.NewPCG(seed, 1)), waiting: map[uint64]*draft{},
+func (g groupConfig) simulate(seed uint64) *groupSim {
+	x := &groupSim{
+		groupConfig: g, r: rand.New(rand.NewPCG(seed, 1)), waiting: map[uint64]*groupRequest{},
 		d: &dispatch.Dispatcher{Settings: g.settings, Rand: rand.New(rand.NewPCG(seed, 2))},
 	}
 
@@ -75,26 +75,26 @@
 		targets = append(targets, dispatch.Target{ID: string(rune('a' + i)), Service: "drafts", Group: "g", Slots: g.slots})
 	}
 
-	x.take(begin, x.d.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
+	x.apply(startTime, x.d.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
 	x.run()
 
 	return x
 }
 
 // run plays one step after the other, with the arrivals in between.
-func (x *groupRun) run() {
+func (x *groupSim) run() {
 	const tick = 20 * time.Millisecond
 
-	end := begin.Add(x.length)
-	arrives := begin
-	ticks := begin
+	end := startTime.Add(x.duration)
+	arrives := startTime
+	ticks := startTime
 
-	for now := begin; now.Before(end); {
+	for now := startTime; now.Before(end); {
 		until := now.Add(x.stepLength(now))
 
 		for at := arrives; at.Before(until); at = arrives {
 			for ; ticks.Before(at); ticks = ticks.Add(tick) {
-				x.take(ticks, x.d.Tick(ticks))
+				x.apply(ticks, x.d.Tick(ticks))
 			}
 
 			x.arrive(at)
@@ -102,19 +102,19 @@
 		}
 
 		now = until
-		x.step(now)
+		x.endStep(now)
 	}
 }
 
-func (x *groupRun) arrive(now time.Time) {
+func (x *groupSim) arrive(now time.Time) {
 	x.id++
-	x.waiting[x.id] = &draft{
-		arrived: now, tokens: min(3000, 550*math.Exp(0.9*x.r.NormFloat64())), events: 1 + int(min(66, 20*math.Exp(0.7*x.r.NormFloat64()))),
+	x.waiting[x.id] = &groupRequest{
+		arrived: now, tokens: min(3000, 550*math.Exp(0.9*x.r.NormFloat64())), eventsLeft: 1 + int(min(66, 20*math.Exp(0.7*x.r.NormFloat64()))),
 	}
-	x.take(now, x.d.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.aim), Deadline: now.Add(x.patience)}))
+	x.apply(now, x.d.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.latencyTarget), Deadline: now.Add(x.timeout)}))
 }
 
-func (x *groupRun) take(now time.Time, actions []dispatch.Action) {
+func (x *groupSim) apply(now time.Time, actions []dispatch.Action) {
 	for _, a := range actions {
 		w := x.waiting[a.ID]
 		delete(x.waiting, a.ID)
@@ -131,45 +131,45 @@
 }
 
 // stepLength is how long the step that begins at now takes.
-func (x *groupRun) stepLength(now time.Time) time.Duration {
-	skew, longer := x.skew, 1.0
-	if now.Sub(begin)%x.shiftEvery > x.shiftEvery-x.shiftFor {
-		skew, longer = x.shifted, 1+x.copying
+func (x *groupSim) stepLength(now time.Time) time.Duration {
+	skew, factor := x.skew, 1.0
+	if now.Sub(startTime)%x.shiftInterval > x.shiftInterval-x.shiftDuration {
+		skew, factor = x.shiftedSkew, 1+x.copyOverhead
 	}
 
 	work := 0.0
 
 	for _, w := range x.running {
-		work += float64(x.perDraft)
+		work += float64(x.perRequest)
 
-		if !w.read {
+		if !w.promptRead {
 			work += w.tokens * float64(x.perToken)
 		}
 	}
 
-	return time.Duration(longer * (float64(x.fixed) + work/float64(x.ranks)*(0.15+0.85*skew)))
+	return time.Duration(factor * (float64(x.fixed) + work/float64(x.ranks)*(0.15+0.85*skew)))
 }
 
-// step ends a step: all drafts that were in it get an event.
-func (x *groupRun) step(now time.Time) {
-	var left []*draft
+// endStep ends a step: all drafts that were in it get an event.
+func (x *groupSim) endStep(now time.Time) {
+	var continuing []*groupRequest
 
 	for _, w := range x.running {
-		pause := now.Sub(w.eventAt)
+		gap := now.Sub(w.eventAt)
 
-		if w.read {
-			w.late = w.late || pause > x.gap
-			x.d.ReportEventGap(now, w.placed, float64(pause)/float64(x.gap))
+		if w.promptRead {
+			w.late = w.late || gap > x.maxGap
+			x.d.ReportEventGap(now, w.placed, float64(gap)/float64(x.maxGap))
 		} else {
-			w.read = true
-			w.late = now.Sub(w.arrived) > x.aim
-			x.d.ReportFirstAnswer(w.placed, pause)
+			w.promptRead = true
+			w.late = now.Sub(w.arrived) > x.latencyTarget
+			x.d.ReportFirstAnswer(w.placed, gap)
 		}
 
 		w.eventAt = now
 
-		if w.events--; w.events > 0 {
-			left = append(left, w)
+		if w.eventsLeft--; w.eventsLeft > 0 {
+			continuing = append(continuing, w)
 
 			continue
 		}
@@ -182,31 +182,31 @@
 	}
 
 	ended := x.running
-	x.running = left
+	x.running = continuing
 
 	for _, w := range ended {
-		if w.events == 0 {
-			x.take(now, x.d.Finish(now, w.placed, 1, dispatch.Completed))
+		if w.eventsLeft == 0 {
+			x.apply(now, x.d.Finish(now, w.placed, 1, dispatch.Completed))
 		}
 	}
 }
 
-// missed is the share of drafts that are late or refused, in the mean of some days.
-func (g groupDay) missed() float64 {
-	const days = 5
+// missedFraction is the share of drafts that are late or refused, in the mean of some days.
+func (g groupConfig) missedFraction() float64 {
+	const runs = 5
 
-	share := 0.0
+	fraction := 0.0
 
-	for seed := range uint64(days) {
-		x := g.play(seed)
-		share += float64(x.late+x.refused) / float64(x.inTime+x.late+x.refused) / days
+	for seed := range uint64(runs) {
+		x := g.simulate(seed)
+		fraction += float64(x.late+x.refused) / float64(x.inTime+x.late+x.refused) / runs
 	}
 
-	return share
+	return fraction
 }
 
-// unheld is the same day where no starts are held back.
-func (g groupDay) unheld() groupDay {
+// withoutStartLimit is the same day where no starts are held back.
+func (g groupConfig) withoutStartLimit() groupConfig {
 	g.settings.LongStepGap, g.settings.NoStartGap = math.MaxFloat64/2, math.MaxFloat64
 
 	return g
@@ -216,36 +216,36 @@
 // map comes. The bound on what targets are given fell for that half second, and rose by a
 // small step after it, so that callers waited for seconds before a group that had room:
 // one draft in five was late. At most one in ten may be.
-func TestShiftsMakeFewDraftsLate(t *testing.T) {
+func TestDemandShiftsMakeFewRequestsLate(t *testing.T) {
 	t.Parallel()
 
-	missed := usualDay().missed()
-	t.Logf("late or refused %.3f", missed)
-	require.Less(t, missed, 0.1)
+	missedFraction := busyGroup().missedFraction()
+	t.Logf("late or refused %.3f", missedFraction)
+	require.Less(t, missedFraction, 0.1)
 }
 
 // The demand of a busy group shifts further than usual. Drafts that started in the long
 // steps until the next map made these steps longer than callers bear, and every draft of
 // the group late. Held back for that half second, most of them are in time, and so are
 // those that run: a third of the late drafts at least are spared.
-func TestStartsInLongStepsAreHeldBack(t *testing.T) {
+func TestStartLimitReducesLateRequestsInLongSteps(t *testing.T) {
 	t.Parallel()
 
-	g := usualDay()
-	g.shifted, g.perSecond = 4, 72
-	with, without := g.missed(), g.unheld().missed()
+	g := busyGroup()
+	g.shiftedSkew, g.perSecond = 4, 72
+	with, without := g.missedFraction(), g.withoutStartLimit().missedFraction()
 	t.Logf("late or refused %.3f, without holding back %.3f", with, without)
 	require.Less(t, with, without*2/3)
 }
 
 // The same shifts in a group with a tenth less work, whose long steps everyone bears.
 // Who is held back there is late for nothing: hardly anyone may be.
-func TestBearableShiftsHoldHardlyAnyoneBack(t *testing.T) {
+func TestStartLimitCostsLittleWhenLongStepsAreTolerable(t *testing.T) {
 	t.Parallel()
 
-	g := usualDay()
+	g := busyGroup()
 	g.perSecond *= 0.9
-	with, without := g.missed(), g.unheld().missed()
+	with, without := g.missedFraction(), g.withoutStartLimit().missedFraction()
 	t.Logf("late or refused %.3f, without holding back %.3f", with, without)
 	require.Less(t, with, without+0.02)
 }
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -16,20 +16,20 @@
 
 	targets map[string]*target
 	// sorted are the targets by ID: what is decided must not depend on a map's order.
-	sorted  []*target
-	waiting []waiting
-	ends    rate
-	// others is the mean of what other entries have at a target.
-	others mean
-	// crowding bounds how many requests a target is given.
-	crowding crowding
-	// surge holds back starts while steps are suddenly long.
-	surge surge
-	// leastPace and mostPace are the paces of the fastest and of the slowest target,
+	sorted      []*target
+	waiting     []waiting
+	completions completionRate
+	// otherRequests is the mean of what other entries have at a target.
+	otherRequests decayingMean
+	// concurrencyLimit bounds how many requests a target is given.
+	concurrencyLimit concurrencyLimit
+	// startLimit holds back starts while steps are suddenly long.
+	startLimit startLimit
+	// minSlowdown and mostPace are the paces of the fastest and of the slowest target,
 	// 0 while none has said one. They hold until pacesUntil.
-	leastPace  float64
-	mostPace   float64
-	pacesUntil time.Time
+	minSlowdown    float64
+	maxSlowdown    float64
+	slowdownsUntil time.Time
 	// firstAnswer is how long a placed request usually waits for its first answer.
 	firstAnswer time.Duration
 }
@@ -40,27 +40,27 @@
 	since time.Time
 }
 
-func (s *service) set(now time.Time, t Target) {
-	have := s.targets[t.ID]
+func (s *service) setTarget(now time.Time, t Target) {
+	current := s.targets[t.ID]
 
 	switch {
-	case have == nil || have.Address != t.Address:
-		have = &target{newUntil: now.Add(newFor)}
-		s.targets[t.ID] = have
-	case have.Broken && !t.Broken:
-		have.newUntil = now.Add(newFor)
+	case current == nil || current.Address != t.Address:
+		current = &target{newUntil: now.Add(newDuration)}
+		s.targets[t.ID] = current
+	case current.Broken && !t.Broken:
+		current.newUntil = now.Add(newDuration)
 	}
 
-	have.Target = t
+	current.Target = t
 }
 
-// newFor is how long a target, or this entry, counts as just come into use: some words of
+// newDuration is how long a target, or this entry, counts as just come into use: some words of
 // the target's load, or of the other entries.
-const newFor = time.Second
+const newDuration = time.Second
 
-func (s *service) keepOnly(fresh map[string]bool) {
+func (s *service) retainTargets(ids map[string]bool) {
 	for id := range s.targets {
-		if !fresh[id] {
+		if !ids[id] {
 			delete(s.targets, id)
 		}
 	}
@@ -68,14 +68,14 @@
 	s.sorted = slices.SortedFunc(maps.Values(s.targets), func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (s *service) drop(id uint64) {
+func (s *service) removeWaiting(id uint64) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool { return w.ID == id })
 }
 
-func (s *service) refuseAll(now time.Time, cause verdict.Cause, retry time.Duration) []Action {
+func (s *service) refuseAll(now time.Time, cause verdict.Cause, retryAfter time.Duration) []Action {
 	out := make([]Action, 0, len(s.waiting))
 	for _, w := range s.waiting {
-		out = append(out, Action{ID: w.ID, Cause: cause, RetryAt: now.Add(retry)})
+		out = append(out, Action{ID: w.ID, Cause: cause, RetryAt: now.Add(retryAfter)})
 	}
 
 	s.waiting = nil
@@ -83,27 +83,27 @@
 	return out
 }
 
-// opensAt returns from when on some target may take r: now, or the end of the first
+// availableAt returns from when on some target may take r: now, or the end of the first
 // pause where all are left alone. It reports false if there is none to wait for.
-func (s *service) opensAt(now time.Time, r *Request) (at time.Time, ok bool) {
+func (s *service) availableAt(now time.Time, r *Request) (at time.Time, ok bool) {
 	for _, t := range s.sorted {
 		if t.Draining || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
-		if !t.pausedUntil.After(now) {
+		if !t.ejectedUntil.After(now) {
 			return now, true
 		}
 
-		if !ok || t.pausedUntil.Before(at) {
-			at, ok = t.pausedUntil, true
+		if !ok || t.ejectedUntil.Before(at) {
+			at, ok = t.ejectedUntil, true
 		}
 	}
 
 	return at, ok
 }
 
-func (s *service) absence(r *Request) verdict.Cause {
+func (s *service) noTargetCause(r *Request) verdict.Cause {
 	if len(r.Excluded) > 0 {
 		return verdict.CauseTargetDown
 	}
@@ -119,53 +119,53 @@
 	}
 
 	// What is left is in the order in which it is to be placed.
-	out := d.refuseHopeless(now, s)
-	kept := s.waiting[:0]
+	out := d.refuseUnservable(now, s)
+	remaining := s.waiting[:0]
 
 	for i := range s.waiting {
 		w := &s.waiting[i]
 
 		var t *target
-		if !s.Streams || !s.surge.holds(now) {
+		if !s.Streams || !s.startLimit.blocked(now) {
 			t = d.choose(now, s, &w.Request)
 		}
 
 		if t == nil {
-			kept = append(kept, *w)
+			remaining = append(remaining, *w)
 
 			continue
 		}
 
 		t.place(now, w.Work)
-		s.surge.start()
+		s.startLimit.recordStart()
 		out = append(out, Action{ID: w.ID, Target: t.Target, Placed: true})
 	}
 
-	s.waiting = kept
+	s.waiting = remaining
 
 	return out
 }
 
 // limit returns how many requests t may have.
 func (s *service) limit(now time.Time, t *target, cfg *Settings) float64 {
-	most := float64(t.Slots) + cfg.MaxQueuedPerTarget
+	maximum := float64(t.Slots) + cfg.MaxQueuedPerTarget
 	if !s.Streams {
-		return most
+		return maximum
 	}
 
-	return min(s.crowdedAt(now, t, s.crowding.limit(t)), most)
+	return min(s.slowdownLimit(now, t, s.concurrencyLimit.limit(t)), maximum)
 }
 
-// order says which of two waiting requests goes first, where one that is placed now
+// compareWaiting says which of two waiting requests goes first, where one that is placed now
 // is answered at due. What can still be in time goes before what is late already, the
 // newest first: in a burst, first come, first served would make every request late. Late
 // ones follow in the order in which their callers give up.
-func order(due time.Time, a, b *waiting) int {
+func compareWaiting(answerAt time.Time, a, b *waiting) int {
 	if a.Priority != b.Priority {
 		return cmp.Compare(a.Priority, b.Priority)
 	}
 
-	lateA, lateB := !due.Before(a.SoftDeadline), !due.Before(b.SoftDeadline)
+	lateA, lateB := !answerAt.Before(a.SoftDeadline), !answerAt.Before(b.SoftDeadline)
 
 	switch {
 	case lateA != lateB && lateB:
@@ -179,37 +179,37 @@
 	}
 }
 
-// refuseHopeless refuses what its caller will have given up before an answer, and
+// refuseUnservable refuses what its caller will have given up before an answer, and
 // what no target is left for. A late request is refused as soon as more late ones
 // go before it than end in the time that it has. Where all targets failed lately and
 // are left alone, a caller that gives up before the first is tried again is refused at
 // once. The rest is left in order.
-func (d *Dispatcher) refuseHopeless(now time.Time, s *service) []Action {
+func (d *Dispatcher) refuseUnservable(now time.Time, s *service) []Action {
 	var out []Action
 
-	perSecond := s.ends.perSecond(now)
+	perSecond := s.completions.perSecond(now)
 	ahead := 0
 
-	due := now.Add(s.firstAnswer)
-	slices.SortStableFunc(s.waiting, func(a, b waiting) int { return order(due, &a, &b) })
+	answerAt := now.Add(s.firstAnswer)
+	slices.SortStableFunc(s.waiting, func(a, b waiting) int { return compareWaiting(answerAt, &a, &b) })
 
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool {
-		opens, ok := s.opensAt(now, &w.Request)
-		closed := opens.Sub(now)
-		left := w.Deadline.Sub(due) - closed
-		queued := time.Duration(0)
+		openAt, ok := s.availableAt(now, &w.Request)
+		untilAvailable := openAt.Sub(now)
+		remaining := w.Deadline.Sub(answerAt) - untilAvailable
+		queueTime := time.Duration(0)
 
 		if perSecond > 0 {
-			queued = time.Duration(float64(ahead) / perSecond * float64(time.Second))
+			queueTime = time.Duration(float64(ahead) / perSecond * float64(time.Second))
 		}
 
-		late := !due.Before(w.SoftDeadline)
+		late := !answerAt.Before(w.SoftDeadline)
 
 		switch {
 		case !ok:
-			out = append(out, Action{ID: w.ID, Cause: s.absence(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetryAfter), Capacity: d.room(now, s)})
-		case left <= 0, late && perSecond > 0 && queued > left:
-			out = append(out, Action{ID: w.ID, Cause: d.shortage(now, s), RetryAt: now.Add(d.retryIn(closed + queued)), Capacity: d.room(now, s)})
+			out = append(out, Action{ID: w.ID, Cause: s.noTargetCause(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetryAfter), Capacity: d.capacity(now, s)})
+		case remaining <= 0, late && perSecond > 0 && queueTime > remaining:
+			out = append(out, Action{ID: w.ID, Cause: d.refusalCause(now, s), RetryAt: now.Add(d.retryAfter(untilAvailable + queueTime)), Capacity: d.capacity(now, s)})
 		default:
 			ahead++
 
@@ -222,14 +222,14 @@
 	return out
 }
 
-// shortage says why a request that waited got no target.
-func (d *Dispatcher) shortage(now time.Time, s *service) verdict.Cause {
+// refusalCause says why a request that waited got no target.
+func (d *Dispatcher) refusalCause(now time.Time, s *service) verdict.Cause {
 	cause := verdict.CauseNoTarget
 
 	for _, t := range s.sorted {
-		switch o := d.obstacle(now, s, t); {
-		case o == obstacleLeaving:
-		case o == obstacleBroken, o == obstaclePaused && !t.full:
+		switch o := d.blockReason(now, s, t); {
+		case o == blockDraining:
+		case o == blockBroken, o == blockEjected && !t.rejected:
 			cause = verdict.CauseTargetDown
 		default:
 			return verdict.CauseOverload
@@ -239,7 +239,7 @@
 	return cause
 }
 
-func (d *Dispatcher) retryIn(wait time.Duration) time.Duration {
+func (d *Dispatcher) retryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, d.Settings.MinRetryAfter), d.Settings.MaxRetryAfter)
 }
 
@@ -251,16 +251,16 @@
 	ties := 0
 
 	for _, t := range s.sorted {
-		if d.obstacle(now, s, t) != obstacleNone || slices.Contains(r.Excluded, t.ID) {
+		if d.blockReason(now, s, t) != blockNone || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
-		c := t.cost(now, s, &d.Settings) + d.wayCost(t)
+		c := t.cost(now, s, &d.Settings) + d.zoneCost(t)
 
 		switch {
-		case best == nil || c < bestCost-costTie:
+		case best == nil || c < bestCost-costTolerance:
 			best, bestCost, ties = t, c, 1
-		case c <= bestCost+costTie:
+		case c <= bestCost+costTolerance:
 			// Each of the equal ones is as likely: all entries would else choose the same.
 			ties++
 			if d.Rand.IntN(ties) == 0 {
@@ -272,9 +272,9 @@
 	return best
 }
 
-// wayCost is what the way to t costs, in the terms of a target's load. A packet that is
+// zoneCost is what the way to t costs, in the terms of a target's load. A packet that is
 // lost between zones is sent again later than callers accept between two events.
-func (d *Dispatcher) wayCost(t *target) float64 {
+func (d *Dispatcher) zoneCost(t *target) float64 {
 	if d.Zone == "" || t.Zone == d.Zone {
 		return 0
 	}
@@ -282,30 +282,30 @@
 	return d.Settings.CrossZoneCost
 }
 
-// costTie is the difference in load (parts of the slots) below which targets count as equal.
-const costTie = 0.02
+// costTolerance is the difference in load (parts of the slots) below which targets count as equal.
+const costTolerance = 0.02
 
-// obstacle returns why t may not get a request now; obstacleNone where it may.
-func (d *Dispatcher) obstacle(now time.Time, s *service, t *target) obstacle {
+// blockReason returns why t may not get a request now; obstacleNone where it may.
+func (d *Dispatcher) blockReason(now time.Time, s *service, t *target) blockReason {
 	switch {
 	case t.Draining:
-		return obstacleLeaving
+		return blockDraining
 	case t.Broken:
-		return obstacleBroken
-	case now.Before(t.pausedUntil):
-		return obstaclePaused
-	case t.Slots > 0 && d.full(now, s, t):
-		return obstacleFull
-	case s.MaxConnections > 0 && t.own >= t.Share.Units(now, float64(s.MaxConnections)):
-		return obstacleConnections
-	case s.ColdPerSecond > 0 && t.sentSince(now.Add(-d.Settings.ColdWindow)) >= d.coldShare(now, s, t):
-		return obstacleCold
+		return blockBroken
+	case now.Before(t.ejectedUntil):
+		return blockEjected
+	case t.Slots > 0 && d.isFull(now, s, t):
+		return blockFull
+	case s.MaxConnections > 0 && t.inFlight >= t.Share.Units(now, float64(s.MaxConnections)):
+		return blockConnections
+	case s.ColdPerSecond > 0 && t.sentSince(now.Add(-d.Settings.ColdWindow)) >= d.coldQuota(now, s, t):
+		return blockCold
 	default:
-		return obstacleNone
+		return blockNone
 	}
 }
 
-func (d *Dispatcher) full(now time.Time, s *service, t *target) bool {
+func (d *Dispatcher) isFull(now time.Time, s *service, t *target) bool {
 	limit := s.limit(now, t, &d.Settings)
 	load := t.load(now, s, &d.Settings)
 
@@ -313,7 +313,7 @@
 		return true
 	}
 
-	return s.Streams && t.own >= t.Share.Units(now, math.Ceil(limit)) && !d.mayBorrow(now, t, limit, load)
+	return s.Streams && t.inFlight >= t.Share.Units(now, math.Ceil(limit)) && !d.mayBorrow(now, t, limit, load)
 }
 
 // mayBorrow reports whether this entry may have more than its share at t. It may where the
@@ -327,27 +327,27 @@
 	return load+1+d.Settings.BorrowReserve*float64(t.Share.Entries-1) <= limit
 }
 
-// coldUnknown is how far above the declared bound of a cold target all entries
+// warmBoundFactor is how far above the declared bound of a cold target all entries
 // together may go while it counts as warm: it may have turned cold without a word.
-const coldUnknown = 1.5
+const warmBoundFactor = 1.5
 
-// newPart is by how much smaller the part is, as a divisor, that an entry takes which may
+// newEntryDivisor is by how much smaller the part is, as a divisor, that an entry takes which may
 // know few of the others.
-const newPart = 4
+const newEntryDivisor = 4
 
-// coldShare is how many requests this entry may send to t in a second. A cold
+// coldQuota is how many requests this entry may send to t in a second. A cold
 // target breaks down above its bound, and any target may turn cold without a
 // word, so warm ones have a bound too, which usual load does not reach. An entry that has
 // just started may know few of the others, and take too large a part.
-func (d *Dispatcher) coldShare(now time.Time, s *service, t *target) int {
+func (d *Dispatcher) coldQuota(now time.Time, s *service, t *target) int {
 	bound := s.ColdPerSecond * d.Settings.ColdUtilization
 	if !now.Before(t.ColdUntil) {
-		bound *= coldUnknown
+		bound *= warmBoundFactor
 	}
 
 	units := t.Share.Units(now, bound)
 	if now.Before(d.newUntil) {
-		return (units + newPart - 1) / newPart
+		return (units + newEntryDivisor - 1) / newEntryDivisor
 	}
 
 	return units
--- a/internal/latency/spread.go
+++ b/internal/latency/estimator.go
@@ -10,25 +10,25 @@
 	Mean      time.Duration
 	Deviation time.Duration
 
-	seen int
+	samples int
 }
 
 // Observe takes in one duration. The mean is over some memory durations, or over all
 // where fewer were seen.
-func (s *Estimator) Observe(d time.Duration, memory int) {
-	s.seen = min(s.seen+1, memory)
-	if s.seen == 1 {
+func (s *Estimator) Observe(d time.Duration, window int) {
+	s.samples = min(s.samples+1, window)
+	if s.samples == 1 {
 		s.Mean = d
 
 		return
 	}
 
-	s.Deviation += ((d - s.Mean).Abs() - s.Deviation) / time.Duration(s.seen)
-	s.Mean += (d - s.Mean) / time.Duration(s.seen)
+	s.Deviation += ((d - s.Mean).Abs() - s.Deviation) / time.Duration(s.samples)
+	s.Mean += (d - s.Mean) / time.Duration(s.samples)
 }
 
 // UpperBound returns a duration that few exceed: margin mean distances above the mean. It
 // reports false where nothing was learnt.
-func (s *Estimator) UpperBound(margin int) (time.Duration, bool) {
-	return s.Mean + time.Duration(margin)*s.Deviation, s.seen > 0
+func (s *Estimator) UpperBound(deviations int) (time.Duration, bool) {
+	return s.Mean + time.Duration(deviations)*s.Deviation, s.samples > 0
 }
--- a/internal/latency/spread_test.go
+++ b/internal/latency/estimator_test.go
@@ -26,7 +26,7 @@
 
 // The balancer of an overloaded entry, or a director, acts on what takes longer than
 // nearly all: with an exponential tail that is one in twenty at most.
-func TestFewExceedThreeDistances(t *testing.T) {
+func TestFewSamplesExceedThreeDeviations(t *testing.T) {
 	t.Parallel()
 
 	r := rand.New(rand.NewPCG(1, 1))
--- a/internal/loadreport/loads_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -28,12 +28,12 @@
 
 // An entry asks an agent and hears its engine's load, also when it changes. Asks of
 // another deployment, and bytes that are none, are answered to nobody.
-func TestEntriesHearLoads(t *testing.T) {
+func TestSubscribersReceiveLoads(t *testing.T) {
 	t.Parallel()
 
 	agentConn, agent := socket(t)
 	entryConn, _ := socket(t)
-	strangerConn, _ := socket(t)
+	foreignConn, _ := socket(t)
 
 	ctx, stop := context.WithCancel(t.Context())
 
@@ -43,8 +43,8 @@
 		runs sync.WaitGroup
 	)
 
-	heard := make(chan loadreport.Load, 100)
-	teller := &loadreport.Publisher{
+	received := make(chan loadreport.Load, 100)
+	publisher := &loadreport.Publisher{
 		Cluster: "trust", Conn: agentConn, Logger: slog.New(slog.DiscardHandler),
 		Load: func(context.Context) (loadreport.Load, error) {
 			mu.Lock()
@@ -53,29 +53,29 @@
 			return load, nil
 		},
 	}
-	listener := func(cluster string, conn net.PacketConn, heard func(netip.AddrPort, loadreport.Load)) {
-		l := &loadreport.Subscriber{Cluster: cluster, Conn: conn, Agents: func() []netip.AddrPort { return []netip.AddrPort{agent} }, OnLoad: heard}
+	subscribe := func(cluster string, conn net.PacketConn, received func(netip.AddrPort, loadreport.Load)) {
+		l := &loadreport.Subscriber{Cluster: cluster, Conn: conn, Agents: func() []netip.AddrPort { return []netip.AddrPort{agent} }, OnLoad: received}
 
 		runs.Go(func() { _ = l.Run(ctx) })
 	}
 
-	runs.Go(func() { _ = teller.Run(ctx) })
-	listener("trust", entryConn, func(from netip.AddrPort, l loadreport.Load) {
+	runs.Go(func() { _ = publisher.Run(ctx) })
+	subscribe("trust", entryConn, func(from netip.AddrPort, l loadreport.Load) {
 		if from == agent {
-			heard <- l
+			received <- l
 		}
 	})
-	listener("qurum", strangerConn, func(netip.AddrPort, loadreport.Load) { t.Error("another deployment heard a load") })
+	subscribe("qurum", foreignConn, func(netip.AddrPort, loadreport.Load) { t.Error("another deployment heard a load") })
 
-	_, err := strangerConn.WriteTo([]byte("\xff\xffnonsense"), net.UDPAddrFromAddrPort(agent))
+	_, err := foreignConn.WriteTo([]byte("\xff\xffnonsense"), net.UDPAddrFromAddrPort(agent))
 	require.NoError(t, err)
-	require.Equal(t, loadreport.Load{Running: 3, Waiting: 1}, <-heard)
+	require.Equal(t, loadreport.Load{Running: 3, Waiting: 1}, <-received)
 
 	mu.Lock()
 	load = loadreport.Load{Running: 7}
 	mu.Unlock()
 
-	require.Eventually(t, func() bool { return <-heard == loadreport.Load{Running: 7} }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return <-received == loadreport.Load{Running: 7} }, 10*time.Second, time.Millisecond)
 	stop()
 	runs.Wait()
 }
@@ -84,26 +84,26 @@
 type fakeConn struct {
 	net.PacketConn
 
-	from   net.Addr
-	words  chan []byte
-	closed chan struct{}
+	from    net.Addr
+	reports chan []byte
+	closed  chan struct{}
 
-	mu   sync.Mutex
-	asks []time.Time
+	mu       sync.Mutex
+	requests []time.Time
 }
 
 func (c *fakeConn) WriteTo(b []byte, _ net.Addr) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.asks = append(c.asks, time.Now())
+	c.requests = append(c.requests, time.Now())
 
 	return len(b), nil
 }
 
 func (c *fakeConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case w := <-c.words:
+	case w := <-c.reports:
 		return copy(b, w), c.from, nil
 	case <-c.closed:
 		return 0, nil, net.ErrClosed
@@ -116,13 +116,13 @@
 	return nil
 }
 
-func (c *fakeConn) askedWithin(from, to time.Time) int {
+func (c *fakeConn) requestsWithin(from, to time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	n := 0
 
-	for _, at := range c.asks {
+	for _, at := range c.requests {
 		if at.After(from) && !at.After(to) {
 			n++
 		}
@@ -134,12 +134,12 @@
 // All VMs lose power. An agent that starts anew does not know who had asked it, and an
 // entry that starts anew has just asked one that was not there yet. Without a word of
 // loads the entries filled a group twice over, for as long as their usual turn took.
-func TestSilentAgentIsAskedSoon(t *testing.T) {
+func TestUnresponsiveAgentGetsFrequentSubscribeRequests(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
 		agent := netip.MustParseAddrPort("10.0.0.1:7341")
-		conn := &fakeConn{from: net.UDPAddrFromAddrPort(agent), words: make(chan []byte), closed: make(chan struct{})}
+		conn := &fakeConn{from: net.UDPAddrFromAddrPort(agent), reports: make(chan []byte), closed: make(chan struct{})}
 
 		ctx, stop := context.WithCancel(t.Context())
 		l := &loadreport.Subscriber{
@@ -149,21 +149,21 @@
 
 		go func() { _ = l.Run(ctx) }()
 
-		const usual = 20 * time.Second
+		const reporting = 20 * time.Second
 
-		for sequence := range uint64(usual / (500 * time.Millisecond)) {
+		for sequence := range uint64(reporting / (500 * time.Millisecond)) {
 			w, err := proto.Marshal(&wire.LoadWord{Cluster: "trust", Sequence: sequence + 1})
 			require.NoError(t, err)
 
-			conn.words <- w
+			conn.reports <- w
 
 			time.Sleep(500 * time.Millisecond)
 		}
 
-		fellSilent := time.Now()
-		require.LessOrEqual(t, conn.askedWithin(fellSilent.Add(-usual/2), fellSilent), 6, "one that tells is asked seldom")
+		lastReport := time.Now()
+		require.LessOrEqual(t, conn.requestsWithin(lastReport.Add(-reporting/2), lastReport), 6, "one that tells is asked seldom")
 		time.Sleep(1500 * time.Millisecond)
-		require.GreaterOrEqual(t, conn.askedWithin(fellSilent, time.Now()), 2, "one that has fallen silent is asked soon")
+		require.GreaterOrEqual(t, conn.requestsWithin(lastReport, time.Now()), 2, "one that has fallen silent is asked soon")
 		stop()
 		synctest.Wait()
 	})
--- a/internal/retries/bench_test.go
+++ b/internal/retries/bench_test.go
@@ -16,10 +16,10 @@
 		for _, outage := range []bool{true, false} {
 			b.Run(fmt.Sprintf("rate=%d/outage=%v", perSecond, outage), func(b *testing.B) {
 				for range b.N {
-					ours, plain, saved := outageTries(perSecond, outage)
-					b.ReportMetric(ours, "tries/req")
-					b.ReportMetric(plain, "unbounded-tries/req")
-					b.ReportMetric(100*saved, "answered-%")
+					budgeted, unbounded, answered := outageAttempts(perSecond, outage)
+					b.ReportMetric(budgeted, "tries/req")
+					b.ReportMetric(unbounded, "unbounded-tries/req")
+					b.ReportMetric(100*answered, "answered-%")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -27,9 +27,9 @@
 	}
 }
 
-// outageTries sends a minute of requests. It returns the tries per request, that
+// outageAttempts sends a minute of requests. It returns the tries per request, that
 // without a budget, and the share of requests that were answered in the end.
-func outageTries(perSecond int, outage bool) (ours, plain, answered float64) {
+func outageAttempts(perSecond int, outage bool) (budgeted, unbounded, answered float64) {
 	budget := newBudget(1)
 	n := 60 * perSecond
 	now, draw := epoch, 0
@@ -44,15 +44,15 @@
 		now = now.Add(time.Second / time.Duration(perSecond))
 		budget.RecordRequest(now)
 
-		plain++
+		unbounded++
 		if outage {
-			plain += 2
+			unbounded += 2
 		} else {
-			plain += 0.2 + 0.04
+			unbounded += 0.2 + 0.04
 		}
 
-		for tries := 1; ; tries++ {
-			ours++
+		for attempt := 1; ; attempt++ {
+			budgeted++
 
 			if !fails() {
 				answered++
@@ -60,14 +60,14 @@
 				break
 			}
 
-			f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: tries}
+			f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: attempt}
 			if !budget.Decide(now, f).Retry {
 				break
 			}
 		}
 	}
 
-	return ours / float64(n), plain / float64(n), answered / float64(n)
+	return budgeted / float64(n), unbounded / float64(n), answered / float64(n)
 }
 
 // BenchmarkDecide is the cost of a fresh request and one decision.
--- a/internal/retries/budget.go
+++ b/internal/retries/budget.go
@@ -19,10 +19,10 @@
 	Settings Settings
 	Rand     *rand.Rand
 
-	mu     sync.Mutex
-	ready  bool
-	tokens float64
-	last   time.Time
+	mu          sync.Mutex
+	initialized bool
+	tokens      float64
+	lastRefill  time.Time
 }
 
 // Settings are the tunable numbers of a Budget. The zero value of each field
@@ -106,11 +106,11 @@
 	defer b.mu.Unlock()
 	b.refill(now)
 
-	if r := against(&f, b.Settings.MaxAttempts); r != ReasonNone {
+	if r := reasonAgainst(&f, b.Settings.MaxAttempts); r != ReasonNone {
 		return Decision{Reason: r}
 	}
 
-	at := now.Add(b.pause(now, &f))
+	at := now.Add(b.backoff(now, &f))
 	if !f.Deadline.IsZero() && at.Add(f.ExpectedDuration).After(f.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
@@ -125,37 +125,37 @@
 }
 
 func (b *Budget) refill(now time.Time) {
-	if !b.ready {
-		b.ready = true
+	if !b.initialized {
+		b.initialized = true
 		b.Settings = b.Settings.withDefaults()
 		b.tokens = b.Settings.MaxTokens
-		b.last = now
+		b.lastRefill = now
 	}
 
-	if d := now.Sub(b.last); d > 0 {
+	if d := now.Sub(b.lastRefill); d > 0 {
 		b.tokens = min(b.tokens+d.Seconds()*b.Settings.MinPerSecond, b.Settings.MaxTokens)
-		b.last = now
+		b.lastRefill = now
 	}
 }
 
-// against returns the reason that the failure itself gives against a retry.
-func against(f *Failure, mostTries int) Reason {
+// reasonAgainst returns the reason that the failure itself gives against a retry.
+func reasonAgainst(f *Failure, maxAttempts int) Reason {
 	switch {
 	case !f.Verdict.MayRepeat(f.Idempotent):
 		return ReasonMayHaveRun
-	case final(f.Cause):
+	case notRetryable(f.Cause):
 		return ReasonNotRetryable
-	case f.Attempts >= mostTries:
+	case f.Attempts >= maxAttempts:
 		return ReasonMaxAttempts
-	case !f.OtherTargets && f.RetryAt.IsZero() && elsewhere(f.Cause):
+	case !f.OtherTargets && f.RetryAt.IsZero() && needsOtherTarget(f.Cause):
 		return ReasonNoOtherTarget
 	default:
 		return ReasonNone
 	}
 }
 
-// final reports whether a second try cannot end otherwise, or nobody waits for it.
-func final(c verdict.Cause) bool {
+// notRetryable reports whether a second try cannot end otherwise, or nobody waits for it.
+func notRetryable(c verdict.Cause) bool {
 	switch c {
 	case verdict.CauseDeadline, verdict.CauseMalformed, verdict.CauseTooLarge,
 		verdict.CauseUnknownService, verdict.CauseKeyConflict, verdict.CauseKeyLost,
@@ -166,8 +166,8 @@
 	}
 }
 
-// elsewhere reports whether only another target can help soon.
-func elsewhere(c verdict.Cause) bool {
+// needsOtherTarget reports whether only another target can help soon.
+func needsOtherTarget(c verdict.Cause) bool {
 	switch c {
 	case verdict.CauseZoneOut, verdict.CauseLeaving, verdict.CauseOverload,
 		verdict.CauseColdLimit, verdict.CauseTargetDown, verdict.CauseStopping:
@@ -177,16 +177,16 @@
 	}
 }
 
-// pause returns how long to wait: nothing when another target is ready to take
+// backoff returns how long to wait: nothing when another target is ready to take
 // the request, else what the refusing side said or a growing pause, jittered.
-func (b *Budget) pause(now time.Time, f *Failure) time.Duration {
+func (b *Budget) backoff(now time.Time, f *Failure) time.Duration {
 	if f.OtherTargets {
 		return 0
 	}
 
 	mean := b.Settings.BaseBackoff << max(0, f.Attempts-1)
-	if said := f.RetryAt.Sub(now); !f.RetryAt.IsZero() && said > mean {
-		return said + time.Duration(b.Rand.Float64()*float64(mean))
+	if hinted := f.RetryAt.Sub(now); !f.RetryAt.IsZero() && hinted > mean {
+		return hinted + time.Duration(b.Rand.Float64()*float64(mean))
 	}
 
 	return mean/2 + time.Duration(b.Rand.Float64()*float64(mean))
--- a/internal/retries/budget_test.go
+++ b/internal/retries/budget_test.go
@@ -64,18 +64,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBudget(rapid.Uint64().Draw(t, "seed"))
 		now := epoch
-		fresh, retried := 0, 0
+		requests, retried := 0, 0
 
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 200), 1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(step) * time.Millisecond)
-			fresh++
+			requests++
 			b.RecordRequest(now)
 
-			for tries := 1; b.Decide(now, retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: tries}).Retry; tries++ {
+			for attempts := 1; b.Decide(now, retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, OtherTargets: true, Attempts: attempts}).Retry; attempts++ {
 				retried++
 			}
 
-			bound := 10 + 0.2*float64(fresh) + 0.2*now.Sub(epoch).Seconds()
+			bound := 10 + 0.2*float64(requests) + 0.2*now.Sub(epoch).Seconds()
 			require.LessOrEqual(t, float64(retried), bound+1e-6)
 		}
 	})
--- a/internal/retries/share_test.go
+++ b/internal/retries/shared_budget_test.go
@@ -18,7 +18,7 @@
 	shareWindow = 10 * time.Second
 )
 
-func newShare() *retries.SharedBudget {
+func newSharedBudget() *retries.SharedBudget {
 	return &retries.SharedBudget{Ratio: shareRatio, Slack: shareSlack, Window: shareWindow}
 }
 
@@ -26,7 +26,7 @@
 // again as often as it may, while entries are killed and start anew. All entries
 // together must stay within the budget in any window, or what is left of the
 // service gets a multiple of its load.
-func TestShareHoldsOverAllEntries(t *testing.T) {
+func TestBudgetHoldsOverAllEntries(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -34,33 +34,33 @@
 		entries := make([]*retries.SharedBudget, n)
 
 		for i := range entries {
-			entries[i] = newShare()
+			entries[i] = newSharedBudget()
 		}
 
 		start := time.Unix(1000, 0)
-		fresh, again := make([]int, 300), make([]int, 300)
+		requests, retried := make([]int, 300), make([]int, 300)
 
-		for tick := range fresh {
+		for tick := range requests {
 			now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
 
 			for i := range entries {
 				if rapid.IntRange(0, 400).Draw(t, "restart") == 0 {
-					entries[i] = newShare()
+					entries[i] = newSharedBudget()
 				}
 
 				f, a := spend(t, entries[i], now, 3, shares.Share{Index: i, Entries: n})
-				fresh[tick] += f
-				again[tick] += a
+				requests[tick] += f
+				retried[tick] += a
 			}
 		}
 
-		requireBudget(t, n, fresh, again)
+		requireBudget(t, n, requests, retried)
 	})
 }
 
 // Guards against a storm of sends again after a restart of all entries: each counts too few
 // others at first, so takes a larger part of the budget than is its own.
-func TestShareHoldsWhileEntriesAreCounted(t *testing.T) {
+func TestBudgetHoldsWhileEntryCountsAreIncomplete(t *testing.T) {
 	t.Parallel()
 
 	// Entries ask all control VMs at once, and again within six tenths of a second.
@@ -69,66 +69,66 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "entries")
 		entries := make([]*retries.SharedBudget, n)
-		counted := make([]time.Time, n)
-		known := make([]int, n)
+		countedAt := make([]time.Time, n)
+		knownEntries := make([]int, n)
 		start := time.Unix(1000, 0)
-		fresh, again := make([]int, 300), make([]int, 300)
+		requests, retried := make([]int, 300), make([]int, 300)
 
-		for tick := range fresh {
+		for tick := range requests {
 			now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
 
 			if tick == 0 || tick == 150 {
 				alone := rapid.Bool().Draw(t, "alone")
 
 				for i := range entries {
-					entries[i] = newShare()
-					counted[i] = now.Add(time.Duration(rapid.IntRange(0, int(countedAfter/time.Millisecond)).Draw(t, "counted")) * time.Millisecond)
-					known[i] = rapid.IntRange(1, n).Draw(t, "known")
+					entries[i] = newSharedBudget()
+					countedAt[i] = now.Add(time.Duration(rapid.IntRange(0, int(countedAfter/time.Millisecond)).Draw(t, "counted")) * time.Millisecond)
+					knownEntries[i] = rapid.IntRange(1, n).Draw(t, "known")
 
 					if alone {
-						counted[i], known[i] = now.Add(countedAfter), 1
+						countedAt[i], knownEntries[i] = now.Add(countedAfter), 1
 					}
 				}
 			}
 
 			for i := range entries {
 				count := n
-				if now.Before(counted[i]) {
-					count = known[i]
+				if now.Before(countedAt[i]) {
+					count = knownEntries[i]
 				}
 
 				f, a := spend(t, entries[i], now, 2, shares.Share{Index: i % count, Entries: count})
-				fresh[tick] += f
-				again[tick] += a
+				requests[tick] += f
+				retried[tick] += a
 			}
 		}
 
-		requireBudget(t, n, fresh, again)
+		requireBudget(t, n, requests, retried)
 	})
 }
 
 // spend lets an entry with such a share get up to mostFresh requests and send again as
 // often as it may.
-func spend(t *rapid.T, entry *retries.SharedBudget, now time.Time, mostFresh int, of shares.Share) (fresh, again int) {
-	fresh = rapid.IntRange(0, mostFresh).Draw(t, "fresh")
-	for range fresh {
-		entry.RecordRequest(now, "drafts", of)
+func spend(t *rapid.T, entry *retries.SharedBudget, now time.Time, maxRequests int, share shares.Share) (requests, retried int) {
+	requests = rapid.IntRange(0, maxRequests).Draw(t, "fresh")
+	for range requests {
+		entry.RecordRequest(now, "drafts", share)
 	}
 
-	for entry.Allow(now, "drafts", of) {
-		again++
+	for entry.Allow(now, "drafts", share) {
+		retried++
 	}
 
-	return fresh, again
+	return requests, retried
 }
 
 // requireBudget holds sends again against the budget in each window. Fresh requests count
 // in the window, the one before it, or the one half a window before it, whichever has most.
-func requireBudget(t *rapid.T, entries int, fresh, again []int) {
-	for end := 100; end <= len(fresh); end += 7 {
-		paid := max(sumOf(fresh, end-100, end), sumOf(fresh, end-150, end-50), sumOf(fresh, end-200, end-100))
-		if got := float64(sumOf(again, end-100, end)); got > shareRatio*float64(paid)+shareSlack {
-			t.Fatalf("%d entries: %.0f sends again in a window of %d requests", entries, got, paid)
+func requireBudget(t *rapid.T, entries int, requests, retried []int) {
+	for end := 100; end <= len(requests); end += 7 {
+		requestsInWindow := max(sumOf(requests, end-100, end), sumOf(requests, end-150, end-50), sumOf(requests, end-200, end-100))
+		if got := float64(sumOf(retried, end-100, end)); got > shareRatio*float64(requestsInWindow)+shareSlack {
+			t.Fatalf("%d entries: %.0f sends again in a window of %d requests", entries, got, requestsInWindow)
 		}
 	}
 }
@@ -144,32 +144,32 @@
 
 // A group of twelve engines stalls once a minute and cuts some eighty streams at
 // seven entries at once. The budget is there for that: most go on elsewhere.
-func TestShareCoversOneStall(t *testing.T) {
+func TestBudgetCoversOneGroupStall(t *testing.T) {
 	t.Parallel()
 
 	now := time.Unix(1000, 0)
 	taken := 0
 
 	for e := range 7 {
-		s, of := newShare(), shares.Share{Index: e, Entries: 7}
+		s, share := newSharedBudget(), shares.Share{Index: e, Entries: 7}
 		for i := range 80 { // ten seconds of eight requests a second
-			s.RecordRequest(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", of)
+			s.RecordRequest(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", share)
 		}
 
-		for s.Allow(now.Add(shareWindow), "drafts", of) {
+		for s.Allow(now.Add(shareWindow), "drafts", share) {
 			taken++
 		}
 
-		require.False(t, s.Allow(now.Add(shareWindow), "drafts", of), fmt.Sprint(e))
+		require.False(t, s.Allow(now.Add(shareWindow), "drafts", share), fmt.Sprint(e))
 	}
 
 	require.Greater(t, taken, 55)
 }
 
-func TestSharesOfServicesAreApart(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	t.Parallel()
 
-	s := newShare()
+	s := newSharedBudget()
 	now := time.Unix(1000, 0)
 	s.RecordRequest(now, "drafts", shares.Share{})
 	s.RecordRequest(now, "desk", shares.Share{})
@@ -192,26 +192,26 @@
 	for _, n := range []int{1, 3, 39, 77, 410} {
 		entries := make([]*retries.SharedBudget, n)
 		for i := range entries {
-			entries[i] = newShare()
+			entries[i] = newSharedBudget()
 		}
 
 		start := time.Unix(1000, 0)
-		again := make([]int, windows)
+		retried := make([]int, windows)
 
 		for i := range windows * perWindow {
 			now := start.Add(time.Duration(i) * shareWindow / perWindow)
-			of := shares.Share{Index: i * 7919 % n, Entries: n}
-			entry := entries[of.Index]
-			entry.RecordRequest(now, "drafts", of)
+			share := shares.Share{Index: i * 7919 % n, Entries: n}
+			entry := entries[share.Index]
+			entry.RecordRequest(now, "drafts", share)
 
-			if entry.Allow(now, "drafts", of) {
-				again[i/perWindow]++
+			if entry.Allow(now, "drafts", share) {
+				retried[i/perWindow]++
 			}
 		}
 
 		const budget = shareRatio*perWindow + shareSlack
 
-		for w, got := range again {
+		for w, got := range retried {
 			require.LessOrEqual(t, float64(got), budget, "%d entries, window %d", n, w)
 
 			if w > 1 { // the first two are those of a start
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -16,8 +16,8 @@
 	Entries int
 }
 
-// turn is how long an entry has a unit at least, where there are fewer units than entries.
-const turn = 10 * time.Second
+// turnDuration is how long an entry has a unit at least, where there are fewer units than entries.
+const turnDuration = 10 * time.Second
 
 // Units returns how many whole units of total this entry has at now. What does not divide
 // evenly goes to the entries of the lowest indexes. Where there are fewer units than
@@ -32,46 +32,46 @@
 	case units <= 0:
 		return 0
 	case units < s.Entries:
-		return s.turns(now, units)
+		return s.rotatingUnit(now, units)
 	default:
-		return units/s.Entries + atMostOne(units%s.Entries-s.Index)
+		return units/s.Entries + clampToOne(units%s.Entries-s.Index)
 	}
 }
 
-// turns returns 1 while it is this entry's turn to have one of so many units. The entries
+// rotatingUnit returns 1 while it is this entry's turn to have one of so many units. The entries
 // stand in a circle, of which a part as large as the units moves on around it: entries whose
 // lists differ a little agree on nearly all turns.
-func (s Share) turns(now time.Time, units int) int {
-	round := leastRound
-	for round*time.Duration(units) < turn*time.Duration(s.Entries) {
-		round *= 2
+func (s Share) rotatingUnit(now time.Time, units int) int {
+	rotation := minRotation
+	for rotation*time.Duration(units) < turnDuration*time.Duration(s.Entries) {
+		rotation *= 2
 	}
 
-	passed := float64(now.UnixNano()%int64(round)) / float64(round)
-	ahead := float64(s.Index)/float64(s.Entries) - passed
+	position := float64(now.UnixNano()%int64(rotation)) / float64(rotation)
+	distance := float64(s.Index)/float64(s.Entries) - position
 
-	if ahead < 0 {
-		ahead++
+	if distance < 0 {
+		distance++
 	}
 
-	if ahead*float64(s.Entries) < float64(units) {
+	if distance*float64(s.Entries) < float64(units) {
 		return 1
 	}
 
 	return 0
 }
 
-// leastRound is how long the shortest way around the circle is.
-const leastRound = 16 * time.Second
+// minRotation is how long the shortest way around the circle is.
+const minRotation = 16 * time.Second
 
-// atMostOne returns 1 for a positive n, else 0.
-func atMostOne(n int) int { return max(0, min(n, 1)) }
+// clampToOne returns 1 for a positive n, else 0.
+func clampToOne(n int) int { return max(0, min(n, 1)) }
 
 // ForLimit returns the share of self in a limit of that name, which all entries hold together.
 // An entry that is not among entries yet is added.
 func ForLimit(self Node, entries []Node, name string) Share {
 	key := xxhash.Sum64String(name)
-	own := MixHashes(xxhash.Sum64String(self.ID), key)
+	selfHash := MixHashes(xxhash.Sum64String(self.ID), key)
 	s := Share{Entries: 1}
 
 	for _, e := range entries {
@@ -81,7 +81,7 @@
 
 		s.Entries++
 
-		if MixHashes(xxhash.Sum64String(e.ID), key) > own {
+		if MixHashes(xxhash.Sum64String(e.ID), key) > selfHash {
 			s.Index++
 		}
 	}
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -55,7 +55,7 @@
 	m := newMatching(entries, targets, s)
 
 	if len(targets) <= s.Size {
-		m.all()
+		m.pairAll()
 
 		return m
 	}
@@ -94,10 +94,10 @@
 	entries, targets []Node
 	entryHash        []uint64
 	targetHash       []uint64
-	most             int
-	// held are the entries of each target, matched the targets of each entry.
-	held    [][]int
-	matched [][]int
+	maxEntries       int
+	// entriesOf are the entries of each target, matched the targets of each entry.
+	entriesOf [][]int
+	targetsOf [][]int
 }
 
 func newMatching(entries, targets []Node, s Subsetter) *Matching {
@@ -106,8 +106,8 @@
 	return &Matching{
 		entries: entries, targets: targets,
 		entryHash: hashes(entries), targetHash: hashes(targets),
-		most: int(math.Ceil(mean * (1 + s.Slack))),
-		held: make([][]int, len(targets)), matched: make([][]int, len(entries)),
+		maxEntries: int(math.Ceil(mean * (1 + s.Slack))),
+		entriesOf:  make([][]int, len(targets)), targetsOf: make([][]int, len(entries)),
 	}
 }
 
@@ -120,8 +120,8 @@
 	return out
 }
 
-// rank is how much entry e and target t like each other.
-func (m *Matching) rank(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
+// preference is how much entry e and target t like each other.
+func (m *Matching) preference(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
 
 // MixHashes joins two hashes into one by the mixing step of the splitmix64 generator.
 func MixHashes(a, b uint64) uint64 {
@@ -134,76 +134,76 @@
 
 // stage lets each entry ask its allowed targets, best first, until it has quota
 // of them. A full target keeps those that it ranks highest of this stage.
-func (m *Matching) stage(s stage, quota int) {
-	settled := make([]int, len(m.targets))
-	for t := range m.held {
-		settled[t] = len(m.held[t])
+func (m *Matching) stage(s stage, size int) {
+	fixed := make([]int, len(m.targets))
+	for t := range m.entriesOf {
+		fixed[t] = len(m.entriesOf[t])
 	}
 
-	wished := make([]wishes, len(m.entries))
-	asking := make([]int, 0, len(m.entries))
+	heaps := make([]candidates, len(m.entries))
+	pending := make([]int, 0, len(m.entries))
 
 	for e := range m.entries {
-		if len(m.matched[e]) < quota {
-			wished[e] = m.wishes(s, e)
-			asking = append(asking, e)
+		if len(m.targetsOf[e]) < size {
+			heaps[e] = m.candidates(s, e)
+			pending = append(pending, e)
 		}
 	}
 
-	for len(asking) > 0 {
-		e := asking[len(asking)-1]
-		if len(m.matched[e]) >= quota || len(wished[e]) == 0 {
-			asking = asking[:len(asking)-1]
+	for len(pending) > 0 {
+		e := pending[len(pending)-1]
+		if len(m.targetsOf[e]) >= size || len(heaps[e]) == 0 {
+			pending = pending[:len(pending)-1]
 
 			continue
 		}
 
-		t := wished[e].best()
+		t := heaps[e].popBest()
 
-		if loser := m.propose(e, t, settled[t]); loser >= 0 && loser != e {
-			asking = append(asking, loser)
+		if displaced := m.propose(e, t, fixed[t]); displaced >= 0 && displaced != e {
+			pending = append(pending, displaced)
 		}
 	}
 }
 
-// wish is a target that an entry may ask, and how much it likes it.
-type wish struct {
-	rank   uint64
-	target int
+// candidate is a target that an entry may ask, and how much it likes it.
+type candidate struct {
+	preference uint64
+	target     int
 }
 
-// wishes is a heap, best first: an entry asks few of the targets that it may ask.
-type wishes []wish
+// candidates is a heap, best first: an entry asks few of the targets that it may ask.
+type candidates []candidate
 
-func (w wishes) Len() int           { return len(w) }
-func (w wishes) Less(i, j int) bool { return w[i].rank > w[j].rank }
-func (w wishes) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
+func (w candidates) Len() int           { return len(w) }
+func (w candidates) Less(i, j int) bool { return w[i].preference > w[j].preference }
+func (w candidates) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
 
 // Push implements heap.Interface. Nothing is added to a heap of wishes.
-func (w *wishes) Push(any) {}
+func (w *candidates) Push(any) {}
 
 // Pop implements heap.Interface.
-func (w *wishes) Pop() any {
+func (w *candidates) Pop() any {
 	*w = (*w)[:len(*w)-1]
 
 	return nil
 }
 
-// best takes the best wish out.
-func (w *wishes) best() int {
+// popBest takes the best wish out.
+func (w *candidates) popBest() int {
 	t := (*w)[0].target
 	heap.Pop(w)
 
 	return t
 }
 
-// wishes are the targets that e may ask in a stage.
-func (m *Matching) wishes(s stage, e int) wishes {
-	out := make(wishes, 0, len(m.targets))
+// candidates are the targets that e may ask in a stage.
+func (m *Matching) candidates(s stage, e int) candidates {
+	out := make(candidates, 0, len(m.targets))
 
 	for t := range m.targets {
 		if s.allows(&m.entries[e], &m.targets[t]) {
-			out = append(out, wish{rank: m.rank(e, t), target: t})
+			out = append(out, candidate{preference: m.preference(e, t), target: t})
 		}
 	}
 
@@ -214,16 +214,16 @@
 
 // propose matches e with t if t has room or ranks e above another of this
 // stage, and returns who was turned away, or -1.
-func (m *Matching) propose(e, t, settled int) int {
-	if len(m.held[t]) < m.most {
-		m.join(e, t)
+func (m *Matching) propose(e, t, fixed int) int {
+	if len(m.entriesOf[t]) < m.maxEntries {
+		m.pair(e, t)
 
 		return -1
 	}
 
-	worst, lowest := -1, m.rank(e, t)
-	for k := settled; k < len(m.held[t]); k++ {
-		if r := m.rank(m.held[t][k], t); r < lowest {
+	worst, lowest := -1, m.preference(e, t)
+	for k := fixed; k < len(m.entriesOf[t]); k++ {
+		if r := m.preference(m.entriesOf[t][k], t); r < lowest {
 			worst, lowest = k, r
 		}
 	}
@@ -232,25 +232,25 @@
 		return e
 	}
 
-	loser := m.held[t][worst]
-	m.held[t] = slices.Delete(m.held[t], worst, worst+1)
-	k := slices.Index(m.matched[loser], t)
-	m.matched[loser] = slices.Delete(m.matched[loser], k, k+1)
-	m.join(e, t)
+	displaced := m.entriesOf[t][worst]
+	m.entriesOf[t] = slices.Delete(m.entriesOf[t], worst, worst+1)
+	k := slices.Index(m.targetsOf[displaced], t)
+	m.targetsOf[displaced] = slices.Delete(m.targetsOf[displaced], k, k+1)
+	m.pair(e, t)
 
-	return loser
+	return displaced
 }
 
-func (m *Matching) join(e, t int) {
-	m.held[t] = append(m.held[t], e)
-	m.matched[e] = append(m.matched[e], t)
+func (m *Matching) pair(e, t int) {
+	m.entriesOf[t] = append(m.entriesOf[t], e)
+	m.targetsOf[e] = append(m.targetsOf[e], t)
 }
 
-// all matches each entry with each target.
-func (m *Matching) all() {
+// pairAll matches each entry with each target.
+func (m *Matching) pairAll() {
 	for t := range m.targets {
 		for e := range m.entries {
-			m.join(e, t)
+			m.pair(e, t)
 		}
 	}
 }
@@ -262,18 +262,18 @@
 		return nil
 	}
 
-	out := make(map[string]Share, len(m.matched[e]))
+	out := make(map[string]Share, len(m.targetsOf[e]))
 
-	for _, t := range m.matched[e] {
-		own, index := m.rank(e, t), 0
+	for _, t := range m.targetsOf[e] {
+		ownPreference, index := m.preference(e, t), 0
 
-		for _, other := range m.held[t] {
-			if m.rank(other, t) > own {
+		for _, other := range m.entriesOf[t] {
+			if m.preference(other, t) > ownPreference {
 				index++
 			}
 		}
 
-		out[m.targets[t].ID] = Share{Index: index, Entries: len(m.held[t])}
+		out[m.targets[t].ID] = Share{Index: index, Entries: len(m.entriesOf[t])}
 	}
 
 	return out
--- a/internal/shares/keeper.go
+++ b/internal/shares/subset_cache.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// pause is the shortest time between two workings-out of one service's targets: at the
+// minRecomputeInterval is the shortest time between two workings-out of one service's targets: at the
 // full size one takes some milliseconds, and a zone that returns brings changes by the
 // dozen.
-const pause = time.Second
+const minRecomputeInterval = time.Second
 
 const (
-	// leastDegree is how many targets of a service an entry uses at least, where there are
+	// minSubsetSize is how many targets of a service an entry uses at least, where there are
 	// as many: enough to even out its load, and to be left some while a zone is out.
-	leastDegree = 20
-	// usersPerTarget is how many entries use one target where there are many of both. With
+	minSubsetSize = 20
+	// entriesPerTarget is how many entries use one target where there are many of both. With
 	// fewer of them each has a larger part of what a target bears.
-	usersPerTarget = 6
+	entriesPerTarget = 6
 )
 
 // SubsetSize returns how many targets of a service an entry uses, out of so many.
 func SubsetSize(entries, targets int) int {
-	return max(leastDegree, targets*usersPerTarget/max(1, entries))
+	return max(minSubsetSize, targets*entriesPerTarget/max(1, entries))
 }
 
 // SubsetCache keeps the targets of each service that an entry uses, and its shares of them. Its
@@ -33,27 +33,27 @@
 	// for never. Due sets it back.
 	RecomputeAt time.Time
 
-	services map[string]*kept
-	// toldAt is the last DueAt that Due told.
-	toldAt time.Time
+	subsets map[string]*cachedSubset
+	// reportedAt is the last DueAt that Due told.
+	reportedAt time.Time
 }
 
 // RecomputeDue reports how long it is until Of is to be asked again for all services, once for each
 // such moment: a zone that returns brings many changes before it.
 func (k *SubsetCache) RecomputeDue(now time.Time) (wait time.Duration, due bool) {
-	due = !k.RecomputeAt.IsZero() && !k.RecomputeAt.Equal(k.toldAt)
+	due = !k.RecomputeAt.IsZero() && !k.RecomputeAt.Equal(k.reportedAt)
 	wait = k.RecomputeAt.Sub(now)
-	k.toldAt, k.RecomputeAt = k.RecomputeAt, time.Time{}
+	k.reportedAt, k.RecomputeAt = k.RecomputeAt, time.Time{}
 
 	return wait, due
 }
 
-// kept is what was worked out last for one service, and from what.
-type kept struct {
-	entries []Node
-	targets []Node
-	mine    map[string]Share
-	nextAt  time.Time
+// cachedSubset is what was worked out last for one service, and from what.
+type cachedSubset struct {
+	entries    []Node
+	targets    []Node
+	subset     map[string]Share
+	validUntil time.Time
 }
 
 // Targets returns the targets of a service that the entry at self uses, out of those that may
@@ -61,29 +61,29 @@
 // worked out again. Within the pause the former answer stands, and DueAt says when to ask
 // again. What may get new work is told apart from this, at once.
 func (k *SubsetCache) Targets(now time.Time, service string, self Node, entries, targets []Node) map[string]Share {
-	if k.services == nil {
-		k.services = make(map[string]*kept)
+	if k.subsets == nil {
+		k.subsets = make(map[string]*cachedSubset)
 	}
 
-	last := k.services[service]
-	degree := k.SubsetSize(len(entries), len(targets))
+	last := k.subsets[service]
+	size := k.SubsetSize(len(entries), len(targets))
 
 	switch {
 	case last == nil:
-	case last.same(entries, targets):
-		return last.mine
-	case len(targets) > degree && now.Before(last.nextAt):
-		k.RecomputeAt = last.nextAt
+	case last.isFor(entries, targets):
+		return last.subset
+	case len(targets) > size && now.Before(last.validUntil):
+		k.RecomputeAt = last.validUntil
 
-		return last.mine
+		return last.subset
 	}
 
-	mine := Subsetter{Size: degree}.Targets(self, entries, targets)
-	k.services[service] = &kept{entries: entries, targets: targets, mine: mine, nextAt: now.Add(pause)}
+	subset := Subsetter{Size: size}.Targets(self, entries, targets)
+	k.subsets[service] = &cachedSubset{entries: entries, targets: targets, subset: subset, validUntil: now.Add(minRecomputeInterval)}
 
-	return mine
+	return subset
 }
 
-func (l *kept) same(entries, targets []Node) bool {
+func (l *cachedSubset) isFor(entries, targets []Node) bool {
 	return slices.Equal(l.entries, entries) && slices.Equal(l.targets, targets)
 }
--- a/internal/shares/subset_test.go
+++ b/internal/shares/subset_test.go
@@ -14,8 +14,8 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// places makes a large deployment: seven zones in two regions.
-func places(kind string, n int) []shares.Node {
+// nodes makes a large deployment: seven zones in two regions.
+func nodes(kind string, n int) []shares.Node {
 	out := make([]shares.Node, n)
 	for i := range out {
 		z := i % 7
@@ -28,29 +28,29 @@
 func TestSubset(t *testing.T) {
 	t.Parallel()
 
-	entries, all := places("e", 40), places("t", 70)
-	held := map[string]int{}
+	entries, all := nodes("e", 40), nodes("t", 70)
+	entriesOf := map[string]int{}
 
 	for _, e := range entries {
 		got := shares.Subsetter{}.Targets(e, entries, all)
 		require.Len(t, got, 30)
 
 		for id := range got {
-			held[id]++
+			entriesOf[id]++
 		}
 	}
 
 	for _, p := range all {
-		require.InDelta(t, 30.0*40/70, held[p.ID], 3, p.ID)
+		require.InDelta(t, 30.0*40/70, entriesOf[p.ID], 3, p.ID)
 	}
 
 	// The same lists in another order give the same answer.
 	want := shares.Subsetter{}.Targets(entries[5], entries, all)
-	shuffled, others := slices.Clone(all), slices.Clone(entries)
+	shuffledTargets, shuffledEntries := slices.Clone(all), slices.Clone(entries)
 	r := rand.New(rand.NewPCG(1, 1))
-	r.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-	r.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	require.Equal(t, want, shares.Subsetter{}.Targets(entries[5], others, shuffled))
+	r.Shuffle(len(shuffledTargets), func(i, j int) { shuffledTargets[i], shuffledTargets[j] = shuffledTargets[j], shuffledTargets[i] })
+	r.Shuffle(len(shuffledEntries), func(i, j int) { shuffledEntries[i], shuffledEntries[j] = shuffledEntries[j], shuffledEntries[i] })
+	require.Equal(t, want, shares.Subsetter{}.Targets(entries[5], shuffledEntries, shuffledTargets))
 
 	// An entry that is not in the list yet has targets too; few targets are all kept.
 	require.Len(t, shares.Subsetter{}.Targets(shares.Node{ID: "new", Zone: "z1", Region: "r0"}, entries, all), 30)
@@ -60,7 +60,7 @@
 // assignment is every entry's targets.
 type assignment map[string][]string
 
-func ours30(slack float64) func(entries, targets []shares.Node) assignment {
+func subsetterAssignment(slack float64) func(entries, targets []shares.Node) assignment {
 	return func(entries, targets []shares.Node) assignment {
 		out := assignment{}
 		for _, e := range entries {
@@ -71,8 +71,8 @@
 	}
 }
 
-// highestHash is plain rendezvous hashing, without regard to load or zone.
-func highestHash(entries, targets []shares.Node) assignment {
+// rendezvousHash is plain rendezvous hashing, without regard to load or zone.
+func rendezvousHash(entries, targets []shares.Node) assignment {
 	out := assignment{}
 
 	for _, e := range entries {
@@ -116,18 +116,18 @@
 	return out
 }
 
-// moves counts the pairs of b that a lacks, among entries that are in both.
-func moves(a, b assignment) int {
+// movedPairs counts the pairs of b that a lacks, among entries that are in both.
+func movedPairs(a, b assignment) int {
 	n := 0
 
 	for e, list := range b {
-		old, ok := a[e]
+		previous, ok := a[e]
 		if !ok {
 			continue
 		}
 
 		for _, id := range list {
-			if !slices.Contains(old, id) {
+			if !slices.Contains(previous, id) {
 				n++
 			}
 		}
@@ -139,26 +139,26 @@
 // BenchmarkSubset measures evenness, near share, and moved pairs (of 12,300) when
 // one target goes, one entry goes, and 41 of 410 entries go at once.
 func BenchmarkSubset(b *testing.B) {
-	ways := []struct {
+	algorithms := []struct {
 		name   string
 		assign func(entries, targets []shares.Node) assignment
 	}{
-		{"HighestHash", highestHash},
+		{"HighestHash", rendezvousHash},
 		{"ShuffledRounds", shuffledRounds},
-		{"Ours/slack=0.01", ours30(0.01)},
-		{"Ours/slack=0.05", ours30(0.05)},
-		{"Ours/slack=0.20", ours30(0.2)},
+		{"Ours/slack=0.01", subsetterAssignment(0.01)},
+		{"Ours/slack=0.05", subsetterAssignment(0.05)},
+		{"Ours/slack=0.20", subsetterAssignment(0.2)},
 	}
 
-	for _, w := range ways {
+	for _, w := range algorithms {
 		b.Run(w.name, func(b *testing.B) {
 			for range b.N {
-				entries, all := places("e", 410), places("t", 600)
+				entries, all := nodes("e", 410), nodes("t", 600)
 				first := w.assign(entries, all)
 				reportEvenness(b, entries, all, first)
-				b.ReportMetric(float64(moves(first, w.assign(entries, without(all, 300)))), "moved-target")
-				b.ReportMetric(float64(moves(first, w.assign(without(entries, 200), all))), "moved-entry")
-				b.ReportMetric(float64(moves(first, w.assign(entries[41:], all))), "moved-41-entries")
+				b.ReportMetric(float64(movedPairs(first, w.assign(entries, without(all, 300)))), "moved-target")
+				b.ReportMetric(float64(movedPairs(first, w.assign(without(entries, 200), all))), "moved-entry")
+				b.ReportMetric(float64(movedPairs(first, w.assign(entries[41:], all))), "moved-41-entries")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
@@ -177,34 +177,34 @@
 		zone[t.ID] = t.Zone
 	}
 
-	held := map[string]float64{}
-	near, pairs := 0.0, 0.0
+	entriesOf := map[string]float64{}
+	local, pairs := 0.0, 0.0
 
 	for _, e := range entries {
 		for _, id := range a[e.ID] {
-			held[id]++
+			entriesOf[id]++
 			pairs++
 
 			if zone[id] == e.Zone {
-				near++
+				local++
 			}
 		}
 	}
 
-	most, least := 0.0, math.Inf(1)
+	maximum, minimum := 0.0, math.Inf(1)
 	for _, t := range all {
-		most, least = max(most, held[t.ID]), min(least, held[t.ID])
+		maximum, minimum = max(maximum, entriesOf[t.ID]), min(minimum, entriesOf[t.ID])
 	}
 
 	mean := pairs / float64(len(all))
-	b.ReportMetric(most/mean, "max/mean")
-	b.ReportMetric(least/mean, "min/mean")
-	b.ReportMetric(100*near/pairs, "near-%")
+	b.ReportMetric(maximum/mean, "max/mean")
+	b.ReportMetric(minimum/mean, "min/mean")
+	b.ReportMetric(100*local/pairs, "near-%")
 }
 
 // BenchmarkSubsetOf is the cost for one entry at 410 entries and 600 targets.
 func BenchmarkSubsetOf(b *testing.B) {
-	entries, all := places("e", 410), places("t", 600)
+	entries, all := nodes("e", 410), nodes("t", 600)
 
 	b.ReportAllocs()
 
