--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// blockReason is why a target may not get a request.
+// blockReason is the reason why a target may not receive a request.
 type blockReason uint8
 
 const (
 	blockNone blockReason = iota
-	// blockDraining: it drains, or its zone is out.
+	// blockDraining: the target drains, or its zone is out.
 	blockDraining
-	// blockBroken: its group makes no steps.
+	// blockBroken: the target's group completes no steps.
 	blockBroken
-	// blockEjected: it failed lately.
+	// blockEjected: the target failed or rejected a request recently.
 	blockEjected
-	// blockFull: it has as many requests as it may.
+	// blockFull: the target has reached its concurrency limit, or this entry its share of
+	// it.
 	blockFull
-	// blockConnections: this entry has its share of its connections.
+	// blockConnections: this entry has used its share of the target's connections.
 	blockConnections
-	// blockCold: this entry has sent its share of what a cold target bears.
+	// blockCold: this entry has used its share of a cold target's request rate.
 	blockCold
-	blockReasons
+	numBlockReasons
 )
 
-// CapacitySummary is the state of a service's targets at the time of a refusal, for logs.
+// CapacitySummary describes the targets of a service at the time of a refusal. It is meant
+// for logs.
 type CapacitySummary struct {
-	targets              [blockReasons]int
+	targets              [numBlockReasons]int
 	waiting              int
 	bound                float64
 	otherRequests        float64
--- a/internal/dispatch/concurrency_limit.go
+++ b/internal/dispatch/concurrency_limit.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// concurrencyLimit bounds how many requests a target is given at once, by the pauses
-// between the events of its streams.
+// concurrencyLimit is an adaptive limit on the requests assigned to a target at once. It is
+// driven by the gaps between the events of the target's streams.
 //
-// Each request that runs in a lock-step group makes every step longer for all, and one
-// step that is longer than callers accept makes all streams late. So the bound falls
-// when pauses come near to that, and rises again while they are well below.
+// Each request that runs in a lock-step group lengthens every step for the whole group, and
+// a step longer than callers accept makes all streams late. The limit therefore falls when
+// event gaps approach the accepted gap, and rises again while they stay well below it.
 type concurrencyLimit struct {
 	bound     float64
 	gaps      []float64
 	updatedAt time.Time
 }
 
-// observeGap takes in a pause between two events, in parts of what the caller accepts.
+// observeGap records a gap between two events of a stream, as a ratio of the gap that the
+// caller accepts, and updates the limit once per LimitUpdateInterval.
 func (c *concurrencyLimit) observeGap(now time.Time, ratio float64, slots int, cfg *Settings) {
-	// A pause that is much longer comes from a stall, not from crowding.
+	// A much longer gap is caused by a stall, not by the number of requests.
 	if ratio > stallGap {
 		return
 	}
@@ -47,26 +48,34 @@
 	}
 }
 
-// increase is how far the bound goes up where pauses are high parts of what callers accept:
-// the further below the more, as it falls.
+// increase returns by how much the limit rises for an observed gap ratio. The further the
+// gap is below LowEventGap, the larger the increase; the decrease scales in the same way.
 func (c *concurrencyLimit) increase(gap float64, cfg *Settings) float64 {
 	return max(minIncrease, c.bound*(min(cfg.LowEventGap/gap, maxIncreaseFactor)-1))
 }
 
 const (
-	stallGap            = 4
-	minGaps             = 8
-	gapPercentile       = 80 // percentile
-	minDecreaseFactor   = 0.75
-	maxIncreaseFactor   = 1.25
-	minLimit            = 2
-	minIncrease         = 0.4
+	// stallGap is the gap ratio above which a gap is attributed to a stall and ignored.
+	stallGap = 4
+	// minGaps is the number of gaps needed for an update of the limit.
+	minGaps = 8
+	// gapPercentile is the percentile of the gaps that the limit follows.
+	gapPercentile = 80
+	// minDecreaseFactor and maxIncreaseFactor bound the change of the limit in one update.
+	minDecreaseFactor = 0.75
+	maxIncreaseFactor = 1.25
+	// minLimit is the lower bound of the limit.
+	minLimit = 2
+	// minIncrease is the smallest increase in one update.
+	minIncrease = 0.4
+	// initialSlotFraction is the initial limit as a fraction of the target's slots.
 	initialSlotFraction = 0.6
 )
 
-// limit returns how many requests t may have.
+// limit returns the maximum number of requests at t.
 func (c *concurrencyLimit) limit(t *target) float64 {
-	// All entries may just have started anew, with every caller coming back at once.
+	// Start below the number of slots: all entries may have just restarted, with every
+	// caller reconnecting at once.
 	if c.bound == 0 {
 		return initialSlotFraction * float64(t.Slots)
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch decides, at an entry that is the door of its targets, which
-// target each request goes to, which requests wait, and which are refused. It has
-// no goroutine and reads no clock: what happens goes in, actions come out.
+// Package dispatch assigns requests to targets at an entry that proxies to its targets
+// directly, without agents in between. It decides which target receives each request, which
+// requests wait, and which are refused. It starts no goroutines and reads no clock: each
+// method takes the current time and an input, and returns the resulting actions.
 package dispatch
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Target is a target as the directory knows it.
+// Target describes a target as listed in the directory.
 type Target struct {
 	ID      string
 	Service string
@@ -20,101 +21,112 @@
 	Zone    string
 	Group   string
 	Slots   int
-	// Draining targets, and those of a zone that is out, get no new work.
+	// Draining is set for targets that drain and for those in a zone that is out. They
+	// receive no new requests.
 	Draining bool
-	// Unresponsive targets have not announced themselves lately; they are the last choice.
+	// Unresponsive is set when the target has not announced itself recently. Such targets
+	// are used only when no other is available.
 	Unresponsive bool
-	// Broken is set while the target's group cannot make a step.
+	// Broken is set while the target's group cannot complete a step.
 	Broken    bool
 	ColdUntil time.Time
-	// Share is this entry's part of what all entries together may send to it.
+	// Share is this entry's share of the limits that apply to the target across all
+	// entries.
 	Share shares.Share
 }
 
-// Service is what the operators declare of a service.
+// Service holds the declared limits and properties of a service.
 type Service struct {
 	Name string
-	// ColdPerSecond is how many requests a cold target bears in a second, from all
-	// entries together; zero: no bound.
+	// ColdPerSecond limits the requests per second that a cold target receives from all
+	// entries together. Zero means no limit.
 	ColdPerSecond float64
-	// MaxConnections is how many connections a target takes from all entries together.
+	// MaxConnections limits the connections that a target accepts from all entries
+	// together. Zero means no limit.
 	MaxConnections int
-	// Streams says that its targets are engines that stream, and slow each other down.
+	// Streams reports whether the targets are engines that stream their answers and slow
+	// each other down.
 	Streams bool
 }
 
-// Request is one request that wants a target.
+// Request is a request to be assigned to a target.
 type Request struct {
 	ID        uint64
 	Service   string
 	Workspace string
-	// Priority orders requests, 0 first.
+	// Priority orders requests; 0 is the highest priority.
 	Priority uint32
-	// SoftDeadline is until when the first answer is of full use, GiveUpAt when the caller
-	// is gone.
+	// SoftDeadline is the latency target for the first answer. Deadline is when the caller
+	// disconnects.
 	SoftDeadline time.Time
 	Deadline     time.Time
-	// Work is the expected work against that of a usual request; below 0 or zero counts as 1.
+	// Work is the expected work relative to a typical request. Zero and negative values
+	// count as 1.
 	Work float64
-	// Excluded are targets that this request must not be sent to again.
+	// Excluded lists the IDs of targets that must not receive this request again.
 	Excluded []string
 }
 
-// Action places or refuses one request.
+// Action assigns one request to a target, or refuses it.
 type Action struct {
 	ID uint64
-	// Target is set where the request is placed: Finish must follow.
+	// Target is set if Placed is true. The caller must then call Finish.
 	Target Target
 	Placed bool
-	// Cause and RetryAt say why a request was refused, and when to come back.
+	// Cause is the reason of a refusal, RetryAt the time at which the caller should retry.
 	Cause   verdict.Cause
 	RetryAt time.Time
-	// Capacity is the state of the targets at a refusal.
+	// Capacity describes the service's targets at the time of the refusal.
 	Capacity CapacitySummary
 }
 
-// Load is what a target says of itself on an answer.
+// Load is the load that a target, or the agent beside it, reports.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is how many times longer than usual it takes; 0 where it does not say.
+	// Slowdown is the ratio of the target's step time to its baseline, or 0 if not
+	// reported.
 	Slowdown float64
 }
 
-// Outcome is how a request ended at a target.
+// Outcome is the result of a request at a target.
 type Outcome uint8
 
 const (
-	// Completed means that the target answered, whatever it said.
+	// Completed means that the target answered, whatever the answer.
 	Completed Outcome = iota
-	// Rejected means that the target said that it did not run the request.
+	// Rejected means that the target reported that it did not run the request.
 	Rejected
-	// Failed means that the connection could not be opened, broke, or brought nothing usable.
+	// Failed means that the connection could not be opened, broke, or returned no valid
+	// answer.
 	Failed
-	// Canceled means that the caller went away, or its time ran out. It says nothing of the target.
+	// Canceled means that the caller disconnected or its deadline expired. It is no
+	// evidence about the target.
 	Canceled
-	// Misdirected means that another target answers at the address.
+	// Misdirected means that a different target answered at the address.
 	Misdirected
 )
 
-// Dispatcher decides for all services of one entry. Its fields are set before the
-// first call; one goroutine at a time uses it.
+// Dispatcher assigns the requests of all services at one entry. Its fields must be set
+// before the first call. It is not safe for concurrent use.
 type Dispatcher struct {
 	Settings Settings
 	Rand     *rand.Rand
-	// Zone is the entry's own; empty where all targets are as near.
+	// Zone is the zone of this entry. If empty, all targets count as local.
 	Zone string
 
 	services map[string]*service
-	// newUntil is until when this entry may know few of the others.
-	newUntil time.Time
+	// settlingUntil is the time until which this entry may know only a few of the other
+	// entries.
+	settlingUntil time.Time
 }
 
-// Update takes in the targets and services as they are now.
+// Update replaces the sets of services and targets. It refuses the requests that wait for a
+// removed service.
 func (d *Dispatcher) Update(now time.Time, services []Service, targets []Target) []Action {
-	if d.newUntil.IsZero() {
-		d.newUntil = now.Add(newDuration)
+	if d.settlingUntil.IsZero() {
+		d.settlingUntil = now.Add(settlingTime)
 	}
 
 	previous := d.services
@@ -144,7 +156,7 @@
 
 	for _, s := range d.services {
 		s.retainTargets(ids)
-		s.slowdownsUntil = time.Time{} // of other targets than before
+		s.slowdownsUntil = time.Time{} // The set of targets may have changed.
 
 		out = append(out, d.place(now, s)...)
 	}
@@ -158,7 +170,8 @@
 	return out
 }
 
-// Submit brings in a request. Without an action for it, it waits.
+// Submit adds a request. If the returned actions do not include one for it, the request
+// waits.
 func (d *Dispatcher) Submit(now time.Time, r Request) []Action {
 	s := d.services[r.Service]
 	if s == nil {
@@ -178,14 +191,14 @@
 	return d.place(now, s)
 }
 
-// Cancel takes back a request that waits.
+// Cancel removes a waiting request.
 func (d *Dispatcher) Cancel(name string, id uint64) {
 	if s := d.services[name]; s != nil {
 		s.removeWaiting(id)
 	}
 }
 
-// ReportLoad takes in what a target, or the agent beside it, said of its load.
+// ReportLoad records the load reported by a target or by the agent beside it.
 func (d *Dispatcher) ReportLoad(now time.Time, serviceName, targetID string, l Load) []Action {
 	s := d.services[serviceName]
 	if s == nil || s.targets[targetID] == nil {
@@ -197,8 +210,8 @@
 	return d.place(now, s)
 }
 
-// ReportEventGap takes in a pause between two events of a stream, in parts of what its
-// caller accepts.
+// ReportEventGap records the gap between two events of a stream, as a ratio of the gap that
+// the caller accepts.
 func (d *Dispatcher) ReportEventGap(now time.Time, placed Action, ratio float64) {
 	if s := d.services[placed.Target.Service]; s != nil && placed.Target.Slots > 0 {
 		s.concurrencyLimit.observeGap(now, ratio*s.loadDependentFraction(), placed.Target.Slots, &d.Settings)
@@ -206,17 +219,18 @@
 	}
 }
 
-// ReportFirstAnswer takes in how long a placed request waited for its first answer.
+// ReportFirstAnswer records the time from placing a request to its first answer.
 func (d *Dispatcher) ReportFirstAnswer(placed Action, elapsed time.Duration) {
 	if s := d.services[placed.Target.Service]; s != nil {
 		s.firstAnswer += (min(elapsed, d.Settings.MaxFirstAnswerTime) - s.firstAnswer) / firstAnswerWindow
 	}
 }
 
-// firstAnswerWindow is over how many requests the time of a first answer is averaged.
+// firstAnswerWindow is the number of requests over which the time to the first answer is
+// averaged.
 const firstAnswerWindow = 16
 
-// Finish ends a placed request. Place holds what it held.
+// Finish ends a placed request, releases its capacity, and places waiting requests there.
 func (d *Dispatcher) Finish(now time.Time, placed Action, work float64, o Outcome) []Action {
 	s := d.services[placed.Target.Service]
 	if s == nil {
@@ -234,14 +248,17 @@
 	return d.place(now, s)
 }
 
-// ReportFault takes in that a target made another one fail: its group waits for it.
+// ReportFault records that a target made another target of its group fail. The whole group
+// is ejected for a while, because its targets refuse requests until the group has been
+// formed again.
 func (d *Dispatcher) ReportFault(now time.Time, serviceName, targetID string) {
 	if s := d.services[serviceName]; s != nil {
 		s.ejectGroup(now, targetID, &d.Settings)
 	}
 }
 
-// Tick places what can be placed by now, and refuses what can no longer be served.
+// Tick places the waiting requests that can be placed at now, and refuses those that can no
+// longer be answered in time.
 func (d *Dispatcher) Tick(now time.Time) []Action {
 	var out []Action
 
@@ -254,7 +271,7 @@
 	return out
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (d *Dispatcher) Waiting() int {
 	n := 0
 	for _, s := range d.services {
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -10,27 +10,25 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// service is one service's targets and the requests that wait for them.
+// service holds the targets of a service and the requests that wait for them.
 type service struct {
 	Service
 
 	targets map[string]*target
-	// sorted are the targets by ID: what is decided must not depend on a map's order.
+	// sorted lists the targets by ID, so that decisions do not depend on map order.
 	sorted      []*target
 	waiting     []waiting
 	completions completionRate
-	// otherRequests is the mean of what other entries have at a target.
-	otherRequests decayingMean
-	// concurrencyLimit bounds how many requests a target is given.
+	// otherRequests is the mean number of requests that the other entries have at a target.
+	otherRequests    decayingMean
 	concurrencyLimit concurrencyLimit
-	// startLimit holds back starts while steps are suddenly long.
-	startLimit startLimit
-	// minSlowdown and mostPace are the paces of the fastest and of the slowest target,
-	// 0 while none has said one. They hold until pacesUntil.
+	startLimit       startLimit
+	// minSlowdown and maxSlowdown are the smallest and largest slowdown of the targets, 0
+	// while none has been reported. They are valid until slowdownsUntil.
 	minSlowdown    float64
 	maxSlowdown    float64
 	slowdownsUntil time.Time
-	// firstAnswer is how long a placed request usually waits for its first answer.
+	// firstAnswer is the average time from placing a request to its first answer.
 	firstAnswer time.Duration
 }
 
@@ -45,18 +43,18 @@
 
 	switch {
 	case current == nil || current.Address != t.Address:
-		current = &target{newUntil: now.Add(newDuration)}
+		current = &target{settlingUntil: now.Add(settlingTime)}
 		s.targets[t.ID] = current
 	case current.Broken && !t.Broken:
-		current.newUntil = now.Add(newDuration)
+		current.settlingUntil = now.Add(settlingTime)
 	}
 
 	current.Target = t
 }
 
-// newDuration is how long a target, or this entry, counts as just come into use: some words of
-// the target's load, or of the other entries.
-const newDuration = time.Second
+// settlingTime is how long a target or this entry counts as new. It covers several load
+// reports of the target, or several updates about the other entries.
+const settlingTime = time.Second
 
 func (s *service) retainTargets(ids map[string]bool) {
 	for id := range s.targets {
@@ -83,8 +81,9 @@
 	return out
 }
 
-// availableAt returns from when on some target may take r: now, or the end of the first
-// pause where all are left alone. It reports false if there is none to wait for.
+// availableAt returns the earliest time at which some target may accept r: now, or the end
+// of the first ejection if all targets are ejected. It returns false if no target can
+// accept r.
 func (s *service) availableAt(now time.Time, r *Request) (at time.Time, ok bool) {
 	for _, t := range s.sorted {
 		if t.Draining || slices.Contains(r.Excluded, t.ID) {
@@ -111,14 +110,14 @@
 	return verdict.CauseNoTarget
 }
 
-// place places waiting requests while there is room, and refuses those that
-// cannot be served any more.
+// place assigns waiting requests while targets have capacity, and refuses those that can no
+// longer be answered in time.
 func (d *Dispatcher) place(now time.Time, s *service) []Action {
 	if len(s.waiting) == 0 {
 		return nil
 	}
 
-	// What is left is in the order in which it is to be placed.
+	// refuseUnservable leaves the waiting requests sorted in the order of placement.
 	out := d.refuseUnservable(now, s)
 	remaining := s.waiting[:0]
 
@@ -146,7 +145,7 @@
 	return out
 }
 
-// limit returns how many requests t may have.
+// limit returns the maximum number of requests at t.
 func (s *service) limit(now time.Time, t *target, cfg *Settings) float64 {
 	maximum := float64(t.Slots) + cfg.MaxQueuedPerTarget
 	if !s.Streams {
@@ -156,10 +155,10 @@
 	return min(s.slowdownLimit(now, t, s.concurrencyLimit.limit(t)), maximum)
 }
 
-// compareWaiting says which of two waiting requests goes first, where one that is placed now
-// is answered at due. What can still be in time goes before what is late already, the
-// newest first: in a burst, first come, first served would make every request late. Late
-// ones follow in the order in which their callers give up.
+// compareWaiting orders two waiting requests by placement, where a request placed now is
+// answered at answerAt. Requests that can still meet their soft deadline precede those that
+// are late. The newest of them comes first: in a burst, first come, first served would make
+// every request late. Late requests are ordered by their deadlines.
 func compareWaiting(answerAt time.Time, a, b *waiting) int {
 	if a.Priority != b.Priority {
 		return cmp.Compare(a.Priority, b.Priority)
@@ -179,11 +178,11 @@
 	}
 }
 
-// refuseUnservable refuses what its caller will have given up before an answer, and
-// what no target is left for. A late request is refused as soon as more late ones
-// go before it than end in the time that it has. Where all targets failed lately and
-// are left alone, a caller that gives up before the first is tried again is refused at
-// once. The rest is left in order.
+// refuseUnservable refuses requests that would exceed their deadline before an answer, and
+// those without an eligible target. A late request is refused once the requests ahead of it
+// are more than complete in its remaining time. If all targets are ejected, a request whose
+// deadline precedes the end of the first ejection is refused at once. The remaining
+// requests are left sorted.
 func (d *Dispatcher) refuseUnservable(now time.Time, s *service) []Action {
 	var out []Action
 
@@ -222,7 +221,7 @@
 	return out
 }
 
-// refusalCause says why a request that waited got no target.
+// refusalCause returns why a waiting request could not be placed.
 func (d *Dispatcher) refusalCause(now time.Time, s *service) verdict.Cause {
 	cause := verdict.CauseNoTarget
 
@@ -243,7 +242,7 @@
 	return min(max(wait, d.Settings.MinRetryAfter), d.Settings.MaxRetryAfter)
 }
 
-// choose returns the target with the least load that may take r now, or nil.
+// choose returns the eligible target with the lowest cost for r, or nil if there is none.
 func (d *Dispatcher) choose(now time.Time, s *service, r *Request) *target {
 	var best *target
 
@@ -261,7 +260,8 @@
 		case best == nil || c < bestCost-costTolerance:
 			best, bestCost, ties = t, c, 1
 		case c <= bestCost+costTolerance:
-			// Each of the equal ones is as likely: all entries would else choose the same.
+			// Choose among equal targets with equal probability. Otherwise all entries
+			// would choose the same one.
 			ties++
 			if d.Rand.IntN(ties) == 0 {
 				best = t
@@ -272,8 +272,8 @@
 	return best
 }
 
-// zoneCost is what the way to t costs, in the terms of a target's load. A packet that is
-// lost between zones is sent again later than callers accept between two events.
+// zoneCost returns the cost of the path to t, in units of relative target load. A packet
+// lost between zones is retransmitted later than the event gap that callers accept.
 func (d *Dispatcher) zoneCost(t *target) float64 {
 	if d.Zone == "" || t.Zone == d.Zone {
 		return 0
@@ -282,10 +282,11 @@
 	return d.Settings.CrossZoneCost
 }
 
-// costTolerance is the difference in load (parts of the slots) below which targets count as equal.
+// costTolerance is the cost difference, as a fraction of the slots, below which targets
+// count as equal.
 const costTolerance = 0.02
 
-// blockReason returns why t may not get a request now; obstacleNone where it may.
+// blockReason returns why t may not receive a request now, or blockNone if it may.
 func (d *Dispatcher) blockReason(now time.Time, s *service, t *target) blockReason {
 	switch {
 	case t.Draining:
@@ -316,29 +317,31 @@
 	return s.Streams && t.inFlight >= t.Share.Units(now, math.Ceil(limit)) && !d.mayBorrow(now, t, limit, load)
 }
 
-// mayBorrow reports whether this entry may have more than its share at t. It may where the
-// others leave enough of theirs unused: they may all take it up before a word of it is heard.
-// While t has just come into use nothing has been heard.
+// mayBorrow reports whether this entry may exceed its share at t. It may if the other
+// entries leave enough of their shares unused: they may all use them before their load is
+// reported. Nothing has been reported for a new target, so borrowing is not allowed there.
 func (d *Dispatcher) mayBorrow(now time.Time, t *target, limit, load float64) bool {
-	if now.Before(t.newUntil) {
+	if now.Before(t.settlingUntil) {
 		return false
 	}
 
 	return load+1+d.Settings.BorrowReserve*float64(t.Share.Entries-1) <= limit
 }
 
-// warmBoundFactor is how far above the declared bound of a cold target all entries
-// together may go while it counts as warm: it may have turned cold without a word.
+// warmBoundFactor is the factor by which all entries together may exceed the declared limit
+// of cold targets while a target counts as warm. The target may have become cold without
+// notice.
 const warmBoundFactor = 1.5
 
-// newEntryDivisor is by how much smaller the part is, as a divisor, that an entry takes which may
-// know few of the others.
-const newEntryDivisor = 4
+// settlingDivisor reduces the share of an entry that has just started and may know only a
+// few of the others.
+const settlingDivisor = 4
 
-// coldQuota is how many requests this entry may send to t in a second. A cold
-// target breaks down above its bound, and any target may turn cold without a
-// word, so warm ones have a bound too, which usual load does not reach. An entry that has
-// just started may know few of the others, and take too large a part.
+// coldQuota returns how many requests this entry may send to t per ColdWindow. A cold
+// target fails above its limit, and any target may become cold without notice, so a limit
+// applies to warm targets too; typical load does not reach it. An entry that has just
+// started may know only a few of the others and overestimate its share, so it uses only a
+// part.
 func (d *Dispatcher) coldQuota(now time.Time, s *service, t *target) int {
 	bound := s.ColdPerSecond * d.Settings.ColdUtilization
 	if !now.Before(t.ColdUntil) {
@@ -346,8 +349,8 @@
 	}
 
 	units := t.Share.Units(now, bound)
-	if now.Before(d.newUntil) {
-		return (units + newEntryDivisor - 1) / newEntryDivisor
+	if now.Before(d.settlingUntil) {
+		return (units + settlingDivisor - 1) / settlingDivisor
 	}
 
 	return units
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -2,57 +2,63 @@
 
 import "time"
 
-// Settings are the tunable numbers of a Dispatcher.
+// Settings are the tunable parameters of a Dispatcher.
 type Settings struct {
-	// MinRetryAfter and LongestRetry bound when a refused caller is told to return.
+	// MinRetryAfter and MaxRetryAfter bound the delay after which a refused caller should
+	// retry.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
-	// NoTargetRetryAfter is when to return where no target is left at all.
+	// NoTargetRetryAfter is the retry delay if a service has no eligible target.
 	NoTargetRetryAfter time.Duration
-	// MaxQueuedPerTarget is how many requests beyond its slots a target is given, so that
-	// it has the next one when a slot is freed. What waits there cannot be placed
-	// better any more, so it is small.
+	// MaxQueuedPerTarget is the number of requests beyond its slots that a target is
+	// assigned, so that the next one is there when a slot is freed. Requests queued at a
+	// target can no longer be moved to a better one, so it is small.
 	MaxQueuedPerTarget float64
-	// CrossZoneCost is by how much less of its slots a target of another zone must have in
-	// use to be chosen before one of the entry's own.
+	// CrossZoneCost is the cost added to targets in other zones. Such a target is preferred
+	// to a local one only if its relative load is lower by more than this fraction of its
+	// slots.
 	CrossZoneCost float64
-	// BorrowReserve is how many requests are kept free at a target for each of the other
-	// entries that use it, where this one has its share there already.
+	// BorrowReserve is the number of requests kept free at a target for each other entry
+	// that uses it, once this entry exceeds its share there.
 	BorrowReserve float64
-	// LoadDecay is how fast what a target said of the other entries' requests
-	// gives way to the mean of all targets: they come and go, unseen here.
+	// LoadDecay is the time constant by which the reported load of the other entries at a
+	// target converges to the mean over all targets. This entry does not see how that load
+	// changes between reports.
 	LoadDecay time.Duration
-	// BaseEjectionTime is how long a target that failed is left alone; it doubles up to
-	// LongestPause with each further failure, and a served request ends it.
+	// BaseEjectionTime is how long a target is ejected after a failure. It doubles with
+	// each consecutive failure, up to MaxEjectionTime, and is reset by a completed request.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
-	// RejectionBackoff is how long a target that was full is left alone.
+	// RejectionBackoff is how long a target receives no requests after it rejected one
+	// because it was full.
 	RejectionBackoff time.Duration
-	// GroupEjectionTime is how long a group is left alone after one of its targets was at
-	// fault: its targets refuse until the group is formed again.
+	// GroupEjectionTime is how long a group is ejected after one of its targets was at
+	// fault. Its targets refuse requests until the group has been formed again.
 	GroupEjectionTime time.Duration
-	// ColdWindow is the length of the window in which requests to a cold target count.
+	// ColdWindow is the period over which requests to a cold target are counted.
 	ColdWindow time.Duration
-	// ColdUtilization is the part of the bound of a cold target that entries share. The
+	// ColdUtilization is the fraction of a cold target's limit that the entries share. The
 	// rest covers entries that have joined and are not counted yet.
 	ColdUtilization float64
-	// MaxFirstAnswerTime bounds how long a first answer is expected to take. After a
-	// stall the times that were seen would refuse everything, and with nothing placed
-	// no better time would ever be seen.
+	// MaxFirstAnswerTime caps the expected time to the first answer. Without a cap, the
+	// times observed during a stall would cause all requests to be refused, and with
+	// nothing placed no shorter time would ever be observed.
 	MaxFirstAnswerTime time.Duration
-	// LimitUpdateInterval is how often the bound on requests at a target is weighed anew.
-	// Pauses above PauseHigh, in parts of what callers accept, lower it; below
-	// PauseLow they raise it.
+	// LimitUpdateInterval is how often the concurrency limit of targets is updated. Event
+	// gaps above HighEventGap, as a ratio of the gap that callers accept, lower it; gaps
+	// below LowEventGap raise it.
 	LimitUpdateInterval time.Duration
 	HighEventGap        float64
 	LowEventGap         float64
-	// LongStepGap is the pause, in parts of what callers accept, from which on a step counts
-	// as long, and fewer requests are started than usual; from FullStep on none are.
+	// LongStepGap is the event gap, as a ratio of the gap that callers accept, from which a
+	// step counts as long and fewer requests than usual are started. From NoStartGap on,
+	// none are started.
 	LongStepGap float64
 	NoStartGap  float64
 }
 
-// DefaultSettings returns the numbers for targets that answer in fractions of a second.
+// DefaultSettings returns the settings for targets that answer within fractions of a
+// second.
 func DefaultSettings() Settings {
 	return Settings{
 		MinRetryAfter:       150 * time.Millisecond,
--- a/internal/dispatch/slowdown.go
+++ b/internal/dispatch/slowdown.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// slowdownTTL is how long a target's word on its pace holds.
+	// slowdownTTL is how long a reported slowdown remains valid.
 	slowdownTTL = 2 * time.Second
-	// minSlowRatio is the pace from which a target counts as slow.
+	// minSlowRatio is the slowdown relative to the fastest target from which a target
+	// counts as slow.
 	minSlowRatio = 1.25
-	// fixedStepCost is how many requests take as long as the part of a step that does not
-	// depend on them.
+	// fixedStepCost is the fixed part of a step's duration, expressed as the number of
+	// requests that take as long.
 	fixedStepCost = 5
 )
 
-// setSlowdown takes in how many times longer than usual a target takes. Words come ten
-// times a second from each target, and are almost always the same: all are looked at
-// again only where one has changed or is too old.
+// setSlowdown records the slowdown of a target. Each target reports ten times a second,
+// nearly always the same value, so the extremes over all targets are recomputed only when a
+// value has changed or expired.
 func (s *service) setSlowdown(now time.Time, t *target, slowdown float64) {
 	unchanged := t.slowdown == slowdown && now.Sub(t.slowdownAt) <= slowdownTTL
 	t.slowdown, t.slowdownAt = slowdown, now
@@ -27,8 +28,8 @@
 	}
 }
 
-// updateSlowdowns finds the paces of the fastest and of the slowest target that takes
-// requests, and until when they hold if nothing else is said.
+// updateSlowdowns recomputes the smallest and largest valid slowdown of the targets that
+// accept requests, and the time until which they are valid without new reports.
 func (s *service) updateSlowdowns(now time.Time) {
 	s.minSlowdown, s.maxSlowdown, s.slowdownsUntil = math.Inf(1), 0, now.Add(slowdownTTL)
 
@@ -45,10 +46,11 @@
 	}
 }
 
-// slowdownLimit returns how many requests t may have where the fastest targets may have
-// bound. In a lock-step group all wait for the last: a slow rank that is given as much
-// as the others holds all of them up, so it gets what it does in the time that the
-// others take, which may be nothing. Where all are slow alike, they share as usual.
+// slowdownLimit returns the maximum number of requests at t, where limit is that of the
+// fastest targets. In a lock-step group every rank waits for the slowest, so a slow rank
+// with as many requests as the others delays the whole group. It is limited to the number
+// it can process in the time of the others, which may be zero. If all targets are equally
+// slow, the limit is unchanged.
 func (s *service) slowdownLimit(now time.Time, t *target, limit float64) float64 {
 	if t.slowdown == 0 || now.Sub(t.slowdownAt) > slowdownTTL {
 		return limit
@@ -62,9 +64,9 @@
 	return max(0, (fixedStepCost+limit)/ratio-fixedStepCost)
 }
 
-// loadDependentFraction returns which part of the pauses of a lock-step group is due to how many
-// requests run. With a slow rank, all wait for the fixed part of its step, which fewer
-// requests do not shorten.
+// loadDependentFraction returns the fraction of a lock-step group's event gaps that is
+// caused by the number of running requests. With a slow rank, the group waits for the fixed
+// part of that rank's step, which fewer requests do not shorten.
 func (s *service) loadDependentFraction() float64 {
 	if s.maxSlowdown == 0 {
 		return 1
@@ -76,6 +78,6 @@
 	return max(minLoadDependentFraction, typical/max(typical, slowest))
 }
 
-// minLoadDependentFraction bounds how much of a pause is put down to a slow rank. At more than
-// twice the pauses that callers accept, their streams end late whatever the bound is.
+// minLoadDependentFraction limits how much of an event gap is attributed to a slow rank. If
+// gaps exceed twice what callers accept, the streams end late whatever the limit is.
 const minLoadDependentFraction = 0.5
--- a/internal/dispatch/start_limit.go
+++ b/internal/dispatch/start_limit.go
@@ -5,37 +5,42 @@
 	"time"
 )
 
-// startLimit holds back starts while the steps of a lock-step group are suddenly long, as
-// after a shift of demand until the next expert map: the prompt of a request that starts
-// in a long step makes it too long for all streams that run.
+// startLimit delays the start of requests while the steps of a lock-step group are suddenly
+// long, for example after a shift of demand until the next expert map is active. A request
+// that starts in a long step adds its prompt to it, which makes the step too long for all
+// running streams.
 type startLimit struct {
-	// gaps are the pauses of the present step, of which the last came at.
+	// gaps are the event gaps of the current step, as ratios of the accepted gap. The last
+	// one was recorded at lastGapAt.
 	gaps      []float64
 	lastGapAt time.Time
-	// longSince is when steps became long; zero while they are not.
+	// longSince is when steps became long, or zero while they are not.
 	longSince time.Time
-	// typicalStarts is how many requests are started in a usual step, started how many were in
-	// the present one, and left how many more may be while steps are long.
+	// typicalStarts is the mean number of requests started in a step of normal length,
+	// started the number in the current step, and remaining the number that may still start
+	// while steps are long.
 	typicalStarts float64
 	started       float64
 	remaining     float64
 }
 
 const (
-	// stepArrivalWindow is how far apart the events of one step arrive.
+	// stepArrivalWindow is the maximum time between two events of the same step.
 	stepArrivalWindow = 15 * time.Millisecond
-	// gapsPerStep is how many pauses tell how long a step was.
-	gapsPerStep = 3
-	// maxStartDelay bounds how long starts are held back: steps that stay long are not
-	// waited for.
+	// minGapsPerStep is the number of event gaps from which the length of a step is
+	// estimated.
+	minGapsPerStep = 3
+	// maxStartDelay limits how long starts are delayed: steps may stay long.
 	maxStartDelay = 400 * time.Millisecond
-	// longStepTTL is how long a step that was long tells something of the next one.
+	// longStepTTL is how long a long step is taken to predict that the next one is long
+	// too.
 	longStepTTL = 250 * time.Millisecond
-	// startsWindow is over how many steps the starts of a usual one are averaged.
+	// startsWindow is the number of steps over which the starts per step are averaged.
 	startsWindow = 32
 )
 
-// observeGap takes in a pause between two events, in parts of what the caller accepts.
+// observeGap records a gap between two events, as a ratio of the gap that the caller
+// accepts.
 func (s *startLimit) observeGap(now time.Time, ratio float64, cfg *Settings) {
 	if now.Sub(s.lastGapAt) > stepArrivalWindow {
 		s.gaps = s.gaps[:0]
@@ -44,12 +49,13 @@
 	s.gaps = append(s.gaps, ratio)
 	s.lastGapAt = now
 
-	if len(s.gaps) == gapsPerStep {
-		s.observeStep(now, slices.Sorted(slices.Values(s.gaps))[gapsPerStep/2], cfg)
+	if len(s.gaps) == minGapsPerStep {
+		s.observeStep(now, slices.Sorted(slices.Values(s.gaps))[minGapsPerStep/2], cfg)
 	}
 }
 
-// observeStep takes in how long a step was.
+// observeStep records the length of a step, as the ratio of its event gap to the accepted
+// gap.
 func (s *startLimit) observeStep(now time.Time, gap float64, cfg *Settings) {
 	if gap < cfg.LongStepGap {
 		s.typicalStarts += (s.started - s.typicalStarts) / startsWindow
@@ -65,13 +71,13 @@
 	s.started = 0
 }
 
-// recordStart notes that a request was started.
+// recordStart counts a started request.
 func (s *startLimit) recordStart() {
 	s.started++
 	s.remaining--
 }
 
-// blocked reports whether starts are held back at now.
+// blocked reports whether starts are delayed at now.
 func (s *startLimit) blocked(now time.Time) bool {
 	return !s.longSince.IsZero() && s.remaining < 1 && now.Sub(s.longSince) < maxStartDelay && now.Sub(s.lastGapAt) < longStepTTL
 }
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -5,31 +5,35 @@
 	"time"
 )
 
-// target is what this entry knows of one target beside the directory's word.
+// target is the state that this entry keeps for one target, in addition to its directory
+// entry.
 type target struct {
 	Target
 
-	// inFlight is how many requests this entry has there, work their expected work.
+	// inFlight is the number of requests that this entry has at the target, work their
+	// expected work.
 	inFlight int
 	work     float64
-	// otherRequests is what the other entries had there at reported.
+	// otherRequests is the number of requests that other entries had there at reportedAt.
 	otherRequests float64
 	reportedAt    time.Time
-	// slowdown is how many times longer than usual it took when it said so last, at pacedAt.
+	// slowdown is the last reported ratio of the target's step time to its baseline,
+	// received at slowdownAt.
 	slowdown   float64
 	slowdownAt time.Time
-	// ejectedUntil is until when it is left alone, after fails failures in a row.
+	// ejectedUntil is the time until which the target receives no requests.
 	ejectedUntil time.Time
-	// rejected says that it is left alone because it said that it was full, not for a fault.
+	// rejected reports whether the target was ejected because it rejected a request, not
+	// because of a failure. failures counts consecutive failures.
 	rejected bool
 	failures int
-	// newUntil is until when it counts as just come into use.
-	newUntil time.Time
-	// sentAt are the times at which this entry sent it requests, the latest last.
+	// settlingUntil is the time until which the target counts as new.
+	settlingUntil time.Time
+	// sentAt holds the times at which this entry sent requests to the target, oldest first.
 	sentAt []time.Time
 }
 
-// defaultSlots stands for the slots of a target that does not say them.
+// defaultSlots is assumed for targets that do not report their slots.
 const defaultSlots = 8
 
 func (t *target) slots() float64 {
@@ -40,7 +44,7 @@
 	return defaultSlots
 }
 
-// load is how many requests are expected at t.
+// load returns the expected number of requests at t from all entries.
 func (t *target) load(now time.Time, s *service, cfg *Settings) float64 {
 	mean := s.otherRequests.at(now)
 	if t.reportedAt.IsZero() {
@@ -52,11 +56,11 @@
 	return float64(t.inFlight) + mean + (t.otherRequests-mean)*math.Exp(-age)
 }
 
-// unresponsiveCost makes silent targets the last choice.
+// unresponsiveCost is high enough that unresponsive targets are chosen last.
 const unresponsiveCost = 10
 
-// workWeight is the weight of the expected work of this entry's own requests
-// against their number: long prompts hold a lock-step group longer.
+// workWeight is the weight of the expected work of this entry's requests relative to their
+// number: long prompts occupy a lock-step group longer.
 const workWeight = 0.3
 
 func (t *target) cost(now time.Time, s *service, cfg *Settings) float64 {
@@ -76,7 +80,7 @@
 	t.sentAt = append(t.sentAt, now)
 }
 
-// sentSince counts the requests that were sent after from, and forgets the rest.
+// sentSince returns the number of requests sent after from, and drops older times.
 func (t *target) sentSince(from time.Time) int {
 	i := 0
 	for i < len(t.sentAt) && !t.sentAt[i].After(from) {
@@ -101,7 +105,7 @@
 		t.failures++
 		t.eject(now.Add(min(cfg.BaseEjectionTime<<min(t.failures-1, 8), cfg.MaxEjectionTime)), false)
 	case Misdirected:
-		// The directory will name the address's new holder.
+		// The directory will list the target that now holds the address.
 		t.eject(now.Add(cfg.MaxEjectionTime), false)
 	case Canceled:
 	}
@@ -113,7 +117,7 @@
 	}
 }
 
-// reportLoad takes in a target's word on its load. The own requests are in it too.
+// reportLoad records the load that a target reported, which includes this entry's requests.
 func (s *service) reportLoad(now time.Time, t *target, l Load) {
 	t.otherRequests = max(0, float64(l.Running+l.Waiting-t.inFlight))
 	t.reportedAt = now
@@ -124,7 +128,7 @@
 	}
 }
 
-// ejectGroup leaves the group of a target alone for a while, and the target longer.
+// ejectGroup ejects all targets in the group of a faulty target.
 func (s *service) ejectGroup(now time.Time, id string, cfg *Settings) {
 	faulty := s.targets[id]
 	if faulty == nil || faulty.Group == "" {
@@ -138,15 +142,15 @@
 	}
 }
 
-// decayingMean is a running mean over about as many values as there are targets. It fades
-// while nothing is added: where all targets look full nothing is sent, so nothing
-// would ever be heard again.
+// decayingMean is a running mean over about as many values as there are targets. It decays
+// while no value is added. Otherwise, once all targets look full, nothing would be sent and
+// no new load would ever be reported.
 type decayingMean struct {
 	value     float64
 	updatedAt time.Time
 }
 
-// meanDecay is how long a mean holds without anything added.
+// meanDecay is the time constant of the decay while no value is added.
 const meanDecay = time.Second
 
 func (m *decayingMean) at(now time.Time) float64 {
@@ -162,10 +166,10 @@
 	m.updatedAt = now
 }
 
-// rateWindow is over how long the rate of ended requests is taken.
+// rateWindow is the period over which the completion rate is measured.
 const rateWindow = 3 * time.Second
 
-// completionRate is how many requests end in a second.
+// completionRate measures how many requests complete per second.
 type completionRate struct {
 	times []time.Time
 }
@@ -184,7 +188,7 @@
 	r.times = r.times[i:]
 }
 
-// perSecond returns the rate, or zero where too little is known.
+// perSecond returns the rate, or zero if there are too few samples.
 func (r *completionRate) perSecond(now time.Time) float64 {
 	r.expire(now)
 
@@ -195,5 +199,5 @@
 	return float64(len(r.times)) / rateWindow.Seconds()
 }
 
-// minRateSamples is how many ends tell a rate.
+// minRateSamples is the minimum number of completions for an estimate of the rate.
 const minRateSamples = 5
