--- a/internal/latency/estimator.go
+++ b/internal/latency/estimator.go
@@ -1,11 +1,11 @@
-// Package latency learns how long something usually takes, and how far from that it
-// strays, so that waiting longer tells something.
+// Package latency estimates how long an operation usually takes and how much that varies,
+// so that an unusually long wait can be detected.
 package latency
 
 import "time"
 
-// Estimator is a running mean of durations and their mean distance from it. Its zero value
-// is ready and knows nothing.
+// Estimator tracks the running mean of durations and their mean absolute deviation. The
+// zero value is ready to use.
 type Estimator struct {
 	Mean      time.Duration
 	Deviation time.Duration
@@ -13,22 +13,22 @@
 	samples int
 }
 
-// Observe takes in one duration. The mean is over some memory durations, or over all
-// where fewer were seen.
-func (s *Estimator) Observe(d time.Duration, window int) {
-	s.samples = min(s.samples+1, window)
-	if s.samples == 1 {
-		s.Mean = d
+// Observe adds a duration. The averages are taken over about window durations, or over all
+// while there are fewer.
+func (e *Estimator) Observe(d time.Duration, window int) {
+	e.samples = min(e.samples+1, window)
+	if e.samples == 1 {
+		e.Mean = d
 
 		return
 	}
 
-	s.Deviation += ((d - s.Mean).Abs() - s.Deviation) / time.Duration(s.samples)
-	s.Mean += (d - s.Mean) / time.Duration(s.samples)
+	e.Deviation += ((d - e.Mean).Abs() - e.Deviation) / time.Duration(e.samples)
+	e.Mean += (d - e.Mean) / time.Duration(e.samples)
 }
 
-// UpperBound returns a duration that few exceed: margin mean distances above the mean. It
-// reports false where nothing was learnt.
-func (s *Estimator) UpperBound(deviations int) (time.Duration, bool) {
-	return s.Mean + time.Duration(deviations)*s.Deviation, s.samples > 0
+// UpperBound returns a duration that few observations exceed: the mean plus the given
+// number of mean deviations. It returns false if there are no observations.
+func (e *Estimator) UpperBound(deviations int) (time.Duration, bool) {
+	return e.Mean + time.Duration(deviations)*e.Deviation, e.samples > 0
 }
--- a/internal/latency/estimator_test.go
+++ b/internal/latency/estimator_test.go
@@ -24,8 +24,8 @@
 	// Output: 100ms true true
 }
 
-// The balancer of an overloaded entry, or a director, acts on what takes longer than
-// nearly all: with an exponential tail that is one in twenty at most.
+// An overloaded entry and a director act on operations that take longer than nearly all
+// others. With an exponential tail, at most one in twenty may exceed the bound.
 func TestFewSamplesExceedThreeDeviations(t *testing.T) {
 	t.Parallel()
 
--- a/internal/latency/estimators.go
+++ b/internal/latency/estimators.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Estimators keeps a Spread for each of a few keys. Its zero value is ready, and its methods
-// may be called concurrently.
+// Estimators holds an Estimator for each key. The zero value is ready to use, and its
+// methods are safe for concurrent use.
 type Estimators[K comparable] struct {
 	mu         sync.Mutex
 	estimators map[K]*Estimator
 }
 
-// Observe takes in a duration of key k.
+// Observe adds a duration for key k.
 func (t *Estimators[K]) Observe(k K, d time.Duration, window int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,7 +30,7 @@
 	s.Observe(d, window)
 }
 
-// UpperBound is Spread.Within of key k.
+// UpperBound returns the bound of Estimator.UpperBound for key k.
 func (t *Estimators[K]) UpperBound(k K, deviations int) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,7 +1,8 @@
-// Package loadreport tells entries how loaded engines are. The agent beside an engine
-// sees its load fresh and for free; an entry sees its own requests only, and those
-// of the other entries where an answer happens to tell. Datagrams do: a lost one is
-// made good by the next, a tenth of a second later.
+// Package loadreport sends the load of engines from the agents beside them to entries. An
+// agent observes the load of its engine at no cost and without delay. An entry observes
+// only its own requests, and those of other entries only if an answer happens to report the
+// load. Reports are sent as UDP datagrams; a lost one is replaced by the next, about 100 ms
+// later.
 package loadreport
 
 import (
@@ -19,32 +20,34 @@
 )
 
 const (
-	// subscribeInterval is how often an entry asks, askLife how long an ask holds.
+	// subscribeInterval is how often an entry renews its subscription to an agent,
+	// subscriptionTTL how long a subscription is valid.
 	subscribeInterval = 2 * time.Second
 	subscriptionTTL   = 5 * time.Second
-	// resubscribeInterval is how often an entry asks an agent of which it has heard nothing
-	// for silentAfter.
+	// resubscribeInterval is how often an entry sends a subscription to an agent that has
+	// sent no report for unresponsiveAfter.
 	resubscribeInterval = 250 * time.Millisecond
 	unresponsiveAfter   = time.Second
-	// checkInterval is how often load is looked at; it is told where it changed, and at
-	// least each tellAtLeast.
+	// checkInterval is how often an agent reads the load. It publishes the load if it has
+	// changed, and at least every maxPublishInterval.
 	checkInterval      = 100 * time.Millisecond
 	maxPublishInterval = 500 * time.Millisecond
-	// maxSubscribers bounds the entries that one agent tells.
+	// maxSubscribers limits the entries to which one agent reports.
 	maxSubscribers = 64
-	// maxDatagramSize bounds a datagram (bytes).
+	// maxDatagramSize is the maximum size of a datagram in bytes.
 	maxDatagramSize = 512
 )
 
-// Load is how many requests an engine runs, how many wait at it, and how many times
-// longer than usual it takes for them.
+// Load is the number of requests that an engine runs, the number that wait at it, and the
+// ratio of its step time to its baseline.
 type Load struct {
 	Running  int
 	Waiting  int
 	Slowdown float64
 }
 
-// Publisher tells entries the load of the engine on this VM. Set its fields before Run.
+// Publisher reports the load of the engine on this VM to the subscribed entries. Its
+// exported fields must be set before Run.
 type Publisher struct {
 	Cluster string
 	Conn    net.PacketConn
@@ -55,13 +58,13 @@
 	subscribers map[netip.AddrPort]time.Time
 }
 
-// Run tells until ctx ends.
-func (t *Publisher) Run(ctx context.Context) error {
-	t.subscribers = make(map[netip.AddrPort]time.Time)
+// Run publishes the load until ctx is canceled.
+func (p *Publisher) Run(ctx context.Context) error {
+	p.subscribers = make(map[netip.AddrPort]time.Time)
 
-	go t.acceptSubscriptions()
+	go p.acceptSubscriptions()
 
-	defer func() { _ = t.Conn.Close() }()
+	defer func() { _ = p.Conn.Close() }()
 
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -81,45 +84,45 @@
 
 		now := time.Now()
 
-		subscribers := t.activeSubscribers(now)
+		subscribers := p.activeSubscribers(now)
 		if len(subscribers) == 0 {
 			continue
 		}
 
-		l, err := t.Load(ctx)
+		l, err := p.Load(ctx)
 		if err != nil || l == last && now.Sub(publishedAt) < maxPublishInterval {
 			continue
 		}
 
 		last, publishedAt = l, now
 		seq++
-		t.publish(subscribers, &wire.LoadWord{Cluster: t.Cluster, Sequence: seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting), Pace: l.Slowdown})
+		p.publish(subscribers, &wire.LoadWord{Cluster: p.Cluster, Sequence: seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting), Pace: l.Slowdown})
 	}
 }
 
-func (t *Publisher) publish(subscribers []netip.AddrPort, w *wire.LoadWord) {
+func (p *Publisher) publish(subscribers []netip.AddrPort, w *wire.LoadWord) {
 	data, err := proto.Marshal(w)
 	if err != nil {
-		t.Logger.Error("Load not told.", "error", err)
+		p.Logger.Error("Load report not sent: encoding failed.", "error", err)
 
 		return
 	}
 
 	for _, a := range subscribers {
-		// A datagram that is lost here or on its way is made good by the next.
-		_, _ = t.Conn.WriteTo(data, net.UDPAddrFromAddrPort(a))
+		// A lost datagram is replaced by the next one, so errors are ignored.
+		_, _ = p.Conn.WriteTo(data, net.UDPAddrFromAddrPort(a))
 	}
 }
 
-func (t *Publisher) activeSubscribers(now time.Time) []netip.AddrPort {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (p *Publisher) activeSubscribers(now time.Time) []netip.AddrPort {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	out := make([]netip.AddrPort, 0, len(t.subscribers))
+	out := make([]netip.AddrPort, 0, len(p.subscribers))
 
-	for a, until := range t.subscribers {
+	for a, until := range p.subscribers {
 		if now.After(until) {
-			delete(t.subscribers, a)
+			delete(p.subscribers, a)
 
 			continue
 		}
@@ -130,19 +133,19 @@
 	return out
 }
 
-// acceptSubscriptions takes in asks until the connection is closed.
-func (t *Publisher) acceptSubscriptions() {
-	receive(t.Conn, func(from netip.AddrPort, data []byte) {
+// acceptSubscriptions records subscriptions until the connection is closed.
+func (p *Publisher) acceptSubscriptions() {
+	receive(p.Conn, func(from netip.AddrPort, data []byte) {
 		var request wire.LoadAsk
-		if proto.Unmarshal(data, &request) != nil || request.GetCluster() != t.Cluster {
+		if proto.Unmarshal(data, &request) != nil || request.GetCluster() != p.Cluster {
 			return
 		}
 
-		t.mu.Lock()
-		defer t.mu.Unlock()
+		p.mu.Lock()
+		defer p.mu.Unlock()
 
-		if _, subscribed := t.subscribers[from]; subscribed || len(t.subscribers) < maxSubscribers {
-			t.subscribers[from] = time.Now().Add(subscriptionTTL)
+		if _, subscribed := p.subscribers[from]; subscribed || len(p.subscribers) < maxSubscribers {
+			p.subscribers[from] = time.Now().Add(subscriptionTTL)
 		}
 	})
 }
@@ -163,46 +166,48 @@
 	}
 }
 
-// Subscriber asks agents for loads. Set its fields before Run.
+// Subscriber subscribes to the load reports of agents. Its exported fields must be set
+// before Run.
 type Subscriber struct {
 	Cluster string
 	Conn    net.PacketConn
-	// Agents returns where the agents beside engines listen.
+	// Agents returns the addresses of the agents beside engines.
 	Agents func() []netip.AddrPort
-	// OnLoad is called with each load, by the agent's address.
+	// OnLoad is called with each load report and the address of its agent.
 	OnLoad func(agent netip.AddrPort, l Load)
 
 	mu   sync.Mutex
 	last map[netip.AddrPort]receivedReport
-	// requestedAt is when each agent was asked last; only Run uses it.
+	// requestedAt is when the last subscription was sent to each agent. It is used only by
+	// Run.
 	requestedAt map[netip.AddrPort]time.Time
 }
 
-// receivedReport is the last word of an agent.
+// receivedReport identifies the last report of an agent.
 type receivedReport struct {
 	sequence uint64
 	at       time.Time
 }
 
-// Run asks and listens until ctx ends.
-func (l *Subscriber) Run(ctx context.Context) error {
-	l.last = make(map[netip.AddrPort]receivedReport)
-	l.requestedAt = make(map[netip.AddrPort]time.Time)
+// Run subscribes to all agents and handles their reports until ctx is canceled.
+func (s *Subscriber) Run(ctx context.Context) error {
+	s.last = make(map[netip.AddrPort]receivedReport)
+	s.requestedAt = make(map[netip.AddrPort]time.Time)
 
-	request, err := proto.Marshal(&wire.LoadAsk{Cluster: l.Cluster})
+	request, err := proto.Marshal(&wire.LoadAsk{Cluster: s.Cluster})
 	if err != nil {
-		return eris.Wrap(err, "ask for loads")
+		return eris.Wrap(err, "encode load subscription")
 	}
 
-	go receive(l.Conn, l.handleReport)
+	go receive(s.Conn, s.handleReport)
 
-	defer func() { _ = l.Conn.Close() }()
+	defer func() { _ = s.Conn.Close() }()
 
 	tick := time.NewTicker(resubscribeInterval)
 	defer tick.Stop()
 
 	for {
-		l.request(time.Now(), request)
+		s.request(time.Now(), request)
 
 		select {
 		case <-ctx.Done():
@@ -212,66 +217,67 @@
 	}
 }
 
-// request asks the agents whose turn it is, sooner those that are silent: they may have
-// started anew, and forgotten who asked.
-func (l *Subscriber) request(now time.Time, request []byte) {
-	agents := l.Agents()
+// request sends a subscription to the agents whose subscription is due. It is due sooner
+// for agents that do not report: they may have restarted and lost their subscribers.
+func (s *Subscriber) request(now time.Time, request []byte) {
+	agents := s.Agents()
 	requestedAt := make(map[netip.AddrPort]time.Time, len(agents))
 
 	for _, a := range agents {
-		requestedAt[a] = l.requestedAt[a]
+		requestedAt[a] = s.requestedAt[a]
 
 		interval := subscribeInterval
-		if l.unresponsive(now, a) {
+		if s.unresponsive(now, a) {
 			interval = resubscribeInterval
 		}
 
-		if now.Sub(l.requestedAt[a]) < interval {
+		if now.Sub(s.requestedAt[a]) < interval {
 			continue
 		}
 
 		requestedAt[a] = now
 
-		_, _ = l.Conn.WriteTo(request, net.UDPAddrFromAddrPort(a))
+		_, _ = s.Conn.WriteTo(request, net.UDPAddrFromAddrPort(a))
 	}
 
-	l.requestedAt = requestedAt
+	s.requestedAt = requestedAt
 }
 
-func (l *Subscriber) unresponsive(now time.Time, agent netip.AddrPort) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *Subscriber) unresponsive(now time.Time, agent netip.AddrPort) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	return now.Sub(l.last[agent].at) >= unresponsiveAfter
+	return now.Sub(s.last[agent].at) >= unresponsiveAfter
 }
 
-// maxReordering is how far a sequence falls back where the agent has started anew on a
-// VM whose clock was set back, and not merely been overtaken.
+// maxReordering is the largest difference by which a sequence number may fall behind due to
+// reordered datagrams. A larger difference means that the agent has restarted on a VM whose
+// clock was set back.
 const maxReordering = 1000
 
-func (l *Subscriber) handleReport(from netip.AddrPort, data []byte) {
+func (s *Subscriber) handleReport(from netip.AddrPort, data []byte) {
 	var w wire.LoadWord
-	if proto.Unmarshal(data, &w) != nil || w.GetCluster() != l.Cluster {
+	if proto.Unmarshal(data, &w) != nil || w.GetCluster() != s.Cluster {
 		return
 	}
 
-	if !l.isNew(from, w.GetSequence()) {
+	if !s.isNew(from, w.GetSequence()) {
 		return
 	}
 
-	l.OnLoad(from, Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slowdown: w.GetPace()})
+	s.OnLoad(from, Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slowdown: w.GetPace()})
 }
 
-// isNew notes a word, and reports whether it is later than the last one.
-func (l *Subscriber) isNew(from netip.AddrPort, sequence uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// isNew records a report and reports whether it is newer than the last one.
+func (s *Subscriber) isNew(from netip.AddrPort, sequence uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if last := l.last[from].sequence; sequence <= last && last-sequence < maxReordering {
+	if last := s.last[from].sequence; sequence <= last && last-sequence < maxReordering {
 		return false
 	}
 
-	l.last[from] = receivedReport{sequence: sequence, at: time.Now()}
+	s.last[from] = receivedReport{sequence: sequence, at: time.Now()}
 
 	return true
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -26,8 +26,8 @@
 	return c, netip.MustParseAddrPort(c.LocalAddr().String())
 }
 
-// An entry asks an agent and hears its engine's load, also when it changes. Asks of
-// another deployment, and bytes that are none, are answered to nobody.
+// An entry subscribes to an agent and receives the load of its engine, also after it
+// changes. Subscriptions of another deployment and invalid datagrams get no reports.
 func TestSubscribersReceiveLoads(t *testing.T) {
 	t.Parallel()
 
@@ -65,7 +65,7 @@
 			received <- l
 		}
 	})
-	subscribe("qurum", foreignConn, func(netip.AddrPort, loadreport.Load) { t.Error("another deployment heard a load") })
+	subscribe("qurum", foreignConn, func(netip.AddrPort, loadreport.Load) { t.Error("a subscriber of another deployment received a load") })
 
 	_, err := foreignConn.WriteTo([]byte("\xff\xffnonsense"), net.UDPAddrFromAddrPort(agent))
 	require.NoError(t, err)
@@ -80,7 +80,8 @@
 	runs.Wait()
 }
 
-// fakeConn is a connection under a test's clock: it notes when asks leave, and delivers words.
+// fakeConn is a packet connection for use with a fake clock. It records when subscriptions
+// are sent, and delivers reports.
 type fakeConn struct {
 	net.PacketConn
 
@@ -131,9 +132,9 @@
 	return n
 }
 
-// All VMs lose power. An agent that starts anew does not know who had asked it, and an
-// entry that starts anew has just asked one that was not there yet. Without a word of
-// loads the entries filled a group twice over, for as long as their usual turn took.
+// All VMs lose power. A restarted agent has no subscribers, and a restarted entry has just
+// sent its subscription to an agent that was not up yet. Without load reports, the entries
+// assigned a group twice its capacity until the next regular renewal.
 func TestUnresponsiveAgentGetsFrequentSubscribeRequests(t *testing.T) {
 	t.Parallel()
 
@@ -161,9 +162,9 @@
 		}
 
 		lastReport := time.Now()
-		require.LessOrEqual(t, conn.requestsWithin(lastReport.Add(-reporting/2), lastReport), 6, "one that tells is asked seldom")
+		require.LessOrEqual(t, conn.requestsWithin(lastReport.Add(-reporting/2), lastReport), 6, "subscriptions to a reporting agent are rarely renewed")
 		time.Sleep(1500 * time.Millisecond)
-		require.GreaterOrEqual(t, conn.requestsWithin(lastReport, time.Now()), 2, "one that has fallen silent is asked soon")
+		require.GreaterOrEqual(t, conn.requestsWithin(lastReport, time.Now()), 2, "a subscription is sent soon to an agent that stopped reporting")
 		stop()
 		synctest.Wait()
 	})
--- a/internal/retries/bench_test.go
+++ b/internal/retries/bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// BenchmarkOutage counts the tries of each request while every target is gone,
-// and while one try in five fails, against three tries for each request.
+// BenchmarkOutage measures the attempts per request with a retry budget and with up to
+// three attempts for each request, while all targets are down and while one attempt in five
+// fails.
 func BenchmarkOutage(b *testing.B) {
 	for _, perSecond := range []int{1, 25, 1000} {
 		for _, outage := range []bool{true, false} {
@@ -27,8 +28,8 @@
 	}
 }
 
-// outageAttempts sends a minute of requests. It returns the tries per request, that
-// without a budget, and the share of requests that were answered in the end.
+// outageAttempts simulates a minute of requests. It returns the attempts per request with
+// and without the budget, and the fraction of requests that were answered.
 func outageAttempts(perSecond int, outage bool) (budgeted, unbounded, answered float64) {
 	budget := newBudget(1)
 	n := 60 * perSecond
@@ -70,7 +71,7 @@
 	return budgeted / float64(n), unbounded / float64(n), answered / float64(n)
 }
 
-// BenchmarkDecide is the cost of a fresh request and one decision.
+// BenchmarkDecide measures recording one request and deciding on one retry.
 func BenchmarkDecide(b *testing.B) {
 	budget := newBudget(1)
 	f := retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true, Attempts: 1}
--- a/internal/retries/budget.go
+++ b/internal/retries/budget.go
@@ -1,6 +1,6 @@
-// Package retries decides whether a failed request is sent again, and when.
-// Only what did not run, or is idempotent, is; a budget keeps all retries of an
-// entry a small share of its fresh requests.
+// Package retries decides whether and when a failed request is retried. Only requests that
+// did not run, or that are idempotent, are retried, and a budget limits the retries of an
+// entry to a small fraction of its requests.
 package retries
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Budget decides on retries. All methods may be called concurrently; each
-// holds one lock for a few dozen nanoseconds.
+// Budget limits retries with a token bucket. It is safe for concurrent use; each call holds
+// a single lock for a few dozen nanoseconds.
 type Budget struct {
-	// Settings and Rand are set before the first call. Nothing else may use Rand.
+	// Settings and Rand must be set before the first call. Rand must not be shared.
 	Settings Settings
 	Rand     *rand.Rand
 
@@ -25,19 +25,20 @@
 	lastRefill  time.Time
 }
 
-// Settings are the tunable numbers of a Budget. The zero value of each field
-// stands for the default named beside it.
+// Settings are the tunable parameters of a Budget. A zero field stands for the default
+// given in parentheses.
 type Settings struct {
-	// Ratio is how many retries a fresh request pays for (0.2).
+	// Ratio is the number of retries that each request adds to the budget (0.2).
 	Ratio float64
-	// MinPerSecond is how many retries are paid for without any request (0.2),
-	// so that an entry with few requests can still retry one.
+	// MinPerSecond is the number of retries per second added without any request (0.2), so
+	// that an entry with few requests can still retry one.
 	MinPerSecond float64
-	// MaxTokens bounds what is saved up (10).
+	// MaxTokens is the capacity of the bucket, in retries (10).
 	MaxTokens float64
-	// MaxAttempts bounds the tries of one request, its first included (3).
+	// MaxAttempts limits the attempts per request, including the first (3).
 	MaxAttempts int
-	// BaseBackoff is the mean pause before a second try at a broken target; it doubles (25 ms).
+	// BaseBackoff is the mean delay before the second attempt at the same target (25 ms).
+	// It doubles with each attempt.
 	BaseBackoff time.Duration
 }
 
@@ -51,27 +52,27 @@
 	return s
 }
 
-// Failure is one try that brought no whole answer.
+// Failure describes an attempt that returned no complete answer.
 type Failure struct {
 	Verdict verdict.Verdict
 	Cause   verdict.Cause
-	// RetryAt is when the refusing side expects room; zero when it did not say.
+	// RetryAt is when the refusing side expects to have capacity, or zero if not stated.
 	RetryAt    time.Time
 	Idempotent bool
-	// Attempts is how many tries were made, this one included.
+	// Attempts is the number of attempts so far, including this one.
 	Attempts int
-	// Deadline is the caller's; zero for none.
+	// Deadline is the caller's deadline, or zero if there is none.
 	Deadline time.Time
-	// ExpectedDuration is how long a try usually takes.
+	// ExpectedDuration is the typical duration of an attempt.
 	ExpectedDuration time.Duration
-	// OtherTargets says that a target not yet tried may take the request.
+	// OtherTargets reports whether a target that was not tried yet may accept the request.
 	OtherTargets bool
 }
 
-// Reason says why a request is not retried.
+// Reason is the reason why a request is not retried.
 type Reason string
 
-// The reasons against a retry.
+// Reasons against a retry.
 const (
 	ReasonNone            Reason = ""
 	ReasonMayHaveRun      Reason = "MayHaveRun"
@@ -83,15 +84,15 @@
 	ReasonCallerCanceled  Reason = "CallerLeft"
 )
 
-// Decision says whether and when to retry.
+// Decision tells whether and when to retry.
 type Decision struct {
 	Retry bool
 	At    time.Time
-	// Reason is set when Retry is false.
+	// Reason is set if Retry is false.
 	Reason Reason
 }
 
-// RecordRequest records one new request of a caller. Retries are not fresh.
+// RecordRequest records a new request. Retries must not be recorded.
 func (b *Budget) RecordRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,8 +100,8 @@
 	b.tokens = min(b.tokens+b.Settings.Ratio, b.Settings.MaxTokens)
 }
 
-// Decide says whether the request behind f is sent again, and takes the retry
-// from the budget if so.
+// Decide decides whether the failed request is retried. If so, it takes one retry from the
+// budget.
 func (b *Budget) Decide(now time.Time, f Failure) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// reasonAgainst returns the reason that the failure itself gives against a retry.
+// reasonAgainst returns the reason against a retry that follows from the failure alone.
 func reasonAgainst(f *Failure, maxAttempts int) Reason {
 	switch {
 	case !f.Verdict.MayRepeat(f.Idempotent):
@@ -154,7 +155,8 @@
 	}
 }
 
-// notRetryable reports whether a second try cannot end otherwise, or nobody waits for it.
+// notRetryable reports whether another attempt would fail in the same way, or the caller no
+// longer waits for it.
 func notRetryable(c verdict.Cause) bool {
 	switch c {
 	case verdict.CauseDeadline, verdict.CauseMalformed, verdict.CauseTooLarge,
@@ -166,7 +168,7 @@
 	}
 }
 
-// needsOtherTarget reports whether only another target can help soon.
+// needsOtherTarget reports whether only another target can accept the request soon.
 func needsOtherTarget(c verdict.Cause) bool {
 	switch c {
 	case verdict.CauseZoneOut, verdict.CauseLeaving, verdict.CauseOverload,
@@ -177,8 +179,9 @@
 	}
 }
 
-// backoff returns how long to wait: nothing when another target is ready to take
-// the request, else what the refusing side said or a growing pause, jittered.
+// backoff returns the delay before the retry. It is zero if another target may accept the
+// request. Otherwise it is the time until RetryAt or an exponentially growing delay,
+// whichever is longer, with jitter.
 func (b *Budget) backoff(now time.Time, f *Failure) time.Duration {
 	if f.OtherTargets {
 		return 0
--- a/internal/retries/budget_test.go
+++ b/internal/retries/budget_test.go
@@ -27,8 +27,8 @@
 		f    retries.Failure
 		want retries.Reason
 	}{
-		{"refused elsewhere", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true}, retries.ReasonNone},
-		{"agent stops", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseStopping, OtherTargets: true}, retries.ReasonNone},
+		{"refused, other target available", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, OtherTargets: true}, retries.ReasonNone},
+		{"agent stopping", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseStopping, OtherTargets: true}, retries.ReasonNone},
 		{"closed attempt", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseClosed}, retries.ReasonNone},
 		{"may have run", retries.Failure{Cause: verdict.CauseSilent, OtherTargets: true}, retries.ReasonMayHaveRun},
 		{"may have run, idempotent", retries.Failure{Cause: verdict.CauseSilent, Idempotent: true, OtherTargets: true}, retries.ReasonNone},
@@ -36,11 +36,11 @@
 		{"deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseDeadline, OtherTargets: true}, retries.ReasonNotRetryable},
 		{"malformed", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, OtherTargets: true}, retries.ReasonNotRetryable},
 		{"key conflict", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseKeyConflict, OtherTargets: true}, retries.ReasonNotRetryable},
-		{"caller gone", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseCancelled, Idempotent: true}, retries.ReasonNotRetryable},
-		{"third try", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Attempts: 3, OtherTargets: true}, retries.ReasonMaxAttempts},
-		{"no time left", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, ExpectedDuration: 2 * time.Second, OtherTargets: true}, retries.ReasonDeadline},
-		{"room only after the deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, RetryAt: epoch.Add(2 * time.Second)}, retries.ReasonDeadline},
-		{"all full", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}, retries.ReasonNoOtherTarget},
+		{"caller canceled", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseCancelled, Idempotent: true}, retries.ReasonNotRetryable},
+		{"third attempt", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Attempts: 3, OtherTargets: true}, retries.ReasonMaxAttempts},
+		{"expected duration exceeds deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, ExpectedDuration: 2 * time.Second, OtherTargets: true}, retries.ReasonDeadline},
+		{"capacity only after the deadline", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, Deadline: deadline, RetryAt: epoch.Add(2 * time.Second)}, retries.ReasonDeadline},
+		{"all targets full", retries.Failure{Verdict: verdict.NotRun, Cause: verdict.CauseOverload}, retries.ReasonNoOtherTarget},
 	}
 
 	for _, tc := range tests {
@@ -55,9 +55,9 @@
 	}
 }
 
-// Callers of a service whose targets are all gone see each request fail at
-// once. Were each failure retried, the entries would send several times the
-// callers' load just when targets come back, and knock them down again.
+// If all targets of a service are down, every request fails at once. Retrying each of them
+// would multiply the load of the callers just when targets come back, and overload them
+// again.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	t.Parallel()
 
--- a/internal/retries/main_test.go
+++ b/internal/retries/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that each run draws the same cases. Another
-// seed given by -rapid.seed is kept.
+// TestMain fixes the seed of rapid, so that each run draws the same cases. A seed set by
+// -rapid.seed takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 
--- a/internal/retries/shared_budget.go
+++ b/internal/retries/shared_budget.go
@@ -8,14 +8,15 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// SharedBudget is one entry's part of a retry budget that all entries hold together: in
-// any window, a service gets at most a ratio of its fresh requests and a slack of
-// sends beyond the first of each request. Entries do not count together. What an entry's
-// own requests paid for needs no dividing: it is used soon, or lost. The slack is divided,
-// and each unit that was used comes back after a window.
+// SharedBudget is one entry's part of a retry budget shared by all entries. In any window,
+// the retries of a service are limited to a fraction of its requests plus a fixed slack.
+// Entries do not synchronize their counts. Retries earned by an entry's own requests need
+// no division: they are used soon or expire. The slack is divided among the entries, and
+// each unit used becomes available again after a window.
 type SharedBudget struct {
-	// Ratio is how many sends a fresh request pays for, Slack how many are free in
-	// Window, for all entries together. They are set before the first call.
+	// Ratio is the number of retries that each request earns. Slack is the number of
+	// additional retries per Window, for all entries together. All three must be set before
+	// the first call.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -25,32 +26,34 @@
 }
 
 const (
-	// usableFraction is the part of the budget that entries use. The rest is kept free for entries
-	// that have joined and are not counted yet, and for what was paid for before a window
-	// and is used in it.
+	// usableFraction is the fraction of the budget that entries use. The rest is reserved
+	// for entries that have joined and are not counted yet, and for retries earned before a
+	// window and used in it.
 	usableFraction = 0.85
-	// earnedTTL is how long a send that was paid for may be used. It covers the time until
-	// a request that paid for it fails at a target.
+	// earnedTTL is how long an earned retry remains usable. It covers the time until the
+	// request that earned it fails at a target.
 	earnedTTL = 1500 * time.Millisecond
-	// initialSlackFraction is the part of the slack that an entry has by the end of its first window.
+	// initialSlackFraction is the fraction of its slack that an entry has reached by the
+	// end of its first window.
 	initialSlackFraction = 0.3
 )
 
-// account is what an entry may send again to one service.
+// account holds the retries that an entry may make for one service.
 type account struct {
-	// createdAt is when it was opened: before a restart this entry may just have used all of
-	// its slack.
+	// createdAt is when the account was created. If this entry has restarted, it may have
+	// used all of its slack just before, so the slack grows slowly at first.
 	createdAt time.Time
-	// earnedFraction is the part of a next send that fresh requests have paid for, paid when each
-	// whole one was.
+	// earnedFraction is the fraction of the next retry earned so far. earned holds the
+	// times at which whole retries were earned.
 	earnedFraction float64
 	earned         []time.Time
-	// usedSlack is when units of the slack were used within the last window.
+	// usedSlack holds the times at which units of the slack were used within the last
+	// window.
 	usedSlack []time.Time
 }
 
-// RecordRequest records a new request of a caller for a service. Of is this entry's share of what
-// all entries together may send again.
+// RecordRequest records a new request for a service. share is this entry's share of the
+// budget.
 func (s *SharedBudget) RecordRequest(now time.Time, service string, share shares.Share) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +66,8 @@
 	}
 }
 
-// Allow reports whether a request may be sent once more, and counts it if so.
+// Allow reports whether a request may be retried now. If so, it takes one retry from the
+// budget.
 func (s *SharedBudget) Allow(now time.Time, service string, share shares.Share) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +89,9 @@
 	return true
 }
 
-// availableSlack is what all entries together may use of the slack within a window, where this one's
-// account is so old.
+// availableSlack returns the slack of all entries together per window, given the age of
+// this entry's account. It grows linearly to initialSlackFraction during
+// the first window.
 func (s *SharedBudget) availableSlack(age time.Duration) float64 {
 	usable := s.Slack * usableFraction
 	if age >= s.Window {
@@ -96,7 +101,7 @@
 	return usable * initialSlackFraction * age.Seconds() / s.Window.Seconds()
 }
 
-// account returns a service's account as of now.
+// account returns the account of a service with expired entries removed.
 func (s *SharedBudget) account(now time.Time, service string, share shares.Share) *account {
 	if s.accounts == nil {
 		s.accounts = make(map[string]*account)
@@ -114,16 +119,16 @@
 	return a
 }
 
-// initialFraction returns which part of a send counts as paid for at first: another one at each
-// entry, evenly spread. Entries with few requests each would else all pay for a whole one
-// at the same time, or none for long.
+// initialFraction returns the fraction of a retry that counts as earned at the start. The
+// fractions are evenly distributed over the entries. Otherwise entries with few requests
+// each would all earn a retry at the same time, or none of them for a long time.
 func initialFraction(share shares.Share) float64 {
 	_, fraction := math.Modf(float64(share.Index) * (math.Phi - 1))
 
 	return fraction
 }
 
-// after returns those of some times, in order, that come after from.
+// after returns the tail of times, which are sorted, that is later than from.
 func after(times []time.Time, from time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(from) {
 		times = times[1:]
--- a/internal/retries/shared_budget_test.go
+++ b/internal/retries/shared_budget_test.go
@@ -22,10 +22,9 @@
 	return &retries.SharedBudget{Ratio: shareRatio, Slack: shareSlack, Window: shareWindow}
 }
 
-// An engine group fails again and again, and each entry sends its own requests
-// again as often as it may, while entries are killed and start anew. All entries
-// together must stay within the budget in any window, or what is left of the
-// service gets a multiple of its load.
+// An engine group fails repeatedly, and each entry retries as often as it may, while
+// entries are killed and restarted. All entries together must stay within the budget in any
+// window. Otherwise the remaining targets receive a multiple of their load.
 func TestBudgetHoldsOverAllEntries(t *testing.T) {
 	t.Parallel()
 
@@ -58,12 +57,12 @@
 	})
 }
 
-// Guards against a storm of sends again after a restart of all entries: each counts too few
-// others at first, so takes a larger part of the budget than is its own.
+// Guards against a burst of retries after all entries restart: each entry counts too few
+// others at first, and so takes more than its share of the budget.
 func TestBudgetHoldsWhileEntryCountsAreIncomplete(t *testing.T) {
 	t.Parallel()
 
-	// Entries ask all control VMs at once, and again within six tenths of a second.
+	// An entry queries all control VMs at once, and again within 600 ms.
 	const countedAfter = time.Second
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -107,8 +106,8 @@
 	})
 }
 
-// spend lets an entry with such a share get up to mostFresh requests and send again as
-// often as it may.
+// spend records up to maxRequests requests at an entry and retries as often as the entry
+// allows.
 func spend(t *rapid.T, entry *retries.SharedBudget, now time.Time, maxRequests int, share shares.Share) (requests, retried int) {
 	requests = rapid.IntRange(0, maxRequests).Draw(t, "fresh")
 	for range requests {
@@ -122,13 +121,14 @@
 	return requests, retried
 }
 
-// requireBudget holds sends again against the budget in each window. Fresh requests count
-// in the window, the one before it, or the one half a window before it, whichever has most.
+// requireBudget checks the retries in each window against the budget. Requests are counted
+// in the window itself, the window before it, and the window starting half a window
+// earlier; the largest count applies.
 func requireBudget(t *rapid.T, entries int, requests, retried []int) {
 	for end := 100; end <= len(requests); end += 7 {
 		requestsInWindow := max(sumOf(requests, end-100, end), sumOf(requests, end-150, end-50), sumOf(requests, end-200, end-100))
 		if got := float64(sumOf(retried, end-100, end)); got > shareRatio*float64(requestsInWindow)+shareSlack {
-			t.Fatalf("%d entries: %.0f sends again in a window of %d requests", entries, got, requestsInWindow)
+			t.Fatalf("%d entries: %.0f retries in a window of %d requests", entries, got, requestsInWindow)
 		}
 	}
 }
@@ -142,8 +142,8 @@
 	return s
 }
 
-// A group of twelve engines stalls once a minute and cuts some eighty streams at
-// seven entries at once. The budget is there for that: most go on elsewhere.
+// A group of twelve engines stalls once a minute and interrupts about 80 streams at seven
+// entries at once. The budget must allow most of them to resume at another target.
 func TestBudgetCoversOneGroupStall(t *testing.T) {
 	t.Parallel()
 
@@ -152,7 +152,7 @@
 
 	for e := range 7 {
 		s, share := newSharedBudget(), shares.Share{Index: e, Entries: 7}
-		for i := range 80 { // ten seconds of eight requests a second
+		for i := range 80 { // 8 requests per second for 10 s
 			s.RecordRequest(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", share)
 		}
 
@@ -182,8 +182,8 @@
 	require.True(t, s.Allow(now, "desk", shares.Share{}))
 }
 
-// Every request fails at every entry. Guards against a budget whose parts are too small to
-// be used: from 77 entries on nothing was sent again.
+// Guards against a budget whose shares are too small to be used: with 77 or more entries,
+// nothing was retried although every request failed.
 func TestBudgetIsUsedAtAnyNumberOfEntries(t *testing.T) {
 	t.Parallel()
 
@@ -214,7 +214,7 @@
 		for w, got := range retried {
 			require.LessOrEqual(t, float64(got), budget, "%d entries, window %d", n, w)
 
-			if w > 1 { // the first two are those of a start
+			if w > 1 { // the first two windows include the initial ramp
 				require.GreaterOrEqual(t, float64(got), 0.8*budget, "%d entries, window %d", n, w)
 			}
 		}
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -1,6 +1,6 @@
-// Package shares divides limits that entries hold together. Each entry works out its own
-// part from the lists of entries and targets alone, without a message: the parts add up
-// to the limit, and change little while entries come and go.
+// Package shares divides limits that several entries share. Each entry computes its own
+// part from the lists of entries and targets alone, without messages. The parts add up to
+// the limit, and change little when entries join or leave.
 package shares
 
 import (
@@ -9,20 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is one entry's part of a limit that Of entries hold together. Each of them has
-// another Index, from 0 on. The zero value is that of an entry which holds it alone.
+// Share is one entry's part of a limit that is shared by Entries entries. Each of them has
+// a distinct Index, starting at 0. The zero value is the share of an entry that has the
+// whole limit.
 type Share struct {
 	Index   int
 	Entries int
 }
 
-// turnDuration is how long an entry has a unit at least, where there are fewer units than entries.
+// turnDuration is the minimum time for which an entry has a unit if there are fewer units
+// than entries.
 const turnDuration = 10 * time.Second
 
-// Units returns how many whole units of total this entry has at now. What does not divide
-// evenly goes to the entries of the lowest indexes. Where there are fewer units than
-// entries, the units move on by turns, one at a time, so that nobody is left without and
-// hardly more than total are used within a short window.
+// Units returns the number of whole units of total that this entry has at now. The
+// remainder of the division goes to the entries with the lowest indexes. If there are fewer
+// units than entries, the units rotate among the entries, one at a time. Every entry thus
+// gets a turn, and hardly more than total units are used within a short window.
 func (s Share) Units(now time.Time, total float64) int {
 	units := int(total)
 
@@ -38,9 +40,9 @@
 	}
 }
 
-// rotatingUnit returns 1 while it is this entry's turn to have one of so many units. The entries
-// stand in a circle, of which a part as large as the units moves on around it: entries whose
-// lists differ a little agree on nearly all turns.
+// rotatingUnit returns 1 while this entry has one of the rotating units, and 0 otherwise.
+// The entries are placed on a circle, and an arc as long as the number of units moves
+// around it. Entries whose lists differ slightly agree on nearly all turns.
 func (s Share) rotatingUnit(now time.Time, units int) int {
 	rotation := minRotation
 	for rotation*time.Duration(units) < turnDuration*time.Duration(s.Entries) {
@@ -61,14 +63,13 @@
 	return 0
 }
 
-// minRotation is how long the shortest way around the circle is.
+// minRotation is the duration of the shortest rotation.
 const minRotation = 16 * time.Second
 
-// clampToOne returns 1 for a positive n, else 0.
 func clampToOne(n int) int { return max(0, min(n, 1)) }
 
-// ForLimit returns the share of self in a limit of that name, which all entries hold together.
-// An entry that is not among entries yet is added.
+// ForLimit returns the share of self in the limit called name, which all entries share. An
+// entry that is not yet listed in entries is added.
 func ForLimit(self Node, entries []Node, name string) Share {
 	key := xxhash.Sum64String(name)
 	selfHash := MixHashes(xxhash.Sum64String(self.ID), key)
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -9,24 +9,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is an entry or a target as far as subsetting is concerned.
+// Node identifies an entry or a target and its location.
 type Node struct {
 	ID     string
 	Zone   string
 	Region string
 }
 
-// Subsetter chooses the targets that each entry of a large deployment keeps
-// connections to. Each process works out the same answer from the same lists,
-// in any order. The zero value of each field stands for the default beside it.
+// Subsetter chooses the subset of targets to which each entry of a large deployment keeps
+// connections. Every process computes the same result from the same lists, in any order. A
+// zero field stands for the default given in parentheses.
 type Subsetter struct {
-	// Size is how many targets an entry has (30). With no more targets than that, it has all.
+	// Size is the number of targets per entry (30). If there are no more targets than that,
+	// an entry uses all of them.
 	Size int
-	// LocalZoneRatio is the part of them in the entry's own zone (0.5), so that near
-	// targets are there to be preferred, and enough others when the zone leaves.
+	// LocalZoneRatio is the fraction of an entry's targets in its own zone (0.5). It leaves
+	// enough local targets to prefer, and enough others when the zone goes out.
 	LocalZoneRatio float64
-	// Slack is how far above the mean a target's number of entries may be (0.05).
-	// Without slack each entry that comes or goes moves long chains of others.
+	// Slack is the fraction by which a target's number of entries may exceed the mean
+	// (0.05). Without slack, each entry that joins or leaves would reassign long chains of
+	// others.
 	Slack float64
 }
 
@@ -38,9 +40,9 @@
 	return s
 }
 
-// Targets returns the targets of one entry, by ID, and its share of what may be sent to each.
-// An entry that is not among entries, because the news of itself has not reached it
-// yet, is added.
+// Targets returns the targets of one entry by ID, with the entry's share of each. The entry
+// is added to entries if it is not listed there yet, because the update with it has not
+// arrived.
 func (s Subsetter) Targets(self Node, entries, targets []Node) map[string]Share {
 	if !slices.ContainsFunc(entries, func(e Node) bool { return e.ID == self.ID }) {
 		entries = append(slices.Clone(entries), self)
@@ -49,7 +51,7 @@
 	return s.Match(entries, targets).Targets(self.ID)
 }
 
-// Match matches all entries with the targets that each of them uses.
+// Match computes the targets of all entries.
 func (s Subsetter) Match(entries, targets []Node) *Matching {
 	s = s.withDefaults()
 	m := newMatching(entries, targets, s)
@@ -67,7 +69,8 @@
 	return m
 }
 
-// stage says which targets an entry may get: near ones first.
+// stage restricts the targets that are matched with an entry by their location. Near
+// targets are matched first.
 type stage uint8
 
 const (
@@ -87,15 +90,15 @@
 	}
 }
 
-// Matching is a stable matching of entries and targets in which both sides rank
-// each other by one hash. It is the same whatever the order of its steps, and
-// one that comes or goes changes it only along the chain of those it displaces.
+// Matching is a stable matching of entries and targets in which both sides rank each other
+// by the same hash. It does not depend on the order of steps, and an entry or target that
+// joins or leaves changes it only along the chain of displaced entries.
 type Matching struct {
 	entries, targets []Node
 	entryHash        []uint64
 	targetHash       []uint64
 	maxEntries       int
-	// entriesOf are the entries of each target, matched the targets of each entry.
+	// entriesOf lists the entries of each target, targetsOf the targets of each entry.
 	entriesOf [][]int
 	targetsOf [][]int
 }
@@ -120,10 +123,10 @@
 	return out
 }
 
-// preference is how much entry e and target t like each other.
+// preference returns the rank that entry e and target t give each other.
 func (m *Matching) preference(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
 
-// MixHashes joins two hashes into one by the mixing step of the splitmix64 generator.
+// MixHashes combines two hashes with the mixing function of the splitmix64 generator.
 func MixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -132,8 +135,9 @@
 	return x ^ (x >> 31)
 }
 
-// stage lets each entry ask its allowed targets, best first, until it has quota
-// of them. A full target keeps those that it ranks highest of this stage.
+// stage lets each entry propose to its allowed targets in the order of preference until it
+// has size targets. A full target keeps the entries of this stage with the highest
+// preference.
 func (m *Matching) stage(s stage, size int) {
 	fixed := make([]int, len(m.targets))
 	for t := range m.entriesOf {
@@ -166,30 +170,31 @@
 	}
 }
 
-// candidate is a target that an entry may ask, and how much it likes it.
+// candidate is a target to which an entry may propose.
 type candidate struct {
 	preference uint64
 	target     int
 }
 
-// candidates is a heap, best first: an entry asks few of the targets that it may ask.
+// candidates is a max-heap by preference. An entry proposes to only a few of its
+// candidates, so they are not sorted.
 type candidates []candidate
 
 func (w candidates) Len() int           { return len(w) }
 func (w candidates) Less(i, j int) bool { return w[i].preference > w[j].preference }
 func (w candidates) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
 
-// Push implements heap.Interface. Nothing is added to a heap of wishes.
+// Push implements heap.Interface. It does nothing: candidates are never added.
 func (w *candidates) Push(any) {}
 
-// Pop implements heap.Interface.
+// Pop implements heap.Interface. It discards the last element.
 func (w *candidates) Pop() any {
 	*w = (*w)[:len(*w)-1]
 
 	return nil
 }
 
-// popBest takes the best wish out.
+// popBest removes the candidate with the highest preference and returns its target.
 func (w *candidates) popBest() int {
 	t := (*w)[0].target
 	heap.Pop(w)
@@ -197,7 +202,7 @@
 	return t
 }
 
-// candidates are the targets that e may ask in a stage.
+// candidates returns the targets to which entry e may propose in a stage.
 func (m *Matching) candidates(s stage, e int) candidates {
 	out := make(candidates, 0, len(m.targets))
 
@@ -212,8 +217,9 @@
 	return out
 }
 
-// propose matches e with t if t has room or ranks e above another of this
-// stage, and returns who was turned away, or -1.
+// propose matches entry e with target t if t has capacity or prefers e to another entry of
+// this stage. It returns the displaced entry, e itself if it was refused, or -1. The first
+// fixed entries of t stem from earlier stages and are not displaced.
 func (m *Matching) propose(e, t, fixed int) int {
 	if len(m.entriesOf[t]) < m.maxEntries {
 		m.pair(e, t)
@@ -246,7 +252,7 @@
 	m.targetsOf[e] = append(m.targetsOf[e], t)
 }
 
-// pairAll matches each entry with each target.
+// pairAll matches every entry with every target.
 func (m *Matching) pairAll() {
 	for t := range m.targets {
 		for e := range m.entries {
@@ -255,7 +261,7 @@
 	}
 }
 
-// Targets returns the targets of an entry, and its index among the entries of each.
+// Targets returns the targets of an entry by ID, with the entry's share of each.
 func (m *Matching) Targets(entry string) map[string]Share {
 	e := slices.IndexFunc(m.entries, func(p Node) bool { return p.ID == entry })
 	if e < 0 {
--- a/internal/shares/subset_cache.go
+++ b/internal/shares/subset_cache.go
@@ -5,85 +5,89 @@
 	"time"
 )
 
-// minRecomputeInterval is the shortest time between two workings-out of one service's targets: at the
-// full size one takes some milliseconds, and a zone that returns brings changes by the
-// dozen.
+// minRecomputeInterval is the minimum time between two computations of a service's subset.
+// At full size a computation takes several milliseconds, and a zone that returns causes
+// dozens of changes.
 const minRecomputeInterval = time.Second
 
 const (
-	// minSubsetSize is how many targets of a service an entry uses at least, where there are
-	// as many: enough to even out its load, and to be left some while a zone is out.
+	// minSubsetSize is the minimum number of targets of a service per entry, if there are
+	// as many. It is enough to balance the entry's load, and to leave some targets while a
+	// zone is out.
 	minSubsetSize = 20
-	// entriesPerTarget is how many entries use one target where there are many of both. With
-	// fewer of them each has a larger part of what a target bears.
+	// entriesPerTarget is the number of entries per target if there are many of both. With
+	// fewer entries, each one has a larger share of a target's capacity.
 	entriesPerTarget = 6
 )
 
-// SubsetSize returns how many targets of a service an entry uses, out of so many.
+// SubsetSize returns the number of targets of a service per entry.
 func SubsetSize(entries, targets int) int {
 	return max(minSubsetSize, targets*entriesPerTarget/max(1, entries))
 }
 
-// SubsetCache keeps the targets of each service that an entry uses, and its shares of them. Its
-// exported fields are set before the first call.
+// SubsetCache caches the subset of each service's targets that this entry uses, and the
+// entry's shares of them. Its exported fields must be set before the first call. It is not
+// safe for concurrent use.
 type SubsetCache struct {
-	// SubsetSize returns how many targets of a service an entry uses, out of so many.
+	// SubsetSize returns the number of targets of a service per entry.
 	SubsetSize func(entries, targets int) int
-	// RecomputeAt is when a former answer that stood in for a new one is to be replaced; zero
-	// for never. Due sets it back.
+	// RecomputeAt is when an outdated subset that was returned from the cache can be
+	// recomputed, or zero if there is none. RecomputeDue resets it.
 	RecomputeAt time.Time
 
 	subsets map[string]*cachedSubset
-	// reportedAt is the last DueAt that Due told.
+	// reportedAt is the last RecomputeAt reported by RecomputeDue.
 	reportedAt time.Time
 }
 
-// RecomputeDue reports how long it is until Of is to be asked again for all services, once for each
-// such moment: a zone that returns brings many changes before it.
-func (k *SubsetCache) RecomputeDue(now time.Time) (wait time.Duration, due bool) {
-	due = !k.RecomputeAt.IsZero() && !k.RecomputeAt.Equal(k.reportedAt)
-	wait = k.RecomputeAt.Sub(now)
-	k.reportedAt, k.RecomputeAt = k.RecomputeAt, time.Time{}
+// RecomputeDue returns the time until Targets should be called again for all services. due
+// is true only once for each such time, because a zone that returns causes many changes
+// before it.
+func (c *SubsetCache) RecomputeDue(now time.Time) (wait time.Duration, due bool) {
+	due = !c.RecomputeAt.IsZero() && !c.RecomputeAt.Equal(c.reportedAt)
+	wait = c.RecomputeAt.Sub(now)
+	c.reportedAt, c.RecomputeAt = c.RecomputeAt, time.Time{}
 
 	return wait, due
 }
 
-// cachedSubset is what was worked out last for one service, and from what.
+// cachedSubset is the subset last computed for a service, and its inputs.
 type cachedSubset struct {
-	entries    []Node
-	targets    []Node
-	subset     map[string]Share
-	validUntil time.Time
+	entries         []Node
+	targets         []Node
+	subset          map[string]Share
+	nextRecomputeAt time.Time
 }
 
-// Targets returns the targets of a service that the entry at self uses, out of those that may
-// get new work, so that a zone that is out leaves no hole. What has not changed is not
-// worked out again. Within the pause the former answer stands, and DueAt says when to ask
-// again. What may get new work is told apart from this, at once.
-func (k *SubsetCache) Targets(now time.Time, service string, self Node, entries, targets []Node) map[string]Share {
-	if k.subsets == nil {
-		k.subsets = make(map[string]*cachedSubset)
+// Targets returns the subset of a service's targets that the entry self uses. targets must
+// contain only those that may receive new requests, so that a zone that is out leaves no
+// gap. The subset is recomputed only if an input has changed. Within minRecomputeInterval
+// the cached subset is returned and RecomputeAt is set. Whether a target may receive
+// requests is reported separately and takes effect at once.
+func (c *SubsetCache) Targets(now time.Time, service string, self Node, entries, targets []Node) map[string]Share {
+	if c.subsets == nil {
+		c.subsets = make(map[string]*cachedSubset)
 	}
 
-	last := k.subsets[service]
-	size := k.SubsetSize(len(entries), len(targets))
+	last := c.subsets[service]
+	size := c.SubsetSize(len(entries), len(targets))
 
 	switch {
 	case last == nil:
 	case last.isFor(entries, targets):
 		return last.subset
-	case len(targets) > size && now.Before(last.validUntil):
-		k.RecomputeAt = last.validUntil
+	case len(targets) > size && now.Before(last.nextRecomputeAt):
+		c.RecomputeAt = last.nextRecomputeAt
 
 		return last.subset
 	}
 
 	subset := Subsetter{Size: size}.Targets(self, entries, targets)
-	k.subsets[service] = &cachedSubset{entries: entries, targets: targets, subset: subset, validUntil: now.Add(minRecomputeInterval)}
+	c.subsets[service] = &cachedSubset{entries: entries, targets: targets, subset: subset, nextRecomputeAt: now.Add(minRecomputeInterval)}
 
 	return subset
 }
 
-func (l *cachedSubset) isFor(entries, targets []Node) bool {
-	return slices.Equal(l.entries, entries) && slices.Equal(l.targets, targets)
+func (c *cachedSubset) isFor(entries, targets []Node) bool {
+	return slices.Equal(c.entries, entries) && slices.Equal(c.targets, targets)
 }
--- a/internal/shares/subset_test.go
+++ b/internal/shares/subset_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// nodes makes a large deployment: seven zones in two regions.
+// nodes returns the entries or targets of a large deployment: seven zones in two regions.
 func nodes(kind string, n int) []shares.Node {
 	out := make([]shares.Node, n)
 	for i := range out {
@@ -44,7 +44,7 @@
 		require.InDelta(t, 30.0*40/70, entriesOf[p.ID], 3, p.ID)
 	}
 
-	// The same lists in another order give the same answer.
+	// The result does not depend on the order of the lists.
 	want := shares.Subsetter{}.Targets(entries[5], entries, all)
 	shuffledTargets, shuffledEntries := slices.Clone(all), slices.Clone(entries)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -52,12 +52,13 @@
 	r.Shuffle(len(shuffledEntries), func(i, j int) { shuffledEntries[i], shuffledEntries[j] = shuffledEntries[j], shuffledEntries[i] })
 	require.Equal(t, want, shares.Subsetter{}.Targets(entries[5], shuffledEntries, shuffledTargets))
 
-	// An entry that is not in the list yet has targets too; few targets are all kept.
+	// An entry that is not listed yet has targets too. If there are few targets, all are
+	// used.
 	require.Len(t, shares.Subsetter{}.Targets(shares.Node{ID: "new", Zone: "z1", Region: "r0"}, entries, all), 30)
 	require.Len(t, shares.Subsetter{}.Targets(entries[0], entries, all[:12]), 12)
 }
 
-// assignment is every entry's targets.
+// assignment maps each entry to its targets.
 type assignment map[string][]string
 
 func subsetterAssignment(slack float64) func(entries, targets []shares.Node) assignment {
@@ -71,7 +72,7 @@
 	}
 }
 
-// rendezvousHash is plain rendezvous hashing, without regard to load or zone.
+// rendezvousHash is plain rendezvous hashing, regardless of load and zone.
 func rendezvousHash(entries, targets []shares.Node) assignment {
 	out := assignment{}
 
@@ -101,7 +102,7 @@
 	return out
 }
 
-// shuffledRounds deals the targets out in rounds, each shuffled anew.
+// shuffledRounds assigns the targets in rounds, each in a new random order.
 func shuffledRounds(entries, targets []shares.Node) assignment {
 	out := assignment{}
 	perRound := len(targets) / 30
@@ -116,12 +117,12 @@
 	return out
 }
 
-// movedPairs counts the pairs of b that a lacks, among entries that are in both.
-func movedPairs(a, b assignment) int {
+// movedPairs counts the pairs of second that are not in first, for entries in both.
+func movedPairs(first, second assignment) int {
 	n := 0
 
-	for e, list := range b {
-		previous, ok := a[e]
+	for e, list := range second {
+		previous, ok := first[e]
 		if !ok {
 			continue
 		}
@@ -136,8 +137,9 @@
 	return n
 }
 
-// BenchmarkSubset measures evenness, near share, and moved pairs (of 12,300) when
-// one target goes, one entry goes, and 41 of 410 entries go at once.
+// BenchmarkSubset measures evenness, the fraction of local targets, and the number of moved
+// pairs (of 12,300) when one target is removed, one entry is removed, and 41 of 410 entries
+// are removed at once.
 func BenchmarkSubset(b *testing.B) {
 	algorithms := []struct {
 		name   string
@@ -145,9 +147,9 @@
 	}{
 		{"HighestHash", rendezvousHash},
 		{"ShuffledRounds", shuffledRounds},
-		{"Ours/slack=0.01", subsetterAssignment(0.01)},
-		{"Ours/slack=0.05", subsetterAssignment(0.05)},
-		{"Ours/slack=0.20", subsetterAssignment(0.2)},
+		{"Subsetter/slack=0.01", subsetterAssignment(0.01)},
+		{"Subsetter/slack=0.05", subsetterAssignment(0.05)},
+		{"Subsetter/slack=0.20", subsetterAssignment(0.2)},
 	}
 
 	for _, w := range algorithms {
@@ -202,7 +204,8 @@
 	b.ReportMetric(100*local/pairs, "near-%")
 }
 
-// BenchmarkSubsetOf is the cost for one entry at 410 entries and 600 targets.
+// BenchmarkSubsetOf measures the computation for one entry with 410 entries and 600
+// targets.
 func BenchmarkSubsetOf(b *testing.B) {
 	entries, all := nodes("e", 410), nodes("t", 600)
 
