--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/dispatch"
 )
 
-// BenchmarkReport takes in words of the load of 600 targets of one service, ten times
-// a second each: 16.3 µs a word where each made it look at the paces of all targets,
-// 0.07 µs where only a word that changes something does.
+// BenchmarkReport records load reports of 600 targets of one service, ten times a second
+// each. A report took 16.3 µs when each one caused a scan of the slowdowns of all targets,
+// and takes 0.07 µs with a scan only on changes.
 func BenchmarkReport(b *testing.B) {
 	const targets = 600
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,7 +16,7 @@
 
 var startTime = time.Unix(1000, 0)
 
-// fixture is one entry's dispatcher, with targets that a test drives.
+// fixture is the dispatcher of one entry, with targets controlled by the test.
 type fixture struct {
 	t *testing.T
 	*dispatch.Dispatcher
@@ -25,19 +25,19 @@
 	id          uint64
 	placed      map[uint64]dispatch.Action
 	refused     map[uint64]dispatch.Action
-	placedOrder []uint64 // as they were placed
+	placedOrder []uint64 // in the order of placement
 }
 
 func newFixture(t *testing.T, targets, slots, entries int, edit func(*dispatch.Service)) *fixture {
 	t.Helper()
 
-	b := &fixture{
+	f := &fixture{
 		t: t, Dispatcher: &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(1, 2))},
 		placed: map[uint64]dispatch.Action{}, refused: map[uint64]dispatch.Action{},
 	}
 
 	for i := range targets {
-		b.targets = append(b.targets, dispatch.Target{
+		f.targets = append(f.targets, dispatch.Target{
 			ID: fmt.Sprintf("t%d", i), Service: "drafts", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80),
 			Zone: "a", Group: "g", Slots: slots, Share: shares.Share{Entries: entries},
 		})
@@ -48,100 +48,102 @@
 		edit(&s)
 	}
 
-	b.apply(b.Update(startTime, []dispatch.Service{s}, b.targets))
+	f.apply(f.Update(startTime, []dispatch.Service{s}, f.targets))
 
-	return b
+	return f
 }
 
-func (b *fixture) apply(actions []dispatch.Action) {
+func (f *fixture) apply(actions []dispatch.Action) {
 	for _, a := range actions {
 		if a.Placed {
-			b.placed[a.ID] = a
-			b.placedOrder = append(b.placedOrder, a.ID)
+			f.placed[a.ID] = a
+			f.placedOrder = append(f.placedOrder, a.ID)
 		} else {
-			b.refused[a.ID] = a
+			f.refused[a.ID] = a
 		}
 	}
 }
 
-// submit brings in a draft whose caller wants its first event in 500 ms and leaves after 2 s.
-func (b *fixture) submit(now time.Time, edit func(*dispatch.Request)) uint64 {
-	b.id++
+// submit submits a request with a latency target of 500 ms and a deadline of 2 s.
+func (f *fixture) submit(now time.Time, edit func(*dispatch.Request)) uint64 {
+	f.id++
 
 	r := dispatch.Request{
-		ID: b.id, Service: "drafts", SoftDeadline: now.Add(500 * time.Millisecond), Deadline: now.Add(2 * time.Second),
+		ID: f.id, Service: "drafts", SoftDeadline: now.Add(500 * time.Millisecond), Deadline: now.Add(2 * time.Second),
 	}
 	if edit != nil {
 		edit(&r)
 	}
 
-	b.apply(b.Submit(now, r))
+	f.apply(f.Submit(now, r))
 
-	return b.id
+	return f.id
 }
 
-func (b *fixture) finish(now time.Time, id uint64, o dispatch.Outcome) {
-	b.apply(b.Finish(now, b.placed[id], 1, o))
-	delete(b.placed, id)
+func (f *fixture) finish(now time.Time, id uint64, o dispatch.Outcome) {
+	f.apply(f.Finish(now, f.placed[id], 1, o))
+	delete(f.placed, id)
 }
 
-func (b *fixture) perTarget() map[string]int {
+func (f *fixture) perTarget() map[string]int {
 	out := map[string]int{}
-	for _, a := range b.placed {
+	for _, a := range f.placed {
 		out[a.Target.ID]++
 	}
 
 	return out
 }
 
-// A burst brings three times what the targets bear for two seconds. First come,
-// first served would make every draft late from the first half second on. Those
-// that can still be in time go first, the newest of them; what nobody waits for
-// any more is refused at once, and told when to come back.
+// For two seconds, a burst brings three times the load that the targets can process. First
+// come, first served would make every request late after the first half second. Instead,
+// requests that can still meet their soft deadline are placed first, the newest of them
+// before the others, and requests that cannot meet their deadline are refused at once with
+// a retry time.
 func TestBurstCompletesRequestsThatCanMeetTheirSoftDeadline(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 1, nil)
+	f := newFixture(t, 2, 4, 1, nil)
 	offered, inTime := map[uint64]time.Time{}, 0
 
-	// Each target ends one request every 50 ms: 40 a second; 120 a second come.
+	// Each target completes one request every 50 ms, so both complete 40 a second; 120 a
+	// second arrive.
 	for tick := range 400 {
 		now := startTime.Add(time.Duration(tick) * 10 * time.Millisecond)
 
 		if tick < 200 {
 			for range 1 + tick%5/4 {
-				id := b.submit(now, nil)
+				id := f.submit(now, nil)
 				offered[id] = now
 			}
 		}
 
 		if tick%5 == 0 {
 			for _, target := range []string{"t0", "t1"} {
-				if id, ok := b.oldestAt(target); ok {
+				if id, ok := f.oldestAt(target); ok {
 					if now.Sub(offered[id]) < 500*time.Millisecond {
 						inTime++
 					}
 
-					b.finish(now, id, dispatch.Completed)
+					f.finish(now, id, dispatch.Completed)
 				}
 			}
 		}
 
-		b.apply(b.Tick(now))
+		f.apply(f.Tick(now))
 	}
 
-	require.Zero(t, b.Waiting())
-	require.Greater(t, inTime, 60, "of some 80 that the targets could end during the burst")
+	require.Zero(t, f.Waiting())
+	require.Greater(t, inTime, 60, "of about 80 that the targets can complete during the burst")
 
-	for id, a := range b.refused {
+	for id, a := range f.refused {
 		require.Equal(t, verdict.CauseOverload, a.Cause)
-		require.True(t, a.RetryAt.After(offered[id]), "told when to come back")
+		require.True(t, a.RetryAt.After(offered[id]), "refusal with a retry time")
 	}
 }
 
-func (b *fixture) oldestAt(target string) (uint64, bool) {
-	for _, id := range b.placedOrder {
-		if a, ok := b.placed[id]; ok && a.Target.ID == target {
+func (f *fixture) oldestAt(target string) (uint64, bool) {
+	for _, id := range f.placedOrder {
+		if a, ok := f.placed[id]; ok && a.Target.ID == target {
 			return id, true
 		}
 	}
@@ -149,112 +151,111 @@
 	return 0, false
 }
 
-// Two callers wait while all targets are full: the first one's draft is late
-// already. When a place is freed, the one that can still be in time gets it.
+// Two requests wait while all targets are full, and the older one is already late. A freed
+// slot must go to the one that can still meet its soft deadline.
 func TestRequestsInTimeArePlacedBeforeLateOnes(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 1, 1, nil)
-	first, second := b.submit(startTime, nil), b.submit(startTime, nil)
-	require.Len(t, b.placed, 2, "one runs, one is ahead")
+	f := newFixture(t, 1, 1, 1, nil)
+	first, second := f.submit(startTime, nil), f.submit(startTime, nil)
+	require.Len(t, f.placed, 2, "one runs, one is queued at the target")
 
-	late := b.submit(startTime, nil)
+	late := f.submit(startTime, nil)
 	now := startTime.Add(600 * time.Millisecond)
-	inTime := b.submit(now, nil)
-	urgent := b.submit(now, func(r *dispatch.Request) { r.Priority = 0; r.SoftDeadline = now.Add(time.Second) })
+	inTime := f.submit(now, nil)
+	urgent := f.submit(now, func(r *dispatch.Request) { r.Priority = 0; r.SoftDeadline = now.Add(time.Second) })
 
-	b.finish(now, first, dispatch.Completed)
-	b.finish(now, second, dispatch.Completed)
-	require.Contains(t, b.placed, inTime)
-	require.Contains(t, b.placed, urgent)
-	require.NotContains(t, b.placed, late)
+	f.finish(now, first, dispatch.Completed)
+	f.finish(now, second, dispatch.Completed)
+	require.Contains(t, f.placed, inTime)
+	require.Contains(t, f.placed, urgent)
+	require.NotContains(t, f.placed, late)
 
-	b.apply(b.Tick(now.Add(1500 * time.Millisecond)))
-	require.Equal(t, verdict.CauseOverload, b.refused[late].Cause, "nobody waits for it any more")
+	f.apply(f.Tick(now.Add(1500 * time.Millisecond)))
+	require.Equal(t, verdict.CauseOverload, f.refused[late].Cause, "its deadline has passed")
 }
 
-// A workspace's urgent calls come while drafts of lower rank wait.
+// A request of higher priority arrives while one of lower priority waits.
 func TestHigherPriorityIsPlacedFirst(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 1, 1, nil)
-	running := b.submit(startTime, nil)
-	ahead := b.submit(startTime, nil)
-	low := b.submit(startTime, func(r *dispatch.Request) { r.Priority = 2 })
-	high := b.submit(startTime, func(r *dispatch.Request) { r.Priority = 1 })
+	f := newFixture(t, 1, 1, 1, nil)
+	running := f.submit(startTime, nil)
+	ahead := f.submit(startTime, nil)
+	low := f.submit(startTime, func(r *dispatch.Request) { r.Priority = 2 })
+	high := f.submit(startTime, func(r *dispatch.Request) { r.Priority = 1 })
 
-	b.finish(startTime, running, dispatch.Completed)
-	require.Contains(t, b.placed, high)
-	b.finish(startTime, ahead, dispatch.Completed)
-	require.Contains(t, b.placed, low)
+	f.finish(startTime, running, dispatch.Completed)
+	require.Contains(t, f.placed, high)
+	f.finish(startTime, ahead, dispatch.Completed)
+	require.Contains(t, f.placed, low)
 }
 
-// A group stalls for some seconds, and first answers take that long. When it runs
-// again, requests must be sent to it: an entry that expects seconds for a first
-// answer would refuse everything, send nothing, and never learn better.
+// A group stalls for several seconds, and first answers take as long. After the stall,
+// requests must be placed again. An entry that expected seconds for a first answer would
+// refuse all requests, place none, and never observe a shorter time.
 func TestRequestsAreAcceptedAfterSlowFirstAnswers(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 1, nil)
+	f := newFixture(t, 2, 4, 1, nil)
 
 	for range 8 {
-		id := b.submit(startTime, nil)
-		b.ReportFirstAnswer(b.placed[id], 5*time.Second)
-		b.finish(startTime, id, dispatch.Completed)
+		id := f.submit(startTime, nil)
+		f.ReportFirstAnswer(f.placed[id], 5*time.Second)
+		f.finish(startTime, id, dispatch.Completed)
 	}
 
-	id := b.submit(startTime.Add(time.Second), nil)
-	require.Contains(t, b.placed, id)
+	id := f.submit(startTime.Add(time.Second), nil)
+	require.Contains(t, f.placed, id)
 }
 
-// All entries fill the engines; then the group restarts, and nothing is heard of
-// its load. An entry that took the others' last load for the present one would
-// wait for ever: where nothing is sent, no answer tells that there is room.
+// All entries fill the engines, then the group restarts and no load is reported. An entry
+// that kept using the last reported load of the others would wait forever: without
+// requests, no answer reports free capacity.
 func TestReportedLoadDecaysWithoutNewReports(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 7, nil)
-	for _, target := range b.targets {
-		b.apply(b.ReportLoad(startTime, "drafts", target.ID, dispatch.Load{Running: 4, Waiting: 4}))
+	f := newFixture(t, 2, 4, 7, nil)
+	for _, target := range f.targets {
+		f.apply(f.ReportLoad(startTime, "drafts", target.ID, dispatch.Load{Running: 4, Waiting: 4}))
 	}
 
-	id := b.submit(startTime, nil)
-	require.NotContains(t, b.placed, id)
+	id := f.submit(startTime, nil)
+	require.NotContains(t, f.placed, id)
 
 	now := startTime.Add(1900 * time.Millisecond)
-	b.apply(b.Tick(now))
-	require.Contains(t, b.placed, id)
+	f.apply(f.Tick(now))
+	require.Contains(t, f.placed, id)
 }
 
-// What the agents say of their engines decides between them, with what was sent
-// from here since.
+// Targets are chosen by their reported load and the requests placed since.
 func TestLeastLoadedTargetIsChosen(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 3, 12, 7, nil)
+	f := newFixture(t, 3, 12, 7, nil)
 	for i, running := range []int{6, 2, 6} {
-		b.apply(b.ReportLoad(startTime, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Running: running}))
+		f.apply(f.ReportLoad(startTime, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Running: running}))
 	}
 
 	for range 3 {
-		b.submit(startTime, nil)
+		f.submit(startTime, nil)
 	}
 
-	require.Equal(t, map[string]int{"t1": 3}, b.perTarget())
+	require.Equal(t, map[string]int{"t1": 3}, f.perTarget())
 }
 
-// Equal targets are chosen by lot: entries that all took the first would send the
-// same target everything at once.
+// Targets with equal load are chosen at random. If all entries took the first one, it would
+// receive all requests at once.
 func TestEquallyLoadedTargetsAreChosenAtRandom(t *testing.T) {
 	t.Parallel()
 
 	got := map[string]int{}
 
 	for seed := range uint64(400) {
-		b := newFixture(t, 4, 12, 7, nil)
-		b.Rand = rand.New(rand.NewPCG(seed, 9))
-		id := b.submit(startTime, nil)
-		got[b.placed[id].Target.ID]++
+		f := newFixture(t, 4, 12, 7, nil)
+		f.Rand = rand.New(rand.NewPCG(seed, 9))
+		id := f.submit(startTime, nil)
+		got[f.placed[id].Target.ID]++
 	}
 
 	for target, n := range got {
@@ -264,82 +265,82 @@
 	require.Len(t, got, 4)
 }
 
-// One engine answers every request at once that it cannot take it. By its load it
-// would look free and get everything. It is left alone for a moment each time.
+// One engine rejects every request at once. Its load makes it look free, so it would
+// receive all requests. It must be ejected briefly after each rejection.
 func TestRejectingTargetIsEjectedBriefly(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 1, nil)
+	f := newFixture(t, 2, 4, 1, nil)
 	rejected := 0
 
 	for tick := range 200 {
 		now := startTime.Add(time.Duration(tick) * 5 * time.Millisecond)
-		id := b.submit(now, nil)
+		id := f.submit(now, nil)
 
-		if a := b.placed[id]; a.Target.ID == "t0" {
+		if a := f.placed[id]; a.Target.ID == "t0" {
 			rejected++
 
-			b.finish(now, id, dispatch.Rejected)
+			f.finish(now, id, dispatch.Rejected)
 		} else if a.Placed {
-			b.finish(now, id, dispatch.Completed)
+			f.finish(now, id, dispatch.Completed)
 		}
 	}
 
 	require.Less(t, rejected, 25, "of 200")
 }
 
-// A target fails again and again: it is left alone for longer each time, and gets
-// requests as usual once it has served one.
+// A target fails repeatedly. Its ejection time must grow with each failure and reset after
+// a completed request.
 func TestEjectionTimeGrowsWithFailures(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 4, 1, nil)
+	f := newFixture(t, 1, 4, 1, nil)
 	now := startTime
 
 	for _, want := range []time.Duration{300, 600, 1200, 2400, 4000, 4000} {
-		id := b.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
-		require.Contains(t, b.placed, id)
-		b.finish(now, id, dispatch.Failed)
+		id := f.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
+		require.Contains(t, f.placed, id)
+		f.finish(now, id, dispatch.Failed)
 
-		next := b.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
-		b.apply(b.Tick(now.Add((want - 1) * time.Millisecond)))
-		require.NotContains(t, b.placed, next)
+		next := f.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(time.Minute) })
+		f.apply(f.Tick(now.Add((want - 1) * time.Millisecond)))
+		require.NotContains(t, f.placed, next)
 
 		now = now.Add(want * time.Millisecond)
-		b.apply(b.Tick(now))
-		require.Contains(t, b.placed, next)
-		b.finish(now, next, dispatch.Canceled)
+		f.apply(f.Tick(now))
+		require.Contains(t, f.placed, next)
+		f.finish(now, next, dispatch.Canceled)
 	}
 
-	id := b.submit(now, nil)
-	b.finish(now, id, dispatch.Completed)
-	require.Contains(t, b.placed, b.submit(now, nil))
+	id := f.submit(now, nil)
+	f.finish(now, id, dispatch.Completed)
+	require.Contains(t, f.placed, f.submit(now, nil))
 }
 
-// The caller of a request that was sent to all targets it may go to is told at
-// once, and not at its deadline.
+// A request without a target that may receive it must be refused at once, not at its
+// deadline.
 func TestRequestWithoutEligibleTargetIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 1, nil)
-	id := b.submit(startTime, func(r *dispatch.Request) { r.Excluded = []string{"t0", "t1"} })
-	require.Equal(t, verdict.CauseTargetDown, b.refused[id].Cause)
+	f := newFixture(t, 2, 4, 1, nil)
+	id := f.submit(startTime, func(r *dispatch.Request) { r.Excluded = []string{"t0", "t1"} })
+	require.Equal(t, verdict.CauseTargetDown, f.refused[id].Cause)
 
-	id = b.submit(startTime, func(r *dispatch.Request) { r.Service = "gone" })
-	require.Equal(t, verdict.CauseNoTarget, b.refused[id].Cause)
+	id = f.submit(startTime, func(r *dispatch.Request) { r.Service = "gone" })
+	require.Equal(t, verdict.CauseNoTarget, f.refused[id].Cause)
 
-	for i := range b.targets {
-		b.targets[i].Draining = true
+	for i := range f.targets {
+		f.targets[i].Draining = true
 	}
 
-	b.apply(b.Update(startTime, []dispatch.Service{{Name: "drafts"}}, b.targets))
-	id = b.submit(startTime, nil)
-	require.Equal(t, verdict.CauseNoTarget, b.refused[id].Cause)
+	f.apply(f.Update(startTime, []dispatch.Service{{Name: "drafts"}}, f.targets))
+	id = f.submit(startTime, nil)
+	require.Equal(t, verdict.CauseNoTarget, f.refused[id].Cause)
 }
 
-// A zone comes back after an outage: four engines turn up at once, cold and empty,
-// beside full ones. Every entry sees them empty. All together must send each no
-// more than it bears in any second, or it breaks down again.
+// After an outage of a zone, four cold and empty engines return at once beside full ones,
+// and every entry sees them empty. All entries together must not exceed the limit of a cold
+// target in any second, or it fails again.
 func TestColdLimitHoldsOverAllEntries(t *testing.T) {
 	t.Parallel()
 
@@ -352,14 +353,14 @@
 	var fixtures []*fixture
 
 	for index := range entries {
-		b := newFixture(t, 4, 12, entries, func(s *dispatch.Service) { s.ColdPerSecond = perSecond })
-		for i := range b.targets {
-			b.targets[i].ColdUntil = startTime.Add(3 * time.Second)
-			b.targets[i].Share.Index = index
+		f := newFixture(t, 4, 12, entries, func(s *dispatch.Service) { s.ColdPerSecond = perSecond })
+		for i := range f.targets {
+			f.targets[i].ColdUntil = startTime.Add(3 * time.Second)
+			f.targets[i].Share.Index = index
 		}
 
-		b.apply(b.Update(startTime, []dispatch.Service{{Name: "drafts", ColdPerSecond: perSecond}}, b.targets))
-		fixtures = append(fixtures, b)
+		f.apply(f.Update(startTime, []dispatch.Service{{Name: "drafts", ColdPerSecond: perSecond}}, f.targets))
+		fixtures = append(fixtures, f)
 	}
 
 	sent := map[string][]time.Time{}
@@ -367,16 +368,16 @@
 	for tick := range 400 {
 		now := startTime.Add(time.Duration(tick) * 10 * time.Millisecond)
 
-		for _, b := range fixtures {
-			id := b.submit(now, nil)
-			b.apply(b.Tick(now))
+		for _, f := range fixtures {
+			id := f.submit(now, nil)
+			f.apply(f.Tick(now))
 
-			for _, id := range b.placedOrder {
-				sent[b.placed[id].Target.ID] = append(sent[b.placed[id].Target.ID], now)
-				b.finish(now, id, dispatch.Completed)
+			for _, id := range f.placedOrder {
+				sent[f.placed[id].Target.ID] = append(sent[f.placed[id].Target.ID], now)
+				f.finish(now, id, dispatch.Completed)
 			}
 
-			b.placedOrder = nil
+			f.placedOrder = nil
 			_ = id
 		}
 	}
@@ -388,26 +389,27 @@
 				n++
 			}
 
-			require.LessOrEqual(t, n, int(allowed), "%s in the second from %s", target, times[i].Sub(startTime))
+			require.LessOrEqual(t, n, int(allowed), "requests at %s in the second from %s", target, times[i].Sub(startTime))
 		}
 	}
 }
 
-// Demand is above what a lock-step group bears: pauses come near to what callers
-// accept. The bound falls, so that those that run are in time, and rises again. It
-// begins low: after a restart of all entries every caller comes back at once.
+// Demand exceeds the capacity of a lock-step group, and event gaps approach the accepted
+// gap. The limit must fall, so that running requests meet their latency target, and rise
+// again afterwards. Its initial value is low, because every caller reconnects at once after
+// a restart of all entries.
 func TestConcurrencyLimitFollowsEventGaps(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 12, 1, func(s *dispatch.Service) { s.Streams = true })
-	one := b.submit(startTime, nil)
+	f := newFixture(t, 1, 12, 1, func(s *dispatch.Service) { s.Streams = true })
+	one := f.submit(startTime, nil)
 	fill := func(now time.Time) int {
 		for {
-			id := b.submit(now, nil)
-			if _, ok := b.placed[id]; !ok {
-				b.Cancel("drafts", id)
+			id := f.submit(now, nil)
+			if _, ok := f.placed[id]; !ok {
+				f.Cancel("drafts", id)
 
-				return len(b.placed)
+				return len(f.placed)
 			}
 		}
 	}
@@ -417,7 +419,7 @@
 	gaps := func(ratio float64, times int) {
 		for range times {
 			now = now.Add(20 * time.Millisecond)
-			b.ReportEventGap(now, b.placed[one], ratio)
+			f.ReportEventGap(now, f.placed[one], ratio)
 		}
 	}
 
@@ -425,60 +427,60 @@
 	require.Equal(t, 13, fill(now))
 	gaps(1.1, 100)
 
-	for id := range b.placed {
+	for id := range f.placed {
 		if id != one {
-			b.finish(now, id, dispatch.Completed)
+			f.finish(now, id, dispatch.Completed)
 		}
 	}
 
 	require.Less(t, fill(now), 7)
 
-	low := len(b.placed)
+	low := len(f.placed)
 
 	gaps(20, 200)
-	require.Equal(t, low, fill(now), "a stall is no crowding")
+	require.Equal(t, low, fill(now), "a stall does not lower the limit")
 	gaps(0.3, 1000)
 	require.Equal(t, 13, fill(now))
 }
 
-// A caller leaves while its request waits: the place goes to the next one.
+// A caller disconnects while its request waits. The next request must get the slot.
 func TestCanceledRequestLeavesTheQueue(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 1, 1, nil)
-	first, second := b.submit(startTime, nil), b.submit(startTime, nil)
-	canceled, next := b.submit(startTime, nil), b.submit(startTime, func(r *dispatch.Request) { r.SoftDeadline = startTime.Add(400 * time.Millisecond) })
-	b.Cancel("drafts", canceled)
-	b.finish(startTime, first, dispatch.Canceled)
-	require.Contains(t, b.placed, next)
-	b.finish(startTime, second, dispatch.Canceled)
-	require.Zero(t, b.Waiting())
+	f := newFixture(t, 1, 1, 1, nil)
+	first, second := f.submit(startTime, nil), f.submit(startTime, nil)
+	canceled, next := f.submit(startTime, nil), f.submit(startTime, func(r *dispatch.Request) { r.SoftDeadline = startTime.Add(400 * time.Millisecond) })
+	f.Cancel("drafts", canceled)
+	f.finish(startTime, first, dispatch.Canceled)
+	require.Contains(t, f.placed, next)
+	f.finish(startTime, second, dispatch.Canceled)
+	require.Zero(t, f.Waiting())
 }
 
-// The operators remove a service while callers wait for it: they are told.
+// A service is removed while requests wait for it. They must be refused.
 func TestRemovedServiceRefusesWaitingRequests(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 1, 1, nil)
-	b.submit(startTime, nil)
-	b.submit(startTime, nil)
-	waiting := b.submit(startTime, nil)
-	b.apply(b.Update(startTime, nil, nil))
-	require.Equal(t, verdict.CauseUnknownService, b.refused[waiting].Cause)
+	f := newFixture(t, 1, 1, 1, nil)
+	f.submit(startTime, nil)
+	f.submit(startTime, nil)
+	waiting := f.submit(startTime, nil)
+	f.apply(f.Update(startTime, nil, nil))
+	require.Equal(t, verdict.CauseUnknownService, f.refused[waiting].Cause)
 }
 
-// One rank was at fault: the others of its group refuse too until it is formed
-// again. They are left alone together.
+// After a fault of one rank, the other ranks of its group refuse requests too until the
+// group is formed again. All must be ejected together.
 func TestFaultEjectsTheGroup(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 3, 4, 1, nil)
-	b.ReportFault(startTime, "drafts", "t1")
+	f := newFixture(t, 3, 4, 1, nil)
+	f.ReportFault(startTime, "drafts", "t1")
 
-	id := b.submit(startTime, nil)
-	require.NotContains(t, b.placed, id)
-	b.apply(b.Tick(startTime.Add(400 * time.Millisecond)))
-	require.Contains(t, b.placed, id)
+	id := f.submit(startTime, nil)
+	require.NotContains(t, f.placed, id)
+	f.apply(f.Tick(startTime.Add(400 * time.Millisecond)))
+	require.Contains(t, f.placed, id)
 }
 
 func BenchmarkOffer(b *testing.B) {
@@ -499,148 +501,150 @@
 	}
 }
 
-// A service's only target refuses connections, again and again, and is left alone for
-// longer than the next caller waits. That caller was held until it gave up, and the
-// log blamed an overload. It is refused at once, told that the target is down, and
-// asked to come back when the target is tried again.
+// The only target of a service refuses connections repeatedly and is ejected for longer
+// than the next caller waits. Guards against holding that request until its deadline and
+// reporting an overload. It must be refused at once with the cause that the target is down,
+// and with a retry time close to the end of the ejection.
 func TestRequestIsRefusedWhenEjectionOutlastsItsDeadline(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 1, 4, 1, nil)
+	f := newFixture(t, 1, 4, 1, nil)
 	now := startTime
 
 	for range 4 {
-		id := b.submit(now, nil)
-		require.Contains(t, b.placed, id)
-		b.finish(now, id, dispatch.Failed)
+		id := f.submit(now, nil)
+		require.Contains(t, f.placed, id)
+		f.finish(now, id, dispatch.Failed)
 
 		now = now.Add(4 * time.Second)
 	}
 
-	id := b.submit(now, nil)
-	b.finish(now, id, dispatch.Failed) // the fifth in a row: left alone for 4 s
+	id := f.submit(now, nil)
+	f.finish(now, id, dispatch.Failed) // fifth consecutive failure: ejected for 4 s
 
-	shortDeadline := b.submit(now, nil) // gives up after 2 s
-	require.Contains(t, b.refused, shortDeadline)
-	require.Equal(t, verdict.CauseTargetDown, b.refused[shortDeadline].Cause)
-	require.Equal(t, now.Add(3*time.Second), b.refused[shortDeadline].RetryAt, "no more than the longest retry")
+	shortDeadline := f.submit(now, nil) // deadline after 2 s
+	require.Contains(t, f.refused, shortDeadline)
+	require.Equal(t, verdict.CauseTargetDown, f.refused[shortDeadline].Cause)
+	require.Equal(t, now.Add(3*time.Second), f.refused[shortDeadline].RetryAt, "capped by MaxRetryAfter")
 
-	longDeadline := b.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(5 * time.Second) })
-	require.NotContains(t, b.refused, longDeadline)
-	b.apply(b.Tick(now.Add(4 * time.Second)))
-	require.Contains(t, b.placed, longDeadline)
+	longDeadline := f.submit(now, func(r *dispatch.Request) { r.Deadline = now.Add(5 * time.Second) })
+	require.NotContains(t, f.refused, longDeadline)
+	f.apply(f.Tick(now.Add(4 * time.Second)))
+	require.Contains(t, f.placed, longDeadline)
 }
 
-// Two targets: one is down, the other full. Whoever gives up meanwhile was refused for
-// want of room, not because a target was down.
+// One target is down and the other is full. The refusal must be reported as an overload,
+// not as a target that is down.
 func TestRefusalCauseIsOverloadWhenOneTargetIsFullAndOneIsDown(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 1, 1, nil)
+	f := newFixture(t, 2, 1, 1, nil)
 
-	for len(b.placed) < 3 { // one slot each, and one ahead
-		b.submit(startTime, nil)
+	for len(f.placed) < 3 { // one slot and one queued request each
+		f.submit(startTime, nil)
 	}
 
-	for id, a := range b.placed {
+	for id, a := range f.placed {
 		if a.Target.ID == "t0" {
-			b.finish(startTime, id, dispatch.Failed)
+			f.finish(startTime, id, dispatch.Failed)
 		}
 	}
 
-	waiting := b.submit(startTime, nil)
+	waiting := f.submit(startTime, nil)
 	for range 4 {
-		b.submit(startTime, nil)
+		f.submit(startTime, nil)
 	}
 
-	b.apply(b.Tick(startTime.Add(299 * time.Millisecond)))
-	require.NotContains(t, b.refused, waiting)
-	b.apply(b.Tick(startTime.Add(2 * time.Second)))
+	f.apply(f.Tick(startTime.Add(299 * time.Millisecond)))
+	require.NotContains(t, f.refused, waiting)
+	f.apply(f.Tick(startTime.Add(2 * time.Second)))
 
-	for _, a := range b.refused {
+	for _, a := range f.refused {
 		require.Equal(t, verdict.CauseOverload, a.Cause)
 	}
 }
 
-// One rank of a lock-step group turns slow. All others wait for it in each step, and
-// with its share of the requests the whole group is as slow as that rank. It gets none
-// until it says that it is well again, or says nothing any more.
+// One rank of a lock-step group becomes slow. All others wait for it in each step, and with
+// a full share of requests it would slow down the whole group. It must receive none until
+// it reports a normal slowdown again, or its reports expire.
 func TestSlowRankGetsFewerRequests(t *testing.T) {
 	t.Parallel()
 
 	engines := func(s *dispatch.Service) { s.Streams = true }
 	fill := func(slowdowns ...float64) map[string]int {
-		b := newFixture(t, len(slowdowns), 10, 1, engines)
+		f := newFixture(t, len(slowdowns), 10, 1, engines)
 		for i, p := range slowdowns {
-			b.apply(b.ReportLoad(startTime, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Slowdown: p}))
+			f.apply(f.ReportLoad(startTime, "drafts", fmt.Sprintf("t%d", i), dispatch.Load{Slowdown: p}))
 		}
 
 		for range 40 {
-			b.submit(startTime, nil)
+			f.submit(startTime, nil)
 		}
 
-		return b.perTarget()
+		return f.perTarget()
 	}
 
 	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(1, 1, 1))
 	require.Equal(t, map[string]int{"t0": 6, "t1": 6}, fill(1, 1, 5))
-	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 3}, fill(1, 1, 1.5), "what it does in the others' time")
-	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(1, 1, 1.1), "copies of experts take as much")
-	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(4, 4, 4), "there is no better one")
+	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 3}, fill(1, 1, 1.5), "as many as it processes in the time of the others")
+	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(1, 1, 1.1), "a slowdown this small may come from copying experts")
+	require.Equal(t, map[string]int{"t0": 6, "t1": 6, "t2": 6}, fill(4, 4, 4), "all ranks are equally slow")
 
-	b := newFixture(t, 2, 10, 1, engines)
-	b.apply(b.ReportLoad(startTime, "drafts", "t0", dispatch.Load{Slowdown: 1}))
-	b.apply(b.ReportLoad(startTime, "drafts", "t1", dispatch.Load{Slowdown: 5}))
+	f := newFixture(t, 2, 10, 1, engines)
+	f.apply(f.ReportLoad(startTime, "drafts", "t0", dispatch.Load{Slowdown: 1}))
+	f.apply(f.ReportLoad(startTime, "drafts", "t1", dispatch.Load{Slowdown: 5}))
 
 	for range 12 {
-		b.submit(startTime, func(r *dispatch.Request) { r.Deadline = startTime.Add(time.Minute) })
+		f.submit(startTime, func(r *dispatch.Request) { r.Deadline = startTime.Add(time.Minute) })
 	}
 
-	require.Equal(t, map[string]int{"t0": 6}, b.perTarget())
-	b.apply(b.Tick(startTime.Add(3 * time.Second)))
-	require.Equal(t, map[string]int{"t0": 6, "t1": 6}, b.perTarget(), "its agent is silent")
+	require.Equal(t, map[string]int{"t0": 6}, f.perTarget())
+	f.apply(f.Tick(startTime.Add(3 * time.Second)))
+	require.Equal(t, map[string]int{"t0": 6, "t1": 6}, f.perTarget(), "its report has expired")
 }
 
-// A rank at a fifth of its pace makes every step of its group longer, whatever runs
-// there. Pauses grew, the bound on requests fell to its least, and half of the callers
-// were refused although fewer requests made no step shorter.
+// A rank at a fifth of its speed lengthens every step of its group, whatever the number of
+// requests. Guards against lowering the concurrency limit in response: it fell to its
+// minimum and half of the requests were refused, although fewer requests did not shorten
+// the steps.
 func TestSlowRankDoesNotLowerTheConcurrencyLimit(t *testing.T) {
 	t.Parallel()
 
 	placedAtHealthy := func(slowdown float64) int {
-		b := newFixture(t, 3, 10, 1, func(s *dispatch.Service) { s.Streams = true })
-		b.apply(b.ReportLoad(startTime, "drafts", "t0", dispatch.Load{Slowdown: 1}))
-		b.apply(b.ReportLoad(startTime, "drafts", "t1", dispatch.Load{Slowdown: 1}))
-		b.apply(b.ReportLoad(startTime, "drafts", "t2", dispatch.Load{Slowdown: slowdown}))
-
-		stream := dispatch.Action{Target: b.targets[0]}
-		for i := range 100 { // somewhat longer than callers accept, for a second
-			b.ReportEventGap(startTime.Add(time.Duration(i)*10*time.Millisecond), stream, 1.2)
+		f := newFixture(t, 3, 10, 1, func(s *dispatch.Service) { s.Streams = true })
+		f.apply(f.ReportLoad(startTime, "drafts", "t0", dispatch.Load{Slowdown: 1}))
+		f.apply(f.ReportLoad(startTime, "drafts", "t1", dispatch.Load{Slowdown: 1}))
+		f.apply(f.ReportLoad(startTime, "drafts", "t2", dispatch.Load{Slowdown: slowdown}))
+
+		stream := dispatch.Action{Target: f.targets[0]}
+		for i := range 100 { // gaps somewhat longer than callers accept, for a second
+			f.ReportEventGap(startTime.Add(time.Duration(i)*10*time.Millisecond), stream, 1.2)
 		}
 
 		for range 40 {
-			b.submit(startTime.Add(time.Second), nil)
+			f.submit(startTime.Add(time.Second), nil)
 		}
 
-		return b.perTarget()["t0"]
+		return f.perTarget()["t0"]
 	}
 
-	require.Equal(t, 2, placedAtHealthy(1), "it is crowding where all are well")
+	require.Equal(t, 2, placedAtHealthy(1), "without a slow rank, long gaps lower the limit")
 	require.Greater(t, placedAtHealthy(5), 5)
 }
 
-// One workspace of ten sends six of ten requests, and three times as many come as can
-// be served. The others must not starve behind it, nor it behind them: each is served
-// about as large a part of what it asks for as all together.
+// One workspace of ten sends six of ten requests, and 2.5 times as many requests arrive
+// as can be completed. Neither that workspace nor the others may starve: each must have
+// about the same fraction of its requests completed.
 func TestWorkspacesCompleteEqualFractionsUnderOverload(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 2, 4, 1, nil)
+	f := newFixture(t, 2, 4, 1, nil)
 	rng := rand.New(rand.NewPCG(7, 7))
 	submitted, completed := map[string]float64{}, map[string]float64{}
 	workspaceOf := map[uint64]string{}
 
-	// Each target ends one request every 50 ms: 40 a second; 120 a second come.
+	// Each target completes one request every 50 ms, so both complete 40 a second; 100 a
+	// second arrive.
 	for tick := range 3000 {
 		now := startTime.Add(time.Duration(tick) * 10 * time.Millisecond)
 
@@ -649,38 +653,38 @@
 			workspace = fmt.Sprintf("small-%d", rng.IntN(9))
 		}
 
-		id := b.submit(now, func(r *dispatch.Request) { r.Workspace = workspace })
+		id := f.submit(now, func(r *dispatch.Request) { r.Workspace = workspace })
 		workspaceOf[id] = workspace
 		submitted[workspace]++
 
 		if tick%5 == 0 {
 			for _, target := range []string{"t0", "t1"} {
-				if id, ok := b.oldestAt(target); ok {
+				if id, ok := f.oldestAt(target); ok {
 					completed[workspaceOf[id]]++
-					b.finish(now, id, dispatch.Completed)
+					f.finish(now, id, dispatch.Completed)
 				}
 			}
 		}
 
-		b.apply(b.Tick(now))
+		f.apply(f.Tick(now))
 	}
 
-	all := 0.0
+	overall := 0.0
 	for _, n := range completed {
-		all += n
+		overall += n
 	}
 
-	all /= 3000
-	require.Less(t, all, 0.5, "it is an overload")
+	overall /= 3000
+	require.Less(t, overall, 0.5, "the targets are overloaded")
 
 	for workspace, n := range submitted {
-		require.InDelta(t, 1, completed[workspace]/n/all, 0.35, "%s: %v of %v", workspace, completed[workspace], n)
+		require.InDelta(t, 1, completed[workspace]/n/overall, 0.35, "%s: completed %v of %v", workspace, completed[workspace], n)
 	}
 }
 
-// A group is formed again after a loss of power, and callers wait at each of seven
-// entries. Each of them gave the group as many drafts as it bears alone: seven times as
-// many, whose steps were too long for all of them.
+// A group is formed again after a power loss, with requests waiting at each of seven
+// entries. Guards against each entry filling the group on its own: it received seven times
+// its capacity, and the steps were too long for all requests.
 func TestEntriesShareARecoveredGroup(t *testing.T) {
 	t.Parallel()
 
@@ -689,59 +693,59 @@
 	sent := 0
 
 	for index := range entries {
-		b := newFixture(t, targets, slots, entries, func(s *dispatch.Service) { s.Streams = true })
+		f := newFixture(t, targets, slots, entries, func(s *dispatch.Service) { s.Streams = true })
 
-		for i := range b.targets {
-			b.targets[i].Broken = true
-			b.targets[i].Share.Index = index
+		for i := range f.targets {
+			f.targets[i].Broken = true
+			f.targets[i].Share.Index = index
 		}
 
-		b.apply(b.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
+		f.apply(f.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, f.targets))
 
 		now := startTime.Add(1300 * time.Millisecond)
 		for range waiting {
-			b.submit(now, nil)
+			f.submit(now, nil)
 		}
 
-		require.Empty(t, b.placed, "the group is not open yet")
+		require.Empty(t, f.placed, "the group has not recovered yet")
 
-		for i := range b.targets {
-			b.targets[i].Broken = false
+		for i := range f.targets {
+			f.targets[i].Broken = false
 		}
 
-		b.apply(b.Update(now, []dispatch.Service{{Name: "drafts", Streams: true}}, b.targets))
-		sent += len(b.placed)
+		f.apply(f.Update(now, []dispatch.Service{{Name: "drafts", Streams: true}}, f.targets))
+		sent += len(f.placed)
 	}
 
-	require.LessOrEqual(t, sent, targets*slots, "no more than it has slots")
-	require.GreaterOrEqual(t, sent, targets*slots/2, "and no fewer than half of that")
+	require.LessOrEqual(t, sent, targets*slots, "at most one request per slot")
+	require.GreaterOrEqual(t, sent, targets*slots/2, "and at least half of that")
 }
 
-// The links of a zone to the others lose packets. Drafts that went through another zone
-// than the entry's own had pauses of a fifth of a second, though targets of its own zone,
-// loaded nearly alike, would have served them: those go first, until they are far fuller.
+// The links between zones lose packets. Requests placed in another zone had event gaps of
+// 200 ms, although local targets with nearly the same load could have processed them. Local
+// targets must be preferred until they are much fuller.
 func TestLocalZoneIsPreferred(t *testing.T) {
 	t.Parallel()
 
-	b := newFixture(t, 4, 12, 1, nil)
-	b.Zone = "a"
+	f := newFixture(t, 4, 12, 1, nil)
+	f.Zone = "a"
 
-	for i := range b.targets[2:] {
-		b.targets[2+i].Zone = "b"
+	for i := range f.targets[2:] {
+		f.targets[2+i].Zone = "b"
 	}
 
-	b.apply(b.Update(startTime, []dispatch.Service{{Name: "drafts"}}, b.targets))
+	f.apply(f.Update(startTime, []dispatch.Service{{Name: "drafts"}}, f.targets))
 
 	for range 10 {
-		b.submit(startTime, nil)
+		f.submit(startTime, nil)
 	}
 
-	require.Equal(t, map[string]int{"t0": 5, "t1": 5}, b.perTarget())
+	require.Equal(t, map[string]int{"t0": 5, "t1": 5}, f.perTarget())
 
 	for range 10 {
-		b.submit(startTime, nil)
+		f.submit(startTime, nil)
 	}
 
-	require.Equal(t, 20, len(b.placed))
-	require.Positive(t, b.perTarget()["t2"], "the own targets are fuller by half of their slots")
+	require.Equal(t, 20, len(f.placed))
+	require.Positive(t, f.perTarget()["t2"], "the local targets are fuller by half of their slots")
 }
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -11,19 +11,20 @@
 	"github.com/parsleygate/parsleygate/internal/dispatch"
 )
 
-// groupConfig is a lock-step group under load, as one entry drives it: a model in which all
-// drafts get an event each step, and a step takes longer the more drafts run, the more of
-// a prompt is read in it, and the worse the expert map fits the demand.
+// groupConfig describes a simulated lock-step group under load from one entry. All running
+// requests get an event in each step. A step takes longer the more requests run, the more
+// prompt tokens it reads, and the worse the expert map fits the demand.
 type groupConfig struct {
 	ranks, slots int
-	// fixed is what a step takes without drafts, perDraft what each draft of a rank adds,
-	// perToken what a prompt's token does at a rank of its own.
+	// fixed is the duration of a step without requests, perRequest the time that each
+	// request of a rank adds, and perToken the time that each prompt token adds, if a
+	// single rank reads it.
 	fixed, perRequest, perToken    time.Duration
 	perSecond                      float64
 	maxGap, latencyTarget, timeout time.Duration
-	// skew is how many times longer than by a perfect map the experts take; for the last
-	// shiftFor of each shiftEvery it is shifted, while copies make steps longer by the
-	// part copying.
+	// skew is how many times longer the experts take than with a perfect expert map. During
+	// the last shiftDuration of each shiftInterval it is shiftedSkew, and copying experts
+	// lengthens the steps by the fraction copyOverhead.
 	skew, shiftedSkew            float64
 	copyOverhead                 float64
 	shiftInterval, shiftDuration time.Duration
@@ -31,7 +32,7 @@
 	settings                     dispatch.Settings
 }
 
-// busyGroup is a busy group whose demand shifts each three seconds.
+// busyGroup is a busy group whose demand shifts about every three seconds.
 func busyGroup() groupConfig {
 	return groupConfig{
 		ranks: 12, slots: 12, fixed: 29 * time.Millisecond, perRequest: 2200 * time.Microsecond, perToken: 13 * time.Microsecond,
@@ -51,7 +52,7 @@
 	promptRead bool
 }
 
-// groupSim is one play of a groupDay.
+// groupSim is a run of the simulation.
 type groupSim struct {
 	groupConfig
 
@@ -65,7 +66,7 @@
 }
 
 func (g groupConfig) simulate(seed uint64) *groupSim {
-	x := &groupSim{
+	sim := &groupSim{
 		groupConfig: g, r: rand.New(rand.NewPCG(seed, 1)), waiting: map[uint64]*groupRequest{},
 		d: &dispatch.Dispatcher{Settings: g.settings, Rand: rand.New(rand.NewPCG(seed, 2))},
 	}
@@ -75,177 +76,179 @@
 		targets = append(targets, dispatch.Target{ID: string(rune('a' + i)), Service: "drafts", Group: "g", Slots: g.slots})
 	}
 
-	x.apply(startTime, x.d.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
-	x.run()
+	sim.apply(startTime, sim.d.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
+	sim.run()
 
-	return x
+	return sim
 }
 
-// run plays one step after the other, with the arrivals in between.
-func (x *groupSim) run() {
+// run simulates one step after another, with the arrivals in between.
+func (sim *groupSim) run() {
 	const tick = 20 * time.Millisecond
 
-	end := startTime.Add(x.duration)
+	end := startTime.Add(sim.duration)
 	arrives := startTime
 	ticks := startTime
 
 	for now := startTime; now.Before(end); {
-		until := now.Add(x.stepLength(now))
+		until := now.Add(sim.stepLength(now))
 
 		for at := arrives; at.Before(until); at = arrives {
 			for ; ticks.Before(at); ticks = ticks.Add(tick) {
-				x.apply(ticks, x.d.Tick(ticks))
+				sim.apply(ticks, sim.d.Tick(ticks))
 			}
 
-			x.arrive(at)
-			arrives = at.Add(time.Duration(x.r.ExpFloat64() / x.perSecond * float64(time.Second)))
+			sim.arrive(at)
+			arrives = at.Add(time.Duration(sim.r.ExpFloat64() / sim.perSecond * float64(time.Second)))
 		}
 
 		now = until
-		x.endStep(now)
+		sim.endStep(now)
 	}
 }
 
-func (x *groupSim) arrive(now time.Time) {
-	x.id++
-	x.waiting[x.id] = &groupRequest{
-		arrived: now, tokens: min(3000, 550*math.Exp(0.9*x.r.NormFloat64())), eventsLeft: 1 + int(min(66, 20*math.Exp(0.7*x.r.NormFloat64()))),
+func (sim *groupSim) arrive(now time.Time) {
+	sim.id++
+	sim.waiting[sim.id] = &groupRequest{
+		arrived: now, tokens: min(3000, 550*math.Exp(0.9*sim.r.NormFloat64())), eventsLeft: 1 + int(min(66, 20*math.Exp(0.7*sim.r.NormFloat64()))),
 	}
-	x.apply(now, x.d.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.latencyTarget), Deadline: now.Add(x.timeout)}))
+	sim.apply(now, sim.d.Submit(now, dispatch.Request{ID: sim.id, Service: "drafts", SoftDeadline: now.Add(sim.latencyTarget), Deadline: now.Add(sim.timeout)}))
 }
 
-func (x *groupSim) apply(now time.Time, actions []dispatch.Action) {
+func (sim *groupSim) apply(now time.Time, actions []dispatch.Action) {
 	for _, a := range actions {
-		w := x.waiting[a.ID]
-		delete(x.waiting, a.ID)
+		req := sim.waiting[a.ID]
+		delete(sim.waiting, a.ID)
 
 		if !a.Placed {
-			x.refused++
+			sim.refused++
 
 			continue
 		}
 
-		w.placed, w.eventAt = a, now
-		x.running = append(x.running, w)
+		req.placed, req.eventAt = a, now
+		sim.running = append(sim.running, req)
 	}
 }
 
-// stepLength is how long the step that begins at now takes.
-func (x *groupSim) stepLength(now time.Time) time.Duration {
-	skew, factor := x.skew, 1.0
-	if now.Sub(startTime)%x.shiftInterval > x.shiftInterval-x.shiftDuration {
-		skew, factor = x.shiftedSkew, 1+x.copyOverhead
+// stepLength returns the duration of the step that begins at now.
+func (sim *groupSim) stepLength(now time.Time) time.Duration {
+	skew, factor := sim.skew, 1.0
+	if now.Sub(startTime)%sim.shiftInterval > sim.shiftInterval-sim.shiftDuration {
+		skew, factor = sim.shiftedSkew, 1+sim.copyOverhead
 	}
 
 	work := 0.0
 
-	for _, w := range x.running {
-		work += float64(x.perRequest)
+	for _, req := range sim.running {
+		work += float64(sim.perRequest)
 
-		if !w.promptRead {
-			work += w.tokens * float64(x.perToken)
+		if !req.promptRead {
+			work += req.tokens * float64(sim.perToken)
 		}
 	}
 
-	return time.Duration(factor * (float64(x.fixed) + work/float64(x.ranks)*(0.15+0.85*skew)))
+	return time.Duration(factor * (float64(sim.fixed) + work/float64(sim.ranks)*(0.15+0.85*skew)))
 }
 
-// endStep ends a step: all drafts that were in it get an event.
-func (x *groupSim) endStep(now time.Time) {
+// endStep ends a step, in which each running request gets an event.
+func (sim *groupSim) endStep(now time.Time) {
 	var continuing []*groupRequest
 
-	for _, w := range x.running {
-		gap := now.Sub(w.eventAt)
+	for _, req := range sim.running {
+		gap := now.Sub(req.eventAt)
 
-		if w.promptRead {
-			w.late = w.late || gap > x.maxGap
-			x.d.ReportEventGap(now, w.placed, float64(gap)/float64(x.maxGap))
+		if req.promptRead {
+			req.late = req.late || gap > sim.maxGap
+			sim.d.ReportEventGap(now, req.placed, float64(gap)/float64(sim.maxGap))
 		} else {
-			w.promptRead = true
-			w.late = now.Sub(w.arrived) > x.latencyTarget
-			x.d.ReportFirstAnswer(w.placed, gap)
+			req.promptRead = true
+			req.late = now.Sub(req.arrived) > sim.latencyTarget
+			sim.d.ReportFirstAnswer(req.placed, gap)
 		}
 
-		w.eventAt = now
+		req.eventAt = now
 
-		if w.eventsLeft--; w.eventsLeft > 0 {
-			continuing = append(continuing, w)
+		if req.eventsLeft--; req.eventsLeft > 0 {
+			continuing = append(continuing, req)
 
 			continue
 		}
 
-		if w.late {
-			x.late++
+		if req.late {
+			sim.late++
 		} else {
-			x.inTime++
+			sim.inTime++
 		}
 	}
 
-	ended := x.running
-	x.running = continuing
+	ended := sim.running
+	sim.running = continuing
 
-	for _, w := range ended {
-		if w.eventsLeft == 0 {
-			x.apply(now, x.d.Finish(now, w.placed, 1, dispatch.Completed))
+	for _, req := range ended {
+		if req.eventsLeft == 0 {
+			sim.apply(now, sim.d.Finish(now, req.placed, 1, dispatch.Completed))
 		}
 	}
 }
 
-// missedFraction is the share of drafts that are late or refused, in the mean of some days.
+// missedFraction returns the fraction of requests that are late or refused, averaged over
+// several runs.
 func (g groupConfig) missedFraction() float64 {
 	const runs = 5
 
 	fraction := 0.0
 
 	for seed := range uint64(runs) {
-		x := g.simulate(seed)
-		fraction += float64(x.late+x.refused) / float64(x.inTime+x.late+x.refused) / runs
+		sim := g.simulate(seed)
+		fraction += float64(sim.late+sim.refused) / float64(sim.inTime+sim.late+sim.refused) / runs
 	}
 
 	return fraction
 }
 
-// withoutStartLimit is the same day where no starts are held back.
+// withoutStartLimit returns the configuration in which no starts are delayed.
 func (g groupConfig) withoutStartLimit() groupConfig {
 	g.settings.LongStepGap, g.settings.NoStartGap = math.MaxFloat64/2, math.MaxFloat64
 
 	return g
 }
 
-// Demand shifts each three seconds in a busy group, and its steps are long until the next
-// map comes. The bound on what targets are given fell for that half second, and rose by a
-// small step after it, so that callers waited for seconds before a group that had room:
-// one draft in five was late. At most one in ten may be.
+// In a busy group, demand shifts about every three seconds, and steps are long until the
+// next expert map is active half a second later. Guards against a concurrency limit that
+// falls during that time and rises too slowly afterwards: requests waited for seconds
+// although the group had capacity, and one in five was late. At most one in ten may be.
 func TestDemandShiftsMakeFewRequestsLate(t *testing.T) {
 	t.Parallel()
 
 	missedFraction := busyGroup().missedFraction()
-	t.Logf("late or refused %.3f", missedFraction)
+	t.Logf("late or refused: %.3f", missedFraction)
 	require.Less(t, missedFraction, 0.1)
 }
 
-// The demand of a busy group shifts further than usual. Drafts that started in the long
-// steps until the next map made these steps longer than callers bear, and every draft of
-// the group late. Held back for that half second, most of them are in time, and so are
-// those that run: a third of the late drafts at least are spared.
+// The demand of a busy group shifts further than usual. Requests that started in the long
+// steps before the next expert map lengthened these steps beyond what callers accept, and
+// made every request of the group late. With starts delayed for that half second, at least
+// a third of the late requests must be avoided.
 func TestStartLimitReducesLateRequestsInLongSteps(t *testing.T) {
 	t.Parallel()
 
 	g := busyGroup()
 	g.shiftedSkew, g.perSecond = 4, 72
 	with, without := g.missedFraction(), g.withoutStartLimit().missedFraction()
-	t.Logf("late or refused %.3f, without holding back %.3f", with, without)
+	t.Logf("late or refused: %.3f, without start limit: %.3f", with, without)
 	require.Less(t, with, without*2/3)
 }
 
-// The same shifts in a group with a tenth less work, whose long steps everyone bears.
-// Who is held back there is late for nothing: hardly anyone may be.
+// The same shifts occur in a group with 10% less load, where the long steps are within what
+// callers accept. Delaying starts makes requests late there without a benefit, so hardly
+// any may be delayed.
 func TestStartLimitCostsLittleWhenLongStepsAreTolerable(t *testing.T) {
 	t.Parallel()
 
 	g := busyGroup()
 	g.perSecond *= 0.9
 	with, without := g.missedFraction(), g.withoutStartLimit().missedFraction()
-	t.Logf("late or refused %.3f, without holding back %.3f", with, without)
+	t.Logf("late or refused: %.3f, without start limit: %.3f", with, without)
 	require.Less(t, with, without+0.02)
 }
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -123,7 +123,7 @@
 	return out
 }
 
-// preference returns the rank that entry e and target t give each other.
+// preference returns how strongly entry e and target t prefer each other.
 func (m *Matching) preference(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
 
 // MixHashes combines two hashes with the mixing function of the splitmix64 generator.
@@ -180,24 +180,24 @@
 // candidates, so they are not sorted.
 type candidates []candidate
 
-func (w candidates) Len() int           { return len(w) }
-func (w candidates) Less(i, j int) bool { return w[i].preference > w[j].preference }
-func (w candidates) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
+func (c candidates) Len() int           { return len(c) }
+func (c candidates) Less(i, j int) bool { return c[i].preference > c[j].preference }
+func (c candidates) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface. It does nothing: candidates are never added.
-func (w *candidates) Push(any) {}
+func (c *candidates) Push(any) {}
 
 // Pop implements heap.Interface. It discards the last element.
-func (w *candidates) Pop() any {
-	*w = (*w)[:len(*w)-1]
+func (c *candidates) Pop() any {
+	*c = (*c)[:len(*c)-1]
 
 	return nil
 }
 
 // popBest removes the candidate with the highest preference and returns its target.
-func (w *candidates) popBest() int {
-	t := (*w)[0].target
-	heap.Pop(w)
+func (c *candidates) popBest() int {
+	t := (*c)[0].target
+	heap.Pop(c)
 
 	return t
 }
--- a/internal/shares/subset_cache.go
+++ b/internal/shares/subset_cache.go
@@ -74,7 +74,7 @@
 
 	switch {
 	case last == nil:
-	case last.isFor(entries, targets):
+	case last.hasInputs(entries, targets):
 		return last.subset
 	case len(targets) > size && now.Before(last.nextRecomputeAt):
 		c.RecomputeAt = last.nextRecomputeAt
@@ -88,6 +88,6 @@
 	return subset
 }
 
-func (c *cachedSubset) isFor(entries, targets []Node) bool {
+func (c *cachedSubset) hasInputs(entries, targets []Node) bool {
 	return slices.Equal(c.entries, entries) && slices.Equal(c.targets, targets)
 }
