--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -67,7 +67,7 @@
 	dispatch.Target
 
 	running, queued []*fleetRequest
-	entries         []*fleetEntry
+	usedBy          []*fleetEntry
 	placed          int
 }
 
@@ -105,7 +105,7 @@
 
 		for _, t := range sim.target {
 			if s, ok := e.subset[t.ID]; ok {
-				t.entries = append(t.entries, e)
+				t.usedBy = append(t.usedBy, e)
 				own := t.Target
 				own.Share = s
 				targets = append(targets, own)
@@ -302,7 +302,7 @@
 			continue
 		}
 
-		for _, e := range t.entries {
+		for _, e := range t.usedBy {
 			sim.apply(now, e, e.ReportLoad(now, "drafts", t.ID, dispatch.Load{Running: len(t.running), Waiting: len(t.queued), Slowdown: 1}))
 		}
 	}
