--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -14,40 +14,44 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// fleetDay is a lock-step group under load at many entries: each of them sees what it
-// placed itself, and hears of the others only what targets tell now and then.
-type fleetDay struct {
-	entries, zones, targets, slots, degree int
-	perSecond                              float64
-	// unevenness is the spread of how many callers entries have.
-	unevenness float64
-	// step is how long a step takes, and longStep how long in the last longFor of each longEvery.
-	step, longStep, longEvery, longFor time.Duration
-	gap, aim, patience                 time.Duration
-	// tellEvery is how often a target tells its load to the entries that use it.
-	tellEvery time.Duration
-	length    time.Duration
-	settings  dispatch.Settings
+// fleetConfig describes a simulated lock-step group under load from many entries. Each
+// entry sees the requests that it has placed itself, and those of the other entries only
+// through the periodic load reports of the targets.
+type fleetConfig struct {
+	entries, zones, targets, slots, subsetSize int
+	perSecond                                  float64
+	// callerSigma is the standard deviation of the logarithm of the number of callers per
+	// entry.
+	callerSigma float64
+	// step is the duration of a step, longStep the duration during the last
+	// longStepDuration of each longStepInterval.
+	step, longStep, longStepInterval, longStepDuration time.Duration
+	maxGap, latencyTarget, timeout                     time.Duration
+	// reportInterval is how often a target reports its load to the entries that use it.
+	reportInterval time.Duration
+	duration       time.Duration
+	settings       dispatch.Settings
 }
 
-// busyFleet is a group of 129 ranks behind 39 entries, near what it bears.
-func busyFleet() fleetDay {
-	return fleetDay{
-		entries: 39, zones: 5, targets: 129, slots: 6, degree: 20, perSecond: 260, unevenness: 0.4,
-		step: 105 * time.Millisecond, longStep: 210 * time.Millisecond, longEvery: 3600 * time.Millisecond, longFor: 1200 * time.Millisecond,
-		gap: 200 * time.Millisecond, aim: 600 * time.Millisecond, patience: 2400 * time.Millisecond,
-		tellEvery: 100 * time.Millisecond, length: 6 * time.Second, settings: dispatch.DefaultSettings(),
+// busyFleet is a group of 129 ranks with 39 entries, close to its capacity.
+func busyFleet() fleetConfig {
+	return fleetConfig{
+		entries: 39, zones: 5, targets: 129, slots: 6, subsetSize: 20, perSecond: 260, callerSigma: 0.4,
+		step: 105 * time.Millisecond, longStep: 210 * time.Millisecond, longStepInterval: 3600 * time.Millisecond, longStepDuration: 1200 * time.Millisecond,
+		maxGap: 200 * time.Millisecond, latencyTarget: 600 * time.Millisecond, timeout: 2400 * time.Millisecond,
+		reportInterval: 100 * time.Millisecond, duration: 6 * time.Second, settings: dispatch.DefaultSettings(),
 	}
 }
 
-// job is one draft on its way through the fleet.
-type job struct {
+// fleetRequest is a request in the simulated fleet.
+type fleetRequest struct {
 	entry            *fleetEntry
 	placed           dispatch.Action
 	arrived, eventAt time.Time
-	// passes is how many steps it takes still, prompt of them until its first event.
-	passes, prompt int
-	late, begun    bool
+	// stepsLeft is the number of remaining steps, promptStepsLeft the number of steps until
+	// the first event.
+	stepsLeft, promptStepsLeft int
+	late, started              bool
 }
 
 type fleetEntry struct {
@@ -55,21 +59,21 @@
 
 	zone    string
 	weight  float64
-	waiting map[uint64]*job
-	uses    map[string]shares.Share
+	waiting map[uint64]*fleetRequest
+	subset  map[string]shares.Share
 }
 
 type fleetTarget struct {
 	dispatch.Target
 
-	running, queued []*job
-	users           []*fleetEntry
+	running, queued []*fleetRequest
+	usedBy          []*fleetEntry
 	placed          int
 }
 
-// fleetRun is one play of a fleetDay.
-type fleetRun struct {
-	fleetDay
+// fleetSim is a run of the simulation.
+type fleetSim struct {
+	fleetConfig
 
 	r       *rand.Rand
 	id      uint64
@@ -77,262 +81,266 @@
 	target  []*fleetTarget
 	byID    map[string]*fleetTarget
 	arrived int
-	// queuedFor is how many drafts waited at a target for more than a step.
-	inTime, late, refused, left, queuedFor int
+	// queuedLong counts the requests that waited at a target for longer than a step.
+	inTime, late, refused, canceled, queuedLong int
 }
 
-func (f fleetDay) play(seed uint64) *fleetRun {
-	x := &fleetRun{fleetDay: f, r: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*fleetTarget{}}
-	entries, places := x.places("e", f.entries), x.places("t", f.targets)
+func (f fleetConfig) simulate(seed uint64) *fleetSim {
+	sim := &fleetSim{fleetConfig: f, r: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*fleetTarget{}}
+	entries, nodes := sim.nodes("e", f.entries), sim.nodes("t", f.targets)
 
-	for i, p := range places {
+	for i, p := range nodes {
 		t := &fleetTarget{Target: dispatch.Target{ID: p.ID, Service: "drafts", Zone: p.Zone, Group: "g", Slots: f.slots}}
-		x.target, x.byID[places[i].ID] = append(x.target, t), t
+		sim.target, sim.byID[nodes[i].ID] = append(sim.target, t), t
 	}
 
 	for _, p := range entries {
 		e := &fleetEntry{
-			zone: p.Zone, weight: math.Exp(f.unevenness * x.r.NormFloat64()), waiting: map[uint64]*job{},
-			uses:       shares.Subsetter{Size: f.degree}.Targets(p, entries, places),
-			Dispatcher: &dispatch.Dispatcher{Settings: f.settings, Zone: p.Zone, Rand: rand.New(rand.NewPCG(seed, x.r.Uint64()))},
+			zone: p.Zone, weight: math.Exp(f.callerSigma * sim.r.NormFloat64()), waiting: map[uint64]*fleetRequest{},
+			subset:     shares.Subsetter{Size: f.subsetSize}.Targets(p, entries, nodes),
+			Dispatcher: &dispatch.Dispatcher{Settings: f.settings, Zone: p.Zone, Rand: rand.New(rand.NewPCG(seed, sim.r.Uint64()))},
 		}
 
 		var targets []dispatch.Target
 
-		for _, t := range x.target {
-			if s, ok := e.uses[t.ID]; ok {
-				t.users = append(t.users, e)
-				mine := t.Target
-				mine.Share = s
-				targets = append(targets, mine)
+		for _, t := range sim.target {
+			if s, ok := e.subset[t.ID]; ok {
+				t.usedBy = append(t.usedBy, e)
+				own := t.Target
+				own.Share = s
+				targets = append(targets, own)
 			}
 		}
 
-		x.entry = append(x.entry, e)
-		x.take(begin, e, e.Update(begin, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
+		sim.entry = append(sim.entry, e)
+		sim.apply(startTime, e, e.Update(startTime, []dispatch.Service{{Name: "drafts", Streams: true}}, targets))
 	}
 
-	x.run()
+	sim.run()
 
-	return x
+	return sim
 }
 
-func (x *fleetRun) places(kind string, n int) []shares.Node {
+func (sim *fleetSim) nodes(kind string, n int) []shares.Node {
 	var out []shares.Node
 	for i := range n {
-		out = append(out, shares.Node{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint(i % x.zones)})
+		out = append(out, shares.Node{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint(i % sim.zones)})
 	}
 
 	return out
 }
 
-func (x *fleetRun) run() {
+func (sim *fleetSim) run() {
 	const tick = 5 * time.Millisecond
 
-	stepAt := begin.Add(x.step)
+	stepAt := startTime.Add(sim.step)
 
-	for n := range int(x.length / tick) {
-		now := begin.Add(time.Duration(n) * tick)
+	for n := range int(sim.duration / tick) {
+		now := startTime.Add(time.Duration(n) * tick)
 
-		for range x.poisson(x.perSecond * tick.Seconds()) {
-			x.arrive(now)
+		for range sim.poisson(sim.perSecond * tick.Seconds()) {
+			sim.arrive(now)
 		}
 
 		if !now.Before(stepAt) {
-			x.endStep(now)
+			sim.endStep(now)
 
-			stepAt = now.Add(x.stepLength(now))
+			stepAt = now.Add(sim.stepLength(now))
 		}
 
-		x.tell(now, n, int(x.tellEvery/tick))
+		sim.reportLoads(now, n, int(sim.reportInterval/tick))
 
 		if n%4 == 0 {
-			for _, e := range x.entry {
-				x.take(now, e, e.Tick(now))
+			for _, e := range sim.entry {
+				sim.apply(now, e, e.Tick(now))
 			}
 		}
 	}
 }
 
-func (x *fleetRun) poisson(mean float64) int {
-	n, p, least := 0, x.r.Float64(), math.Exp(-mean)
-	for ; p > least; n++ {
-		p *= x.r.Float64()
+func (sim *fleetSim) poisson(mean float64) int {
+	n, p, threshold := 0, sim.r.Float64(), math.Exp(-mean)
+	for ; p > threshold; n++ {
+		p *= sim.r.Float64()
 	}
 
 	return n
 }
 
-func (x *fleetRun) stepLength(now time.Time) time.Duration {
-	if now.Sub(begin)%x.longEvery > x.longEvery-x.longFor {
-		return x.longStep
+func (sim *fleetSim) stepLength(now time.Time) time.Duration {
+	if now.Sub(startTime)%sim.longStepInterval > sim.longStepInterval-sim.longStepDuration {
+		return sim.longStep
 	}
 
-	return x.step
+	return sim.step
 }
 
-// arrive brings a draft to one of the entries, by how many callers they have.
-func (x *fleetRun) arrive(now time.Time) {
+// arrive submits a request to an entry chosen in proportion to its callers.
+func (sim *fleetSim) arrive(now time.Time) {
 	total := 0.0
-	for _, e := range x.entry {
+	for _, e := range sim.entry {
 		total += e.weight
 	}
 
-	at := x.r.Float64() * total
-	i := slices.IndexFunc(x.entry, func(e *fleetEntry) bool {
+	at := sim.r.Float64() * total
+	i := slices.IndexFunc(sim.entry, func(e *fleetEntry) bool {
 		at -= e.weight
 
 		return at <= 0
 	})
-	e := x.entry[max(i, 0)]
+	e := sim.entry[max(i, 0)]
 
-	x.id++
-	x.arrived++
-	prompt := 2 + x.r.IntN(2)
-	e.waiting[x.id] = &job{entry: e, arrived: now, prompt: prompt, passes: prompt + 1 + int(min(37, 12*math.Exp(0.7*x.r.NormFloat64())))}
-	x.take(now, e, e.Submit(now, dispatch.Request{ID: x.id, Service: "drafts", SoftDeadline: now.Add(x.aim), Deadline: now.Add(x.patience)}))
+	sim.id++
+	sim.arrived++
+	promptStepsLeft := 2 + sim.r.IntN(2)
+	e.waiting[sim.id] = &fleetRequest{entry: e, arrived: now, promptStepsLeft: promptStepsLeft, stepsLeft: promptStepsLeft + 1 + int(min(37, 12*math.Exp(0.7*sim.r.NormFloat64())))}
+	sim.apply(now, e, e.Submit(now, dispatch.Request{ID: sim.id, Service: "drafts", SoftDeadline: now.Add(sim.latencyTarget), Deadline: now.Add(sim.timeout)}))
 }
 
-func (x *fleetRun) take(now time.Time, e *fleetEntry, actions []dispatch.Action) {
+func (sim *fleetSim) apply(now time.Time, e *fleetEntry, actions []dispatch.Action) {
 	for _, a := range actions {
-		j := e.waiting[a.ID]
+		req := e.waiting[a.ID]
 		delete(e.waiting, a.ID)
 
 		if !a.Placed {
-			x.refused++
+			sim.refused++
 
 			continue
 		}
 
-		j.placed, j.eventAt = a, now
-		t := x.byID[a.Target.ID]
-		t.queued = append(t.queued, j)
+		req.placed, req.eventAt = a, now
+		t := sim.byID[a.Target.ID]
+		t.queued = append(t.queued, req)
 		t.placed++
 	}
 }
 
-// endStep ends a step of the whole group: all drafts that are in it get on, and those
-// that wait at a target take the slots that are free.
-func (x *fleetRun) endStep(now time.Time) {
-	for _, t := range x.target {
-		var left []*job
+// endStep ends a step of the whole group. All running requests advance, and requests queued
+// at a target take its free slots.
+func (sim *fleetSim) endStep(now time.Time) {
+	for _, t := range sim.target {
+		var continuing []*fleetRequest
 
-		for _, j := range t.running {
-			if x.advance(now, j) {
-				left = append(left, j)
+		for _, req := range t.running {
+			if sim.advance(now, req) {
+				continuing = append(continuing, req)
 			}
 		}
 
-		t.running = left
-		t.queued = slices.DeleteFunc(t.queued, func(j *job) bool { return x.gone(now, j) })
+		t.running = continuing
+		t.queued = slices.DeleteFunc(t.queued, func(req *fleetRequest) bool { return sim.cancelIfTimedOut(now, req) })
 
 		for len(t.running) < t.Slots && len(t.queued) > 0 {
-			j := t.queued[0]
-			t.running, t.queued = append(t.running, j), t.queued[1:]
+			req := t.queued[0]
+			t.running, t.queued = append(t.running, req), t.queued[1:]
 
-			if now.Sub(j.eventAt) > x.longStep {
-				x.queuedFor++
+			if now.Sub(req.eventAt) > sim.longStep {
+				sim.queuedLong++
 			}
 		}
 	}
 }
 
-// gone reports whether the caller of a draft without an event has left.
-func (x *fleetRun) gone(now time.Time, j *job) bool {
-	if j.begun || now.Sub(j.arrived) <= x.patience {
+// cancelIfTimedOut cancels a request without any event if its deadline has passed, and
+// reports whether it did.
+func (sim *fleetSim) cancelIfTimedOut(now time.Time, req *fleetRequest) bool {
+	if req.started || now.Sub(req.arrived) <= sim.timeout {
 		return false
 	}
 
-	x.left++
-	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Canceled))
+	sim.canceled++
+	sim.apply(now, req.entry, req.entry.Finish(now, req.placed, 1, dispatch.Canceled))
 
 	return true
 }
 
-// advance gives a draft its step, and reports whether it needs more.
-func (x *fleetRun) advance(now time.Time, j *job) bool {
-	if x.gone(now, j) {
+// advance advances a request by one step and reports whether it needs more.
+func (sim *fleetSim) advance(now time.Time, req *fleetRequest) bool {
+	if sim.cancelIfTimedOut(now, req) {
 		return false
 	}
 
-	j.passes--
-	j.prompt--
+	req.stepsLeft--
+	req.promptStepsLeft--
 
-	if j.prompt >= 0 {
+	if req.promptStepsLeft >= 0 {
 		return true
 	}
 
-	pause := now.Sub(j.eventAt)
+	gap := now.Sub(req.eventAt)
 
-	if j.begun {
-		j.late = j.late || pause > x.gap+50*time.Millisecond
-		j.entry.ReportEventGap(now, j.placed, float64(pause)/float64(x.gap))
+	if req.started {
+		req.late = req.late || gap > sim.maxGap+50*time.Millisecond
+		req.entry.ReportEventGap(now, req.placed, float64(gap)/float64(sim.maxGap))
 	} else {
-		j.begun = true
-		j.late = now.Sub(j.arrived) > x.aim
-		j.entry.ReportFirstAnswer(j.placed, pause)
+		req.started = true
+		req.late = now.Sub(req.arrived) > sim.latencyTarget
+		req.entry.ReportFirstAnswer(req.placed, gap)
 	}
 
-	j.eventAt = now
+	req.eventAt = now
 
-	if j.passes > 0 {
+	if req.stepsLeft > 0 {
 		return true
 	}
 
-	if j.late {
-		x.late++
+	if req.late {
+		sim.late++
 	} else {
-		x.inTime++
+		sim.inTime++
 	}
 
-	x.take(now, j.entry, j.entry.Finish(now, j.placed, 1, dispatch.Completed))
+	sim.apply(now, req.entry, req.entry.Finish(now, req.placed, 1, dispatch.Completed))
 
 	return false
 }
 
-// tell lets each target whose turn it is tell its load to its users.
-func (x *fleetRun) tell(now time.Time, n, every int) {
-	for i, t := range x.target {
-		if (n+i)%every != 0 {
+// reportLoads reports the loads of the targets that are due to the entries that use them.
+func (sim *fleetSim) reportLoads(now time.Time, n, interval int) {
+	for i, t := range sim.target {
+		if (n+i)%interval != 0 {
 			continue
 		}
 
-		for _, e := range t.users {
-			x.take(now, e, e.ReportLoad(now, "drafts", t.ID, dispatch.Load{Running: len(t.running), Waiting: len(t.queued), Slowdown: 1}))
+		for _, e := range t.usedBy {
+			sim.apply(now, e, e.ReportLoad(now, "drafts", t.ID, dispatch.Load{Running: len(t.running), Waiting: len(t.queued), Slowdown: 1}))
 		}
 	}
 }
 
-// busiest is how many drafts the busiest target got, against the mean.
-func (x *fleetRun) busiest() float64 {
-	most, total := 0, 0
-	for _, t := range x.target {
-		most, total = max(most, t.placed), total+t.placed
+// maxToMeanPlaced returns the maximum number of requests placed at a target, relative to
+// the mean.
+func (sim *fleetSim) maxToMeanPlaced() float64 {
+	maximum, total := 0, 0
+	for _, t := range sim.target {
+		maximum, total = max(maximum, t.placed), total+t.placed
 	}
 
-	return float64(most) * float64(len(x.target)) / float64(total)
+	return float64(maximum) * float64(len(sim.target)) / float64(total)
 }
 
-// waitedAtTargets is the part of the drafts that waited at a target for more than a step.
-func (x *fleetRun) waitedAtTargets() float64 { return float64(x.queuedFor) / float64(x.arrived) }
+// queuedFraction returns the fraction of requests that waited at a target for longer than a
+// step.
+func (sim *fleetSim) queuedFraction() float64 { return float64(sim.queuedLong) / float64(sim.arrived) }
 
-// unshared is the same day where each entry uses all targets, and gives each as much as it
-// seems to have room for.
-func (f fleetDay) unshared() fleetDay {
-	f.degree = f.targets
+// withoutShares returns the configuration in which each entry uses all targets, and fills
+// each of them up to the capacity it sees.
+func (f fleetConfig) withoutShares() fleetConfig {
+	f.subsetSize = f.targets
 	f.settings.BorrowReserve = -float64(f.slots)
 
 	return f
 }
 
-// Steps grow long near what 129 ranks bear behind 39 entries. Guards against entries that all
-// choose the same targets as the freest, where drafts wait until their callers leave.
-func TestDraftsDoNotWaitAtTargets(t *testing.T) {
+// Steps are long because 129 ranks run close to their capacity, with 39 entries. Guards
+// against all entries choosing the same targets as the least loaded, where requests then
+// wait until their callers disconnect.
+func TestRequestsDoNotQueueAtTargets(t *testing.T) {
 	t.Parallel()
 
 	f := busyFleet()
-	with, without := f.play(1), f.unshared().play(1)
-	t.Logf("waited at a target %.3f, %.3f where all entries use all targets; busiest %.2f, %.2f", with.waitedAtTargets(), without.waitedAtTargets(), with.busiest(), without.busiest())
-	require.Less(t, with.waitedAtTargets(), 0.02)
-	require.Less(t, with.waitedAtTargets(), without.waitedAtTargets()/4)
+	with, without := f.simulate(1), f.withoutShares().simulate(1)
+	t.Logf("queued at a target for longer than a step: %.3f, %.3f if all entries use all targets; maximum to mean placed: %.2f, %.2f", with.queuedFraction(), without.queuedFraction(), with.maxToMeanPlaced(), without.maxToMeanPlaced())
+	require.Less(t, with.queuedFraction(), 0.02)
+	require.Less(t, with.queuedFraction(), without.queuedFraction()/4)
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -13,36 +13,38 @@
 	"github.com/parsleygate/parsleygate/internal/shares"
 )
 
-// sizes are the numbers of entries at which limits that they hold together are tested.
-var sizes = []int{1, 3, 39, 77, 410}
+// entryCounts lists the numbers of entries with which shared limits are tested.
+var entryCounts = []int{1, 3, 39, 77, 410}
 
 const (
-	// least is the part of a limit that entries must be able to use together.
-	least = 0.8
-	// coldOvershoot and coldSlack bound what a cold target may get in a second beyond what it declares.
+	// minUsedFraction is the fraction of a limit that the entries must be able to use
+	// together.
+	minUsedFraction = 0.8
+	// coldOvershoot and coldSlack bound the requests that a cold target may receive in a
+	// second beyond its declared limit.
 	coldOvershoot = 1.5
 	coldSlack     = 5
 )
 
-// crowd is a number of entries that use the same targets.
-type crowd struct {
+// entrySet is a set of entries that use the same targets.
+type entrySet struct {
 	service dispatch.Service
 	targets []dispatch.Target
-	places  []shares.Node
-	entries []*crowdEntry
-	id      uint64
+	nodes   []shares.Node
+	entries []*testEntry
+	lastID  uint64
 	sent    map[string][]time.Time
 }
 
-type crowdEntry struct {
+type testEntry struct {
 	*dispatch.Dispatcher
 
-	place  shares.Node
+	node   shares.Node
 	placed []dispatch.Action
 }
 
-func newCrowd(entries, targets int, s dispatch.Service, edit func(*dispatch.Target)) *crowd {
-	c := &crowd{service: s, sent: map[string][]time.Time{}}
+func newEntrySet(entries, targets int, s dispatch.Service, edit func(*dispatch.Target)) *entrySet {
+	es := &entrySet{service: s, sent: map[string][]time.Time{}}
 
 	for i := range targets {
 		t := dispatch.Target{ID: fmt.Sprintf("t%03d", i), Service: s.Name, Zone: fmt.Sprint(i % 5), Slots: 6}
@@ -50,106 +52,108 @@
 			edit(&t)
 		}
 
-		c.targets = append(c.targets, t)
-		c.places = append(c.places, shares.Node{ID: t.ID, Zone: t.Zone})
+		es.targets = append(es.targets, t)
+		es.nodes = append(es.nodes, shares.Node{ID: t.ID, Zone: t.Zone})
 	}
 
 	for range entries {
-		c.join()
+		es.join()
 	}
 
-	all := c.match(c.roster())
-	for _, e := range c.entries {
-		c.tell(begin, e, all)
+	all := es.match(es.roster())
+	for _, e := range es.entries {
+		es.updateTargets(startTime, e, all)
 	}
 
-	return c
+	return es
 }
 
 // match matches the entries of a roster with the targets.
-func (c *crowd) match(roster []shares.Node) *shares.Matching {
-	return shares.Subsetter{Size: shares.SubsetSize(len(roster), len(c.targets))}.Match(roster, c.places)
+func (es *entrySet) match(roster []shares.Node) *shares.Matching {
+	return shares.Subsetter{Size: shares.SubsetSize(len(roster), len(es.targets))}.Match(roster, es.nodes)
 }
 
 // join adds an entry.
-func (c *crowd) join() *crowdEntry {
-	c.id++
-	e := &crowdEntry{
-		Dispatcher: &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(c.id, 2))},
-		place:      shares.Node{ID: fmt.Sprintf("e%04d", c.id), Zone: fmt.Sprint(c.id % 5)},
+func (es *entrySet) join() *testEntry {
+	es.lastID++
+	e := &testEntry{
+		Dispatcher: &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(es.lastID, 2))},
+		node:       shares.Node{ID: fmt.Sprintf("e%04d", es.lastID), Zone: fmt.Sprint(es.lastID % 5)},
 	}
-	c.entries = append(c.entries, e)
+	es.entries = append(es.entries, e)
 
 	return e
 }
 
-func (c *crowd) roster() []shares.Node {
-	out := make([]shares.Node, 0, len(c.entries))
-	for _, e := range c.entries {
-		out = append(out, e.place)
+func (es *entrySet) roster() []shares.Node {
+	out := make([]shares.Node, 0, len(es.entries))
+	for _, e := range es.entries {
+		out = append(out, e.node)
 	}
 
 	return out
 }
 
-// tell lets an entry know its targets by a matching, which may be of a wrong roster.
-func (c *crowd) tell(now time.Time, e *crowdEntry, by *shares.Matching) {
-	mine := by.Targets(e.place.ID)
+// updateTargets updates an entry with its targets from a matching, which may be based on an
+// outdated roster.
+func (es *entrySet) updateTargets(now time.Time, e *testEntry, matching *shares.Matching) {
+	subset := matching.Targets(e.node.ID)
 
 	var targets []dispatch.Target
 
-	for _, t := range c.targets {
-		if s, ok := mine[t.ID]; ok {
+	for _, t := range es.targets {
+		if s, ok := subset[t.ID]; ok {
 			t.Share = s
 			targets = append(targets, t)
 		}
 	}
 
-	c.take(now, e, e.Update(now, []dispatch.Service{c.service}, targets))
+	es.apply(now, e, e.Update(now, []dispatch.Service{es.service}, targets))
 }
 
-func (c *crowd) take(now time.Time, e *crowdEntry, actions []dispatch.Action) bool {
+func (es *entrySet) apply(now time.Time, e *testEntry, actions []dispatch.Action) bool {
 	placed := false
 
 	for _, a := range actions {
 		if a.Placed {
 			placed = true
 			e.placed = append(e.placed, a)
-			c.sent[a.Target.ID] = append(c.sent[a.Target.ID], now)
+			es.sent[a.Target.ID] = append(es.sent[a.Target.ID], now)
 		}
 	}
 
 	return placed
 }
 
-// fill lets an entry place as many requests as it may.
-func (c *crowd) fill(now time.Time, e *crowdEntry) {
+// fill submits requests to an entry until one is not placed.
+func (es *entrySet) fill(now time.Time, e *testEntry) {
 	for {
-		c.id++
-		r := dispatch.Request{ID: c.id, Service: c.service.Name, SoftDeadline: now.Add(time.Second), Deadline: now.Add(time.Second)}
+		es.lastID++
+		r := dispatch.Request{ID: es.lastID, Service: es.service.Name, SoftDeadline: now.Add(time.Second), Deadline: now.Add(time.Second)}
 
-		if !c.take(now, e, e.Submit(now, r)) {
-			e.Cancel(c.service.Name, c.id)
+		if !es.apply(now, e, e.Submit(now, r)) {
+			e.Cancel(es.service.Name, es.lastID)
 
 			return
 		}
 	}
 }
 
-// end ends all requests of an entry.
-func (c *crowd) end(now time.Time, e *crowdEntry) {
+// finishAll completes all requests of an entry.
+func (es *entrySet) finishAll(now time.Time, e *testEntry) {
 	for _, a := range e.placed {
-		c.take(now, e, e.Finish(now, a, 1, dispatch.Completed))
+		es.apply(now, e, e.Finish(now, a, 1, dispatch.Completed))
 	}
 
 	e.placed = nil
 }
 
-// mostPerSecond is how many requests some target got in some second.
-func (c *crowd) mostPerSecond() int {
-	most := 0
+// maxPerSecond returns the maximum number of requests that a target received within a
+// second.
+func (es *entrySet) maxPerSecond() int {
+	maximum := 0
 
-	for _, times := range c.sent {
+	for _, times := range es.sent {
 		first := 0
 
 		for i := range times {
@@ -157,18 +161,18 @@
 				first++
 			}
 
-			most = max(most, i-first+1)
+			maximum = max(maximum, i-first+1)
 		}
 	}
 
-	return most
+	return maximum
 }
 
-// total is how many requests were sent at from or later.
-func (c *crowd) total(from time.Time) int {
+// total returns the number of requests sent at from or later.
+func (es *entrySet) total(from time.Time) int {
 	n := 0
 
-	for _, times := range c.sent {
+	for _, times := range es.sent {
 		for _, at := range times {
 			if !at.Before(from) {
 				n++
@@ -179,174 +183,176 @@
 	return n
 }
 
-// All targets come back cold and every entry has more callers than they bear. Guards
-// against a limit that is divided by the number of entries with one as the least: 39
-// entries sent 32 requests in a second to a target that bears 30.
+// All targets return cold, and every entry has more requests than they can process. Guards
+// against dividing a limit by the number of entries with a minimum of one: 39 entries sent
+// 32 requests in a second to a target with a limit of 30.
 func TestColdLimitHoldsAtAnyNumberOfEntries(t *testing.T) {
 	t.Parallel()
 
 	const perSecond, seconds = 17, 4
 
 	for _, targets := range []int{12, 129} {
-		for _, entries := range sizes {
+		for _, entries := range entryCounts {
 			t.Run(fmt.Sprintf("%d targets, %d entries", targets, entries), func(t *testing.T) {
 				t.Parallel()
 
-				c := newCrowd(entries, targets, dispatch.Service{Name: "drafts", ColdPerSecond: perSecond}, func(t *dispatch.Target) {
-					t.ColdUntil = begin.Add(time.Hour)
+				es := newEntrySet(entries, targets, dispatch.Service{Name: "drafts", ColdPerSecond: perSecond}, func(t *dispatch.Target) {
+					t.ColdUntil = startTime.Add(time.Hour)
 				})
 
 				for tick := range seconds * 5 {
-					now := begin.Add(time.Duration(tick) * 200 * time.Millisecond)
+					now := startTime.Add(time.Duration(tick) * 200 * time.Millisecond)
 
-					for _, e := range c.entries {
-						c.fill(now, e)
-						c.end(now, e)
+					for _, e := range es.entries {
+						es.fill(now, e)
+						es.finishAll(now, e)
 					}
 				}
 
-				require.LessOrEqual(t, float64(c.mostPerSecond()), perSecond*coldOvershoot+coldSlack, "at one target in one second")
+				require.LessOrEqual(t, float64(es.maxPerSecond()), perSecond*coldOvershoot+coldSlack, "requests at one target in one second")
 
-				// In their first second entries may know few of each other, and take less.
-				used := float64(c.total(begin.Add(time.Second))) / float64(targets*perSecond*(seconds-1))
-				require.GreaterOrEqual(t, used, least, "of what the targets bear")
+				// In their first second, entries may know only a few of the others, and use
+				// less of the limit.
+				used := float64(es.total(startTime.Add(time.Second))) / float64(targets*perSecond*(seconds-1))
+				require.GreaterOrEqual(t, used, minUsedFraction, "fraction of the cold limit that was used")
 			})
 		}
 	}
 }
 
-// Entries come and know only half of the others, and entries go while some still count
-// them. Guards against targets that break down since all of them together send too much
+// Entries join and know only half of the others, and entries leave while some still count
+// them. Guards against targets that fail because the entries together exceed the limit
 // until their lists agree.
-func TestColdLimitHoldsWhileEntriesComeAndGo(t *testing.T) {
+func TestColdLimitHoldsWhileEntriesAreReplaced(t *testing.T) {
 	t.Parallel()
 
 	const perSecond = 17
 
-	for _, entries := range sizes {
+	for _, entries := range entryCounts {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			t.Parallel()
 
 			r := rand.New(rand.NewPCG(uint64(entries), 1))
-			c := newCrowd(entries, 129, dispatch.Service{Name: "drafts", ColdPerSecond: perSecond}, func(t *dispatch.Target) {
-				t.ColdUntil = begin.Add(time.Hour)
+			es := newEntrySet(entries, 129, dispatch.Service{Name: "drafts", ColdPerSecond: perSecond}, func(t *dispatch.Target) {
+				t.ColdUntil = startTime.Add(time.Hour)
 			})
-			told := map[*crowdEntry]time.Time{}
-			all := c.match(c.roster())
+			updateAt := map[*testEntry]time.Time{}
+			all := es.match(es.roster())
 
 			for tick := range 30 {
-				now := begin.Add(time.Duration(tick) * 200 * time.Millisecond)
+				now := startTime.Add(time.Duration(tick) * 200 * time.Millisecond)
 
 				if tick%10 == 9 {
-					c.turnOver(r, now, told)
-					all = c.match(c.roster())
+					es.replaceEntries(r, now, updateAt)
+					all = es.match(es.roster())
 				}
 
-				for _, e := range c.entries {
-					if at, ok := told[e]; ok && !now.Before(at) {
-						delete(told, e)
-						c.tell(now, e, all)
+				for _, e := range es.entries {
+					if at, ok := updateAt[e]; ok && !now.Before(at) {
+						delete(updateAt, e)
+						es.updateTargets(now, e, all)
 					}
 
-					c.fill(now, e)
-					c.end(now, e)
+					es.fill(now, e)
+					es.finishAll(now, e)
 				}
 			}
 
-			require.LessOrEqual(t, float64(c.mostPerSecond()), perSecond*coldOvershoot+coldSlack)
+			require.LessOrEqual(t, float64(es.maxPerSecond()), perSecond*coldOvershoot+coldSlack)
 		})
 	}
 }
 
-// turnOver lets a tenth of the entries go and as many come. Who comes knows a half of the
-// others for 0.6 s, and each of the others hears of the change within a second.
-func (c *crowd) turnOver(r *rand.Rand, now time.Time, told map[*crowdEntry]time.Time) {
-	n := (len(c.entries) + 9) / 10
-	c.entries = slices.Delete(c.entries, 0, n)
+// replaceEntries removes a tenth of the entries and adds as many. A new entry knows half of
+// the others for 0.6 s, and each of the others receives the update within a second.
+func (es *entrySet) replaceEntries(r *rand.Rand, now time.Time, updateAt map[*testEntry]time.Time) {
+	n := (len(es.entries) + 9) / 10
+	es.entries = slices.Delete(es.entries, 0, n)
 
-	for _, e := range c.entries {
-		told[e] = now.Add(time.Duration(r.IntN(1000)) * time.Millisecond)
+	for _, e := range es.entries {
+		updateAt[e] = now.Add(time.Duration(r.IntN(1000)) * time.Millisecond)
 	}
 
 	for range n {
-		e := c.join()
-		half := slices.DeleteFunc(c.roster(), func(p shares.Node) bool { return p.ID != e.place.ID && r.IntN(2) == 0 })
-		c.tell(now, e, c.match(half))
+		e := es.join()
+		half := slices.DeleteFunc(es.roster(), func(p shares.Node) bool { return p.ID != e.node.ID && r.IntN(2) == 0 })
+		es.updateTargets(now, e, es.match(half))
 
-		told[e] = now.Add(600 * time.Millisecond)
+		updateAt[e] = now.Add(600 * time.Millisecond)
 	}
 }
 
-// Every entry has more callers than there are connections. Guards against more connections
-// to a target than it takes, which resets those beyond, and against entries that get none.
+// Every entry has more requests than there are connections. Guards against more connections
+// to a target than it accepts, because it resets the excess ones, and against entries
+// without any connection.
 func TestConnectionsAreSharedAtAnyNumberOfEntries(t *testing.T) {
 	t.Parallel()
 
 	const targets = 6
 
-	for _, most := range []int{52, 480} {
-		for _, entries := range sizes {
-			t.Run(fmt.Sprintf("%d connections, %d entries", most, entries), func(t *testing.T) {
+	for _, connections := range []int{52, 480} {
+		for _, entries := range entryCounts {
+			t.Run(fmt.Sprintf("%d connections, %d entries", connections, entries), func(t *testing.T) {
 				t.Parallel()
 
-				c := newCrowd(entries, targets, dispatch.Service{Name: "desk", MaxConnections: most}, func(t *dispatch.Target) { t.Slots = 0 })
-				for _, e := range c.entries {
-					c.fill(begin, e)
+				es := newEntrySet(entries, targets, dispatch.Service{Name: "desk", MaxConnections: connections}, func(t *dispatch.Target) { t.Slots = 0 })
+				for _, e := range es.entries {
+					es.fill(startTime, e)
 				}
 
-				for target, times := range c.sent {
-					require.LessOrEqual(t, len(times), most, target)
+				for target, times := range es.sent {
+					require.LessOrEqual(t, len(times), connections, target)
 				}
 
-				require.GreaterOrEqual(t, float64(c.total(begin)), least*float64(targets*most))
+				require.GreaterOrEqual(t, float64(es.total(startTime)), minUsedFraction*float64(targets*connections))
 			})
 		}
 	}
 }
 
-// A group opens with callers waiting at every entry. Guards against a share with one as
-// the least, by which 39 entries gave each target 39 drafts for its 6 slots.
-func TestGroupThatOpensIsSharedAtAnyNumberOfEntries(t *testing.T) {
+// A group recovers with requests waiting at every entry. Guards against shares with a
+// minimum of one: 39 entries placed 39 requests at each target with 6 slots.
+func TestRecoveredGroupIsSharedAtAnyNumberOfEntries(t *testing.T) {
 	t.Parallel()
 
 	for _, shape := range []struct{ targets, slots int }{{12, 12}, {63, 10}, {129, 6}} {
-		for _, entries := range sizes {
+		for _, entries := range entryCounts {
 			t.Run(fmt.Sprintf("%d targets, %d entries", shape.targets, entries), func(t *testing.T) {
 				t.Parallel()
 
-				c := newCrowd(entries, shape.targets, dispatch.Service{Name: "drafts", Streams: true}, func(t *dispatch.Target) { t.Slots = shape.slots })
-				for _, e := range c.entries {
-					c.fill(begin, e)
+				es := newEntrySet(entries, shape.targets, dispatch.Service{Name: "drafts", Streams: true}, func(t *dispatch.Target) { t.Slots = shape.slots })
+				for _, e := range es.entries {
+					es.fill(startTime, e)
 				}
 
-				for target, times := range c.sent {
+				for target, times := range es.sent {
 					require.LessOrEqual(t, len(times), shape.slots, target)
 				}
 
-				require.GreaterOrEqual(t, c.total(begin), shape.targets*shape.slots/2)
+				require.GreaterOrEqual(t, es.total(startTime), shape.targets*shape.slots/2)
 			})
 		}
 	}
 }
 
-// Callers come to one entry alone while a service's targets are cold. Guards against an
-// entry that has no part of a limit for good: it gets its turn.
-func TestNoEntryIsWithoutItsTurn(t *testing.T) {
+// While the targets of a service are cold, requests arrive at a single entry. Guards
+// against an entry that never has a share of a limit: the shares must rotate.
+func TestEveryEntryGetsATurnAtColdTargets(t *testing.T) {
 	t.Parallel()
 
-	for _, entries := range sizes {
-		c := newCrowd(entries, 12, dispatch.Service{Name: "drafts", ColdPerSecond: 17}, func(t *dispatch.Target) { t.ColdUntil = begin.Add(time.Hour) })
+	for _, entries := range entryCounts {
+		es := newEntrySet(entries, 12, dispatch.Service{Name: "drafts", ColdPerSecond: 17}, func(t *dispatch.Target) { t.ColdUntil = startTime.Add(time.Hour) })
 
-		for _, e := range c.entries[:min(entries, 5)] {
-			before := c.total(begin)
+		for _, e := range es.entries[:min(entries, 5)] {
+			before := es.total(startTime)
 
 			for tick := range 600 {
-				now := begin.Add(time.Duration(tick) * 200 * time.Millisecond)
-				c.fill(now, e)
-				c.end(now, e)
+				now := startTime.Add(time.Duration(tick) * 200 * time.Millisecond)
+				es.fill(now, e)
+				es.finishAll(now, e)
 			}
 
-			require.Greater(t, c.total(begin), before, "%d entries", entries)
+			require.Greater(t, es.total(startTime), before, "%d entries", entries)
 		}
 	}
 }
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -10,27 +10,25 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// service is one service's targets and the requests that wait for them.
+// service holds the targets of a service and the requests that wait for them.
 type service struct {
 	Service
 
 	targets map[string]*target
-	// sorted are the targets by ID: what is decided must not depend on a map's order.
-	sorted  []*target
-	waiting []waiting
-	ends    rate
-	// others is the mean of what other entries have at a target.
-	others mean
-	// crowding bounds how many requests a target is given.
-	crowding crowding
-	// surge holds back starts while steps are suddenly long.
-	surge surge
-	// leastPace and mostPace are the paces of the fastest and of the slowest target,
-	// 0 while none has said one. They hold until pacesUntil.
-	leastPace  float64
-	mostPace   float64
-	pacesUntil time.Time
-	// firstAnswer is how long a placed request usually waits for its first answer.
+	// sorted lists the targets by ID, so that decisions do not depend on map order.
+	sorted      []*target
+	waiting     []waiting
+	completions completionRate
+	// otherRequests is the mean number of requests that the other entries have at a target.
+	otherRequests    decayingMean
+	concurrencyLimit concurrencyLimit
+	startLimit       startLimit
+	// minSlowdown and maxSlowdown are the smallest and largest slowdown of the targets, 0
+	// while none has been reported. They are valid until slowdownsUntil.
+	minSlowdown    float64
+	maxSlowdown    float64
+	slowdownsUntil time.Time
+	// firstAnswer is the average time from placing a request to its first answer.
 	firstAnswer time.Duration
 }
 
@@ -40,27 +38,27 @@
 	since time.Time
 }
 
-func (s *service) set(now time.Time, t Target) {
-	have := s.targets[t.ID]
+func (s *service) setTarget(now time.Time, t Target) {
+	current := s.targets[t.ID]
 
 	switch {
-	case have == nil || have.Address != t.Address:
-		have = &target{newUntil: now.Add(newFor)}
-		s.targets[t.ID] = have
-	case have.Broken && !t.Broken:
-		have.newUntil = now.Add(newFor)
+	case current == nil || current.Address != t.Address:
+		current = &target{settlingUntil: now.Add(settlingTime)}
+		s.targets[t.ID] = current
+	case current.Broken && !t.Broken:
+		current.settlingUntil = now.Add(settlingTime)
 	}
 
-	have.Target = t
+	current.Target = t
 }
 
-// newFor is how long a target, or this entry, counts as just come into use: some words of
-// the target's load, or of the other entries.
-const newFor = time.Second
+// settlingTime is how long a target or this entry counts as new. It covers several load
+// reports of the target, or several updates about the other entries.
+const settlingTime = time.Second
 
-func (s *service) keepOnly(fresh map[string]bool) {
+func (s *service) retainTargets(ids map[string]bool) {
 	for id := range s.targets {
-		if !fresh[id] {
+		if !ids[id] {
 			delete(s.targets, id)
 		}
 	}
@@ -68,14 +66,14 @@
 	s.sorted = slices.SortedFunc(maps.Values(s.targets), func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (s *service) drop(id uint64) {
+func (s *service) removeWaiting(id uint64) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool { return w.ID == id })
 }
 
-func (s *service) refuseAll(now time.Time, cause verdict.Cause, retry time.Duration) []Action {
+func (s *service) refuseAll(now time.Time, cause verdict.Cause, retryAfter time.Duration) []Action {
 	out := make([]Action, 0, len(s.waiting))
 	for _, w := range s.waiting {
-		out = append(out, Action{ID: w.ID, Cause: cause, RetryAt: now.Add(retry)})
+		out = append(out, Action{ID: w.ID, Cause: cause, RetryAt: now.Add(retryAfter)})
 	}
 
 	s.waiting = nil
@@ -83,27 +81,28 @@
 	return out
 }
 
-// opensAt returns from when on some target may take r: now, or the end of the first
-// pause where all are left alone. It reports false if there is none to wait for.
-func (s *service) opensAt(now time.Time, r *Request) (at time.Time, ok bool) {
+// availableAt returns the earliest time at which some target may accept r: now, or the end
+// of the first ejection if all targets are ejected. It returns false if no target can
+// accept r.
+func (s *service) availableAt(now time.Time, r *Request) (at time.Time, ok bool) {
 	for _, t := range s.sorted {
 		if t.Draining || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
-		if !t.pausedUntil.After(now) {
+		if !t.ejectedUntil.After(now) {
 			return now, true
 		}
 
-		if !ok || t.pausedUntil.Before(at) {
-			at, ok = t.pausedUntil, true
+		if !ok || t.ejectedUntil.Before(at) {
+			at, ok = t.ejectedUntil, true
 		}
 	}
 
 	return at, ok
 }
 
-func (s *service) absence(r *Request) verdict.Cause {
+func (s *service) noTargetCause(r *Request) verdict.Cause {
 	if len(r.Excluded) > 0 {
 		return verdict.CauseTargetDown
 	}
@@ -111,61 +110,61 @@
 	return verdict.CauseNoTarget
 }
 
-// place places waiting requests while there is room, and refuses those that
-// cannot be served any more.
+// place assigns waiting requests while targets have capacity, and refuses those that can no
+// longer be answered in time.
 func (d *Dispatcher) place(now time.Time, s *service) []Action {
 	if len(s.waiting) == 0 {
 		return nil
 	}
 
-	// What is left is in the order in which it is to be placed.
-	out := d.refuseHopeless(now, s)
-	kept := s.waiting[:0]
+	// refuseUnservable leaves the waiting requests sorted in the order of placement.
+	out := d.refuseUnservable(now, s)
+	remaining := s.waiting[:0]
 
 	for i := range s.waiting {
 		w := &s.waiting[i]
 
 		var t *target
-		if !s.Streams || !s.surge.holds(now) {
+		if !s.Streams || !s.startLimit.blocked(now) {
 			t = d.choose(now, s, &w.Request)
 		}
 
 		if t == nil {
-			kept = append(kept, *w)
+			remaining = append(remaining, *w)
 
 			continue
 		}
 
 		t.place(now, w.Work)
-		s.surge.start()
+		s.startLimit.recordStart()
 		out = append(out, Action{ID: w.ID, Target: t.Target, Placed: true})
 	}
 
-	s.waiting = kept
+	s.waiting = remaining
 
 	return out
 }
 
-// limit returns how many requests t may have.
+// limit returns the maximum number of requests at t.
 func (s *service) limit(now time.Time, t *target, cfg *Settings) float64 {
-	most := float64(t.Slots) + cfg.MaxQueuedPerTarget
+	maximum := float64(t.Slots) + cfg.MaxQueuedPerTarget
 	if !s.Streams {
-		return most
+		return maximum
 	}
 
-	return min(s.crowdedAt(now, t, s.crowding.limit(t)), most)
+	return min(s.slowdownLimit(now, t, s.concurrencyLimit.limit(t)), maximum)
 }
 
-// order says which of two waiting requests goes first, where one that is placed now
-// is answered at due. What can still be in time goes before what is late already, the
-// newest first: in a burst, first come, first served would make every request late. Late
-// ones follow in the order in which their callers give up.
-func order(due time.Time, a, b *waiting) int {
+// compareWaiting orders two waiting requests by placement, where a request placed now is
+// answered at answerAt. Requests that can still meet their soft deadline precede those that
+// are late. The newest of them comes first: in a burst, first come, first served would make
+// every request late. Late requests are ordered by their deadlines.
+func compareWaiting(answerAt time.Time, a, b *waiting) int {
 	if a.Priority != b.Priority {
 		return cmp.Compare(a.Priority, b.Priority)
 	}
 
-	lateA, lateB := !due.Before(a.SoftDeadline), !due.Before(b.SoftDeadline)
+	lateA, lateB := !answerAt.Before(a.SoftDeadline), !answerAt.Before(b.SoftDeadline)
 
 	switch {
 	case lateA != lateB && lateB:
@@ -179,37 +178,37 @@
 	}
 }
 
-// refuseHopeless refuses what its caller will have given up before an answer, and
-// what no target is left for. A late request is refused as soon as more late ones
-// go before it than end in the time that it has. Where all targets failed lately and
-// are left alone, a caller that gives up before the first is tried again is refused at
-// once. The rest is left in order.
-func (d *Dispatcher) refuseHopeless(now time.Time, s *service) []Action {
+// refuseUnservable refuses requests that would exceed their deadline before an answer, and
+// those without an eligible target. A late request is refused once the requests ahead of it
+// are more than complete in its remaining time. If all targets are ejected, a request whose
+// deadline precedes the end of the first ejection is refused at once. The remaining
+// requests are left sorted.
+func (d *Dispatcher) refuseUnservable(now time.Time, s *service) []Action {
 	var out []Action
 
-	perSecond := s.ends.perSecond(now)
+	perSecond := s.completions.perSecond(now)
 	ahead := 0
 
-	due := now.Add(s.firstAnswer)
-	slices.SortStableFunc(s.waiting, func(a, b waiting) int { return order(due, &a, &b) })
+	answerAt := now.Add(s.firstAnswer)
+	slices.SortStableFunc(s.waiting, func(a, b waiting) int { return compareWaiting(answerAt, &a, &b) })
 
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waiting) bool {
-		opens, ok := s.opensAt(now, &w.Request)
-		closed := opens.Sub(now)
-		left := w.Deadline.Sub(due) - closed
-		queued := time.Duration(0)
+		openAt, ok := s.availableAt(now, &w.Request)
+		untilAvailable := openAt.Sub(now)
+		remaining := w.Deadline.Sub(answerAt) - untilAvailable
+		queueTime := time.Duration(0)
 
 		if perSecond > 0 {
-			queued = time.Duration(float64(ahead) / perSecond * float64(time.Second))
+			queueTime = time.Duration(float64(ahead) / perSecond * float64(time.Second))
 		}
 
-		late := !due.Before(w.SoftDeadline)
+		late := !answerAt.Before(w.SoftDeadline)
 
 		switch {
 		case !ok:
-			out = append(out, Action{ID: w.ID, Cause: s.absence(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetryAfter), Capacity: d.room(now, s)})
-		case left <= 0, late && perSecond > 0 && queued > left:
-			out = append(out, Action{ID: w.ID, Cause: d.shortage(now, s), RetryAt: now.Add(d.retryIn(closed + queued)), Capacity: d.room(now, s)})
+			out = append(out, Action{ID: w.ID, Cause: s.noTargetCause(&w.Request), RetryAt: now.Add(d.Settings.NoTargetRetryAfter), Capacity: d.capacity(now, s)})
+		case remaining <= 0, late && perSecond > 0 && queueTime > remaining:
+			out = append(out, Action{ID: w.ID, Cause: d.refusalCause(now, s), RetryAt: now.Add(d.retryAfter(untilAvailable + queueTime)), Capacity: d.capacity(now, s)})
 		default:
 			ahead++
 
@@ -222,14 +221,14 @@
 	return out
 }
 
-// shortage says why a request that waited got no target.
-func (d *Dispatcher) shortage(now time.Time, s *service) verdict.Cause {
+// refusalCause returns why a waiting request could not be placed.
+func (d *Dispatcher) refusalCause(now time.Time, s *service) verdict.Cause {
 	cause := verdict.CauseNoTarget
 
 	for _, t := range s.sorted {
-		switch o := d.obstacle(now, s, t); {
-		case o == obstacleLeaving:
-		case o == obstacleBroken, o == obstaclePaused && !t.full:
+		switch o := d.blockReason(now, s, t); {
+		case o == blockDraining:
+		case o == blockBroken, o == blockEjected && !t.rejected:
 			cause = verdict.CauseTargetDown
 		default:
 			return verdict.CauseOverload
@@ -239,11 +238,11 @@
 	return cause
 }
 
-func (d *Dispatcher) retryIn(wait time.Duration) time.Duration {
+func (d *Dispatcher) retryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, d.Settings.MinRetryAfter), d.Settings.MaxRetryAfter)
 }
 
-// choose returns the target with the least load that may take r now, or nil.
+// choose returns the eligible target with the lowest cost for r, or nil if there is none.
 func (d *Dispatcher) choose(now time.Time, s *service, r *Request) *target {
 	var best *target
 
@@ -251,17 +250,18 @@
 	ties := 0
 
 	for _, t := range s.sorted {
-		if d.obstacle(now, s, t) != obstacleNone || slices.Contains(r.Excluded, t.ID) {
+		if d.blockReason(now, s, t) != blockNone || slices.Contains(r.Excluded, t.ID) {
 			continue
 		}
 
-		c := t.cost(now, s, &d.Settings) + d.wayCost(t)
+		c := t.cost(now, s, &d.Settings) + d.zoneCost(t)
 
 		switch {
-		case best == nil || c < bestCost-costTie:
+		case best == nil || c < bestCost-costTolerance:
 			best, bestCost, ties = t, c, 1
-		case c <= bestCost+costTie:
-			// Each of the equal ones is as likely: all entries would else choose the same.
+		case c <= bestCost+costTolerance:
+			// Choose among equal targets with equal probability. Otherwise all entries
+			// would choose the same one.
 			ties++
 			if d.Rand.IntN(ties) == 0 {
 				best = t
@@ -272,9 +272,9 @@
 	return best
 }
 
-// wayCost is what the way to t costs, in the terms of a target's load. A packet that is
-// lost between zones is sent again later than callers accept between two events.
-func (d *Dispatcher) wayCost(t *target) float64 {
+// zoneCost returns the cost of the path to t, in units of relative target load. A packet
+// lost between zones is retransmitted later than the event gap that callers accept.
+func (d *Dispatcher) zoneCost(t *target) float64 {
 	if d.Zone == "" || t.Zone == d.Zone {
 		return 0
 	}
@@ -282,30 +282,31 @@
 	return d.Settings.CrossZoneCost
 }
 
-// costTie is the difference in load (parts of the slots) below which targets count as equal.
-const costTie = 0.02
+// costTolerance is the cost difference, as a fraction of the slots, below which targets
+// count as equal.
+const costTolerance = 0.02
 
-// obstacle returns why t may not get a request now; obstacleNone where it may.
-func (d *Dispatcher) obstacle(now time.Time, s *service, t *target) obstacle {
+// blockReason returns why t may not receive a request now, or blockNone if it may.
+func (d *Dispatcher) blockReason(now time.Time, s *service, t *target) blockReason {
 	switch {
 	case t.Draining:
-		return obstacleLeaving
+		return blockDraining
 	case t.Broken:
-		return obstacleBroken
-	case now.Before(t.pausedUntil):
-		return obstaclePaused
-	case t.Slots > 0 && d.full(now, s, t):
-		return obstacleFull
-	case s.MaxConnections > 0 && t.own >= t.Share.Units(now, float64(s.MaxConnections)):
-		return obstacleConnections
-	case s.ColdPerSecond > 0 && t.sentSince(now.Add(-d.Settings.ColdWindow)) >= d.coldShare(now, s, t):
-		return obstacleCold
+		return blockBroken
+	case now.Before(t.ejectedUntil):
+		return blockEjected
+	case t.Slots > 0 && d.isFull(now, s, t):
+		return blockFull
+	case s.MaxConnections > 0 && t.inFlight >= t.Share.Units(now, float64(s.MaxConnections)):
+		return blockConnections
+	case s.ColdPerSecond > 0 && t.sentSince(now.Add(-d.Settings.ColdWindow)) >= d.coldQuota(now, s, t):
+		return blockCold
 	default:
-		return obstacleNone
+		return blockNone
 	}
 }
 
-func (d *Dispatcher) full(now time.Time, s *service, t *target) bool {
+func (d *Dispatcher) isFull(now time.Time, s *service, t *target) bool {
 	limit := s.limit(now, t, &d.Settings)
 	load := t.load(now, s, &d.Settings)
 
@@ -313,41 +314,43 @@
 		return true
 	}
 
-	return s.Streams && t.own >= t.Share.Units(now, math.Ceil(limit)) && !d.mayBorrow(now, t, limit, load)
+	return s.Streams && t.inFlight >= t.Share.Units(now, math.Ceil(limit)) && !d.mayBorrow(now, t, limit, load)
 }
 
-// mayBorrow reports whether this entry may have more than its share at t. It may where the
-// others leave enough of theirs unused: they may all take it up before a word of it is heard.
-// While t has just come into use nothing has been heard.
+// mayBorrow reports whether this entry may exceed its share at t. It may if the other
+// entries leave enough of their shares unused: they may all use them before their load is
+// reported. Nothing has been reported for a new target, so borrowing is not allowed there.
 func (d *Dispatcher) mayBorrow(now time.Time, t *target, limit, load float64) bool {
-	if now.Before(t.newUntil) {
+	if now.Before(t.settlingUntil) {
 		return false
 	}
 
 	return load+1+d.Settings.BorrowReserve*float64(t.Share.Entries-1) <= limit
 }
 
-// coldUnknown is how far above the declared bound of a cold target all entries
-// together may go while it counts as warm: it may have turned cold without a word.
-const coldUnknown = 1.5
-
-// newPart is by how much smaller the part is, as a divisor, that an entry takes which may
-// know few of the others.
-const newPart = 4
-
-// coldShare is how many requests this entry may send to t in a second. A cold
-// target breaks down above its bound, and any target may turn cold without a
-// word, so warm ones have a bound too, which usual load does not reach. An entry that has
-// just started may know few of the others, and take too large a part.
-func (d *Dispatcher) coldShare(now time.Time, s *service, t *target) int {
+// warmBoundFactor is the factor by which all entries together may exceed the declared limit
+// of cold targets while a target counts as warm. The target may have become cold without
+// notice.
+const warmBoundFactor = 1.5
+
+// settlingDivisor reduces the share of an entry that has just started and may know only a
+// few of the others.
+const settlingDivisor = 4
+
+// coldQuota returns how many requests this entry may send to t per ColdWindow. A cold
+// target fails above its limit, and any target may become cold without notice, so a limit
+// applies to warm targets too; typical load does not reach it. An entry that has just
+// started may know only a few of the others and overestimate its share, so it uses only a
+// part.
+func (d *Dispatcher) coldQuota(now time.Time, s *service, t *target) int {
 	bound := s.ColdPerSecond * d.Settings.ColdUtilization
 	if !now.Before(t.ColdUntil) {
-		bound *= coldUnknown
+		bound *= warmBoundFactor
 	}
 
 	units := t.Share.Units(now, bound)
-	if now.Before(d.newUntil) {
-		return (units + newPart - 1) / newPart
+	if now.Before(d.settlingUntil) {
+		return (units + settlingDivisor - 1) / settlingDivisor
 	}
 
 	return units
--- /dev/null
+++ b/internal/dispatch/slowdown.go
@@ -0,0 +1,83 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// slowdownTTL is how long a reported slowdown remains valid.
+	slowdownTTL = 2 * time.Second
+	// minSlowRatio is the slowdown relative to the fastest target from which a target
+	// counts as slow.
+	minSlowRatio = 1.25
+	// fixedStepCost is the fixed part of a step's duration, expressed as the number of
+	// requests that take as long.
+	fixedStepCost = 5
+)
+
+// setSlowdown records the slowdown of a target. Each target reports ten times a second,
+// nearly always the same value, so the extremes over all targets are recomputed only when a
+// value has changed or expired.
+func (s *service) setSlowdown(now time.Time, t *target, slowdown float64) {
+	unchanged := t.slowdown == slowdown && now.Sub(t.slowdownAt) <= slowdownTTL
+	t.slowdown, t.slowdownAt = slowdown, now
+
+	if !unchanged || now.After(s.slowdownsUntil) {
+		s.updateSlowdowns(now)
+	}
+}
+
+// updateSlowdowns recomputes the smallest and largest valid slowdown of the targets that
+// accept requests, and the time until which they are valid without new reports.
+func (s *service) updateSlowdowns(now time.Time) {
+	s.minSlowdown, s.maxSlowdown, s.slowdownsUntil = math.Inf(1), 0, now.Add(slowdownTTL)
+
+	for _, t := range s.targets {
+		if t.slowdown == 0 || now.Sub(t.slowdownAt) > slowdownTTL || t.Draining {
+			continue
+		}
+
+		s.minSlowdown, s.maxSlowdown = min(s.minSlowdown, t.slowdown), max(s.maxSlowdown, t.slowdown)
+
+		if validUntil := t.slowdownAt.Add(slowdownTTL); validUntil.Before(s.slowdownsUntil) {
+			s.slowdownsUntil = validUntil
+		}
+	}
+}
+
+// slowdownLimit returns the maximum number of requests at t, where limit is that of the
+// fastest targets. In a lock-step group every rank waits for the slowest, so a slow rank
+// with as many requests as the others delays the whole group. It is limited to the number
+// it can process in the time of the others, which may be zero. If all targets are equally
+// slow, the limit is unchanged.
+func (s *service) slowdownLimit(now time.Time, t *target, limit float64) float64 {
+	if t.slowdown == 0 || now.Sub(t.slowdownAt) > slowdownTTL {
+		return limit
+	}
+
+	ratio := t.slowdown / s.minSlowdown
+	if ratio < minSlowRatio {
+		return limit
+	}
+
+	return max(0, (fixedStepCost+limit)/ratio-fixedStepCost)
+}
+
+// loadDependentFraction returns the fraction of a lock-step group's event gaps that is
+// caused by the number of running requests. With a slow rank, the group waits for the fixed
+// part of that rank's step, which fewer requests do not shorten.
+func (s *service) loadDependentFraction() float64 {
+	if s.maxSlowdown == 0 {
+		return 1
+	}
+
+	typical := fixedStepCost + s.concurrencyLimit.bound
+	slowest := fixedStepCost * s.maxSlowdown / s.minSlowdown
+
+	return max(minLoadDependentFraction, typical/max(typical, slowest))
+}
+
+// minLoadDependentFraction limits how much of an event gap is attributed to a slow rank. If
+// gaps exceed twice what callers accept, the streams end late whatever the limit is.
+const minLoadDependentFraction = 0.5
--- /dev/null
+++ b/internal/loadreport/loadreport.go
@@ -0,0 +1,283 @@
+// Package loadreport sends the load of engines from the agents beside them to entries. An
+// agent observes the load of its engine at no cost and without delay. An entry observes
+// only its own requests, and those of other entries only if an answer happens to report the
+// load. Reports are sent as UDP datagrams; a lost one is replaced by the next, about 100 ms
+// later.
+package loadreport
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/parsleygate/parsleygate/internal/wire"
+)
+
+const (
+	// subscribeInterval is how often an entry renews its subscription to an agent,
+	// subscriptionTTL how long a subscription is valid.
+	subscribeInterval = 2 * time.Second
+	subscriptionTTL   = 5 * time.Second
+	// resubscribeInterval is how often an entry sends a subscription to an agent that has
+	// sent no report for unresponsiveAfter.
+	resubscribeInterval = 250 * time.Millisecond
+	unresponsiveAfter   = time.Second
+	// checkInterval is how often an agent reads the load. It publishes the load if it has
+	// changed, and at least every maxPublishInterval.
+	checkInterval      = 100 * time.Millisecond
+	maxPublishInterval = 500 * time.Millisecond
+	// maxSubscribers limits the entries to which one agent reports.
+	maxSubscribers = 64
+	// maxDatagramSize is the maximum size of a datagram in bytes.
+	maxDatagramSize = 512
+)
+
+// Load is the number of requests that an engine runs, the number that wait at it, and the
+// ratio of its step time to its baseline.
+type Load struct {
+	Running  int
+	Waiting  int
+	Slowdown float64
+}
+
+// Publisher reports the load of the engine on this VM to the subscribed entries. Its
+// exported fields must be set before Run.
+type Publisher struct {
+	Cluster string
+	Conn    net.PacketConn
+	Load    func(ctx context.Context) (Load, error)
+	Logger  *slog.Logger
+
+	mu          sync.Mutex
+	subscribers map[netip.AddrPort]time.Time
+}
+
+// Run publishes the load until ctx is canceled.
+func (p *Publisher) Run(ctx context.Context) error {
+	p.subscribers = make(map[netip.AddrPort]time.Time)
+
+	go p.acceptSubscriptions()
+
+	defer func() { _ = p.Conn.Close() }()
+
+	tick := time.NewTicker(checkInterval)
+	defer tick.Stop()
+
+	var (
+		last        Load
+		publishedAt time.Time
+		seq         = uint64(time.Now().UnixMicro())
+	)
+
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-tick.C:
+		}
+
+		now := time.Now()
+
+		subscribers := p.activeSubscribers(now)
+		if len(subscribers) == 0 {
+			continue
+		}
+
+		l, err := p.Load(ctx)
+		if err != nil || l == last && now.Sub(publishedAt) < maxPublishInterval {
+			continue
+		}
+
+		last, publishedAt = l, now
+		seq++
+		p.publish(subscribers, &wire.LoadWord{Cluster: p.Cluster, Sequence: seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting), Pace: l.Slowdown})
+	}
+}
+
+func (p *Publisher) publish(subscribers []netip.AddrPort, w *wire.LoadWord) {
+	data, err := proto.Marshal(w)
+	if err != nil {
+		p.Logger.Error("Load report not sent: encoding failed.", "error", err)
+
+		return
+	}
+
+	for _, a := range subscribers {
+		// A lost datagram is replaced by the next one, so errors are ignored.
+		_, _ = p.Conn.WriteTo(data, net.UDPAddrFromAddrPort(a))
+	}
+}
+
+func (p *Publisher) activeSubscribers(now time.Time) []netip.AddrPort {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+
+	out := make([]netip.AddrPort, 0, len(p.subscribers))
+
+	for a, until := range p.subscribers {
+		if now.After(until) {
+			delete(p.subscribers, a)
+
+			continue
+		}
+
+		out = append(out, a)
+	}
+
+	return out
+}
+
+// acceptSubscriptions records subscriptions until the connection is closed.
+func (p *Publisher) acceptSubscriptions() {
+	receive(p.Conn, func(from netip.AddrPort, data []byte) {
+		var request wire.LoadAsk
+		if proto.Unmarshal(data, &request) != nil || request.GetCluster() != p.Cluster {
+			return
+		}
+
+		p.mu.Lock()
+		defer p.mu.Unlock()
+
+		if _, subscribed := p.subscribers[from]; subscribed || len(p.subscribers) < maxSubscribers {
+			p.subscribers[from] = time.Now().Add(subscriptionTTL)
+		}
+	})
+}
+
+func receive(conn net.PacketConn, handle func(netip.AddrPort, []byte)) {
+	buf := make([]byte, maxDatagramSize)
+
+	for {
+		n, from, err := conn.ReadFrom(buf)
+		if err != nil {
+			return
+		}
+
+		if udp, ok := from.(*net.UDPAddr); ok {
+			a := udp.AddrPort()
+			handle(netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), buf[:n])
+		}
+	}
+}
+
+// Subscriber subscribes to the load reports of agents. Its exported fields must be set
+// before Run.
+type Subscriber struct {
+	Cluster string
+	Conn    net.PacketConn
+	// Agents returns the addresses of the agents beside engines.
+	Agents func() []netip.AddrPort
+	// OnLoad is called with each load report and the address of its agent.
+	OnLoad func(agent netip.AddrPort, l Load)
+
+	mu   sync.Mutex
+	last map[netip.AddrPort]receivedReport
+	// requestedAt is when the last subscription was sent to each agent. It is used only by
+	// Run.
+	requestedAt map[netip.AddrPort]time.Time
+}
+
+// receivedReport identifies the last report of an agent.
+type receivedReport struct {
+	sequence uint64
+	at       time.Time
+}
+
+// Run subscribes to all agents and handles their reports until ctx is canceled.
+func (s *Subscriber) Run(ctx context.Context) error {
+	s.last = make(map[netip.AddrPort]receivedReport)
+	s.requestedAt = make(map[netip.AddrPort]time.Time)
+
+	request, err := proto.Marshal(&wire.LoadAsk{Cluster: s.Cluster})
+	if err != nil {
+		return eris.Wrap(err, "encode load subscription")
+	}
+
+	go receive(s.Conn, s.handleReport)
+
+	defer func() { _ = s.Conn.Close() }()
+
+	tick := time.NewTicker(resubscribeInterval)
+	defer tick.Stop()
+
+	for {
+		s.request(time.Now(), request)
+
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-tick.C:
+		}
+	}
+}
+
+// request sends a subscription to the agents whose subscription is due. It is due sooner
+// for agents that do not report: they may have restarted and lost their subscribers.
+func (s *Subscriber) request(now time.Time, request []byte) {
+	agents := s.Agents()
+	requestedAt := make(map[netip.AddrPort]time.Time, len(agents))
+
+	for _, a := range agents {
+		requestedAt[a] = s.requestedAt[a]
+
+		interval := subscribeInterval
+		if s.unresponsive(now, a) {
+			interval = resubscribeInterval
+		}
+
+		if now.Sub(s.requestedAt[a]) < interval {
+			continue
+		}
+
+		requestedAt[a] = now
+
+		_, _ = s.Conn.WriteTo(request, net.UDPAddrFromAddrPort(a))
+	}
+
+	s.requestedAt = requestedAt
+}
+
+func (s *Subscriber) unresponsive(now time.Time, agent netip.AddrPort) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	return now.Sub(s.last[agent].at) >= unresponsiveAfter
+}
+
+// maxReordering is the largest difference by which a sequence number may fall behind due to
+// reordered datagrams. A larger difference means that the agent has restarted on a VM whose
+// clock was set back.
+const maxReordering = 1000
+
+func (s *Subscriber) handleReport(from netip.AddrPort, data []byte) {
+	var w wire.LoadWord
+	if proto.Unmarshal(data, &w) != nil || w.GetCluster() != s.Cluster {
+		return
+	}
+
+	if !s.isNew(from, w.GetSequence()) {
+		return
+	}
+
+	s.OnLoad(from, Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slowdown: w.GetPace()})
+}
+
+// isNew records a report and reports whether it is newer than the last one.
+func (s *Subscriber) isNew(from netip.AddrPort, sequence uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	if last := s.last[from].sequence; sequence <= last && last-sequence < maxReordering {
+		return false
+	}
+
+	s.last[from] = receivedReport{sequence: sequence, at: time.Now()}
+
+	return true
+}
--- /dev/null
+++ b/internal/retries/shared_budget_test.go
@@ -0,0 +1,222 @@
+package retries_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"github.com/parsleygate/parsleygate/internal/retries"
+	"github.com/parsleygate/parsleygate/internal/shares"
+)
+
+const (
+	shareRatio  = 0.2
+	shareSlack  = 96.0
+	shareWindow = 10 * time.Second
+)
+
+func newSharedBudget() *retries.SharedBudget {
+	return &retries.SharedBudget{Ratio: shareRatio, Slack: shareSlack, Window: shareWindow}
+}
+
+// An engine group fails repeatedly, and each entry retries as often as it may, while
+// entries are killed and restarted. All entries together must stay within the budget in any
+// window. Otherwise the remaining targets receive a multiple of their load.
+func TestBudgetHoldsOverAllEntries(t *testing.T) {
+	t.Parallel()
+
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(1, 12).Draw(t, "entries")
+		entries := make([]*retries.SharedBudget, n)
+
+		for i := range entries {
+			entries[i] = newSharedBudget()
+		}
+
+		start := time.Unix(1000, 0)
+		requests, retried := make([]int, 300), make([]int, 300)
+
+		for tick := range requests {
+			now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
+
+			for i := range entries {
+				if rapid.IntRange(0, 400).Draw(t, "restart") == 0 {
+					entries[i] = newSharedBudget()
+				}
+
+				f, a := spend(t, entries[i], now, 3, shares.Share{Index: i, Entries: n})
+				requests[tick] += f
+				retried[tick] += a
+			}
+		}
+
+		requireBudget(t, n, requests, retried)
+	})
+}
+
+// Guards against a burst of retries after all entries restart: each entry counts too few
+// others at first, and so takes more than its share of the budget.
+func TestBudgetHoldsWhileEntryCountsAreIncomplete(t *testing.T) {
+	t.Parallel()
+
+	// An entry queries all control VMs at once, and again within 600 ms.
+	const countedAfter = time.Second
+
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(2, 30).Draw(t, "entries")
+		entries := make([]*retries.SharedBudget, n)
+		countedAt := make([]time.Time, n)
+		knownEntries := make([]int, n)
+		start := time.Unix(1000, 0)
+		requests, retried := make([]int, 300), make([]int, 300)
+
+		for tick := range requests {
+			now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
+
+			if tick == 0 || tick == 150 {
+				alone := rapid.Bool().Draw(t, "alone")
+
+				for i := range entries {
+					entries[i] = newSharedBudget()
+					countedAt[i] = now.Add(time.Duration(rapid.IntRange(0, int(countedAfter/time.Millisecond)).Draw(t, "counted")) * time.Millisecond)
+					knownEntries[i] = rapid.IntRange(1, n).Draw(t, "known")
+
+					if alone {
+						countedAt[i], knownEntries[i] = now.Add(countedAfter), 1
+					}
+				}
+			}
+
+			for i := range entries {
+				count := n
+				if now.Before(countedAt[i]) {
+					count = knownEntries[i]
+				}
+
+				f, a := spend(t, entries[i], now, 2, shares.Share{Index: i % count, Entries: count})
+				requests[tick] += f
+				retried[tick] += a
+			}
+		}
+
+		requireBudget(t, n, requests, retried)
+	})
+}
+
+// spend records up to maxRequests requests at an entry and retries as often as the entry
+// allows.
+func spend(t *rapid.T, entry *retries.SharedBudget, now time.Time, maxRequests int, share shares.Share) (requests, retried int) {
+	requests = rapid.IntRange(0, maxRequests).Draw(t, "fresh")
+	for range requests {
+		entry.RecordRequest(now, "drafts", share)
+	}
+
+	for entry.Allow(now, "drafts", share) {
+		retried++
+	}
+
+	return requests, retried
+}
+
+// requireBudget checks the retries in each window against the budget. Requests are counted
+// in the window itself, the window before it, and the window starting half a window
+// earlier; the largest count applies.
+func requireBudget(t *rapid.T, entries int, requests, retried []int) {
+	for end := 100; end <= len(requests); end += 7 {
+		requestsInWindow := max(sumOf(requests, end-100, end), sumOf(requests, end-150, end-50), sumOf(requests, end-200, end-100))
+		if got := float64(sumOf(retried, end-100, end)); got > shareRatio*float64(requestsInWindow)+shareSlack {
+			t.Fatalf("%d entries: %.0f retries in a window of %d requests", entries, got, requestsInWindow)
+		}
+	}
+}
+
+func sumOf(v []int, from, to int) int {
+	s := 0
+	for i := max(0, from); i < max(0, to); i++ {
+		s += v[i]
+	}
+
+	return s
+}
+
+// A group of twelve engines stalls once a minute and interrupts about 80 streams at seven
+// entries at once. The budget must allow most of them to resume at another target.
+func TestBudgetCoversOneGroupStall(t *testing.T) {
+	t.Parallel()
+
+	now := time.Unix(1000, 0)
+	taken := 0
+
+	for e := range 7 {
+		s, share := newSharedBudget(), shares.Share{Index: e, Entries: 7}
+		for i := range 80 { // 8 requests per second for 10 s
+			s.RecordRequest(now.Add(time.Duration(i)*125*time.Millisecond), "drafts", share)
+		}
+
+		for s.Allow(now.Add(shareWindow), "drafts", share) {
+			taken++
+		}
+
+		require.False(t, s.Allow(now.Add(shareWindow), "drafts", share), fmt.Sprint(e))
+	}
+
+	require.Greater(t, taken, 55)
+}
+
+func TestServicesHaveSeparateBudgets(t *testing.T) {
+	t.Parallel()
+
+	s := newSharedBudget()
+	now := time.Unix(1000, 0)
+	s.RecordRequest(now, "drafts", shares.Share{})
+	s.RecordRequest(now, "desk", shares.Share{})
+
+	now = now.Add(shareWindow)
+	for s.Allow(now, "drafts", shares.Share{}) {
+		continue
+	}
+
+	require.True(t, s.Allow(now, "desk", shares.Share{}))
+}
+
+// Guards against a budget whose shares are too small to be used: with 77 or more entries,
+// nothing was retried although every request failed.
+func TestBudgetIsUsedAtAnyNumberOfEntries(t *testing.T) {
+	t.Parallel()
+
+	const windows, perWindow = 5, 3000
+
+	for _, n := range []int{1, 3, 39, 77, 410} {
+		entries := make([]*retries.SharedBudget, n)
+		for i := range entries {
+			entries[i] = newSharedBudget()
+		}
+
+		start := time.Unix(1000, 0)
+		retried := make([]int, windows)
+
+		for i := range windows * perWindow {
+			now := start.Add(time.Duration(i) * shareWindow / perWindow)
+			share := shares.Share{Index: i * 7919 % n, Entries: n}
+			entry := entries[share.Index]
+			entry.RecordRequest(now, "drafts", share)
+
+			if entry.Allow(now, "drafts", share) {
+				retried[i/perWindow]++
+			}
+		}
+
+		const budget = shareRatio*perWindow + shareSlack
+
+		for w, got := range retried {
+			require.LessOrEqual(t, float64(got), budget, "%d entries, window %d", n, w)
+
+			if w > 1 { // the first two windows include the initial ramp
+				require.GreaterOrEqual(t, float64(got), 0.8*budget, "%d entries, window %d", n, w)
+			}
+		}
+	}
+}
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -9,24 +9,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is an entry or a target as far as subsetting is concerned.
+// Node identifies an entry or a target and its location.
 type Node struct {
 	ID     string
 	Zone   string
 	Region string
 }
 
-// Subsetter chooses the targets that each entry of a large deployment keeps
-// connections to. Each process works out the same answer from the same lists,
-// in any order. The zero value of each field stands for the default beside it.
+// Subsetter chooses the subset of targets to which each entry of a large deployment keeps
+// connections. Every process computes the same result from the same lists, in any order. A
+// zero field stands for the default given in parentheses.
 type Subsetter struct {
-	// Size is how many targets an entry has (30). With no more targets than that, it has all.
+	// Size is the number of targets per entry (30). If there are no more targets than that,
+	// an entry uses all of them.
 	Size int
-	// LocalZoneRatio is the part of them in the entry's own zone (0.5), so that near
-	// targets are there to be preferred, and enough others when the zone leaves.
+	// LocalZoneRatio is the fraction of an entry's targets in its own zone (0.5). It leaves
+	// enough local targets to prefer, and enough others when the zone goes out.
 	LocalZoneRatio float64
-	// Slack is how far above the mean a target's number of entries may be (0.05).
-	// Without slack each entry that comes or goes moves long chains of others.
+	// Slack is the fraction by which a target's number of entries may exceed the mean
+	// (0.05). Without slack, each entry that joins or leaves would reassign long chains of
+	// others.
 	Slack float64
 }
 
@@ -38,9 +40,9 @@
 	return s
 }
 
-// Targets returns the targets of one entry, by ID, and its share of what may be sent to each.
-// An entry that is not among entries, because the news of itself has not reached it
-// yet, is added.
+// Targets returns the targets of one entry by ID, with the entry's share of each. The entry
+// is added to entries if it is not listed there yet, because the update with it has not
+// arrived.
 func (s Subsetter) Targets(self Node, entries, targets []Node) map[string]Share {
 	if !slices.ContainsFunc(entries, func(e Node) bool { return e.ID == self.ID }) {
 		entries = append(slices.Clone(entries), self)
@@ -49,13 +51,13 @@
 	return s.Match(entries, targets).Targets(self.ID)
 }
 
-// Match matches all entries with the targets that each of them uses.
+// Match computes the targets of all entries.
 func (s Subsetter) Match(entries, targets []Node) *Matching {
 	s = s.withDefaults()
 	m := newMatching(entries, targets, s)
 
 	if len(targets) <= s.Size {
-		m.all()
+		m.pairAll()
 
 		return m
 	}
@@ -67,7 +69,8 @@
 	return m
 }
 
-// stage says which targets an entry may get: near ones first.
+// stage restricts the targets that are matched with an entry by their location. Near
+// targets are matched first.
 type stage uint8
 
 const (
@@ -87,17 +90,17 @@
 	}
 }
 
-// Matching is a stable matching of entries and targets in which both sides rank
-// each other by one hash. It is the same whatever the order of its steps, and
-// one that comes or goes changes it only along the chain of those it displaces.
+// Matching is a stable matching of entries and targets in which both sides rank each other
+// by the same hash. It does not depend on the order of steps, and an entry or target that
+// joins or leaves changes it only along the chain of displaced entries.
 type Matching struct {
 	entries, targets []Node
 	entryHash        []uint64
 	targetHash       []uint64
-	most             int
-	// held are the entries of each target, matched the targets of each entry.
-	held    [][]int
-	matched [][]int
+	maxEntries       int
+	// entriesOf lists the entries of each target, targetsOf the targets of each entry.
+	entriesOf [][]int
+	targetsOf [][]int
 }
 
 func newMatching(entries, targets []Node, s Subsetter) *Matching {
@@ -106,8 +109,8 @@
 	return &Matching{
 		entries: entries, targets: targets,
 		entryHash: hashes(entries), targetHash: hashes(targets),
-		most: int(math.Ceil(mean * (1 + s.Slack))),
-		held: make([][]int, len(targets)), matched: make([][]int, len(entries)),
+		maxEntries: int(math.Ceil(mean * (1 + s.Slack))),
+		entriesOf:  make([][]int, len(targets)), targetsOf: make([][]int, len(entries)),
 	}
 }
 
@@ -120,10 +123,10 @@
 	return out
 }
 
-// rank is how much entry e and target t like each other.
-func (m *Matching) rank(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
+// preference returns how strongly entry e and target t prefer each other.
+func (m *Matching) preference(e, t int) uint64 { return MixHashes(m.entryHash[e], m.targetHash[t]) }
 
-// MixHashes joins two hashes into one by the mixing step of the splitmix64 generator.
+// MixHashes combines two hashes with the mixing function of the splitmix64 generator.
 func MixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -132,78 +135,80 @@
 	return x ^ (x >> 31)
 }
 
-// stage lets each entry ask its allowed targets, best first, until it has quota
-// of them. A full target keeps those that it ranks highest of this stage.
-func (m *Matching) stage(s stage, quota int) {
-	settled := make([]int, len(m.targets))
-	for t := range m.held {
-		settled[t] = len(m.held[t])
+// stage lets each entry propose to its allowed targets in the order of preference until it
+// has size targets. A full target keeps the entries of this stage with the highest
+// preference.
+func (m *Matching) stage(s stage, size int) {
+	fixed := make([]int, len(m.targets))
+	for t := range m.entriesOf {
+		fixed[t] = len(m.entriesOf[t])
 	}
 
-	wished := make([]wishes, len(m.entries))
-	asking := make([]int, 0, len(m.entries))
+	heaps := make([]candidates, len(m.entries))
+	pending := make([]int, 0, len(m.entries))
 
 	for e := range m.entries {
-		if len(m.matched[e]) < quota {
-			wished[e] = m.wishes(s, e)
-			asking = append(asking, e)
+		if len(m.targetsOf[e]) < size {
+			heaps[e] = m.candidates(s, e)
+			pending = append(pending, e)
 		}
 	}
 
-	for len(asking) > 0 {
-		e := asking[len(asking)-1]
-		if len(m.matched[e]) >= quota || len(wished[e]) == 0 {
-			asking = asking[:len(asking)-1]
+	for len(pending) > 0 {
+		e := pending[len(pending)-1]
+		if len(m.targetsOf[e]) >= size || len(heaps[e]) == 0 {
+			pending = pending[:len(pending)-1]
 
 			continue
 		}
 
-		t := wished[e].best()
+		t := heaps[e].popBest()
 
-		if loser := m.propose(e, t, settled[t]); loser >= 0 && loser != e {
-			asking = append(asking, loser)
+		if displaced := m.propose(e, t, fixed[t]); displaced >= 0 && displaced != e {
+			pending = append(pending, displaced)
 		}
 	}
 }
 
-// wish is a target that an entry may ask, and how much it likes it.
-type wish struct {
-	rank   uint64
-	target int
+// candidate is a target to which an entry may propose.
+type candidate struct {
+	preference uint64
+	target     int
 }
 
-// wishes is a heap, best first: an entry asks few of the targets that it may ask.
-type wishes []wish
+// candidates is a max-heap by preference. An entry proposes to only a few of its
+// candidates, so they are not sorted.
+type candidates []candidate
 
-func (w wishes) Len() int           { return len(w) }
-func (w wishes) Less(i, j int) bool { return w[i].rank > w[j].rank }
-func (w wishes) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
+func (c candidates) Len() int           { return len(c) }
+func (c candidates) Less(i, j int) bool { return c[i].preference > c[j].preference }
+func (c candidates) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
 
-// Push implements heap.Interface. Nothing is added to a heap of wishes.
-func (w *wishes) Push(any) {}
+// Push implements heap.Interface. It does nothing: candidates are never added.
+func (c *candidates) Push(any) {}
 
-// Pop implements heap.Interface.
-func (w *wishes) Pop() any {
-	*w = (*w)[:len(*w)-1]
+// Pop implements heap.Interface. It discards the last element.
+func (c *candidates) Pop() any {
+	*c = (*c)[:len(*c)-1]
 
 	return nil
 }
 
-// best takes the best wish out.
-func (w *wishes) best() int {
-	t := (*w)[0].target
-	heap.Pop(w)
+// popBest removes the candidate with the highest preference and returns its target.
+func (c *candidates) popBest() int {
+	t := (*c)[0].target
+	heap.Pop(c)
 
 	return t
 }
 
-// wishes are the targets that e may ask in a stage.
-func (m *Matching) wishes(s stage, e int) wishes {
-	out := make(wishes, 0, len(m.targets))
+// candidates returns the targets to which entry e may propose in a stage.
+func (m *Matching) candidates(s stage, e int) candidates {
+	out := make(candidates, 0, len(m.targets))
 
 	for t := range m.targets {
 		if s.allows(&m.entries[e], &m.targets[t]) {
-			out = append(out, wish{rank: m.rank(e, t), target: t})
+			out = append(out, candidate{preference: m.preference(e, t), target: t})
 		}
 	}
 
@@ -212,18 +217,19 @@
 	return out
 }
 
-// propose matches e with t if t has room or ranks e above another of this
-// stage, and returns who was turned away, or -1.
-func (m *Matching) propose(e, t, settled int) int {
-	if len(m.held[t]) < m.most {
-		m.join(e, t)
+// propose matches entry e with target t if t has capacity or prefers e to another entry of
+// this stage. It returns the displaced entry, e itself if it was refused, or -1. The first
+// fixed entries of t stem from earlier stages and are not displaced.
+func (m *Matching) propose(e, t, fixed int) int {
+	if len(m.entriesOf[t]) < m.maxEntries {
+		m.pair(e, t)
 
 		return -1
 	}
 
-	worst, lowest := -1, m.rank(e, t)
-	for k := settled; k < len(m.held[t]); k++ {
-		if r := m.rank(m.held[t][k], t); r < lowest {
+	worst, lowest := -1, m.preference(e, t)
+	for k := fixed; k < len(m.entriesOf[t]); k++ {
+		if r := m.preference(m.entriesOf[t][k], t); r < lowest {
 			worst, lowest = k, r
 		}
 	}
@@ -232,48 +238,48 @@
 		return e
 	}
 
-	loser := m.held[t][worst]
-	m.held[t] = slices.Delete(m.held[t], worst, worst+1)
-	k := slices.Index(m.matched[loser], t)
-	m.matched[loser] = slices.Delete(m.matched[loser], k, k+1)
-	m.join(e, t)
+	displaced := m.entriesOf[t][worst]
+	m.entriesOf[t] = slices.Delete(m.entriesOf[t], worst, worst+1)
+	k := slices.Index(m.targetsOf[displaced], t)
+	m.targetsOf[displaced] = slices.Delete(m.targetsOf[displaced], k, k+1)
+	m.pair(e, t)
 
-	return loser
+	return displaced
 }
 
-func (m *Matching) join(e, t int) {
-	m.held[t] = append(m.held[t], e)
-	m.matched[e] = append(m.matched[e], t)
+func (m *Matching) pair(e, t int) {
+	m.entriesOf[t] = append(m.entriesOf[t], e)
+	m.targetsOf[e] = append(m.targetsOf[e], t)
 }
 
-// all matches each entry with each target.
-func (m *Matching) all() {
+// pairAll matches every entry with every target.
+func (m *Matching) pairAll() {
 	for t := range m.targets {
 		for e := range m.entries {
-			m.join(e, t)
+			m.pair(e, t)
 		}
 	}
 }
 
-// Targets returns the targets of an entry, and its index among the entries of each.
+// Targets returns the targets of an entry by ID, with the entry's share of each.
 func (m *Matching) Targets(entry string) map[string]Share {
 	e := slices.IndexFunc(m.entries, func(p Node) bool { return p.ID == entry })
 	if e < 0 {
 		return nil
 	}
 
-	out := make(map[string]Share, len(m.matched[e]))
+	out := make(map[string]Share, len(m.targetsOf[e]))
 
-	for _, t := range m.matched[e] {
-		own, index := m.rank(e, t), 0
+	for _, t := range m.targetsOf[e] {
+		ownPreference, index := m.preference(e, t), 0
 
-		for _, other := range m.held[t] {
-			if m.rank(other, t) > own {
+		for _, other := range m.entriesOf[t] {
+			if m.preference(other, t) > ownPreference {
 				index++
 			}
 		}
 
-		out[m.targets[t].ID] = Share{Index: index, Entries: len(m.held[t])}
+		out[m.targets[t].ID] = Share{Index: index, Entries: len(m.entriesOf[t])}
 	}
 
 	return out
