--- a/cmd/parsleygate/cmds/operator_test.go
+++ b/cmd/parsleygate/cmds/operator_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 
 	log := &control.MemoryLog{}
-	server := &control.Server{Cluster: "c", VM: "control-1", Propose: log.Propose, Read: log.Read}
+	server := &control.Server{Cluster: "c", VM: "control-1", Propose: log.Propose, ReadIndex: log.ReadIndex}
 	server.Init()
 	log.Apply = server.Apply
 
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/routing.go
@@ -131,7 +131,7 @@
 
 func operatorsOf(server *control.Server, p *process) http.Handler {
 	calls := &platform.ControlAPI{
-		Adopt: server.Adopt, Document: server.Document, OrderZone: server.OrderZone,
+		Adopt: server.Adopt, Document: server.Document, OrderZone: server.SetZoneOut,
 		Announce: server.Announce, Leave: server.Leave, Logger: p.logs.Logger("operators"),
 	}
 
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -79,11 +79,11 @@
 
 	result := &wire.Result{}
 	if err := proto.Unmarshal(raw, result); err != nil {
-		return nil, proposalFault(twirp.Internal, err.Error(), FateUnknown)
+		return nil, proposalFault(twirp.Internal, err.Error(), OutcomeUnknown)
 	}
 
 	if result.GetFault() != "" {
-		return nil, proposalFault(twirp.Internal, result.GetFault(), FateNotDone)
+		return nil, proposalFault(twirp.Internal, result.GetFault(), OutcomeNotDone)
 	}
 
 	return result, nil
@@ -91,8 +91,8 @@
 
 func (s *Server) proposeError(err error) error {
 	if s.NotProposed(err) {
-		return proposalFault(twirp.Unavailable, "nothing was committed: "+err.Error(), FateNotDone)
+		return proposalFault(twirp.Unavailable, "nothing was committed: "+err.Error(), OutcomeNotDone)
 	}
 
-	return proposalFault(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), FateUnknown)
+	return proposalFault(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), OutcomeUnknown)
 }
--- a/internal/control/decide_test.go
+++ b/internal/control/decide_test.go
@@ -85,13 +85,13 @@
 		g.isolate(0, true)
 
 		_, err := claim("a1")
-		require.Equal(t, control.FateNotDone, fateOf(err))
+		require.Equal(t, control.OutcomeNotDone, fateOf(err))
 		g.isolate(0, false)
 
 		g.lose = true
 
 		_, err = claim("a1")
-		require.Equal(t, control.FateUnknown, fateOf(err))
+		require.Equal(t, control.OutcomeUnknown, fateOf(err))
 
 		g.lose = false
 
@@ -111,7 +111,7 @@
 		return ""
 	}
 
-	return fault.Meta(control.FateKey)
+	return fault.Meta(control.OutcomeKey)
 }
 
 // A control VM restarts from its snapshot, in a group that took hundreds of
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -32,11 +32,11 @@
 // quorum does not keep it from hearing.
 func (s *Server) hear(ctx context.Context) {
 	core := newHearing()
-	targets := newAnnouncements(s.AnnounceEvery)
+	targets := newAnnouncements(s.AnnounceInterval)
 	s.recall(targets)
 
 	committer := make(chan struct{}, 1)
-	batch := time.NewTicker(s.Settings.BatchEvery)
+	batch := time.NewTicker(s.Settings.ReportBatchInterval)
 
 	defer batch.Stop()
 
@@ -128,10 +128,10 @@
 
 // tend moves the clock of the state and expires silent processes, while this VM leads.
 func (s *Server) tend(ctx context.Context) {
-	core := newSilence(s.Settings.ExpireAfter)
+	core := newSilence(s.Settings.ExpiryTimeout)
 
-	for pauses.For(ctx, s.Settings.WatchEvery) {
-		if s.Leads != nil && !s.Leads() {
+	for pauses.For(ctx, s.Settings.ExpiryCheckInterval) {
+		if s.IsLeader != nil && !s.IsLeader() {
 			core.idle()
 			continue
 		}
@@ -145,7 +145,7 @@
 	p := s.published.Load()
 
 	elapsed := time.Since(p.tickLearnt)
-	if elapsed < s.Settings.TickEvery {
+	if elapsed < s.Settings.TickInterval {
 		return
 	}
 
--- a/internal/control/documents.go
+++ b/internal/control/documents.go
@@ -112,9 +112,9 @@
 // Error implements error.
 func (e *UndeclaredError) Error() string { return e.Kind + " " + e.Name + " is not declared" }
 
-// OrderZone takes a declared zone out or back in, in one step. It may be sent
+// SetZoneOut takes a declared zone out or back in, in one step. It may be sent
 // again after any error but an *UndeclaredError.
-func (s *Server) OrderZone(ctx context.Context, zone string, out bool) error {
+func (s *Server) SetZoneOut(ctx context.Context, zone string, out bool) error {
 	region, ok := s.Zones[zone]
 	if !ok {
 		return &UndeclaredError{Kind: "zone", Name: zone}
@@ -132,7 +132,7 @@
 // that stands still while a VM is suspended, and a VM that wakes would show an
 // old document as current.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
-	_, index, err := s.Read(ctx)
+	_, index, err := s.ReadIndex(ctx)
 	if err != nil {
 		return nil, newFault(twirp.Unavailable, "this control VM cannot show that its state is current")
 	}
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -31,13 +31,13 @@
 func newPublishing() *control.Server {
 	return &control.Server{
 		Cluster: "trust", VM: "c1",
-		Zones: map[string]string{"a": "r", "b": "r"}, AnnounceEvery: time.Second,
+		Zones: map[string]string{"a": "r", "b": "r"}, AnnounceInterval: time.Second,
 		ReadDocument: func(sent []byte) (*wire.RouteTable, error) {
 			name, number, _ := strings.Cut(string(sent), " ")
 
 			return &wire.RouteTable{Services: []*wire.RoutedService{{Name: name, HealthPath: number}}}, nil
 		},
-		Controls: func() []string { return []string{"127.0.0.1:1"} },
+		ControlAddresses: func() []string { return []string{"127.0.0.1:1"} },
 	}
 }
 
@@ -46,7 +46,7 @@
 	t.Helper()
 
 	log := &control.MemoryLog{}
-	s.Propose, s.Read = log.Propose, log.Read
+	s.Propose, s.ReadIndex = log.Propose, log.ReadIndex
 
 	for _, edit := range edits {
 		edit(s)
@@ -111,8 +111,8 @@
 
 		s := newPublishing()
 		runPublishing(t, s, func(s *control.Server) {
-			read := s.Read
-			s.Read = func(ctx context.Context) (time.Time, uint64, error) {
+			read := s.ReadIndex
+			s.ReadIndex = func(ctx context.Context) (time.Time, uint64, error) {
 				if cut.Load() {
 					return time.Time{}, 0, errors.New("no quorum")
 				}
@@ -141,7 +141,7 @@
 		sent := "desk " + strings.Repeat("route ", 20000)
 
 		require.NoError(t, first.Adopt(t.Context(), 5, []byte(sent)))
-		require.NoError(t, first.OrderZone(t.Context(), "b", true))
+		require.NoError(t, first.SetZoneOut(t.Context(), "b", true))
 		require.NoError(t, second.Restore(first.Snapshot()))
 
 		got, err := second.Document(t.Context())
@@ -176,21 +176,21 @@
 		}
 
 		for range 2 {
-			require.NoError(t, s.OrderZone(t.Context(), "a", true))
+			require.NoError(t, s.SetZoneOut(t.Context(), "a", true))
 			require.Equal(t, []string{"a"}, follow())
 		}
 
-		require.NoError(t, s.OrderZone(t.Context(), "a", false))
+		require.NoError(t, s.SetZoneOut(t.Context(), "a", false))
 		require.Empty(t, follow())
 
 		var undeclared *control.UndeclaredError
 
-		require.ErrorAs(t, s.OrderZone(t.Context(), "z", true), &undeclared)
+		require.ErrorAs(t, s.SetZoneOut(t.Context(), "z", true), &undeclared)
 	})
 }
 
 func announced(id, service, zone string) directory.Target {
-	return directory.Target{ID: id, Born: 1, Sequence: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort("10.0.0.1:80")}
+	return directory.Target{ID: id, StartTime: 1, Sequence: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
 // Another writer names targets of services and zones that nobody declared. Kept,
@@ -230,7 +230,7 @@
 
 		for i, change := range []func() error{
 			func() error { return s.Adopt(t.Context(), 1, []byte("desk first")) },
-			func() error { return s.OrderZone(t.Context(), "a", true) },
+			func() error { return s.SetZoneOut(t.Context(), "a", true) },
 			func() error { return s.Announce(t.Context(), announced("i1", "desk", "a")) },
 			func() error { return s.Leave(t.Context(), "i1") },
 		} {
@@ -327,7 +327,7 @@
 		}
 		start := func(kept func() ([]byte, error), save func([]byte) error) *control.Server {
 			s := newPublishing()
-			s.SavedTargets, s.SaveTargets = kept, save
+			s.LoadTargets, s.SaveTargets = kept, save
 			runPublishing(t, s)
 
 			return s
@@ -400,7 +400,7 @@
 		}
 
 		first := newPublishing()
-		first.SavedTargets = func() ([]byte, error) { return nil, errors.New("none") }
+		first.LoadTargets = func() ([]byte, error) { return nil, errors.New("none") }
 		first.SaveTargets = func(data []byte) error { kept.Store(&data); return nil }
 		runPublishing(t, first)
 		follow(first, "e1", 0)
@@ -413,7 +413,7 @@
 		time.Sleep(2 * time.Second)
 
 		second := newPublishing()
-		second.SavedTargets = func() ([]byte, error) { return *kept.Load(), nil }
+		second.LoadTargets = func() ([]byte, error) { return *kept.Load(), nil }
 		runPublishing(t, second)
 		require.Len(t, follow(second, "e2", 0).GetRoster(), 3)
 		time.Sleep(5 * time.Second)
--- a/internal/control/fault.go
+++ b/internal/control/fault.go
@@ -4,9 +4,9 @@
 
 // The values of the twirp error metadata FateKey: what became of a proposal.
 const (
-	FateKey     = "Fate"
-	FateUnknown = "Unknown"
-	FateNotDone = "NotDone"
+	OutcomeKey     = "Fate"
+	OutcomeUnknown = "Unknown"
+	OutcomeNotDone = "NotDone"
 )
 
 // fault is an error as callers of this VM's services get it.
@@ -21,7 +21,7 @@
 
 // proposalFault is a fault that says what became of the proposed command.
 func proposalFault(code twirp.ErrorCode, text, fate string) fault {
-	return fault{twirpError: twirp.NewError(code, text).WithMeta(FateKey, fate)}
+	return fault{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, fate)}
 }
 
 func missing(field string) fault {
--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 
 	log := &control.MemoryLog{}
-	s := &control.Server{Cluster: cluster, VM: "control-1", Propose: log.Propose, Read: log.Read}
+	s := &control.Server{Cluster: cluster, VM: "control-1", Propose: log.Propose, ReadIndex: log.ReadIndex}
 
 	if change != nil {
 		change(s)
@@ -126,7 +126,7 @@
 
 		log := g.servers[0]
 		s := &control.Server{
-			Cluster: cluster, VM: "control-9", Propose: log.Propose, Read: log.Read,
+			Cluster: cluster, VM: "control-9", Propose: log.Propose, ReadIndex: log.ReadIndex,
 			Self: self.Load,
 		}
 		s.Init()
--- a/internal/control/fresh.go
+++ b/internal/control/fresh.go
@@ -23,7 +23,7 @@
 	for {
 		s.readOnce(ctx)
 
-		if !pauses.For(ctx, s.Settings.ReadEvery) {
+		if !pauses.For(ctx, s.Settings.ReadIndexInterval) {
 			return
 		}
 	}
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.Lease)
 	defer cancel()
 
-	asOf, index, err := s.Read(ctx)
+	asOf, index, err := s.ReadIndex(ctx)
 	if err != nil {
 		s.Logger.Debug("read failed", "error", err)
 		return
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -55,16 +55,16 @@
 func (g *group) build(i, n int) *control.Server {
 	s := &control.Server{
 		Cluster: cluster, VM: fmt.Sprintf("control-%d", i+1),
-		Propose: func(_ context.Context, command []byte) (uint64, []byte, error) { return g.propose(i, command) },
-		Read:    func(context.Context) (time.Time, uint64, error) { return g.read(i) },
-		Leads:   func() bool { return g.leader() == i },
+		Propose:   func(_ context.Context, command []byte) (uint64, []byte, error) { return g.propose(i, command) },
+		ReadIndex: func(context.Context) (time.Time, uint64, error) { return g.read(i) },
+		IsLeader:  func() bool { return g.leader() == i },
 	}
 
 	for j := range n {
 		if j != i {
 			s.Peers = append(s.Peers, control.Peer{
-				Name:  fmt.Sprintf("control-%d", j+1),
-				Heard: func(ctx context.Context) (*wire.HeardResponse, error) { return g.heard(ctx, i, j) },
+				Name:        fmt.Sprintf("control-%d", j+1),
+				RecentPolls: func(ctx context.Context) (*wire.HeardResponse, error) { return g.heard(ctx, i, j) },
 			})
 		}
 	}
--- a/internal/control/memory.go
+++ b/internal/control/memory.go
@@ -26,8 +26,8 @@
 	return l.index, l.Apply(l.index, command), nil
 }
 
-// Read returns the present instant and the last index.
-func (l *MemoryLog) Read(context.Context) (asOf time.Time, index uint64, err error) {
+// ReadIndex returns the present instant and the last index.
+func (l *MemoryLog) ReadIndex(context.Context) (asOf time.Time, index uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -117,7 +117,7 @@
 func (s *Server) currentBase() (intent.Base, error) {
 	if _, fresh := s.age(time.Now()); !fresh {
 		return intent.Base{}, proposalFault(twirp.Unavailable,
-			"this control VM cannot show that its state is current; ask another", FateNotDone)
+			"this control VM cannot show that its state is current; ask another", OutcomeNotDone)
 	}
 
 	records := s.published.Load().records
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heardTimeout)
 	defer cancel()
 
-	everyone := append([]Peer{{Name: s.VM, Heard: s.heardHere}}, s.peers()...)
+	everyone := append([]Peer{{Name: s.VM, RecentPolls: s.heardHere}}, s.peers()...)
 	answers := make([]*wire.HeardResponse, len(everyone))
 	asked := time.Now()
 
@@ -77,7 +77,7 @@
 
 	for i, peer := range everyone {
 		wg.Go(func() {
-			if out, err := peer.Heard(ctx); err == nil {
+			if out, err := peer.RecentPolls(ctx); err == nil {
 				answers[i] = out
 			}
 		})
--- a/internal/control/poll.go
+++ b/internal/control/poll.go
@@ -35,7 +35,7 @@
 
 // hold waits until there is something to tell the reader.
 func (s *Server) hold(ctx context.Context, r *wire.PollRequest) {
-	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxWait)
+	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxPollWait)
 	if wait <= 0 {
 		return
 	}
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -28,7 +28,7 @@
 // announcements is what this VM heard from targets, and who follows it. The
 // goroutine that hears owns it.
 type announcements struct {
-	heard     directory.Heard
+	heard     directory.Registry
 	followers map[string]follower
 	// kept and keptRoster are the revision and the roster's hash that were saved.
 	kept       uint64
@@ -44,7 +44,7 @@
 
 func newAnnouncements(every time.Duration) *announcements {
 	return &announcements{
-		heard:     directory.Heard{SilentAfter: beats * every},
+		heard:     directory.Registry{AnnounceTimeout: beats * every},
 		followers: make(map[string]follower),
 	}
 }
@@ -181,7 +181,7 @@
 		return nil, newFault(twirp.FailedPrecondition, "this control VM belongs to another cluster")
 	}
 
-	timer := time.NewTimer(min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxWait))
+	timer := time.NewTimer(min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxPollWait))
 	defer timer.Stop()
 
 	for {
@@ -229,7 +229,7 @@
 			out.Full = true
 		}
 
-		for _, t := range a.heard.Since(known) {
+		for _, t := range a.heard.ChangedSince(known) {
 			out.Targets = append(out.Targets, t.ToWire(now))
 		}
 
@@ -290,11 +290,11 @@
 }
 
 func (s *Server) controls() []string {
-	if s.Controls == nil {
+	if s.ControlAddresses == nil {
 		return nil
 	}
 
-	return s.Controls()
+	return s.ControlAddresses()
 }
 
 func zonesOut(p *published) []string {
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -28,7 +28,7 @@
 
 	saved := &wire.FollowResponse{Roster: entries.entries}
 
-	for _, t := range a.heard.Since(0) {
+	for _, t := range a.heard.ChangedSince(0) {
 		saved.Targets = append(saved.Targets, t.ToWire(now))
 	}
 
@@ -69,11 +69,11 @@
 // not answer, another one at its address refuses what is meant for it, and one that says
 // nothing soon counts as silent. So does an entry that does not ask.
 func (s *Server) recall(a *announcements) {
-	if s.SavedTargets == nil {
+	if s.LoadTargets == nil {
 		return
 	}
 
-	data, err := s.SavedTargets()
+	data, err := s.LoadTargets()
 	saved := &wire.FollowResponse{}
 
 	if err == nil {
@@ -96,7 +96,7 @@
 			continue
 		}
 
-		a.heard.Recall(now, t)
+		a.heard.Restore(now, t)
 	}
 
 	for _, e := range saved.GetRoster() {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -37,11 +37,11 @@
 	// NotProposed reports whether err shows that the command was not and will
 	// not be committed. Nil stands for errors whose verdict is NotRun.
 	NotProposed func(err error) bool
-	// Read returns an instant of this VM's clock, and an index that no command
+	// ReadIndex returns an instant of this VM's clock, and an index that no command
 	// committed before that instant exceeds.
-	Read func(ctx context.Context) (asOf time.Time, index uint64, err error)
-	// Leads reports whether this VM leads the log; nil means always.
-	Leads func() bool
+	ReadIndex func(ctx context.Context) (asOf time.Time, index uint64, err error)
+	// IsLeader reports whether this VM leads the log; nil means always.
+	IsLeader func() bool
 	// Peers are the other control VMs. FindPeers, if set, returns them instead as
 	// they are now: whoever may still serve polls must be among them.
 	Peers     []Peer
@@ -60,16 +60,16 @@
 
 	// ReadDocument reads an adopted document; it is needed where entries are the
 	// doors of their targets. AnnounceEvery is how often targets announce themselves.
-	ReadDocument  func(sent []byte) (*wire.RouteTable, error)
-	AnnounceEvery time.Duration
+	ReadDocument     func(sent []byte) (*wire.RouteTable, error)
+	AnnounceInterval time.Duration
 	// SaveTargets keeps the directory of targets beyond a restart, and SavedTargets
 	// returns what was kept; nil for neither. What was kept may be old or lost.
-	SaveTargets  func(data []byte) error
-	SavedTargets func() ([]byte, error)
+	SaveTargets func(data []byte) error
+	LoadTargets func() ([]byte, error)
 	// Zones are the regions of the declared zones, by name, for orders in one step.
 	Zones map[string]string
-	// Controls returns the addresses of all control VMs, for followers; may be nil.
-	Controls func() []string
+	// ControlAddresses returns the addresses of all control VMs, for followers; may be nil.
+	ControlAddresses func() []string
 
 	// Settings holds the intervals; the zero value stands for DefaultSettings.
 	Settings Settings
@@ -94,34 +94,34 @@
 // Peer is another control VM.
 type Peer struct {
 	Name string
-	// Heard asks it which processes polled it.
-	Heard func(ctx context.Context) (*wire.HeardResponse, error)
+	// RecentPolls asks it which processes polled it.
+	RecentPolls func(ctx context.Context) (*wire.HeardResponse, error)
 }
 
 // Settings are the intervals of a control VM.
 type Settings struct {
 	// Lease is how long a process may act on a view after it was current.
 	Lease time.Duration
-	// CreditLife is the longest life of the credits that agents grant. An entry cut
+	// MaxCreditLifetime is the longest life of the credits that agents grant. An entry cut
 	// off with its view may send until its lease ends, and an agent cut off too
 	// takes its word for as long as the credit lasts: only then has the last
 	// request of the earlier version been let in.
-	CreditLife time.Duration
-	// Margin is added to Lease and CreditLife before the state counts as in force by time, for
+	MaxCreditLifetime time.Duration
+	// ClockMargin is added to Lease and CreditLife before the state counts as in force by time, for
 	// clocks that run at unequal rates.
-	Margin time.Duration
-	// ReadEvery is how often this VM shows that its state is current.
-	ReadEvery time.Duration
-	// MaxWait bounds how long a poll is held.
-	MaxWait time.Duration
-	// BatchEvery is how long reports of processes are gathered into one command.
-	BatchEvery time.Duration
-	// ExpireAfter is how long a process may be silent before it is expired.
-	ExpireAfter time.Duration
-	// WatchEvery is how often the leading VM looks for silent processes.
-	WatchEvery time.Duration
-	// TickEvery is how often the clock of the state is moved.
-	TickEvery time.Duration
+	ClockMargin time.Duration
+	// ReadIndexInterval is how often this VM shows that its state is current.
+	ReadIndexInterval time.Duration
+	// MaxPollWait bounds how long a poll is held.
+	MaxPollWait time.Duration
+	// ReportBatchInterval is how long reports of processes are gathered into one command.
+	ReportBatchInterval time.Duration
+	// ExpiryTimeout is how long a process may be silent before it is expired.
+	ExpiryTimeout time.Duration
+	// ExpiryCheckInterval is how often the leading VM looks for silent processes.
+	ExpiryCheckInterval time.Duration
+	// TickInterval is how often the clock of the state is moved.
+	TickInterval time.Duration
 	// ProposeTimeout bounds one proposal of this VM's own.
 	ProposeTimeout time.Duration
 }
@@ -129,16 +129,16 @@
 // DefaultSettings returns the intervals for the size that parsleygate is designed for.
 func DefaultSettings() Settings {
 	return Settings{
-		Lease:          4 * time.Second,
-		CreditLife:     2 * time.Second,
-		Margin:         500 * time.Millisecond,
-		ReadEvery:      300 * time.Millisecond,
-		MaxWait:        2 * time.Second,
-		BatchEvery:     200 * time.Millisecond,
-		ExpireAfter:    10 * time.Second,
-		WatchEvery:     2500 * time.Millisecond,
-		TickEvery:      5 * time.Second,
-		ProposeTimeout: 2 * time.Second,
+		Lease:               4 * time.Second,
+		MaxCreditLifetime:   2 * time.Second,
+		ClockMargin:         500 * time.Millisecond,
+		ReadIndexInterval:   300 * time.Millisecond,
+		MaxPollWait:         2 * time.Second,
+		ReportBatchInterval: 200 * time.Millisecond,
+		ExpiryTimeout:       10 * time.Second,
+		ExpiryCheckInterval: 2500 * time.Millisecond,
+		TickInterval:        5 * time.Second,
+		ProposeTimeout:      2 * time.Second,
 	}
 }
 
@@ -169,8 +169,8 @@
 	s.saves = make(chan []byte)
 	s.boot = rand.Uint64()
 
-	if s.AnnounceEvery == 0 {
-		s.AnnounceEvery = time.Second
+	if s.AnnounceInterval == 0 {
+		s.AnnounceInterval = time.Second
 	}
 
 	s.publish(time.Now())
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -50,7 +50,7 @@
 
 // worstCase is how long after it learnt of a version this VM can be sure that no
 // process acts on an earlier one, whatever has become of their connections.
-func (s *Settings) worstCase() time.Duration { return s.Lease + s.CreditLife + s.Margin }
+func (s *Settings) worstCase() time.Duration { return s.Lease + s.MaxCreditLifetime + s.ClockMargin }
 
 func (p *published) nextNumber() uint64 {
 	next := p.floor + 1
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,10 +21,10 @@
 	Ready State = iota
 	// Draining targets take no new work and finish what they have.
 	Draining
-	// Gone targets said that they end.
-	Gone
-	// Silent targets have announced nothing for some beats. They may still serve.
-	Silent
+	// Removed targets said that they end.
+	Removed
+	// Unresponsive targets have announced nothing for some beats. They may still serve.
+	Unresponsive
 )
 
 // Group is a target's part in an expert group; Name is empty for none.
@@ -39,15 +39,15 @@
 // Target is one incarnation of a target, as it announced itself last.
 type Target struct {
 	ID string
-	// Born orders the incarnations under one ID and at one address, and Sequence
+	// StartTime orders the incarnations under one ID and at one address, and Sequence
 	// what one incarnation says. Born is the target's own mark of its start.
-	Born     int64
-	Sequence uint64
-	Service  string
-	Address  netip.AddrPort
-	Zone     string
-	State    State
-	Slots    int
+	StartTime int64
+	Sequence  uint64
+	Service   string
+	Address   netip.AddrPort
+	Zone      string
+	State     State
+	Slots     int
 	// ColdUntil is when it will be warm, on this VM's steady clock; zero: it is warm.
 	ColdUntil time.Time
 	Group     Group
@@ -55,8 +55,8 @@
 
 // newer reports whether a's word goes before b's, for one ID.
 func newer(a, b *Target) bool {
-	if a.Born != b.Born {
-		return a.Born > b.Born
+	if a.StartTime != b.StartTime {
+		return a.StartTime > b.StartTime
 	}
 
 	return a.Sequence > b.Sequence
@@ -69,14 +69,14 @@
 		return false
 	}
 
-	return a.Born == b.Born && a.Service == b.Service && a.Address == b.Address &&
+	return a.StartTime == b.StartTime && a.Service == b.Service && a.Address == b.Address &&
 		a.Zone == b.Zone && a.State == b.State && a.Slots == b.Slots && a.Group == b.Group
 }
 
 // ToWire returns t as it travels at now.
 func (t *Target) ToWire(now time.Time) *wire.TargetEntry {
 	out := &wire.TargetEntry{
-		ID: t.ID, Born: t.Born, Sequence: t.Sequence, Service: t.Service, Address: t.Address.String(),
+		ID: t.ID, Born: t.StartTime, Sequence: t.Sequence, Service: t.Service, Address: t.Address.String(),
 		Zone: t.Zone, State: wire.TargetState(t.State), Slots: uint32(t.Slots),
 		Group: t.Group.Name, GroupEpoch: t.Group.Epoch, Rank: uint32(t.Group.Rank),
 		GroupSize: uint32(t.Group.Size), GroupBroken: t.Group.Broken,
@@ -92,7 +92,7 @@
 // FromWire reads a target that was sent at sent, by this VM's clock, or later.
 func FromWire(w *wire.TargetEntry, now time.Time) (Target, error) {
 	t := Target{
-		ID: w.GetID(), Born: w.GetBorn(), Sequence: w.GetSequence(), Service: w.GetService(), Zone: w.GetZone(),
+		ID: w.GetID(), StartTime: w.GetBorn(), Sequence: w.GetSequence(), Service: w.GetService(), Zone: w.GetZone(),
 		State: State(w.GetState()), Slots: int(w.GetSlots()),
 		Group: Group{
 			Name: w.GetGroup(), Epoch: w.GetGroupEpoch(), Rank: int(w.GetRank()), Size: int(w.GetGroupSize()),
@@ -104,7 +104,7 @@
 		t.ColdUntil = now.Add(time.Duration(w.GetColdMillis()) * time.Millisecond)
 	}
 
-	if w.GetAddress() == "" && t.State == Gone {
+	if w.GetAddress() == "" && t.State == Removed {
 		return t, nil
 	}
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,7 +14,7 @@
 
 func target(id string, born int64, seq uint64, edit func(t *directory.Target)) directory.Target {
 	t := directory.Target{
-		ID: id, Born: born, Sequence: seq, Service: "drafts", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a", Slots: 12,
+		ID: id, StartTime: born, Sequence: seq, Service: "drafts", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a", Slots: 12,
 	}
 	if edit != nil {
 		edit(&t)
@@ -31,17 +31,19 @@
 
 // world is a control VM's directory and the entry that follows it.
 type world struct {
-	heard  directory.Heard
-	merged directory.Merged
+	heard  directory.Registry
+	merged directory.MergedTargets
 	seen   uint64
 }
 
-func newWorld() *world { return &world{heard: directory.Heard{SilentAfter: 3600 * time.Millisecond}} }
+func newWorld() *world {
+	return &world{heard: directory.Registry{AnnounceTimeout: 3600 * time.Millisecond}}
+}
 
 func (w *world) follow() {
-	ts := w.heard.Since(w.seen)
+	ts := w.heard.ChangedSince(w.seen)
 	w.seen = w.heard.Revision()
-	w.merged.Take(ts)
+	w.merged.Merge(ts)
 }
 
 func (w *world) states() map[string]directory.State {
@@ -90,7 +92,7 @@
 	// The same where each was heard by another control VM.
 	other := newWorld()
 	other.heard.Announce(begin, target("old", 5, 9, nil))
-	w.merged.Take(other.heard.Since(0))
+	w.merged.Merge(other.heard.ChangedSince(0))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 }
 
@@ -103,12 +105,12 @@
 	first.heard.Announce(begin, target("i1", 5, 4, nil))
 	second.heard.Leave(begin, "i1")
 
-	var m directory.Merged
+	var m directory.MergedTargets
 
-	require.True(t, m.Take(first.heard.Since(0)))
-	require.True(t, m.Take(second.heard.Since(0)))
+	require.True(t, m.Merge(first.heard.ChangedSince(0)))
+	require.True(t, m.Merge(second.heard.ChangedSince(0)))
 	require.Empty(t, m.Targets())
-	require.False(t, m.Take(first.heard.Since(0)), "what the first still says of it is old")
+	require.False(t, m.Merge(first.heard.ChangedSince(0)), "what the first still says of it is old")
 }
 
 // A target crashes without a word. After three missing beats it counts as silent,
@@ -121,7 +123,7 @@
 	require.False(t, w.heard.Tick(begin.Add(3500*time.Millisecond)))
 	require.Equal(t, directory.Ready, w.states()["i1"])
 	require.True(t, w.heard.Tick(begin.Add(3700*time.Millisecond)))
-	require.Equal(t, directory.Silent, w.states()["i1"])
+	require.Equal(t, directory.Unresponsive, w.states()["i1"])
 
 	w.heard.Announce(begin.Add(4*time.Second), target("i1", 5, 2, nil))
 	require.Equal(t, directory.Ready, w.states()["i1"])
@@ -136,13 +138,13 @@
 	left.heard.Announce(begin, target("i1", 5, 1, nil))
 	now.heard.Announce(begin, target("i1", 5, 2, nil))
 
-	var m directory.Merged
+	var m directory.MergedTargets
 
-	m.Take(left.heard.Since(0))
-	m.Take(now.heard.Since(0))
+	m.Merge(left.heard.ChangedSince(0))
+	m.Merge(now.heard.ChangedSince(0))
 
 	left.heard.Tick(begin.Add(5 * time.Second))
-	m.Take(left.heard.Since(0))
+	m.Merge(left.heard.ChangedSince(0))
 	require.Equal(t, directory.Ready, m.Targets()[0].State)
 }
 
@@ -151,7 +153,7 @@
 func TestUnchangedBeatsAreToldSeldom(t *testing.T) {
 	t.Parallel()
 
-	h := directory.Heard{SilentAfter: time.Minute}
+	h := directory.Registry{AnnounceTimeout: time.Minute}
 	told := 0
 
 	for i := range 100 {
@@ -166,7 +168,7 @@
 func TestColdStartIsToldOnceAndWhenItEnds(t *testing.T) {
 	t.Parallel()
 
-	h := directory.Heard{SilentAfter: time.Minute}
+	h := directory.Registry{AnnounceTimeout: time.Minute}
 	cold := func(left time.Duration, now time.Time) func(*directory.Target) {
 		return func(t *directory.Target) { t.ColdUntil = now.Add(left) }
 	}
@@ -185,7 +187,7 @@
 		at("10.0.0.9:81")(t)
 		t.ColdUntil = begin.Add(2 * time.Second)
 		t.Group = directory.Group{Name: "g", Epoch: 2, Rank: 3, Size: 12, Broken: true}
-		t.State = directory.Silent
+		t.State = directory.Unresponsive
 	})
 
 	got, err := directory.FromWire(want.ToWire(begin), begin)
--- a/internal/directory/heard.go
+++ b/internal/directory/heard.go
@@ -18,10 +18,10 @@
 // held up on the way must not bring it back; it is longer than partitions last.
 const forgetAfter = 5 * time.Minute
 
-// Heard is what one control VM heard from targets. One goroutine at a time uses it.
-type Heard struct {
-	// SilentAfter is how long a target may say nothing before it counts as silent.
-	SilentAfter time.Duration
+// Registry is what one control VM heard from targets. One goroutine at a time uses it.
+type Registry struct {
+	// AnnounceTimeout is how long a target may say nothing before it counts as silent.
+	AnnounceTimeout time.Duration
 
 	targets  map[string]*heardTarget
 	revision uint64
@@ -38,18 +38,18 @@
 
 // Announce takes in a target's word and reports whether it changed something.
 // A word that is older than one already heard changes nothing.
-func (h *Heard) Announce(now time.Time, t Target) bool {
+func (h *Registry) Announce(now time.Time, t Target) bool {
 	h.init()
 
 	known := h.targets[t.ID]
 
 	switch {
 	case known == nil:
-	case known.State == Gone && t.Born <= known.Born:
+	case known.State == Removed && t.StartTime <= known.StartTime:
 		// Its last beats were overtaken by its farewell.
 		return false
 	case !newer(&t, &known.Target):
-		if t.Born == known.Born && t.Sequence == known.Sequence {
+		if t.StartTime == known.StartTime && t.Sequence == known.Sequence {
 			known.heard = now
 		}
 
@@ -58,7 +58,7 @@
 
 	h.supersede(now, &t)
 
-	if known != nil && known.State != Silent && now.Sub(known.published) < refreshAfter && sameWord(&known.Target, &t, coldSlack) {
+	if known != nil && known.State != Unresponsive && now.Sub(known.published) < refreshAfter && sameWord(&known.Target, &t, coldSlack) {
 		cold := known.ColdUntil
 		known.Target = t
 		known.ColdUntil = cold
@@ -73,9 +73,9 @@
 	return true
 }
 
-// Recall takes in a target as it was known before this control VM restarted, with
+// Restore takes in a target as it was known before this control VM restarted, with
 // farewells. Its own next word goes before it.
-func (h *Heard) Recall(now time.Time, t Target) {
+func (h *Registry) Restore(now time.Time, t Target) {
 	h.init()
 
 	h.revision++
@@ -84,17 +84,17 @@
 
 // supersede marks as gone what held t's address before: addresses of targets that
 // ended are used again, also by other services.
-func (h *Heard) supersede(now time.Time, t *Target) {
+func (h *Registry) supersede(now time.Time, t *Target) {
 	for _, other := range h.targets {
-		if other.ID != t.ID && other.Address == t.Address && other.State != Gone && other.Born < t.Born {
-			h.mark(now, other, Gone)
+		if other.ID != t.ID && other.Address == t.Address && other.State != Removed && other.StartTime < t.StartTime {
+			h.mark(now, other, Removed)
 		}
 	}
 }
 
 // Leave takes in that a target ends. One that is not known is remembered too: its
 // beats may still be on their way, or have gone to another control VM.
-func (h *Heard) Leave(now time.Time, id string) {
+func (h *Registry) Leave(now time.Time, id string) {
 	h.init()
 
 	known := h.targets[id]
@@ -103,12 +103,12 @@
 		h.targets[id] = known
 	}
 
-	h.mark(now, known, Gone)
+	h.mark(now, known, Removed)
 }
 
 // Tick marks silent targets and forgets old ones. It reports whether entries are
 // to be told something.
-func (h *Heard) Tick(now time.Time) bool {
+func (h *Registry) Tick(now time.Time) bool {
 	h.init()
 
 	changed := false
@@ -117,10 +117,10 @@
 		switch silence := now.Sub(t.heard); {
 		case silence > forgetAfter:
 			delete(h.targets, id)
-		case silence > h.SilentAfter && (t.State == Ready || t.State == Draining):
-			state := Silent
+		case silence > h.AnnounceTimeout && (t.State == Ready || t.State == Draining):
+			state := Unresponsive
 			if t.State == Draining {
-				state = Gone
+				state = Removed
 			}
 
 			h.mark(t.heard, t, state)
@@ -132,7 +132,7 @@
 	return changed
 }
 
-func (h *Heard) mark(heard time.Time, t *heardTarget, s State) {
+func (h *Registry) mark(heard time.Time, t *heardTarget, s State) {
 	h.revision++
 	t.State = s
 	t.revision = h.revision
@@ -140,10 +140,10 @@
 }
 
 // Revision grows with each change that entries are to be told.
-func (h *Heard) Revision() uint64 { return h.revision }
+func (h *Registry) Revision() uint64 { return h.revision }
 
-// Since returns what changed after revision, in order.
-func (h *Heard) Since(revision uint64) []Target {
+// ChangedSince returns what changed after revision, in order.
+func (h *Registry) ChangedSince(revision uint64) []Target {
 	var changed []*heardTarget
 
 	for _, t := range h.targets {
@@ -162,7 +162,7 @@
 	return out
 }
 
-func (h *Heard) init() {
+func (h *Registry) init() {
 	if h.targets == nil {
 		h.targets = make(map[string]*heardTarget)
 	}
--- a/internal/directory/merged.go
+++ b/internal/directory/merged.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Merged is what an entry knows of targets from all control VMs. One goroutine
+// MergedTargets is what an entry knows of targets from all control VMs. One goroutine
 // at a time uses it.
-type Merged struct {
+type MergedTargets struct {
 	targets map[string]*Target
 }
 
-// Take merges what a control VM published. It reports whether something changed.
-func (m *Merged) Take(ts []Target) bool {
+// Merge merges what a control VM published. It reports whether something changed.
+func (m *MergedTargets) Merge(ts []Target) bool {
 	if m.targets == nil {
 		m.targets = make(map[string]*Target)
 	}
@@ -27,24 +27,24 @@
 	return changed
 }
 
-func (m *Merged) take(t Target) bool {
+func (m *MergedTargets) take(t Target) bool {
 	known := m.targets[t.ID]
 
 	switch {
 	case known == nil:
 		m.targets[t.ID] = &t
 
-		return t.State != Gone
-	case t.State == Gone && t.Born == 0, t.State == Gone && t.Born == known.Born:
+		return t.State != Removed
+	case t.State == Removed && t.StartTime == 0, t.State == Removed && t.StartTime == known.StartTime:
 		// A farewell that reached a control VM which did not know the target ends
 		// whatever start of it is known here.
-		changed := known.State != Gone
-		known.State = Gone
+		changed := known.State != Removed
+		known.State = Removed
 
 		return changed
-	case known.State == Gone && t.Born <= known.Born:
+	case known.State == Removed && t.StartTime <= known.StartTime:
 		return false
-	case !newer(&t, known) && (t.Born != known.Born || t.Sequence != known.Sequence || t.State <= known.State):
+	case !newer(&t, known) && (t.StartTime != known.StartTime || t.Sequence != known.Sequence || t.State <= known.State):
 		return false
 	}
 
@@ -55,11 +55,11 @@
 
 // Targets returns the targets that are not gone, the newest holder of each
 // address, by ID.
-func (m *Merged) Targets() []Target {
+func (m *MergedTargets) Targets() []Target {
 	holders := make(map[netip.AddrPort]*Target, len(m.targets))
 
 	for _, t := range m.targets {
-		if holder := holders[t.Address]; holder == nil || t.Born > holder.Born {
+		if holder := holders[t.Address]; holder == nil || t.StartTime > holder.StartTime {
 			holders[t.Address] = t
 		}
 	}
@@ -67,7 +67,7 @@
 	out := make([]Target, 0, len(holders))
 
 	for _, t := range holders {
-		if t.State != Gone {
+		if t.State != Removed {
 			out = append(out, *t)
 		}
 	}
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -234,7 +234,7 @@
 
 func newClaims() *control.Server {
 	log := &control.MemoryLog{}
-	s := &control.Server{Propose: log.Propose, Read: log.Read}
+	s := &control.Server{Propose: log.Propose, ReadIndex: log.ReadIndex}
 	s.Init()
 	log.Apply = s.Apply
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -141,7 +141,7 @@
 func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
-		Draining: isDraining(t, f), Unresponsive: t.State == directory.Silent,
+		Draining: isDraining(t, f), Unresponsive: t.State == directory.Unresponsive,
 		Broken: t.Group.Broken, ColdUntil: t.ColdUntil, Share: share,
 	}
 }
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -103,16 +103,16 @@
 	}
 	r.peers.started = time.Now()
 	r.server = &control.Server{
-		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, Read: r.read,
+		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, ReadIndex: r.read,
 		NotProposed: func(err error) bool { return verdict.Of(err) == verdict.NotRun },
-		Leads:       r.leads, StopUnsafe: r.stopUnsafe, FindPeers: r.findPeers, Self: r.self,
-		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceEvery: r.AnnounceEvery, Controls: r.controlAddresses,
+		IsLeader:    r.leads, StopUnsafe: r.stopUnsafe, FindPeers: r.findPeers, Self: r.self,
+		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceInterval: r.AnnounceEvery, ControlAddresses: r.controlAddresses,
 		Logger: r.Logs.Logger("control"),
 	}
 
 	if r.TargetsFile != "" {
 		r.server.SaveTargets = func(data []byte) error { return replaceFile(r.TargetsFile, data) }
-		r.server.SavedTargets = func() ([]byte, error) { return os.ReadFile(filepath.Clean(r.TargetsFile)) }
+		r.server.LoadTargets = func() ([]byte, error) { return os.ReadFile(filepath.Clean(r.TargetsFile)) }
 	}
 
 	r.director = r.newDirector()
--- a/internal/role/named_test.go
+++ b/internal/role/named_test.go
@@ -39,7 +39,7 @@
 	t.Parallel()
 
 	log := &control.MemoryLog{}
-	server := &control.Server{Cluster: "trust", Propose: log.Propose, Read: log.Read}
+	server := &control.Server{Cluster: "trust", Propose: log.Propose, ReadIndex: log.ReadIndex}
 	server.Init()
 	log.Apply = server.Apply
 	named := &namedControl{Server: server}
--- a/internal/role/rankpeers.go
+++ b/internal/role/rankpeers.go
@@ -18,7 +18,7 @@
 	service := ""
 
 	for _, t := range f.Targets {
-		if have, ok := out[t.Group.Rank]; t.Group.Name == r.Group && (!ok || t.Group.Epoch > have.Group.Epoch || t.Born > have.Born) {
+		if have, ok := out[t.Group.Rank]; t.Group.Name == r.Group && (!ok || t.Group.Epoch > have.Group.Epoch || t.StartTime > have.StartTime) {
 			out[t.Group.Rank] = t
 			service = t.Service
 		}
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -67,7 +67,7 @@
 	Logger   *slog.Logger
 
 	mu       sync.Mutex
-	merged   directory.Merged
+	merged   directory.MergedTargets
 	current  atomic.Pointer[Followed]
 	members  map[netip.AddrPort][]netip.AddrPort // by who told
 	counts   map[netip.AddrPort]uint32
@@ -407,7 +407,7 @@
 		ts = append(ts, t)
 	}
 
-	if !f.merged.Take(ts) {
+	if !f.merged.Merge(ts) {
 		return false
 	}
 
