--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -178,7 +178,7 @@
 	limits := entry.Limits{
 		MaxHeaderBytes: s.Entry.MaxHeaderBytes, MaxBodyBytes: int64(s.Entry.MaxBodyBytes),
 		MaxRecordedBytes: s.Entry.MaxRecordedBytes, DefaultTimeout: s.Entry.DefaultTimeout,
-		MaxTimeout: s.Entry.MaxTimeout, SlowReader: s.Entry.SlowReader,
+		MaxTimeout: s.Entry.MaxTimeout, WriteTimeout: s.Entry.SlowReader,
 	}
 	e := &role.Entry{
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Region: s.Process.Region,
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -78,7 +78,7 @@
 		return c, malformed(err)
 	}
 
-	known := e.Known()
+	known := e.View()
 
 	name := chi.URLParam(r, "service")
 	if c.service = known.Service(name); c.service == nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -22,11 +22,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Known is what the entry reads from the configuration in force.
-type Known struct {
+// View is what the entry reads from the configuration in force.
+type View struct {
 	Version uint64
-	// FreshUntil is when the freshness lease ends.
-	FreshUntil time.Time
+	// ValidUntil is when the freshness lease ends.
+	ValidUntil time.Time
 	Service    func(name string) *wire.Service
 	Workspace  func(name string) *wire.Workspace
 	// Agent returns the address at which an agent is reached now.
@@ -43,8 +43,8 @@
 	// DefaultTimeout is the deadline of a caller that names none, MaxTimeout the longest.
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
-	// SlowReader is how long one write to a caller may take.
-	SlowReader time.Duration
+	// WriteTimeout is how long one write to a caller may take.
+	WriteTimeout time.Duration
 }
 
 // DefaultLimits are the limits where the settings say nothing.
@@ -55,7 +55,7 @@
 		MaxRecordedBytes: 64 << 10,
 		DefaultTimeout:   time.Minute,
 		MaxTimeout:       10 * time.Minute,
-		SlowReader:       30 * time.Second,
+		WriteTimeout:     30 * time.Second,
 	}
 }
 
@@ -66,25 +66,25 @@
 	Region string
 	// Listener is where callers connect.
 	Listener net.Listener
-	Link     *agentclient.Client
+	Agents   *agentclient.Client
 	Chooser  *routing.Chooser
 	Budget   *retries.Budget
-	Known    func() Known
+	View     func() View
 	Claim    func(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimResponse, error)
 	Settle   func(ctx context.Context, r *wire.SettleRequest) (*wire.SettleResponse, error)
 	Limits   Limits
-	// Leave is how long the entry goes on taking requests after it said on
+	// ShutdownDelay is how long the entry goes on taking requests after it said on
 	// /ready that it leaves, so that the platform's balancer can notice.
-	Leave    time.Duration
-	Logger   *slog.Logger
-	Seed     uint64
-	mu       sync.Mutex
-	queues   map[string]*queue
-	credits  sync.Map // agent id to the *wire.Credit granted last
-	nextItem atomic.Uint64
-	stopping atomic.Bool
-	inFlight sync.WaitGroup
-	counters counters
+	ShutdownDelay time.Duration
+	Logger        *slog.Logger
+	Seed          uint64
+	mu            sync.Mutex
+	queues        map[string]*queue
+	credits       sync.Map // agent id to the *wire.Credit granted last
+	nextItem      atomic.Uint64
+	stopping      atomic.Bool
+	inFlight      sync.WaitGroup
+	counters      counters
 }
 
 // tickEvery is the time between two rounds of housekeeping.
@@ -130,14 +130,14 @@
 func (e *Entry) drain(server *http.Server) error {
 	e.stopping.Store(true)
 	e.Logger.Info("leaving", "inFlight", e.counters.inFlight.Load())
-	time.Sleep(e.Leave)
+	time.Sleep(e.ShutdownDelay)
 
 	// Shutdown waits for every answer in flight; no deadline cuts one off, since
 	// each has its own.
 	err := server.Shutdown(context.Background())
 
 	e.inFlight.Wait()
-	e.Link.Close()
+	e.Agents.Close()
 	e.Logger.Info("left")
 
 	return eris.Wrap(err, "stop serving")
@@ -169,7 +169,7 @@
 func (e *Entry) credit(ctx context.Context, ask routing.CreditRequest) error {
 	sent := time.Now()
 
-	r, err := e.Link.Grant(ctx, ask.Addr, &wire.GrantRequest{
+	r, err := e.Agents.Grant(ctx, ask.Addr, &wire.GrantRequest{
 		EntryID: e.ID, Wanted: uint32(ask.Wanted), Using: uint32(ask.Using),
 	})
 	if err != nil {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -36,7 +36,7 @@
 )
 
 // impatient makes an entry wait for a silent agent no longer than testSilence.
-func impatient(e *Entry) { e.Link.ReadTimeout = testSilence }
+func impatient(e *Entry) { e.Agents.ReadTimeout = testSilence }
 
 // fakeAgent answers requests by a script: one behaviour for each request that it
 // or one of its siblings gets.
@@ -203,12 +203,12 @@
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(1, 1))}
 	e := &Entry{
 		ID: "entry-1", Zone: "muscat-a", Listener: listener, Seed: 1,
-		Link:    &agentclient.Client{ReadTimeout: testPatience, DialTimeout: time.Second, IdleConnTimeout: time.Second},
+		Agents:  &agentclient.Client{ReadTimeout: testPatience, DialTimeout: time.Second, IdleConnTimeout: time.Second},
 		Chooser: chooser, Budget: &retries.Budget{Rand: rand.New(rand.NewPCG(1, 2))},
 		Claim: claims.Claim, Settle: claims.Settle, Limits: DefaultLimits(), Logger: logs.Discard(),
-		Known: func() Known {
-			return Known{
-				Version: 7, FreshUntil: time.Now().Add(time.Hour),
+		View: func() View {
+			return View{
+				Version: 7, ValidUntil: time.Now().Add(time.Hour),
 				Service:   func(name string) *wire.Service { return testServices[name] },
 				Workspace: func(string) *wire.Workspace { return nil },
 				Agent:     func(string) *wire.Node { return nil },
--- a/internal/entry/reuse_test.go
+++ b/internal/entry/reuse_test.go
@@ -20,7 +20,7 @@
 	var opened atomic.Int64
 
 	r := newRig(t, draftService, func(e *Entry) {
-		e.Link.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		e.Agents.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
 
 			return (&net.Dialer{}).DialContext(ctx, network, address)
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -47,7 +47,7 @@
 	defer cancel()
 
 	k := &course{
-		entry: e, call: c, reply: newReply(w, e.Limits.SlowReader),
+		entry: e, call: c, reply: newReply(w, e.Limits.WriteTimeout),
 		ex:    &exchange.Exchange{Idempotent: c.idempotent, Keyed: c.key != "", Deadline: c.deadline},
 		queue: e.queue(c.service.GetName()), item: e.item(c),
 	}
@@ -68,7 +68,7 @@
 		ID: e.nextItem.Add(1), Workspace: c.workspace, Weight: 1,
 		Priority: c.priority, Deadline: c.deadline,
 	}
-	if ws := e.Known().Workspace(c.workspace); ws != nil {
+	if ws := e.View().Workspace(c.workspace); ws != nil {
 		it.Weight = int(ws.GetWeight())
 		it.Priority = max(it.Priority, int(ws.GetPriority()))
 	}
@@ -117,7 +117,7 @@
 		k.reply.end()
 	case k.reply.headed:
 		counters.broken.Add(1)
-		k.entry.Logger.Warn("answer cut off", "request", k.call.id, "tries", k.ex.Tries(), "callerGone", k.reply.gone, "error", a.Err)
+		k.entry.Logger.Warn("answer cut off", "request", k.call.id, "tries", k.ex.Attempts(), "callerGone", k.reply.gone, "error", a.Err)
 		k.reply.abort()
 	case a.Err != nil:
 		counters.refused(a.Err)
@@ -150,7 +150,7 @@
 // holderAddress returns where the agent of an attempt is reached: the address
 // that the configuration has now, else the one that the claim recorded.
 func (k *course) holderAddress(h *wire.ClaimHolder) (netip.AddrPort, error) {
-	if n := k.entry.Known().Agent(h.GetAgentID()); n != nil {
+	if n := k.entry.View().Agent(h.GetAgentID()); n != nil {
 		return netip.ParseAddrPort(n.GetAddress()) //nolint:wrapcheck // names the address
 	}
 
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -27,13 +27,13 @@
 
 	start := time.Now()
 	status := k.watch(start, &receiver)
-	res := k.entry.Link.Send(ctx, k.choice.Addr, k.request(resume), receiver)
+	res := k.entry.Agents.Send(ctx, k.choice.Addr, k.request(resume), receiver)
 	k.learn(start, res, *status)
 
 	k.ex.Resumable = k.reply.resumable()
 
-	end := exchange.End{Whole: res.Err == nil, Err: res.Err, Relayed: k.reply.headed, CallerGone: k.reply.gone || callerLeft(ctx)}
-	if kept != nil && end.Whole {
+	end := exchange.Outcome{Complete: res.Err == nil, Err: res.Err, Relayed: k.reply.headed, CallerDisconnected: k.reply.gone || callerLeft(ctx)}
+	if kept != nil && end.Complete {
 		end.Answer = kept.answer
 	}
 
@@ -46,7 +46,7 @@
 }
 
 func (k *course) request(resume bool) *wire.Request {
-	known := k.entry.Known()
+	known := k.entry.View()
 	now := time.Now()
 	v, _ := k.entry.credits.Load(k.choice.AgentID)
 	credit, _ := v.(*wire.Credit)
@@ -62,7 +62,7 @@
 		Method: k.call.method, Path: k.call.path, Headers: headers,
 		Body: k.call.body, BodyDigest: k.call.bodyDigest, Idempotent: k.call.idempotent,
 		RemainingMillis: uint64(max(0, k.call.deadline.Sub(now).Milliseconds())),
-		ViewVersion:     known.Version, ViewFresh: now.Before(known.FreshUntil),
+		ViewVersion:     known.Version, ViewFresh: now.Before(known.ValidUntil),
 		Priority: int32(k.call.priority),
 	}
 }
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -89,7 +89,7 @@
 }
 
 // viewStale reports whether the entry's freshness lease has run out.
-func (k *course) viewStale() bool { return !time.Now().Before(k.entry.Known().FreshUntil) }
+func (k *course) viewStale() bool { return !time.Now().Before(k.entry.View().ValidUntil) }
 
 // triedAll reports whether every target has failed this request, or refused it as stale.
 func (k *course) triedAll() bool {
@@ -258,7 +258,7 @@
 
 	// The ask outlives the caller's deadline by its own short timeout: a truthful
 	// last word is worth more than a prompt guess.
-	r, err := k.entry.Link.Ask(context.WithoutCancel(ctx), address, &wire.AskRequest{
+	r, err := k.entry.Agents.Ask(context.WithoutCancel(ctx), address, &wire.AskRequest{
 		AttemptID: a.Holder.GetAttemptID(), Incarnation: a.Holder.GetIncarnation(),
 		CreditExpiresAtTick: a.Holder.GetCreditExpiresAtTick(), Close: true,
 	})
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -45,16 +45,16 @@
 	Then     *Action
 }
 
-// End tells how an attempt that was sent ended.
-type End struct {
-	// Whole: the answer arrived with its closing frame, length and digest right.
-	Whole bool
+// Outcome tells how an attempt that was sent ended.
+type Outcome struct {
+	// Complete: the answer arrived with its closing frame, length and digest right.
+	Complete bool
 	// Answer is the whole answer of a keyed request, which is recorded before it is relayed.
 	Answer *wire.Answer
 	// Relayed: some of the answer has reached the caller.
 	Relayed bool
-	// CallerGone: the caller has disconnected.
-	CallerGone bool
+	// CallerDisconnected: the caller has disconnected.
+	CallerDisconnected bool
 	// Err is set where Whole is not.
 	Err *verdict.Error
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -59,8 +59,8 @@
 	return e.choose(now)
 }
 
-// Tries returns how many attempts have been chosen.
-func (e *Exchange) Tries() int { return e.tries }
+// Attempts returns how many attempts have been chosen.
+func (e *Exchange) Attempts() int { return e.tries }
 
 // Chosen reports the attempt that is to be sent, with its target and credit.
 func (e *Exchange) Chosen(holder *wire.ClaimHolder) Action {
@@ -127,18 +127,18 @@
 }
 
 // Ended reports how the attempt that was sent ended.
-func (e *Exchange) Ended(now time.Time, end End) Action {
+func (e *Exchange) Ended(now time.Time, end Outcome) Action {
 	e.relayed = e.relayed || end.Relayed
 
 	switch {
-	case end.Whole && e.granted && end.Relayed:
+	case end.Complete && e.granted && end.Relayed:
 		// The answer was too large to be recorded: resends learn that it is lost.
 		return e.settleThen(verdict.MayHaveRun, Action{Kind: Finish})
-	case end.Whole && e.granted:
+	case end.Complete && e.granted:
 		return e.settleRan(end.Answer)
-	case end.Whole:
+	case end.Complete:
 		return Action{Kind: Finish}
-	case end.CallerGone && !e.granted:
+	case end.CallerDisconnected && !e.granted:
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: end.Err})
 	case e.relayed:
 		return e.resume(now, end.Err)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -154,19 +154,19 @@
 	return r
 }
 
-func end(f []string) exchange.End {
-	e := exchange.End{Err: &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent}}
+func end(f []string) exchange.Outcome {
+	e := exchange.Outcome{Err: &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent}}
 
 	for _, word := range f {
 		switch word {
 		case "whole":
-			e.Whole = true
+			e.Complete = true
 			e.Err = nil
 			e.Answer = &wire.Answer{Body: []byte("fresh")}
 		case "relayed":
 			e.Relayed = true
 		case "caller-gone":
-			e.CallerGone = true
+			e.CallerDisconnected = true
 		case "silent":
 		default:
 			e.Err = verdict.Refuse(verdict.Cause(word), time.Time{})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -113,7 +113,7 @@
 	services := make([]dispatch.Service, 0, len(f.Table.Services))
 	for _, s := range f.Table.Services {
 		services = append(services, dispatch.Service{
-			Name: s.Name, ColdPerSecond: s.ColdPerSecond, MaxConnections: s.MostConnections, Streams: s.Slots > 0,
+			Name: s.Name, ColdPerSecond: s.ColdPerSecond, MaxConnections: s.MaxConnections, Streams: s.Slots > 0,
 		})
 	}
 
@@ -227,7 +227,7 @@
 		return http.StatusNotFound, "no route has this host and path"
 	}
 
-	if table.Keyed() && !p.route.Anonymous {
+	if table.RequiresKey() && !p.route.Anonymous {
 		if p.workspace = table.Workspace(p.caller.Key); p.workspace == nil {
 			return http.StatusUnauthorized, "the key is not known"
 		}
@@ -274,7 +274,7 @@
 		}
 	}
 
-	p.softDeadline = now.Add(p.route.Aim)
+	p.softDeadline = now.Add(p.route.LatencyTarget)
 }
 
 // priority returns the workspace's priority, or the route's for a request without a workspace.
@@ -301,7 +301,7 @@
 
 // mayRepeat reports whether a request that may have run may be sent again.
 func (p *proxiedRequest) mayRepeat() bool {
-	return p.route.Repeat == routes.Always || p.route.Repeat == routes.Resume && p.route.Stream
+	return p.route.Retry == routes.RetryAlways || p.route.Retry == routes.RetryResume && p.route.Stream
 }
 
 // counters holds totals since the start of the process.
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -43,9 +43,9 @@
 		return retries.ReasonMaxAttempts
 	case verdict.Of(err) != verdict.NotRun && !p.mayRepeat():
 		return retries.ReasonMayHaveRun
-	case p.readBy == readByTarget && delivered >= max(1, p.route.MostTargets):
+	case p.readBy == readByTarget && delivered >= max(1, p.route.MaxTargets):
 		return retries.ReasonMaxAttempts
-	case p.streaming && p.route.Repeat != routes.Resume:
+	case p.streaming && p.route.Retry != routes.RetryResume:
 		return retries.ReasonMayHaveRun
 	}
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -95,7 +95,7 @@
 
 // recordGap records a gap between two events that ended at now.
 func (p *proxiedRequest) recordGap(now time.Time, eventGap time.Duration) {
-	p.relay.queue.eventGap(p.placed, float64(eventGap)/float64(p.route.Gap))
+	p.relay.queue.eventGap(p.placed, float64(eventGap)/float64(p.route.EventGapTarget))
 
 	if eventGap > p.longestGap {
 		p.longestGap, p.longestGapAt = eventGap, now
@@ -109,7 +109,7 @@
 	switch {
 	case p.eventAt.IsZero():
 		p.relay.queue.recordFirstAnswer(p.placed, now.Sub(p.placedAt))
-	case p.route.Gap > 0:
+	case p.route.EventGapTarget > 0:
 		p.recordGap(now, now.Sub(p.eventAt))
 	}
 
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -116,15 +116,15 @@
 	r.reader = r.newReader(chooser)
 	r.shell = &entry.Entry{
 		ID: r.ID, Zone: r.Zone, Region: r.Region, Listener: r.callers(),
-		Link: &agentclient.Client{
+		Agents: &agentclient.Client{
 			ReadTimeout: agentSilence, IdleConnTimeout: agentIdle,
 			Dial: (&identity.Dialer{Identity: r.Identity, Timeout: agentDial}).Dial,
 		},
 		Chooser: chooser,
 		Budget:  &retries.Budget{Rand: rand.New(rand.NewPCG(r.Incarnation, 1))},
-		Known:   r.known,
+		View:    r.known,
 		Claim:   r.Controls.Claim, Settle: r.Controls.Settle,
-		Limits: r.Limits, Leave: r.Leave, Logger: r.Logs.Logger("entry"), Seed: r.Incarnation,
+		Limits: r.Limits, ShutdownDelay: r.Leave, Logger: r.Logs.Logger("entry"), Seed: r.Incarnation,
 	}
 
 	return r.describe()
@@ -226,11 +226,11 @@
 	return &wire.NodeLoad{InFlight: uint32(r.shell.Counts().InFlight)}
 }
 
-func (r *Entry) known() entry.Known {
+func (r *Entry) known() entry.View {
 	s := r.reader.Snapshot()
 
-	return entry.Known{
-		Version: s.Version, FreshUntil: s.FreshUntil,
+	return entry.View{
+		Version: s.Version, ValidUntil: s.FreshUntil,
 		Service:   func(name string) *wire.Service { v, _ := s.Service(name); return v },
 		Workspace: func(name string) *wire.Workspace { v, _ := s.Workspace(name); return v },
 		Agent:     func(id string) *wire.Node { v, _ := s.Node(id); return v },
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -249,7 +249,7 @@
 			if s := f.Table.Service(service); s != nil && s.Experts.Sets > 0 {
 				return lockstep.Shape{
 					Sets: s.Experts.Sets, Experts: s.Experts.Experts, Ranks: r.Size,
-					Slots: s.Experts.Places, SpareSlots: s.Experts.Spare, CopyTime: s.Experts.Copy,
+					Slots: s.Experts.Slots, SpareSlots: s.Experts.SpareSlots, CopyTime: s.Experts.CopyTime,
 				}, true
 			}
 		}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Repeat says what may be done with a request whose answer was lost.
-type Repeat uint8
+// RetryPolicy says what may be done with a request whose answer was lost.
+type RetryPolicy uint8
 
 const (
-	// Never means that the request may run once at most.
-	Never Repeat = iota
-	// Always means that the request may run again from its beginning.
-	Always
-	// Resume means that the request is an event stream that another target may continue
+	// RetryNever means that the request may run once at most.
+	RetryNever RetryPolicy = iota
+	// RetryAlways means that the request may run again from its beginning.
+	RetryAlways
+	// RetryResume means that the request is an event stream that another target may continue
 	// after the last event that reached the caller.
-	Resume
+	RetryResume
 )
 
 // Share is the part of a route's requests that a service gets.
@@ -33,19 +33,19 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Repeat Repeat
+	Retry  RetryPolicy
 	// Stream says that answers are event streams.
 	Stream bool
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Aim is the time within which the answer, or the first event of a stream, is
+	// LatencyTarget is the time within which the answer, or the first event of a stream, is
 	// of full use to the caller. Gap is the same for the pause between two events.
-	Aim time.Duration
-	Gap time.Duration
+	LatencyTarget  time.Duration
+	EventGapTarget time.Duration
 	// Priority is the rank of the requests, 0 first.
 	Priority uint32
-	// MostTargets is how many targets one request may be sent to.
-	MostTargets int
+	// MaxTargets is how many targets one request may be sent to.
+	MaxTargets int
 	// Anonymous requests need no key.
 	Anonymous bool
 	Shares    []Share
@@ -75,21 +75,21 @@
 type ExpertShape struct {
 	Sets    int
 	Experts int
-	// Places is how many experts of a set fit on a rank.
-	Places int
-	// Spare is how many experts of a set one preparation may bring to a rank.
-	Spare int
-	// Copy is how long a rank copies one expert.
-	Copy time.Duration
+	// Slots is how many experts of a set fit on a rank.
+	Slots int
+	// SpareSlots is how many experts of a set one preparation may bring to a rank.
+	SpareSlots int
+	// CopyTime is how long a rank copies one expert.
+	CopyTime time.Duration
 }
 
 // Service is one service that routes lead to.
 type Service struct {
 	Name string
-	// MostConnections is how many connections a target takes from all callers together.
-	MostConnections int
-	// Cold is how long a target that has started stays cold.
-	Cold time.Duration
+	// MaxConnections is how many connections a target takes from all callers together.
+	MaxConnections int
+	// ColdDuration is how long a target that has started stays cold.
+	ColdDuration time.Duration
 	// ColdPerSecond is how many requests a cold target bears in a second; zero
 	// where no bound is declared.
 	ColdPerSecond float64
@@ -109,10 +109,10 @@
 
 // Limits bound what callers may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	Header      time.Duration
-	Idle        time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Declaration is everything that operators declare under one number.
@@ -187,5 +187,5 @@
 // Workspace returns the workspace that holds key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.workspaces[key] }
 
-// Keyed reports whether callers must show a key on routes that are not anonymous.
-func (t *Table) Keyed() bool { return len(t.Workspaces) > 0 }
+// RequiresKey reports whether callers must show a key on routes that are not anonymous.
+func (t *Table) RequiresKey() bool { return len(t.Workspaces) > 0 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -15,15 +15,15 @@
 	d := routes.Declaration{
 		Number: 7,
 		Services: []routes.Service{
-			{Name: "drafts", MostConnections: 298, Cold: 3 * time.Second, ColdPerSecond: 26, HealthPath: "/health", Slots: 12, Experts: routes.ExpertShape{Sets: 4, Experts: 72, Places: 8, Spare: 3, Copy: 98 * time.Millisecond}},
-			{Name: "desk", MostConnections: 120},
+			{Name: "drafts", MaxConnections: 298, ColdDuration: 3 * time.Second, ColdPerSecond: 26, HealthPath: "/health", Slots: 12, Experts: routes.ExpertShape{Sets: 4, Experts: 72, Slots: 8, SpareSlots: 3, CopyTime: 98 * time.Millisecond}},
+			{Name: "desk", MaxConnections: 120},
 		},
 		Routes: []routes.Route{
-			{Name: "a", Host: "Desk.example", Prefix: "/kiln/", Timeout: time.Second, Aim: 100 * time.Millisecond, MostTargets: 1, Shares: []routes.Share{{Service: "desk", Weight: 1}}},
-			{Name: "b", Host: "desk.example", Prefix: "/kiln/drafts/", Repeat: routes.Resume, Stream: true, Timeout: 8 * time.Second, Gap: 120 * time.Millisecond, Priority: 1, Shares: []routes.Share{{Service: "drafts", Weight: 90}, {Service: "desk", Weight: 10}}},
+			{Name: "a", Host: "Desk.example", Prefix: "/kiln/", Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxTargets: 1, Shares: []routes.Share{{Service: "desk", Weight: 1}}},
+			{Name: "b", Host: "desk.example", Prefix: "/kiln/drafts/", Retry: routes.RetryResume, Stream: true, Timeout: 8 * time.Second, EventGapTarget: 120 * time.Millisecond, Priority: 1, Shares: []routes.Share{{Service: "drafts", Weight: 90}, {Service: "desk", Weight: 10}}},
 		},
 		Workspaces: []routes.Workspace{{Name: "coopers", Keys: []string{"k1", "k2"}, Priority: 1}},
-		Limits:     routes.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, Header: 3 * time.Second, Idle: 15 * time.Second},
+		Limits:     routes.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
 	if edit != nil {
 		edit(&d)
@@ -99,7 +99,7 @@
 
 	require.Equal(t, "coopers", table.Workspace("k2").Name)
 	require.Nil(t, table.Workspace(""))
-	require.True(t, table.Keyed())
+	require.True(t, table.RequiresKey())
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
--- a/internal/routes/wire.go
+++ b/internal/routes/wire.go
@@ -10,7 +10,7 @@
 func (d *Declaration) ToWire() *wire.RouteTable {
 	out := &wire.RouteTable{Number: d.Number, Limits: &wire.CallerLimits{
 		HeaderBytes: uint64(d.Limits.HeaderBytes), BodyBytes: uint64(d.Limits.BodyBytes),
-		HeaderMillis: millis(d.Limits.Header), IdleMillis: millis(d.Limits.Idle),
+		HeaderMillis: millis(d.Limits.HeaderTimeout), IdleMillis: millis(d.Limits.IdleTimeout),
 	}}
 
 	for i := range d.Routes {
@@ -20,12 +20,12 @@
 	for i := range d.Services {
 		s := &d.Services[i]
 		out.Services = append(out.Services, &wire.RoutedService{
-			Name: s.Name, MostConnections: uint32(s.MostConnections), ColdMillis: millis(s.Cold),
+			Name: s.Name, MostConnections: uint32(s.MaxConnections), ColdMillis: millis(s.ColdDuration),
 			ColdPerSecond: s.ColdPerSecond, HealthPath: s.HealthPath, Slots: uint32(s.Slots),
 			Experts: &wire.ExpertShape{
 				Sets: uint32(s.Experts.Sets), Experts: uint32(s.Experts.Experts),
-				Places: uint32(s.Experts.Places), Spare: uint32(s.Experts.Spare),
-				CopyMicros: uint64(s.Experts.Copy.Microseconds()),
+				Places: uint32(s.Experts.Slots), Spare: uint32(s.Experts.SpareSlots),
+				CopyMicros: uint64(s.Experts.CopyTime.Microseconds()),
 			},
 		})
 	}
@@ -39,9 +39,9 @@
 
 func (r *Route) toWire() *wire.Route {
 	out := &wire.Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Repeat: wire.Repeat(r.Repeat), Stream: r.Stream,
-		TimeoutMillis: millis(r.Timeout), AimMillis: millis(r.Aim), GapMillis: millis(r.Gap),
-		Priority: r.Priority, MostTargets: uint32(r.MostTargets), Anonymous: r.Anonymous,
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Repeat: wire.Repeat(r.Retry), Stream: r.Stream,
+		TimeoutMillis: millis(r.Timeout), AimMillis: millis(r.LatencyTarget), GapMillis: millis(r.EventGapTarget),
+		Priority: r.Priority, MostTargets: uint32(r.MaxTargets), Anonymous: r.Anonymous,
 	}
 
 	for _, s := range r.Shares {
@@ -56,7 +56,7 @@
 	l := w.GetLimits()
 	d := Declaration{Number: w.GetNumber(), Limits: Limits{
 		HeaderBytes: int(l.GetHeaderBytes()), BodyBytes: int64(l.GetBodyBytes()),
-		Header: duration(l.GetHeaderMillis()), Idle: duration(l.GetIdleMillis()),
+		HeaderTimeout: duration(l.GetHeaderMillis()), IdleTimeout: duration(l.GetIdleMillis()),
 	}}
 
 	for _, r := range w.GetRoutes() {
@@ -66,11 +66,11 @@
 	for _, s := range w.GetServices() {
 		e := s.GetExperts()
 		d.Services = append(d.Services, Service{
-			Name: s.GetName(), MostConnections: int(s.GetMostConnections()), Cold: duration(s.GetColdMillis()),
+			Name: s.GetName(), MaxConnections: int(s.GetMostConnections()), ColdDuration: duration(s.GetColdMillis()),
 			ColdPerSecond: s.GetColdPerSecond(), HealthPath: s.GetHealthPath(), Slots: int(s.GetSlots()),
 			Experts: ExpertShape{
-				Sets: int(e.GetSets()), Experts: int(e.GetExperts()), Places: int(e.GetPlaces()), Spare: int(e.GetSpare()),
-				Copy: time.Duration(e.GetCopyMicros()) * time.Microsecond,
+				Sets: int(e.GetSets()), Experts: int(e.GetExperts()), Slots: int(e.GetPlaces()), SpareSlots: int(e.GetSpare()),
+				CopyTime: time.Duration(e.GetCopyMicros()) * time.Microsecond,
 			},
 		})
 	}
@@ -84,9 +84,9 @@
 
 func routeFromWire(r *wire.Route) Route {
 	out := Route{
-		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Repeat: Repeat(r.GetRepeat()), Stream: r.GetStream(),
-		Timeout: duration(r.GetTimeoutMillis()), Aim: duration(r.GetAimMillis()), Gap: duration(r.GetGapMillis()),
-		Priority: r.GetPriority(), MostTargets: int(r.GetMostTargets()), Anonymous: r.GetAnonymous(),
+		Name: r.GetName(), Host: r.GetHost(), Prefix: r.GetPrefix(), Retry: RetryPolicy(r.GetRepeat()), Stream: r.GetStream(),
+		Timeout: duration(r.GetTimeoutMillis()), LatencyTarget: duration(r.GetAimMillis()), EventGapTarget: duration(r.GetGapMillis()),
+		Priority: r.GetPriority(), MaxTargets: int(r.GetMostTargets()), Anonymous: r.GetAnonymous(),
 	}
 
 	for _, s := range r.GetShares() {
--- a/internal/streams/plan.go
+++ b/internal/streams/plan.go
@@ -24,10 +24,10 @@
 	Resumable bool
 }
 
-// Leaving is the target that the streams are on.
-type Leaving struct {
-	// By is when it is to be empty; zero when nothing presses.
-	By time.Time
+// DrainingTarget is the target that the streams are on.
+type DrainingTarget struct {
+	// Deadline is when it is to be empty; zero when nothing presses.
+	Deadline time.Time
 	// TokensPerSecond is how fast each of its streams generates.
 	TokensPerSecond float64
 	// BytesPerSecond is the rate at which it may export; exports go one after the other.
@@ -41,8 +41,8 @@
 	Free int
 	// PrefillPerSecond is how many tokens of a prompt it computes in a second.
 	PrefillPerSecond float64
-	// Imports says that it can import the leaving target's caches.
-	Imports bool
+	// CanImport says that it can import the leaving target's caches.
+	CanImport bool
 }
 
 // Kind is what becomes of a stream.
@@ -75,12 +75,12 @@
 	Kind     Kind
 	// To is the destination's agent; empty with Stay.
 	To string
-	// At is when to begin; with Move, when the export link is free.
-	At time.Time
+	// StartAt is when to begin; with Move, when the export link is free.
+	StartAt time.Time
 	// Stall is how long the caller waits for the next token meanwhile.
 	Stall time.Duration
-	// GoneAt is when the stream is expected to have left the target.
-	GoneAt time.Time
+	// DoneAt is when the stream is expected to have left the target.
+	DoneAt time.Time
 	// Overrun says that GoneAt is after Leaving.By: the stop has to wait for it,
 	// for no planned stop cuts a request off.
 	Overrun bool
@@ -88,29 +88,29 @@
 
 // Planner weighs the ways. The zero value of each field stands for the default beside it.
 type Planner struct {
-	// HoldUp is what a second of holding up the stop costs in seconds of a
+	// DelayCost is what a second of holding up the stop costs in seconds of a
 	// caller's stall (0.02).
-	HoldUp float64
+	DelayCost float64
 	// PrefillCost is what a second of computing a prompt anew costs the
 	// destination's other callers, in the same measure (1).
 	PrefillCost float64
-	// Handover is the stall of any change of place beside its transfer (50 ms).
-	Handover time.Duration
-	// LongestStall bounds the stall that a caller is given without need (2 s).
-	LongestStall time.Duration
+	// HandoverTime is the stall of any change of place beside its transfer (50 ms).
+	HandoverTime time.Duration
+	// MaxStall bounds the stall that a caller is given without need (2 s).
+	MaxStall time.Duration
 }
 
 func (p Planner) withDefaults() Planner {
-	p.HoldUp = cmp.Or(p.HoldUp, 0.02)
+	p.DelayCost = cmp.Or(p.DelayCost, 0.02)
 	p.PrefillCost = cmp.Or(p.PrefillCost, 1)
-	p.Handover = cmp.Or(p.Handover, 50*time.Millisecond)
-	p.LongestStall = cmp.Or(p.LongestStall, 2*time.Second)
+	p.HandoverTime = cmp.Or(p.HandoverTime, 50*time.Millisecond)
+	p.MaxStall = cmp.Or(p.MaxStall, 2*time.Second)
 	return p
 }
 
 // Plan decides about all streams of a leaving target. Those with most to come
 // are looked at first: they hold the stop up longest, and gain most by leaving.
-func (p Planner) Plan(now time.Time, l Leaving, list []Stream, to []Destination) []Decision {
+func (p Planner) Plan(now time.Time, l DrainingTarget, list []Stream, to []Destination) []Decision {
 	r := &round{Planner: p.withDefaults(), now: now, leaving: l, to: slices.Clone(to), linkFree: now}
 
 	order := slices.Clone(list)
--- a/internal/streams/plan_test.go
+++ b/internal/streams/plan_test.go
@@ -13,10 +13,10 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func leaving(by time.Duration) streams.Leaving {
-	l := streams.Leaving{TokensPerSecond: 20, BytesPerSecond: 1 << 30}
+func leaving(by time.Duration) streams.DrainingTarget {
+	l := streams.DrainingTarget{TokensPerSecond: 20, BytesPerSecond: 1 << 30}
 	if by > 0 {
-		l.By = epoch.Add(by)
+		l.Deadline = epoch.Add(by)
 	}
 
 	return l
@@ -25,7 +25,7 @@
 func TestPlan(t *testing.T) {
 	t.Parallel()
 
-	dest := streams.Destination{AgentID: "t2", Free: 1, PrefillPerSecond: 8000, Imports: true}
+	dest := streams.Destination{AgentID: "t2", Free: 1, PrefillPerSecond: 8000, CanImport: true}
 	long := streams.Stream{ID: "s", Tokens: 4000, Remaining: 1000, KVBytes: 512 << 20, Exportable: true, Resumable: true}
 	short := long
 	short.Remaining = 20
@@ -84,8 +84,8 @@
 		taken[d.To]++
 
 		if d.Kind == streams.Move {
-			require.False(t, d.At.Before(linkFree), "two exports at once")
-			linkFree = d.GoneAt
+			require.False(t, d.StartAt.Before(linkFree), "two exports at once")
+			linkFree = d.DoneAt
 		}
 	}
 
@@ -109,8 +109,8 @@
 	}
 
 	return list, []streams.Destination{
-		{AgentID: "a", Free: n / 3, PrefillPerSecond: 8000, Imports: true},
-		{AgentID: "b", Free: n / 3, PrefillPerSecond: 8000, Imports: true},
+		{AgentID: "a", Free: n / 3, PrefillPerSecond: 8000, CanImport: true},
+		{AgentID: "b", Free: n / 3, PrefillPerSecond: 8000, CanImport: true},
 	}
 }
 
@@ -121,8 +121,8 @@
 		name string
 		p    streams.Planner
 	}{
-		{"StayAll", streams.Planner{HoldUp: 1e-9}},
-		{"MoveAll", streams.Planner{HoldUp: 1e3, LongestStall: time.Hour}},
+		{"StayAll", streams.Planner{DelayCost: 1e-9}},
+		{"MoveAll", streams.Planner{DelayCost: 1e3, MaxStall: time.Hour}},
 		{"Ours", streams.Planner{}},
 	}
 
@@ -141,7 +141,7 @@
 			empty, stall, left := 0.0, 0.0, 0.0
 
 			for _, d := range got {
-				empty = max(empty, d.GoneAt.Sub(epoch).Seconds())
+				empty = max(empty, d.DoneAt.Sub(epoch).Seconds())
 				stall += d.Stall.Seconds()
 
 				if d.Kind != streams.Stay {
--- a/internal/streams/round.go
+++ b/internal/streams/round.go
@@ -7,7 +7,7 @@
 	Planner
 
 	now      time.Time
-	leaving  Leaving
+	leaving  DrainingTarget
 	to       []Destination
 	linkFree time.Time
 }
@@ -35,7 +35,7 @@
 	}
 
 	if best.Kind == Move {
-		r.linkFree = best.GoneAt
+		r.linkFree = best.DoneAt
 	}
 
 	return best.Decision
@@ -48,7 +48,7 @@
 		return b.Overrun
 	}
 
-	if !b.Overrun && a.Stall > r.LongestStall {
+	if !b.Overrun && a.Stall > r.MaxStall {
 		return false
 	}
 
@@ -61,10 +61,10 @@
 	return option{
 		dest: -1,
 		Decision: Decision{
-			StreamID: s.ID, Kind: kind, At: begin, GoneAt: gone,
-			Overrun: !r.leaving.By.IsZero() && gone.After(r.leaving.By),
+			StreamID: s.ID, Kind: kind, StartAt: begin, DoneAt: gone,
+			Overrun: !r.leaving.Deadline.IsZero() && gone.After(r.leaving.Deadline),
 		},
-		cost: r.HoldUp * gone.Sub(r.now).Seconds(),
+		cost: r.DelayCost * gone.Sub(r.now).Seconds(),
 	}
 }
 
@@ -74,22 +74,22 @@
 
 // move is the way by export and import, or one without destination.
 func (r *round) move(s Stream) option {
-	took := r.Handover + seconds(float64(s.KVBytes), r.leaving.BytesPerSecond)
+	took := r.HandoverTime + seconds(float64(s.KVBytes), r.leaving.BytesPerSecond)
 
 	o := r.option(s, Move, r.linkFree, took)
-	if !s.Exportable || r.leaving.BytesPerSecond <= 0 || r.finished(s, o.At) {
+	if !s.Exportable || r.leaving.BytesPerSecond <= 0 || r.finished(s, o.StartAt) {
 		return o
 	}
 
 	o.Stall = took
 	o.cost += took.Seconds()
 
-	return r.place(o, func(d *Destination) bool { return d.Imports })
+	return r.place(o, func(d *Destination) bool { return d.CanImport })
 }
 
 // recompute is the way by the text alone, or one without destination.
 func (r *round) recompute(s Stream) option {
-	o := r.option(s, Recompute, r.now, r.Handover)
+	o := r.option(s, Recompute, r.now, r.HandoverTime)
 	if !s.Resumable {
 		return o
 	}
@@ -100,7 +100,7 @@
 	}
 
 	prefill := seconds(float64(s.Tokens), r.to[o.dest].PrefillPerSecond)
-	o.Stall = r.Handover + prefill
+	o.Stall = r.HandoverTime + prefill
 	o.cost += o.Stall.Seconds() + r.PrefillCost*prefill.Seconds()
 
 	return o
