--- a/internal/control/base.go
+++ b/internal/control/base.go
@@ -11,24 +11,24 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// base is all records at one version, encoded.
-type base struct {
+// encodedBase is all records at one version, encoded.
+type encodedBase struct {
 	version uint64
 	data    []byte
 }
 
-// maxRest is how many changes may follow on a base before it is made anew.
-const maxRest = 256
+// maxBaseDelta is how many changes may follow on a base before it is made anew.
+const maxBaseDelta = 256
 
-// full returns all records as an encoded base and what changed after it. It
+// baseAndDelta returns all records as an encoded base and what changed after it. It
 // guards against the return of all processes at once: each needs everything, and
 // encoding that for each would take longer than they wait, so that they would
 // ask again, and none would ever be served. The base is encoded once for all of
 // them, though each one's own report makes a new version.
-func (s *Server) full(p *published) ([]byte, ledger.Delta) {
+func (s *Server) baseAndDelta(p *publishedState) ([]byte, ledger.Delta) {
 	if b := s.base.Load(); b != nil {
-		if rest, ok := p.follows(b); ok {
-			return b.data, rest
+		if delta, ok := p.deltaSince(b); ok {
+			return b.data, delta
 		}
 	}
 
@@ -38,8 +38,8 @@
 	p = s.published.Load()
 
 	if b := s.base.Load(); b != nil {
-		if rest, ok := p.follows(b); ok {
-			return b.data, rest
+		if delta, ok := p.deltaSince(b); ok {
+			return b.data, delta
 		}
 	}
 
@@ -49,20 +49,20 @@
 		return nil, p.records.DeltaSince(0)
 	}
 
-	s.base.Store(&base{version: p.records.Version, data: data})
+	s.base.Store(&encodedBase{version: p.records.Version, data: data})
 
 	return data, ledger.Delta{Version: p.records.Version, Full: true}
 }
 
-// follows returns what changed after b, if that is little.
-func (p *published) follows(b *base) (ledger.Delta, bool) {
+// deltaSince returns what changed after b, if that is little.
+func (p *publishedState) deltaSince(b *encodedBase) (ledger.Delta, bool) {
 	if b.version > p.records.Version {
 		return ledger.Delta{}, false
 	}
 
-	rest := p.records.DeltaSince(b.version)
+	delta := p.records.DeltaSince(b.version)
 
-	return rest, !rest.Full && len(rest.Changed)+len(rest.Removed) <= maxRest
+	return delta, !delta.Full && len(delta.Changed)+len(delta.Removed) <= maxBaseDelta
 }
 
 func encodeBase(records []*wire.Record) ([]byte, error) {
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -21,35 +21,35 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// web is three control VMs over HTTP on loopback, with a state of the size that
+// benchCluster is three control VMs over HTTP on loopback, with a state of the size that
 // parsleygate is designed for, and readers of it in this process. Bytes are
 // counted on the readers' connections, headers included.
-type web struct {
+type benchCluster struct {
 	b        *testing.B
-	group    *group
+	vms      *controlVMs
 	controls []netip.AddrPort
 	client   *http.Client
 	bytes    atomic.Int64
-	// full makes the poll of every reader ask for everything: the baseline.
-	full bool
-
-	mu     sync.Mutex
-	silent map[int]bool
-	ends   sync.WaitGroup
-	cancel context.CancelFunc
-	number uint64
-	views  []*view.Reader
+	// fullPolls makes the poll of every reader ask for everything: the baseline.
+	fullPolls bool
+
+	mu          sync.Mutex
+	partitioned map[int]bool
+	running     sync.WaitGroup
+	cancel      context.CancelFunc
+	number      uint64
+	views       []*view.Reader
 }
 
 const benchWorkspaces = 13000
 
-func newWeb(b *testing.B, readers int, full bool) *web {
+func newBenchCluster(b *testing.B, readers int, fullPolls bool) *benchCluster {
 	b.Helper()
 
-	w := &web{b: b, group: newGroup(b, 3), full: full, silent: map[int]bool{}}
-	w.fill()
+	w := &benchCluster{b: b, vms: newControlVMs(b, 3), fullPolls: fullPolls, partitioned: map[int]bool{}}
+	w.addWorkspaces()
 
-	for _, s := range w.group.servers {
+	for _, s := range w.vms.servers {
 		mux := http.NewServeMux()
 		mux.Handle(wire.ControlPathPrefix, wire.NewControlServer(s))
 
@@ -77,23 +77,23 @@
 
 	b.Cleanup(func() {
 		w.cancel()
-		w.ends.Wait()
+		w.running.Wait()
 		w.client.CloseIdleConnections()
 	})
-	require.Eventually(b, func() bool { return w.behind() == 0 }, time.Minute, 50*time.Millisecond)
-	w.settle()
+	require.Eventually(b, func() bool { return w.readersBehind() == 0 }, time.Minute, 50*time.Millisecond)
+	w.waitUntilStable()
 
 	return w
 }
 
-// quiet is how long the version must stay before a measurement begins.
-const quiet = 4 * time.Second
+// stableTime is how long the version must stay before a measurement begins.
+const stableTime = 4 * time.Second
 
-// settle waits until every reader holds the same, whole directory.
-func (w *web) settle() {
+// waitUntilStable waits until every reader holds the same, whole directory.
+func (w *benchCluster) waitUntilStable() {
 	begin := time.Now()
 
-	for since, version := begin, uint64(0); time.Since(since) < quiet; time.Sleep(50 * time.Millisecond) {
+	for since, version := begin, uint64(0); time.Since(since) < stableTime; time.Sleep(50 * time.Millisecond) {
 		require.Less(w.b, time.Since(begin), time.Minute)
 
 		for _, r := range w.views {
@@ -103,14 +103,14 @@
 		}
 	}
 
-	w.b.Logf("settled %v after the start", time.Since(begin)-quiet)
+	w.b.Logf("settled %v after the start", time.Since(begin)-stableTime)
 }
 
-// fill puts 13,000 workspaces into the state.
-func (w *web) fill() {
+// addWorkspaces puts 13,000 workspaces into the state.
+func (w *benchCluster) addWorkspaces() {
 	var text strings.Builder
 
-	text.WriteString(zonesIn)
+	text.WriteString(declareZones)
 
 	for i := range benchWorkspaces {
 		fmt.Fprintf(&text, "[Workspace \"workspace-%d\"]\nWeight = 3\n", i)
@@ -119,13 +119,13 @@
 	w.decide(text.String())
 }
 
-func (w *web) decide(declaration string) uint64 {
+func (w *benchCluster) decide(declaration string) uint64 {
 	w.number++
-	return w.group.decide(w.b, 0, w.number, declaration).GetVersion()
+	return w.vms.decide(w.b, 0, w.number, declaration).GetVersion()
 }
 
-// toggle takes a zone out, or brings it back.
-func (w *web) toggle() { w.decide([]string{zoneIn, zoneOut}[w.number%2]) }
+// toggleZone takes a zone out, or brings it back.
+func (w *benchCluster) toggleZone() { w.decide([]string{zoneIn, zoneOut}[w.number%2]) }
 
 type countedConn struct {
 	net.Conn
@@ -147,8 +147,8 @@
 	return n, err
 }
 
-func (w *web) start(ctx context.Context, i int) {
-	node := target(fmt.Sprintf("agent-%d", i), []string{"ayutthaya", "saraburi"}[i%2], 1)
+func (w *benchCluster) start(ctx context.Context, i int) {
+	node := agentNode(fmt.Sprintf("agent-%d", i), []string{"ayutthaya", "saraburi"}[i%2], 1)
 	node.Address = "10.0.0.1:8610"
 	r := &view.Reader{
 		Cluster: cluster, Controls: w.controls,
@@ -160,11 +160,11 @@
 	r.Init()
 	w.views = append(w.views, r)
 
-	w.ends.Go(func() { _ = r.Run(ctx) })
+	w.running.Go(func() { _ = r.Run(ctx) })
 }
 
-func (w *web) poll(ctx context.Context, i int, at netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
-	if w.cutOff(i) {
+func (w *benchCluster) poll(ctx context.Context, i int, at netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
+	if w.isPartitioned(i) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -172,12 +172,12 @@
 	client := wire.NewControlProtobufClient("http://"+at.String(), w.client)
 
 	answer, err := client.Poll(ctx, r)
-	if w.cutOff(i) {
+	if w.isPartitioned(i) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 
-	if w.full && err == nil && len(answer.GetChanged()) > 0 {
+	if w.fullPolls && err == nil && len(answer.GetChanged()) > 0 {
 		r = proto.CloneOf(r)
 		r.KnownVersion = 0
 
@@ -187,22 +187,22 @@
 	return answer, err
 }
 
-func (w *web) cutOff(i int) bool {
+func (w *benchCluster) isPartitioned(i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	return w.silent[i]
+	return w.partitioned[i]
 }
 
-// behind returns how many readers that are not cut off lack the last decision.
-func (w *web) behind() int {
+// readersBehind returns how many readers that are not cut off lack the last decision.
+func (w *benchCluster) readersBehind() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	n := 0
 
 	for i, r := range w.views {
-		if !w.silent[i] && r.Snapshot().Version < w.group.decided(w.b) {
+		if !w.partitioned[i] && r.Snapshot().Version < w.vms.lastDecidedVersion(w.b) {
 			n++
 		}
 	}
@@ -210,15 +210,15 @@
 	return n
 }
 
-// decided returns the version of the last decision.
-func (g *group) decided(b *testing.B) uint64 {
-	history, err := g.servers[0].History(context.Background(), &wire.HistoryRequest{Limit: 1})
+// lastDecidedVersion returns the version of the last decision.
+func (v *controlVMs) lastDecidedVersion(b *testing.B) uint64 {
+	history, err := v.servers[0].History(context.Background(), &wire.HistoryRequest{Limit: 1})
 	require.NoError(b, err)
 
 	return history.GetEntries()[0].GetVersion()
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -233,12 +233,12 @@
 
 	for _, silent := range []int{0, 50} {
 		b.Run(fmt.Sprintf("readers=%d/silent=%d", readers, silent), func(b *testing.B) {
-			w := newWeb(b, readers, false)
+			w := newBenchCluster(b, readers, false)
 
 			var held, force time.Duration
 
 			for b.Loop() {
-				h, f := w.measure(silent)
+				h, f := w.measureInForce(silent)
 				held, force = held+h, force+f
 			}
 
@@ -248,36 +248,36 @@
 	}
 }
 
-func (w *web) measure(silent int) (held, force time.Duration) {
-	w.silence(silent)
+func (w *benchCluster) measureInForce(silent int) (held, force time.Duration) {
+	w.partition(silent)
 
 	begin := time.Now()
-	w.toggle()
+	w.toggleZone()
 
-	for w.behind() > 0 {
+	for w.readersBehind() > 0 {
 		time.Sleep(2 * time.Millisecond)
 	}
 
 	held = time.Since(begin)
 
-	for !w.group.status(w.b, 1, w.number).GetInForce() {
+	for !w.vms.status(w.b, 1, w.number).GetInForce() {
 		time.Sleep(20 * time.Millisecond)
 	}
 
 	force = time.Since(begin)
 
-	w.silence(0)
+	w.partition(0)
 	time.Sleep(3 * time.Second)
 
 	return held, force
 }
 
-func (w *web) silence(n int) {
+func (w *benchCluster) partition(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	for i := range w.views {
-		w.silent[i] = i < n
+		w.partitioned[i] = i < n
 	}
 }
 
@@ -297,37 +297,37 @@
 			}
 
 			b.Run(fmt.Sprintf("readers=%d/full=%t", readers, full), func(b *testing.B) {
-				w := newWeb(b, readers, full)
+				w := newBenchCluster(b, readers, full)
 				for b.Loop() {
-					w.costs(readers)
+					w.measureCosts(readers)
 				}
 			})
 		}
 	}
 }
 
-func (w *web) costs(readers int) {
+func (w *benchCluster) measureCosts(readers int) {
 	perReader := func(v float64) float64 { return v / float64(readers) }
 
-	bytes, used := w.bytes.Load(), cpu()
+	bytes, used := w.bytes.Load(), cpuTime()
 
 	time.Sleep(idleTime)
 
 	idleBytes := float64(w.bytes.Load()-bytes) / idleTime.Seconds()
-	idleCPU := (cpu() - used).Seconds() / idleTime.Seconds()
+	idleCPU := (cpuTime() - used).Seconds() / idleTime.Seconds()
 
-	bytes, used = w.bytes.Load(), cpu()
+	bytes, used = w.bytes.Load(), cpuTime()
 	begin := time.Now()
 
 	changes := benchChanges
-	if w.full {
+	if w.fullPolls {
 		changes = benchChanges / 10
 	}
 
 	for range changes {
-		w.toggle()
+		w.toggleZone()
 
-		for w.behind() > 0 {
+		for w.readersBehind() > 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
 
@@ -336,7 +336,7 @@
 
 	took := time.Since(begin).Seconds()
 	changeBytes := (float64(w.bytes.Load()-bytes) - idleBytes*took) / float64(changes)
-	changeCPU := ((cpu() - used).Seconds() - idleCPU*took) / float64(changes)
+	changeCPU := ((cpuTime() - used).Seconds() - idleCPU*took) / float64(changes)
 
 	w.b.ReportMetric(perReader(idleBytes), "idle-B/s/reader")
 	w.b.ReportMetric(perReader(idleCPU)*1e6, "idle-cpu-µs/s/reader")
@@ -346,12 +346,12 @@
 
 // BenchmarkFirstAnswer measures the full answer that a process gets at its start.
 func BenchmarkFirstAnswer(b *testing.B) {
-	w := newWeb(b, 1010, false)
+	w := newBenchCluster(b, 1010, false)
 
 	var size int
 
 	for b.Loop() {
-		answer, err := w.group.servers[0].Poll(context.Background(), &wire.PollRequest{Cluster: cluster, Node: entry("agent-0", 1)})
+		answer, err := w.vms.servers[0].Poll(context.Background(), &wire.PollRequest{Cluster: cluster, Node: entryNode("agent-0", 1)})
 		require.NoError(b, err)
 
 		data, err := proto.Marshal(answer)
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -18,11 +18,11 @@
 	}
 
 	if r.GetHolder() != nil && r.GetHolder().GetAttemptID() == "" {
-		return nil, missing("Holder.AttemptID")
+		return nil, missingField("Holder.AttemptID")
 	}
 
 	if len(r.GetBodyDigest()) == 0 {
-		return nil, missing("BodyDigest")
+		return nil, missingField("BodyDigest")
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_Claim{Claim: r}})
@@ -41,7 +41,7 @@
 	}
 
 	if r.GetAttemptID() == "" {
-		return nil, missing("AttemptID")
+		return nil, missingField("AttemptID")
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_Settle{Settle: r}})
@@ -54,11 +54,11 @@
 
 func checkKey(service, key string) error {
 	if service == "" {
-		return missing("Service")
+		return missingField("Service")
 	}
 
 	if key == "" {
-		return missing("Key")
+		return missingField("Key")
 	}
 
 	return nil
@@ -69,7 +69,7 @@
 func (s *Server) propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	data, err := proto.Marshal(command)
 	if err != nil {
-		return nil, newFault(twirp.InvalidArgument, err.Error())
+		return nil, newRPCError(twirp.InvalidArgument, err.Error())
 	}
 
 	_, raw, err := s.Propose(ctx, data)
@@ -79,11 +79,11 @@
 
 	result := &wire.Result{}
 	if err := proto.Unmarshal(raw, result); err != nil {
-		return nil, proposalFault(twirp.Internal, err.Error(), OutcomeUnknown)
+		return nil, newProposalError(twirp.Internal, err.Error(), OutcomeUnknown)
 	}
 
 	if result.GetFault() != "" {
-		return nil, proposalFault(twirp.Internal, result.GetFault(), OutcomeNotDone)
+		return nil, newProposalError(twirp.Internal, result.GetFault(), OutcomeNotDone)
 	}
 
 	return result, nil
@@ -91,8 +91,8 @@
 
 func (s *Server) proposeError(err error) error {
 	if s.NotProposed(err) {
-		return proposalFault(twirp.Unavailable, "nothing was committed: "+err.Error(), OutcomeNotDone)
+		return newProposalError(twirp.Unavailable, "nothing was committed: "+err.Error(), OutcomeNotDone)
 	}
 
-	return proposalFault(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), OutcomeUnknown)
+	return newProposalError(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), OutcomeUnknown)
 }
--- a/internal/control/documents.go
+++ b/internal/control/documents.go
@@ -13,9 +13,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// maxDocument bounds a document as it was sent (bytes). It is what entries let
+// maxDocumentBytes bounds a document as it was sent (bytes). It is what entries let
 // callers send at most by default, too.
-const maxDocument = 16 << 20
+const maxDocumentBytes = 16 << 20
 
 // document is the configuration in force as it was sent, and the table that it
 // declares, read when it is first asked for.
@@ -28,35 +28,35 @@
 	err   error
 }
 
-// documentOf returns the document of the state, keeping what was read of it before.
-func documentOf(stored *wire.Document, before *published) *document {
+// newDocument returns the document of the state, keeping what was read of it before.
+func newDocument(stored *wire.Document, prev *publishedState) *document {
 	if stored == nil {
 		return nil
 	}
 
-	if before != nil && before.document != nil && before.document.stored == stored {
-		return before.document
+	if prev != nil && prev.document != nil && prev.document.stored == stored {
+		return prev.document
 	}
 
 	return &document{number: stored.GetNumber(), stored: stored}
 }
 
-// read returns the table that the document declares.
-func (d *document) read(read func([]byte) (*wire.RouteTable, error)) (*wire.RouteTable, error) {
+// routeTable returns the table that the document declares.
+func (d *document) routeTable(parse func([]byte) (*wire.RouteTable, error)) (*wire.RouteTable, error) {
 	d.once.Do(func() {
-		var sent []byte
+		var data []byte
 
-		if sent, d.err = d.sent(); d.err == nil {
-			d.table, d.err = read(sent)
+		if data, d.err = d.uncompressed(); d.err == nil {
+			d.table, d.err = parse(data)
 		}
 	})
 
 	return d.table, d.err
 }
 
-// sent returns the document byte by byte as it was sent.
-func (d *document) sent() ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.stored.GetCompressed())), maxDocument+1))
+// uncompressed returns the document byte by byte as it was sent.
+func (d *document) uncompressed() ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.stored.GetCompressed())), maxDocumentBytes+1))
 
 	return data, eris.Wrap(err, "unpack the document")
 }
@@ -85,13 +85,13 @@
 // is acknowledged and changes nothing: an order whose answer was lost is sent
 // again, and may arrive after later ones. An error with FateUnknown may have
 // adopted it; sending it again is safe.
-func (s *Server) Adopt(ctx context.Context, number uint64, sent []byte) error {
+func (s *Server) Adopt(ctx context.Context, number uint64, data []byte) error {
 	// What this VM has applied is committed, so a resend needs no second entry.
 	if d := s.published.Load().document; d != nil && d.number >= number {
 		return nil
 	}
 
-	compressed, err := compress(sent)
+	compressed, err := compress(data)
 	if err != nil {
 		return err
 	}
@@ -134,11 +134,11 @@
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
 	_, index, err := s.ReadIndex(ctx)
 	if err != nil {
-		return nil, newFault(twirp.Unavailable, "this control VM cannot show that its state is current")
+		return nil, newRPCError(twirp.Unavailable, "this control VM cannot show that its state is current")
 	}
 
 	if !s.awaitApplied(ctx, index) {
-		return nil, newFault(twirp.Unavailable, "this control VM is behind")
+		return nil, newRPCError(twirp.Unavailable, "this control VM is behind")
 	}
 
 	d := s.published.Load().document
@@ -146,5 +146,5 @@
 		return nil, nil
 	}
 
-	return d.sent()
+	return d.uncompressed()
 }
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -19,16 +19,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// publishing is a control VM whose operators decide in one step.
-func publishing(t *testing.T) (*control.Server, *control.MemoryLog) {
+// startDocumentServer is a control VM whose operators decide in one step.
+func startDocumentServer(t *testing.T) (*control.Server, *control.MemoryLog) {
 	t.Helper()
 
-	s := newPublishing()
+	s := newDocumentServer()
 
-	return s, runPublishing(t, s)
+	return s, runDocumentServer(t, s)
 }
 
-func newPublishing() *control.Server {
+func newDocumentServer() *control.Server {
 	return &control.Server{
 		Cluster: "trust", VM: "c1",
 		Zones: map[string]string{"a": "r", "b": "r"}, AnnounceInterval: time.Second,
@@ -41,8 +41,8 @@
 	}
 }
 
-// runPublishing runs s over a log in memory until the test ends, after edits of it.
-func runPublishing(t *testing.T, s *control.Server, edits ...func(*control.Server)) *control.MemoryLog {
+// runDocumentServer runs s over a log in memory until the test ends, after edits of it.
+func runDocumentServer(t *testing.T, s *control.Server, edits ...func(*control.Server)) *control.MemoryLog {
 	t.Helper()
 
 	log := &control.MemoryLog{}
@@ -71,10 +71,10 @@
 // Operators race, resend after lost answers, and old changes arrive again. The
 // highest number rules, with the content under which it was accepted first; all of
 // them are acknowledged, and what is read back is what was sent.
-func TestDocumentsByTheirNumbers(t *testing.T) {
+func TestHighestDocumentNumberWins(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		ctx := t.Context()
 
 		none, err := s.Document(ctx)
@@ -104,16 +104,16 @@
 
 // A control VM is cut off from the others, or wakes from a suspension. It cannot
 // know whether its configuration is the newest, and says so rather than show it.
-func TestDocumentIsNotReadWithoutAQuorum(t *testing.T) {
+func TestDocumentReadNeedsQuorum(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		var cut atomic.Bool
+		var noQuorum atomic.Bool
 
-		s := newPublishing()
-		runPublishing(t, s, func(s *control.Server) {
+		s := newDocumentServer()
+		runDocumentServer(t, s, func(s *control.Server) {
 			read := s.ReadIndex
 			s.ReadIndex = func(ctx context.Context) (time.Time, uint64, error) {
-				if cut.Load() {
+				if noQuorum.Load() {
 					return time.Time{}, 0, errors.New("no quorum")
 				}
 
@@ -124,7 +124,7 @@
 
 		_, err := s.Document(t.Context())
 		require.NoError(t, err)
-		cut.Store(true)
+		noQuorum.Store(true)
 
 		_, err = s.Document(t.Context())
 		require.Error(t, err)
@@ -133,11 +133,11 @@
 
 // The state that documents and zone orders make survives snapshots, which is what a
 // control VM that joins, or restarts, gets.
-func TestDocumentsOutliveASnapshot(t *testing.T) {
+func TestSnapshotKeepsDocumentAndZoneOrder(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		first, _ := publishing(t)
-		second, _ := publishing(t)
+		first, _ := startDocumentServer(t)
+		second, _ := startDocumentServer(t)
 		sent := "desk " + strings.Repeat("route ", 20000)
 
 		require.NoError(t, first.Adopt(t.Context(), 5, []byte(sent)))
@@ -164,10 +164,10 @@
 
 // A zone is taken out twice, since the first answer was lost, and back in. Zones
 // that nobody declared are refused.
-func TestZoneOrders(t *testing.T) {
+func TestSetZoneOut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		follow := func() []string {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "e"})
 			require.NoError(t, err)
@@ -189,7 +189,7 @@
 	})
 }
 
-func announced(id, service, zone string) directory.Target {
+func newTarget(id, service, zone string) directory.Target {
 	return directory.Target{ID: id, StartTime: 1, Sequence: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
@@ -198,24 +198,24 @@
 func TestUndeclaredTargetsAreRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 
 		var undeclared *control.UndeclaredError
 
-		require.NoError(t, s.Announce(t.Context(), announced("i1", "anything", "a")), "without a document nobody can tell")
+		require.NoError(t, s.Announce(t.Context(), newTarget("i1", "anything", "a")), "without a document nobody can tell")
 		require.NoError(t, s.Adopt(t.Context(), 1, []byte("desk first")))
-		require.NoError(t, s.Announce(t.Context(), announced("i2", "desk", "a")))
-		require.ErrorAs(t, s.Announce(t.Context(), announced("i3", "other", "a")), &undeclared)
-		require.ErrorAs(t, s.Announce(t.Context(), announced("i4", "desk", "z")), &undeclared)
+		require.NoError(t, s.Announce(t.Context(), newTarget("i2", "desk", "a")))
+		require.ErrorAs(t, s.Announce(t.Context(), newTarget("i3", "other", "a")), &undeclared)
+		require.ErrorAs(t, s.Announce(t.Context(), newTarget("i4", "desk", "z")), &undeclared)
 	})
 }
 
 // An entry that follows is told at once of a new document, a zone that goes out, a
 // target that comes and one that drains, though it asked to be held for longer.
-func TestFollowersAreWokenAtOnce(t *testing.T) {
+func TestFollowReturnsOnChange(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		known := &wire.FollowRequest{Cluster: "trust", ID: "e", WaitMillis: 1500}
 		next := func() *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), known)
@@ -231,7 +231,7 @@
 		for i, change := range []func() error{
 			func() error { return s.Adopt(t.Context(), 1, []byte("desk first")) },
 			func() error { return s.SetZoneOut(t.Context(), "a", true) },
-			func() error { return s.Announce(t.Context(), announced("i1", "desk", "a")) },
+			func() error { return s.Announce(t.Context(), newTarget("i1", "desk", "a")) },
 			func() error { return s.Leave(t.Context(), "i1") },
 		} {
 			began := time.Now()
@@ -256,15 +256,15 @@
 // Followers end their questions at any moment, as processes are killed. A question that
 // is given up just as it is answered must not read what is still being written: the race
 // detector saw it in a control VM of the soak.
-func TestFollowersLeaveAtAnyMoment(t *testing.T) {
+func TestCanceledFollowDoesNotRaceWithItsAnswer(t *testing.T) {
 	t.Parallel()
 
-	s, _ := publishing(t)
+	s, _ := startDocumentServer(t)
 
 	for range 2000 {
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 
-		go leave()
+		go cancel()
 
 		_, _ = s.Follow(ctx, &wire.FollowRequest{Cluster: "trust", ID: "e"})
 	}
@@ -273,10 +273,10 @@
 // An agent follows for the targets and services of its group. Six control VMs each sent
 // it all routes of a large configuration, over a link of 8 Mbit/s: it was deaf for a
 // second, its standby took it for gone, and the group stood still between the two.
-func TestWhoTakesNoCallersGetsNoRoutes(t *testing.T) {
+func TestServicesOnlyFollowGetsNoRoutes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newPublishing()
+		s := newDocumentServer()
 		s.ReadDocument = func([]byte) (*wire.RouteTable, error) {
 			return &wire.RouteTable{
 				Number: 1, Services: []*wire.RoutedService{{Name: "desk"}},
@@ -284,7 +284,7 @@
 			}, nil
 		}
 
-		runPublishing(t, s)
+		runDocumentServer(t, s)
 		require.NoError(t, s.Adopt(t.Context(), 1, []byte("desk first")))
 
 		out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "agent", ServicesOnly: true})
@@ -294,28 +294,28 @@
 		require.Empty(t, out.GetTable().GetRoutes())
 		require.Empty(t, out.GetTable().GetWorkspaces())
 
-		whole, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "entry"})
+		full, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "entry"})
 		require.NoError(t, err)
-		require.NotEmpty(t, whole.GetTable().GetRoutes(), "what others get is untouched")
+		require.NotEmpty(t, full.GetTable().GetRoutes(), "what others get is untouched")
 	})
 }
 
 // All control VMs are killed at once and start again. Their followers get the
 // targets that were known before at once, and the farewells with them; a saved
 // directory that is torn is no directory.
-func TestTargetsOutliveARestart(t *testing.T) {
+func TestTargetsSurviveRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		var (
-			mu   sync.Mutex
-			kept []byte
+			mu        sync.Mutex
+			savedData []byte
 		)
 
 		save := func(data []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 
-			kept = data
+			savedData = data
 
 			return nil
 		}
@@ -323,21 +323,21 @@
 			mu.Lock()
 			defer mu.Unlock()
 
-			return kept
+			return savedData
 		}
-		start := func(kept func() ([]byte, error), save func([]byte) error) *control.Server {
-			s := newPublishing()
-			s.LoadTargets, s.SaveTargets = kept, save
-			runPublishing(t, s)
+		start := func(savedData func() ([]byte, error), save func([]byte) error) *control.Server {
+			s := newDocumentServer()
+			s.LoadTargets, s.SaveTargets = savedData, save
+			runDocumentServer(t, s)
 
 			return s
 		}
 		first := start(func() ([]byte, error) { return nil, errors.New("none") }, save)
-		gone := announced("i2", "desk", "a")
-		gone.Address = netip.MustParseAddrPort("10.0.0.2:80")
+		removed := newTarget("i2", "desk", "a")
+		removed.Address = netip.MustParseAddrPort("10.0.0.2:80")
 
-		require.NoError(t, first.Announce(t.Context(), announced("i1", "desk", "a")))
-		require.NoError(t, first.Announce(t.Context(), gone))
+		require.NoError(t, first.Announce(t.Context(), newTarget("i1", "desk", "a")))
+		require.NoError(t, first.Announce(t.Context(), removed))
 		require.NoError(t, first.Leave(t.Context(), "i2"))
 		time.Sleep(time.Second)
 
@@ -350,7 +350,7 @@
 			require.Equal(t, w.GetID() == "i2", w.GetState() == wire.TargetState_TargetGone)
 		}
 
-		require.NoError(t, second.Announce(t.Context(), gone))
+		require.NoError(t, second.Announce(t.Context(), removed))
 
 		third := start(func() ([]byte, error) { return saved()[:len(saved())-3], nil }, nil)
 		out, err = third.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "e"})
@@ -361,10 +361,10 @@
 
 // Entries share what all of them together may do, so they must know how many they
 // are: those that leave or fell silent do not count.
-func TestFollowersAreCounted(t *testing.T) {
+func TestOnlyActiveFollowersAreCounted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		follow := func(id string, leaving bool) *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: id, Leaving: leaving, Relay: "10.0.0.1:" + id[1:]})
 			require.NoError(t, err)
@@ -387,10 +387,10 @@
 
 // All VMs lose power, and the first entry to ask is answered before the others have. Guards
 // against an entry that takes itself for the only one, and a whole limit for its own.
-func TestEntriesCountAgainAfterARestart(t *testing.T) {
+func TestRosterSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		var kept atomic.Pointer[[]byte]
+		var savedData atomic.Pointer[[]byte]
 
 		follow := func(s *control.Server, id string, hash uint64) *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: id, Zone: "z" + id, RosterHash: hash})
@@ -399,22 +399,22 @@
 			return out
 		}
 
-		first := newPublishing()
+		first := newDocumentServer()
 		first.LoadTargets = func() ([]byte, error) { return nil, errors.New("none") }
-		first.SaveTargets = func(data []byte) error { kept.Store(&data); return nil }
-		runPublishing(t, first)
+		first.SaveTargets = func(data []byte) error { savedData.Store(&data); return nil }
+		runDocumentServer(t, first)
 		follow(first, "e1", 0)
 		follow(first, "e2", 0)
 
-		told := follow(first, "e3", 0)
-		require.Len(t, told.GetRoster(), 3)
-		require.Equal(t, "ze1", told.GetRoster()[0].GetZone())
-		require.Empty(t, follow(first, "e3", told.GetRosterHash()).GetRoster(), "it has not changed")
+		out := follow(first, "e3", 0)
+		require.Len(t, out.GetRoster(), 3)
+		require.Equal(t, "ze1", out.GetRoster()[0].GetZone())
+		require.Empty(t, follow(first, "e3", out.GetRosterHash()).GetRoster(), "it has not changed")
 		time.Sleep(2 * time.Second)
 
-		second := newPublishing()
-		second.LoadTargets = func() ([]byte, error) { return *kept.Load(), nil }
-		runPublishing(t, second)
+		second := newDocumentServer()
+		second.LoadTargets = func() ([]byte, error) { return *savedData.Load(), nil }
+		runDocumentServer(t, second)
 		require.Len(t, follow(second, "e2", 0).GetRoster(), 3)
 		time.Sleep(5 * time.Second)
 		require.Len(t, follow(second, "e2", 0).GetRoster(), 1, "those that do not ask count no longer")
--- a/internal/control/dump.go
+++ b/internal/control/dump.go
@@ -13,13 +13,13 @@
 // Dump returns this VM's state as text.
 func (s *Server) Dump(ctx context.Context, _ *wire.DumpRequest) (*wire.DumpResponse, error) {
 	p := s.published.Load()
-	age, fresh := s.age(time.Now())
-	heard, err := s.heardHere(ctx)
+	age, valid := s.age(time.Now())
+	polls, err := s.localPolls(ctx)
 
 	var b strings.Builder
 
 	fmt.Fprintf(&b, "VM %s\nCluster %s\nApplied %d\nVersion %d\nAge %s\nFresh %t\nClaims %d\nDecisions %d\nNumberFloor %d\n",
-		s.VM, s.Cluster, s.applied.Load(), p.records.Version, age, fresh, s.claims.Load(), len(p.decisions), p.floor)
+		s.VM, s.Cluster, s.applied.Load(), p.records.Version, age, valid, s.claimCount.Load(), len(p.decisions), p.numberFloor)
 
 	for _, r := range p.records.All() {
 		fmt.Fprintf(&b, "Record %d %s %s\n", r.GetVersion(), r.GetKey(), oneLine(r))
@@ -29,9 +29,9 @@
 		return &wire.DumpResponse{Text: b.String()}, err
 	}
 
-	slices.SortFunc(heard.GetNodes(), func(x, y *wire.HeardNode) int { return strings.Compare(x.GetID(), y.GetID()) })
+	slices.SortFunc(polls.GetNodes(), func(x, y *wire.HeardNode) int { return strings.Compare(x.GetID(), y.GetID()) })
 
-	for _, node := range heard.GetNodes() {
+	for _, node := range polls.GetNodes() {
 		fmt.Fprintf(&b, "Heard %s Incarnation %d KnownVersion %d AgeMillis %d\n",
 			node.GetID(), node.GetIncarnation(), node.GetKnownVersion(), node.GetAgeMillis())
 	}
--- a/internal/control/fault.go
+++ b/internal/control/fault.go
@@ -9,21 +9,21 @@
 	OutcomeNotDone = "NotDone"
 )
 
-// fault is an error as callers of this VM's services get it.
-type fault struct{ twirpError }
+// rpcError is an error as callers of this VM's services get it.
+type rpcError struct{ twirpError }
 
 // twirpError renames the interface, so that embedding it leaves Error a method.
 type twirpError = twirp.Error
 
-func newFault(code twirp.ErrorCode, text string) fault {
-	return fault{twirpError: twirp.NewError(code, text)}
+func newRPCError(code twirp.ErrorCode, text string) rpcError {
+	return rpcError{twirpError: twirp.NewError(code, text)}
 }
 
-// proposalFault is a fault that says what became of the proposed command.
-func proposalFault(code twirp.ErrorCode, text, fate string) fault {
-	return fault{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, fate)}
+// newProposalError is a fault that says what became of the proposed command.
+func newProposalError(code twirp.ErrorCode, text, outcome string) rpcError {
+	return rpcError{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, outcome)}
 }
 
-func missing(field string) fault {
-	return fault{twirpError: twirp.RequiredArgumentError(field)}
+func missingField(field string) rpcError {
+	return rpcError{twirpError: twirp.RequiredArgumentError(field)}
 }
--- a/internal/control/force_test.go
+++ b/internal/control/inforce_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	zonesIn = "[Zone \"ayutthaya\"]\n[Zone \"saraburi\"]\n"
-	zoneOut = "[Zone \"ayutthaya\"]\nOut = true\n"
-	zoneIn  = "[Zone \"ayutthaya\"]\nOut = false\n"
+	declareZones = "[Zone \"ayutthaya\"]\n[Zone \"saraburi\"]\n"
+	zoneOut      = "[Zone \"ayutthaya\"]\nOut = true\n"
+	zoneIn       = "[Zone \"ayutthaya\"]\nOut = false\n"
 )
 
 // An operator takes a zone out while all processes are well. It is in force
@@ -24,23 +24,23 @@
 func TestInForceByAcknowledgement(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
 		for i := range 30 {
-			f.start(entry(fmt.Sprintf("entry-%d", i), 1), 0, 1, 2)
+			readers.start(entryNode(fmt.Sprintf("entry-%d", i), 1), 0, 1, 2)
 		}
 
 		time.Sleep(3 * time.Second)
-		g.decide(t, 0, 1, zonesIn)
+		vms.decide(t, 0, 1, declareZones)
 		time.Sleep(200 * time.Millisecond)
 
-		status := g.status(t, 1, 1)
+		status := vms.status(t, 1, 1)
 		require.True(t, status.GetInForce(), status.GetWhy())
 		require.EqualValues(t, 30, status.GetAcknowledged())
 
-		for _, r := range f.readers {
+		for _, r := range readers.byID {
 			require.True(t, r.Snapshot().ZoneInUse("ayutthaya"))
 		}
 	})
@@ -50,44 +50,44 @@
 // goes on sending into the zone while its lease holds, so the decision is not
 // in force yet, and status names it. Then its lease has run out, it refuses new
 // work, and the decision is in force, though the entry never learnt of it.
-func TestInForceDespiteASilentProcess(t *testing.T) {
+func TestInForceOnceLeaseOfPartitionedProcessExpires(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		cutOff := f.start(entry("entry-1", 1), 0, 1, 2)
-		f.start(entry("entry-2", 1), 0, 1, 2)
-		g.decide(t, 0, 1, zonesIn)
+		partitioned := readers.start(entryNode("entry-1", 1), 0, 1, 2)
+		readers.start(entryNode("entry-2", 1), 0, 1, 2)
+		vms.decide(t, 0, 1, declareZones)
 		time.Sleep(10 * time.Second)
-		f.silence("entry-1", true)
-		g.decide(t, 0, 2, zoneOut)
+		readers.setPartitioned("entry-1", true)
+		vms.decide(t, 0, 2, zoneOut)
 		time.Sleep(time.Second)
 
-		status := g.status(t, 0, 2)
+		status := vms.status(t, 0, 2)
 		require.False(t, status.GetInForce(), status.GetWhy())
 		require.Len(t, status.GetOutstanding(), 1)
 		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID())
-		require.True(t, cutOff.Snapshot().Fresh(time.Now()))
-		require.True(t, cutOff.Snapshot().ZoneInUse("ayutthaya"))
+		require.True(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.True(t, partitioned.Snapshot().ZoneInUse("ayutthaya"))
 
 		time.Sleep(4 * time.Second)
 
 		// Its lease has run out, but an agent that is cut off too may still let in a
 		// request that it sent before, for as long as its credit lasts.
-		require.False(t, cutOff.Snapshot().Fresh(time.Now()))
-		require.False(t, g.status(t, 0, 2).GetInForce())
+		require.False(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.False(t, vms.status(t, 0, 2).GetInForce())
 		time.Sleep(2 * time.Second)
 
-		status = g.status(t, 0, 2)
+		status = vms.status(t, 0, 2)
 		require.True(t, status.GetInForce(), status.GetWhy())
 		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID(), "it is still named")
 
-		f.silence("entry-1", false)
+		readers.setPartitioned("entry-1", false)
 		time.Sleep(2 * time.Second)
-		require.True(t, cutOff.Snapshot().Fresh(time.Now()))
-		require.False(t, cutOff.Snapshot().ZoneInUse("ayutthaya"))
+		require.True(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.False(t, partitioned.Snapshot().ZoneInUse("ayutthaya"))
 	})
 }
 
@@ -95,42 +95,42 @@
 // starts that asks only this one. It gets the configuration from before the
 // decision with a rest of a lease, and the other VMs do not know of it. Were the
 // decision said to be in force, that process would still act against it.
-func TestProcessThatOnlyOneControlVMKnows(t *testing.T) {
+func TestNotInForceWhileOneControlVMServesOldVersion(t *testing.T) {
 	t.Parallel()
 
-	cases := map[string]func(*group){
-		"cut off": func(g *group) { g.isolate(2, true) },
-		"slow":    func(g *group) { g.slowDown(2, true) },
+	cases := map[string]func(*controlVMs){
+		"cut off": func(vms *controlVMs) { vms.isolate(2, true) },
+		"slow":    func(vms *controlVMs) { vms.pauseApply(2, true) },
 	}
 
-	for name, spoil := range cases {
+	for name, breakVM := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(t, 3)
-				f := newFleet(t, g)
-				defer f.endAll()
+				vms := newControlVMs(t, 3)
+				readers := newReaderSet(t, vms)
+				defer readers.stopAll()
 
-				f.start(entry("known", 1), 0, 1)
-				g.decide(t, 0, 1, zonesIn)
+				readers.start(entryNode("known", 1), 0, 1)
+				vms.decide(t, 0, 1, declareZones)
 				time.Sleep(10 * time.Second)
-				spoil(g)
-				g.decide(t, 0, 2, zoneOut)
+				breakVM(vms)
+				vms.decide(t, 0, 2, zoneOut)
 				time.Sleep(500 * time.Millisecond)
-				require.False(t, g.status(t, 0, 2).GetInForce(), "before the process starts")
+				require.False(t, vms.status(t, 0, 2).GetInForce(), "before the process starts")
 
-				unknown := f.start(entry("unknown", 1), 2)
+				unknown := readers.start(entryNode("unknown", 1), 2)
 				time.Sleep(500 * time.Millisecond)
 				require.True(t, unknown.Snapshot().Fresh(time.Now()))
 				require.True(t, unknown.Snapshot().ZoneInUse("ayutthaya"))
 
-				status := g.status(t, 0, 2)
+				status := vms.status(t, 0, 2)
 				require.False(t, status.GetInForce(), status.GetWhy())
 				time.Sleep(4 * time.Second)
 				require.False(t, unknown.Snapshot().Fresh(time.Now()))
-				require.False(t, g.status(t, 0, 2).GetInForce(), "its credits last")
+				require.False(t, vms.status(t, 0, 2).GetInForce(), "its credits last")
 				time.Sleep(2 * time.Second)
-				require.True(t, g.status(t, 0, 2).GetInForce())
+				require.True(t, vms.status(t, 0, 2).GetInForce())
 			})
 		})
 	}
@@ -140,42 +140,42 @@
 // Hundreds of decisions pass it by. The entry must refuse soon after the cut,
 // though the VM still answers it, and must hold the last decision after the
 // heal; an entry that knows the other VMs moves to them at once.
-func TestIsolatedControlVM(t *testing.T) {
+func TestEntryOfIsolatedControlVMRefusesUntilHeal(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		bound := f.start(entry("bound", 1), 2)
-		free := f.start(entry("free", 1), 0, 1, 2)
-		g.decide(t, 0, 1, zonesIn)
+		single := readers.start(entryNode("bound", 1), 2)
+		redundant := readers.start(entryNode("free", 1), 0, 1, 2)
+		vms.decide(t, 0, 1, declareZones)
 		time.Sleep(time.Second)
-		g.isolate(2, true)
-		g.decide(t, 0, 2, zoneOut)
+		vms.isolate(2, true)
+		vms.decide(t, 0, 2, zoneOut)
 		time.Sleep(5 * time.Second)
 
-		require.False(t, bound.Snapshot().Fresh(time.Now()))
-		require.True(t, free.Snapshot().Fresh(time.Now()))
-		require.False(t, free.Snapshot().ZoneInUse("ayutthaya"))
+		require.False(t, single.Snapshot().Fresh(time.Now()))
+		require.True(t, redundant.Snapshot().Fresh(time.Now()))
+		require.False(t, redundant.Snapshot().ZoneInUse("ayutthaya"))
 
-		_, err := g.servers[2].Plan(t.Context(), &wire.PlanRequest{Operator: "may", Declaration: []byte(zoneIn)})
+		_, err := vms.servers[2].Plan(t.Context(), &wire.PlanRequest{Operator: "may", Declaration: []byte(zoneIn)})
 		require.ErrorContains(t, err, "ask another")
 
 		for n := range uint64(300) {
-			g.decide(t, int(n%2), n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = %d\n", n%40, n+1))
+			vms.decide(t, int(n%2), n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = %d\n", n%40, n+1))
 			time.Sleep(12 * time.Second)
-			require.False(t, bound.Snapshot().Fresh(time.Now()))
+			require.False(t, single.Snapshot().Fresh(time.Now()))
 		}
 
-		g.isolate(2, false)
+		vms.isolate(2, false)
 		time.Sleep(2 * time.Second)
 
-		require.True(t, bound.Snapshot().Fresh(time.Now()))
-		require.Equal(t, free.Snapshot().Version, bound.Snapshot().Version)
-		require.False(t, bound.Snapshot().ZoneInUse("ayutthaya"))
+		require.True(t, single.Snapshot().Fresh(time.Now()))
+		require.Equal(t, redundant.Snapshot().Version, single.Snapshot().Version)
+		require.False(t, single.Snapshot().ZoneInUse("ayutthaya"))
 
-		w, ok := bound.Snapshot().Workspace("w19")
+		w, ok := single.Snapshot().Workspace("w19")
 		require.True(t, ok)
 		require.EqualValues(t, 300, w.GetWeight())
 	})
@@ -185,29 +185,29 @@
 // decisions of the last second. It skips the version of the first; if that
 // counted from the VM's start, hours ago, status would say that every lease has
 // run out since, while a cut-off entry still sends into the zone.
-func TestInForceAfterCatchingUpBySnapshot(t *testing.T) {
+func TestInForceAfterCatchUpBySnapshot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		cutOff := f.start(entry("entry-1", 1), 0, 1, 2)
-		g.decide(t, 0, 1, zonesIn)
+		partitioned := readers.start(entryNode("entry-1", 1), 0, 1, 2)
+		vms.decide(t, 0, 1, declareZones)
 		time.Sleep(time.Hour)
-		g.isolate(2, true)
-		f.silence("entry-1", true)
-		g.decide(t, 0, 2, zoneOut)
-		g.decide(t, 0, 3, "[Workspace \"w\"]\nWeight = 2\n")
+		vms.isolate(2, true)
+		readers.setPartitioned("entry-1", true)
+		vms.decide(t, 0, 2, zoneOut)
+		vms.decide(t, 0, 3, "[Workspace \"w\"]\nWeight = 2\n")
 		time.Sleep(time.Second)
-		g.install(t, 0, 2)
+		vms.installSnapshot(t, 0, 2)
 
-		require.True(t, actsBefore(cutOff, g.status(t, 2, 2).GetEntry().GetVersion()))
-		require.False(t, g.status(t, 2, 2).GetInForce())
+		require.True(t, actsOnOldVersion(partitioned, vms.status(t, 2, 2).GetEntry().GetVersion()))
+		require.False(t, vms.status(t, 2, 2).GetInForce())
 		time.Sleep(5 * time.Second)
-		require.False(t, g.status(t, 2, 2).GetInForce(), "its credits last")
+		require.False(t, vms.status(t, 2, 2).GetInForce(), "its credits last")
 		time.Sleep(2 * time.Second)
-		require.True(t, g.status(t, 2, 2).GetInForce())
+		require.True(t, vms.status(t, 2, 2).GetInForce())
 	})
 }
 
@@ -229,76 +229,76 @@
 func checkInForce(t *testing.T, rnd *rand.Rand) {
 	const processes = 8
 
-	g := newGroup(t, 3)
-	f := newFleet(t, g)
-	defer f.endAll()
+	vms := newControlVMs(t, 3)
+	readers := newReaderSet(t, vms)
+	defer readers.stopAll()
 
 	for i := range processes {
-		f.start(entry(fmt.Sprint(i), 1), rnd.Perm(3)...)
+		readers.start(entryNode(fmt.Sprint(i), 1), rnd.Perm(3)...)
 	}
 
-	number, said := uint64(0), 0
+	number, reported := uint64(0), 0
 
 	for step := range 150 {
 		id := fmt.Sprint(rnd.IntN(processes))
 
 		switch rnd.IntN(8) {
 		case 0:
-			f.silence(id, true)
+			readers.setPartitioned(id, true)
 		case 1, 2:
-			f.silence(id, false)
+			readers.setPartitioned(id, false)
 		case 3:
-			f.end(id)
-			f.start(entry(id, uint64(step+2)), rnd.Perm(3)[:1+rnd.IntN(3)]...)
+			readers.stop(id)
+			readers.start(entryNode(id, uint64(step+2)), rnd.Perm(3)[:1+rnd.IntN(3)]...)
 		case 4:
-			g.isolate(rnd.IntN(3), rnd.IntN(2) == 0)
+			vms.isolate(rnd.IntN(3), rnd.IntN(2) == 0)
 		default:
-			number += tryDecide(g, number+1, []string{zoneOut, zoneIn}[rnd.IntN(2)])
+			number += tryDecide(vms, number+1, []string{zoneOut, zoneIn}[rnd.IntN(2)])
 		}
 
 		time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 
-		for i := range g.servers {
-			said += requireTrue(t, g, f, i)
+		for i := range vms.servers {
+			reported += requireInForceIsTrue(t, vms, readers, i)
 		}
 	}
 
-	require.Positive(t, said, "the check must have met decisions in force")
+	require.Positive(t, reported, "the check must have met decisions in force")
 }
 
 // tryDecide makes a decision where a quorum is left, and returns how many were made.
-func tryDecide(g *group, number uint64, declaration string) uint64 {
-	i := g.leader()
+func tryDecide(vms *controlVMs, number uint64, declaration string) uint64 {
+	i := vms.leader()
 	if i < 0 {
 		return 0
 	}
 
-	return made(g, i, number, declaration)
+	return tryDecideAt(vms, i, number, declaration)
 }
 
-func requireTrue(t *testing.T, g *group, f *fleet, i int) int {
-	status, err := g.servers[i].Status(t.Context(), &wire.StatusRequest{Limit: 3})
+func requireInForceIsTrue(t *testing.T, vms *controlVMs, readers *readerSet, i int) int {
+	status, err := vms.servers[i].Status(t.Context(), &wire.StatusRequest{Limit: 3})
 	require.NoError(t, err)
 
-	said := 0
+	reported := 0
 
 	for _, d := range status.GetDecisions() {
 		if !d.GetInForce() {
 			continue
 		}
 
-		said++
+		reported++
 
-		for id, r := range f.readers {
-			require.False(t, actsBefore(r, d.GetEntry().GetVersion()),
+		for id, r := range readers.byID {
+			require.False(t, actsOnOldVersion(r, d.GetEntry().GetVersion()),
 				"control-%d says %d is in force (%s); %s has %d", i+1, d.GetEntry().GetVersion(), d.GetWhy(), id, r.Snapshot().Version)
 		}
 	}
 
-	return said
+	return reported
 }
 
-func actsBefore(r *view.Reader, version uint64) bool {
+func actsOnOldVersion(r *view.Reader, version uint64) bool {
 	s := r.Snapshot()
 	return s.Version < version && s.Fresh(time.Now())
 }
--- a/internal/control/fresh.go
+++ b/internal/control/lease.go
@@ -7,21 +7,21 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// freshness says that the state applied on this VM was current at asOf.
-type freshness struct {
+// confirmation says that the state applied on this VM was current at asOf.
+type confirmation struct {
 	asOf time.Time
 }
 
-// applyCheck is how often a read looks whether the log's commands reached the state.
-const applyCheck = 2 * time.Millisecond
+// applyCheckInterval is how often a read looks whether the log's commands reached the state.
+const applyCheckInterval = 2 * time.Millisecond
 
-// keepFresh shows every ReadEvery, for all polls together, that the state is
+// runConfirmations shows every ReadEvery, for all polls together, that the state is
 // current. It guards against a control VM that a silent partition has cut off:
 // it would go on telling readers that an old configuration holds. Its reads
 // fail, asOf stays where it was, and its polls soon answer Stale.
-func (s *Server) keepFresh(ctx context.Context) {
+func (s *Server) runConfirmations(ctx context.Context) {
 	for {
-		s.readOnce(ctx)
+		s.confirmOnce(ctx)
 
 		if !pauses.For(ctx, s.Settings.ReadIndexInterval) {
 			return
@@ -29,7 +29,7 @@
 	}
 }
 
-func (s *Server) readOnce(ctx context.Context) {
+func (s *Server) confirmOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.Lease)
 	defer cancel()
 
@@ -40,13 +40,13 @@
 	}
 
 	if s.awaitApplied(ctx, index) {
-		s.fresh.Store(&freshness{asOf: asOf})
+		s.confirmed.Store(&confirmation{asOf: asOf})
 	}
 }
 
 func (s *Server) awaitApplied(ctx context.Context, index uint64) bool {
 	for s.applied.Load() < index {
-		if !pauses.For(ctx, applyCheck) {
+		if !pauses.For(ctx, applyCheckInterval) {
 			return false
 		}
 	}
@@ -56,13 +56,13 @@
 
 // age returns how long ago the state was known to be current, and whether that
 // is recent enough to give readers any freshness.
-func (s *Server) age(now time.Time) (age time.Duration, fresh bool) {
-	f := s.fresh.Load()
-	if f == nil {
+func (s *Server) age(now time.Time) (age time.Duration, valid bool) {
+	last := s.confirmed.Load()
+	if last == nil {
 		return 0, false
 	}
 
-	age = max(now.Sub(f.asOf), 0)
+	age = max(now.Sub(last.asOf), 0)
 
 	return age, age < s.Settings.Lease
 }
--- a/internal/control/storm_test.go
+++ b/internal/control/liveness_test.go
@@ -14,32 +14,32 @@
 // A switch comes back and 300 processes restart and poll at once. Each must be
 // in the directory under its new incarnation within a second or two, and they
 // must not cost a command of the log each.
-func TestThunderingReturn(t *testing.T) {
+func TestMassRestartIsBatched(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const processes = 300
 
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
 		for i := range processes {
-			f.start(entry(fmt.Sprint(i), 1), 0, 1, 2)
+			readers.start(entryNode(fmt.Sprint(i), 1), 0, 1, 2)
 		}
 
 		time.Sleep(2 * time.Second)
 
-		commands := len(g.log)
+		commands := len(vms.log)
 
 		for i := range processes {
-			f.end(fmt.Sprint(i))
-			f.start(entry(fmt.Sprint(i), 2), 0, 1, 2)
+			readers.stop(fmt.Sprint(i))
+			readers.start(entryNode(fmt.Sprint(i), 2), 0, 1, 2)
 		}
 
 		time.Sleep(2 * time.Second)
-		require.Less(t, len(g.log)-commands, 30)
+		require.Less(t, len(vms.log)-commands, 30)
 
-		for id, r := range f.readers {
+		for id, r := range readers.byID {
 			require.True(t, r.Snapshot().Fresh(time.Now()))
 
 			node, ok := r.Snapshot().Node(id)
@@ -57,40 +57,40 @@
 func TestFullAnswersShareOneBase(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 1)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 1)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		g.decide(t, 0, 1, zonesIn)
+		vms.decide(t, 0, 1, declareZones)
 
-		first := fullAnswer(t, g)
-		f.start(entry("entry-1", 1), 0)
+		first := fullAnswer(t, vms)
+		readers.start(entryNode("entry-1", 1), 0)
 		time.Sleep(time.Second)
-		g.decide(t, 0, 2, "[Zone \"saraburi\"]\nRemoved = true\n")
+		vms.decide(t, 0, 2, "[Zone \"saraburi\"]\nRemoved = true\n")
 
-		second := fullAnswer(t, g)
+		second := fullAnswer(t, vms)
 		require.Greater(t, second.GetVersion(), first.GetVersion())
 		require.Equal(t, first.GetBase(), second.GetBase())
 		require.Equal(t, []string{"Zone/saraburi"}, second.GetRemoved())
 
-		r := f.start(entry("entry-2", 1), 0)
+		r := readers.start(entryNode("entry-2", 1), 0)
 		time.Sleep(time.Second)
 		require.True(t, r.Snapshot().ZoneInUse("ayutthaya"))
 		require.Len(t, r.Snapshot().Zones(), 1)
 		require.Len(t, r.Snapshot().Nodes(), 3, "the asker is one of them")
 
 		for n := range uint64(300) {
-			g.decide(t, 0, n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = 2\n", n))
+			vms.decide(t, 0, n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = 2\n", n))
 		}
 
-		require.NotEqual(t, first.GetBase(), fullAnswer(t, g).GetBase(), "a base that is far behind is made anew")
+		require.NotEqual(t, first.GetBase(), fullAnswer(t, vms).GetBase(), "a base that is far behind is made anew")
 	})
 }
 
-func fullAnswer(t *testing.T, g *group) *wire.PollResponse {
+func fullAnswer(t *testing.T, vms *controlVMs) *wire.PollResponse {
 	t.Helper()
 
-	answer, err := g.servers[0].Poll(t.Context(), &wire.PollRequest{Cluster: cluster, Node: entry("asker", 1)})
+	answer, err := vms.servers[0].Poll(t.Context(), &wire.PollRequest{Cluster: cluster, Node: entryNode("asker", 1)})
 	require.NoError(t, err)
 	require.True(t, answer.GetFull())
 
@@ -100,33 +100,33 @@
 // An agent dies without a word, another is cut off for a while, a third ends in
 // order. The first two leave the directory after the bound, the third at once,
 // and the second comes back by itself.
-func TestSilentProcessesAreExpired(t *testing.T) {
+func TestUnresponsiveProcessesExpire(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		watcher := f.start(entry("watcher", 1), 0, 1, 2)
+		watcher := readers.start(entryNode("watcher", 1), 0, 1, 2)
 		for _, id := range []string{"dead", "cut-off", "ended"} {
-			f.start(target(id, "ayutthaya", 1), 0, 1, 2)
+			readers.start(agentNode(id, "ayutthaya", 1), 0, 1, 2)
 		}
 
 		time.Sleep(2 * time.Second)
 		require.Len(t, watcher.Snapshot().Nodes(), 4)
 
-		ended := f.readers["ended"]
-		f.end("ended")
+		ended := readers.byID["ended"]
+		readers.stop("ended")
 		require.NoError(t, ended.Leave(t.Context()))
-		f.end("dead")
-		f.silence("cut-off", true)
+		readers.stop("dead")
+		readers.setPartitioned("cut-off", true)
 		time.Sleep(time.Second)
 		require.Len(t, watcher.Snapshot().Nodes(), 3)
 
 		time.Sleep(14 * time.Second)
 		require.Len(t, watcher.Snapshot().Nodes(), 1)
 
-		f.silence("cut-off", false)
+		readers.setPartitioned("cut-off", false)
 		time.Sleep(2 * time.Second)
 		require.Len(t, watcher.Snapshot().Nodes(), 2)
 	})
@@ -137,55 +137,55 @@
 func TestLeavingIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 1)
+		vms := newControlVMs(t, 1)
 		poll := func(leaving bool) {
-			node := target("a", "ayutthaya", 1)
+			node := agentNode("a", "ayutthaya", 1)
 			node.Leaving = leaving
 
-			_, err := g.servers[0].Poll(t.Context(), &wire.PollRequest{Cluster: cluster, Node: node})
+			_, err := vms.servers[0].Poll(t.Context(), &wire.PollRequest{Cluster: cluster, Node: node})
 			require.NoError(t, err)
 			time.Sleep(time.Second)
 		}
 
 		poll(true)
 
-		reports := g.count()
+		reports := vms.countNodeReports()
 
 		for range 20 {
 			poll(false)
 		}
 
-		require.Equal(t, reports, g.count())
+		require.Equal(t, reports, vms.countNodeReports())
 	})
 }
 
 // The control VMs' network fails towards all processes but one. Only a share of the
 // directory may be believed dead each minute, and it is whole again soon after.
-func TestControlFaultDoesNotEmptyTheDirectory(t *testing.T) {
+func TestControlNetworkFaultDoesNotEmptyDirectory(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const processes = 80
 
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
 		for i := range processes {
-			f.start(entry(fmt.Sprint(i), 1), 0, 1, 2)
+			readers.start(entryNode(fmt.Sprint(i), 1), 0, 1, 2)
 		}
 
-		watcher := f.start(entry("watcher", 1), 0, 1, 2)
+		watcher := readers.start(entryNode("watcher", 1), 0, 1, 2)
 		time.Sleep(3 * time.Second)
 
 		for i := range processes {
-			f.silence(fmt.Sprint(i), true)
+			readers.setPartitioned(fmt.Sprint(i), true)
 		}
 
 		time.Sleep(50 * time.Second)
 		require.Len(t, watcher.Snapshot().Nodes(), 1+processes*3/4)
 
 		for i := range processes {
-			f.silence(fmt.Sprint(i), false)
+			readers.setPartitioned(fmt.Sprint(i), false)
 		}
 
 		time.Sleep(2 * time.Second)
@@ -195,25 +195,25 @@
 
 // A zone goes dark with 40 of 100 processes. The directory must lose them in
 // bounded time, though not all at once, and must lose nobody else.
-func TestVanishedZoneLeavesTheDirectory(t *testing.T) {
+func TestFailedZoneExpires(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
 		for i := range 100 {
-			f.start(target(fmt.Sprint(i), []string{"ayutthaya", "saraburi"}[i/60], 1), 0, 1, 2)
+			readers.start(agentNode(fmt.Sprint(i), []string{"ayutthaya", "saraburi"}[i/60], 1), 0, 1, 2)
 		}
 
 		time.Sleep(3 * time.Second)
 
 		for i := 60; i < 100; i++ {
-			f.silence(fmt.Sprint(i), true)
+			readers.setPartitioned(fmt.Sprint(i), true)
 		}
 
 		time.Sleep(2 * time.Minute)
-		require.Len(t, f.readers["0"].Snapshot().Nodes(), 60)
+		require.Len(t, readers.byID["0"].Snapshot().Nodes(), 60)
 	})
 }
 
@@ -223,24 +223,24 @@
 func TestQuorumLoss(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 3)
-		f := newFleet(t, g)
-		defer f.endAll()
+		vms := newControlVMs(t, 3)
+		readers := newReaderSet(t, vms)
+		defer readers.stopAll()
 
-		r := f.start(entry("entry-1", 1), 0, 1, 2)
+		r := readers.start(entryNode("entry-1", 1), 0, 1, 2)
 		time.Sleep(3 * time.Second)
 
 		refused := func(loss time.Duration) time.Duration {
 			var out time.Duration
 
-			for i := range g.servers {
-				g.isolate(i, true)
+			for i := range vms.servers {
+				vms.isolate(i, true)
 			}
 
 			for at := time.Duration(0); at < loss+10*time.Second; at += 10 * time.Millisecond {
 				if at == loss {
-					for i := range g.servers {
-						g.isolate(i, false)
+					for i := range vms.servers {
+						vms.isolate(i, false)
 					}
 				}
 
--- /dev/null
+++ b/internal/control/notifier.go
@@ -0,0 +1,21 @@
+package control
+
+import "sync/atomic"
+
+// notifier wakes all who wait for a change at once.
+type notifier struct {
+	current atomic.Pointer[chan struct{}]
+}
+
+func (w *notifier) init() {
+	c := make(chan struct{})
+	w.current.Store(&c)
+}
+
+// changed returns a channel that is closed at the next change.
+func (w *notifier) changed() <-chan struct{} { return *w.current.Load() }
+
+func (w *notifier) notify() {
+	next := make(chan struct{})
+	close(*w.current.Swap(&next))
+}
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -14,24 +14,24 @@
 // Plan works out what a declaration would change, and keeps the plan for Confirm.
 func (s *Server) Plan(ctx context.Context, r *wire.PlanRequest) (*wire.PlanResponse, error) {
 	if r.GetOperator() == "" {
-		return nil, missing("Operator")
+		return nil, missingField("Operator")
 	}
 
-	declaration, err := declare(r.GetSource(), r.GetDeclaration())
+	declaration, err := parseDeclaration(r.GetSource(), r.GetDeclaration())
 	if err != nil {
 		return nil, err
 	}
 
-	base, err := s.currentBase()
+	base, err := s.planBase()
 	if err != nil {
 		return nil, err
 	}
 
-	base.Loads = loadsOf(s.gather(ctx))
+	base.Loads = loadsByID(s.collectPolls(ctx))
 
 	plan, err := declaration.Plan(base, r.GetOperator(), r.GetOverride())
 	if err != nil {
-		return nil, newFault(twirp.InvalidArgument, err.Error())
+		return nil, newRPCError(twirp.InvalidArgument, err.Error())
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_StorePlan{StorePlan: plan}})
@@ -50,11 +50,11 @@
 func (s *Server) Confirm(ctx context.Context, r *wire.ConfirmRequest) (*wire.ConfirmResponse, error) {
 	switch {
 	case r.GetOperator() == "":
-		return nil, missing("Operator")
+		return nil, missingField("Operator")
 	case r.GetNumber() == 0:
-		return nil, missing("Number")
+		return nil, missingField("Number")
 	case r.GetPlanID() == "":
-		return nil, missing("PlanID")
+		return nil, missingField("PlanID")
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_Decision{Decision: &wire.Decision{
@@ -74,24 +74,24 @@
 func (s *Server) History(_ context.Context, r *wire.HistoryRequest) (*wire.HistoryResponse, error) {
 	p := s.published.Load()
 
-	return &wire.HistoryResponse{Entries: newest(p.decisions, r.GetLimit()), Floor: p.floor}, nil
+	return &wire.HistoryResponse{Entries: newestDecisions(p.decisions, r.GetLimit()), Floor: p.numberFloor}, nil
 }
 
 // Diff compares a declaration with the state.
 func (s *Server) Diff(_ context.Context, r *wire.DiffRequest) (*wire.DiffResponse, error) {
-	declaration, err := declare(r.GetSource(), r.GetDeclaration())
+	declaration, err := parseDeclaration(r.GetSource(), r.GetDeclaration())
 	if err != nil {
 		return nil, err
 	}
 
-	base, err := s.currentBase()
+	base, err := s.planBase()
 	if err != nil {
 		return nil, err
 	}
 
 	changes, err := declaration.Changes(base)
 	if err != nil {
-		return nil, newFault(twirp.InvalidArgument, err.Error())
+		return nil, newRPCError(twirp.InvalidArgument, err.Error())
 	}
 
 	return &wire.DiffResponse{
@@ -101,22 +101,22 @@
 	}, nil
 }
 
-func declare(source string, data []byte) (*intent.Declaration, error) {
+func parseDeclaration(source string, data []byte) (*intent.Declaration, error) {
 	d, err := intent.Parse(source, data)
 
 	var e *intent.Error
 	if errors.As(err, &e) {
-		return nil, newFault(twirp.InvalidArgument, e.Error())
+		return nil, newRPCError(twirp.InvalidArgument, e.Error())
 	}
 
 	return d, err
 }
 
-// currentBase returns the state for a plan. A control VM that cannot show that
+// planBase returns the state for a plan. A control VM that cannot show that
 // its state is current makes none: it may lack a zone that went out long ago.
-func (s *Server) currentBase() (intent.Base, error) {
-	if _, fresh := s.age(time.Now()); !fresh {
-		return intent.Base{}, proposalFault(twirp.Unavailable,
+func (s *Server) planBase() (intent.Base, error) {
+	if _, valid := s.age(time.Now()); !valid {
+		return intent.Base{}, newProposalError(twirp.Unavailable,
 			"this control VM cannot show that its state is current; ask another", OutcomeNotDone)
 	}
 
@@ -125,25 +125,25 @@
 	return intent.Base{Version: records.Version, Records: records.All(), StopUnsafe: s.StopUnsafe}, nil
 }
 
-func loadsOf(g gathering) map[string]*wire.NodeLoad {
+func loadsByID(collected collectedPolls) map[string]*wire.NodeLoad {
 	out := map[string]*wire.NodeLoad{}
 
-	for _, s := range g.latest() {
-		if s.node.GetLoad() != nil {
-			out[s.node.GetID()] = s.node.GetLoad()
+	for _, poll := range collected.latest() {
+		if poll.node.GetLoad() != nil {
+			out[poll.node.GetID()] = poll.node.GetLoad()
 		}
 	}
 
 	return out
 }
 
-// defaultLimit is how many decisions are returned where no limit is given.
-const defaultLimit = 20
+// defaultHistoryLimit is how many decisions are returned where no limit is given.
+const defaultHistoryLimit = 20
 
-func newest(entries []*wire.DecisionEntry, limit uint32) []*wire.DecisionEntry {
+func newestDecisions(entries []*wire.DecisionEntry, limit uint32) []*wire.DecisionEntry {
 	n := int(limit)
 	if n == 0 {
-		n = defaultLimit
+		n = defaultHistoryLimit
 	}
 
 	out := make([]*wire.DecisionEntry, 0, min(n, len(entries)))
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,47 +12,47 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// heardTimeout bounds one question to another control VM.
-const heardTimeout = time.Second
+// peerTimeout bounds one question to another control VM.
+const peerTimeout = time.Second
 
-// sighting is one process as a control VM has heard from it.
-type sighting struct {
+// reportedPoll is one process as a control VM has heard from it.
+type reportedPoll struct {
 	node *wire.HeardNode
 	at   time.Time
 }
 
-// gathering is what all control VMs have heard.
-type gathering struct {
-	sightings []sighting
-	// version is the least that any control VM which answered serves to new polls.
-	version uint64
-	// unheard names the control VMs that did not answer.
-	unheard []string
+// collectedPolls is what all control VMs have heard.
+type collectedPolls struct {
+	polls []reportedPoll
+	// minVersion is the least that any control VM which answered serves to new polls.
+	minVersion uint64
+	// unreachable names the control VMs that did not answer.
+	unreachable []string
 }
 
 // Heard tells another control VM which processes polled this one.
 func (s *Server) Heard(ctx context.Context, r *wire.HeardRequest) (*wire.HeardResponse, error) {
 	if r.GetCluster() != s.Cluster {
-		return nil, newFault(twirp.FailedPrecondition,
+		return nil, newRPCError(twirp.FailedPrecondition,
 			fmt.Sprintf("this control VM belongs to cluster %q, the question to %q", s.Cluster, r.GetCluster()))
 	}
 
-	return s.heardHere(ctx)
+	return s.localPolls(ctx)
 }
 
-// heardHere asks the goroutine that hears polls. The version in the answer is
+// localPolls asks the goroutine that hears polls. The version in the answer is
 // read there, after all polls that it names and before all others: those are
 // answered with that version or a later one.
-func (s *Server) heardHere(ctx context.Context) (*wire.HeardResponse, error) {
+func (s *Server) localPolls(ctx context.Context) (*wire.HeardResponse, error) {
 	answer := make(chan *wire.HeardResponse, 1)
 
-	s.post(ctx, event{ask: func(c *hearing) { answer <- c.list(time.Now()) }})
+	s.post(ctx, event{query: func(polls *pollTracker) { answer <- polls.response(time.Now()) }})
 
 	select {
 	case out := <-answer:
 		return out, nil
 	case <-ctx.Done():
-		return nil, newFault(twirp.Canceled, "the question ended early")
+		return nil, newRPCError(twirp.Canceled, "the question ended early")
 	}
 }
 
@@ -64,18 +64,18 @@
 	return s.Peers
 }
 
-// gather asks this VM and all others at once.
-func (s *Server) gather(ctx context.Context) gathering {
-	ctx, cancel := context.WithTimeout(ctx, heardTimeout)
+// collectPolls asks this VM and all others at once.
+func (s *Server) collectPolls(ctx context.Context) collectedPolls {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
-	everyone := append([]Peer{{Name: s.VM, RecentPolls: s.heardHere}}, s.peers()...)
-	answers := make([]*wire.HeardResponse, len(everyone))
-	asked := time.Now()
+	vms := append([]Peer{{Name: s.VM, RecentPolls: s.localPolls}}, s.peers()...)
+	answers := make([]*wire.HeardResponse, len(vms))
+	askedAt := time.Now()
 
 	var wg sync.WaitGroup
 
-	for i, peer := range everyone {
+	for i, peer := range vms {
 		wg.Go(func() {
 			if out, err := peer.RecentPolls(ctx); err == nil {
 				answers[i] = out
@@ -85,55 +85,55 @@
 
 	wg.Wait()
 
-	return merge(asked, everyone, answers)
+	return mergePolls(askedAt, vms, answers)
 }
 
-func merge(asked time.Time, everyone []Peer, answers []*wire.HeardResponse) gathering {
-	g := gathering{version: ^uint64(0)}
+func mergePolls(askedAt time.Time, vms []Peer, answers []*wire.HeardResponse) collectedPolls {
+	out := collectedPolls{minVersion: ^uint64(0)}
 
 	for i, answer := range answers {
 		if answer == nil {
-			g.unheard = append(g.unheard, everyone[i].Name)
+			out.unreachable = append(out.unreachable, vms[i].Name)
 			continue
 		}
 
-		g.version = min(g.version, answer.GetVersion())
+		out.minVersion = min(out.minVersion, answer.GetVersion())
 
 		for _, node := range answer.GetNodes() {
-			at := asked.Add(-time.Duration(node.GetAgeMillis()) * time.Millisecond)
-			g.sightings = append(g.sightings, sighting{node: node, at: at})
+			at := askedAt.Add(-time.Duration(node.GetAgeMillis()) * time.Millisecond)
+			out.polls = append(out.polls, reportedPoll{node: node, at: at})
 		}
 	}
 
-	slices.Sort(g.unheard)
+	slices.Sort(out.unreachable)
 
-	return g
+	return out
 }
 
 // latest returns the last sighting of each process, with the highest version
 // that it acknowledged anywhere.
-func (g gathering) latest() map[process]sighting {
-	out := map[process]sighting{}
+func (c collectedPolls) latest() map[processKey]reportedPoll {
+	out := map[processKey]reportedPoll{}
 
-	for _, s := range g.sightings {
-		name := process{id: s.node.GetID(), incarnation: s.node.GetIncarnation()}
+	for _, poll := range c.polls {
+		key := processKey{id: poll.node.GetID(), incarnation: poll.node.GetIncarnation()}
 
-		before, ok := out[name]
+		prev, ok := out[key]
 		if !ok {
-			out[name] = s
+			out[key] = poll
 			continue
 		}
 
-		known := max(before.node.GetKnownVersion(), s.node.GetKnownVersion())
-		if s.at.Before(before.at) {
-			s = before
+		knownVersion := max(prev.node.GetKnownVersion(), poll.node.GetKnownVersion())
+		if poll.at.Before(prev.at) {
+			poll = prev
 		}
 
-		s.node = &wire.HeardNode{
-			ID: name.id, Incarnation: name.incarnation,
-			KnownVersion: known, AgeMillis: s.node.GetAgeMillis(), Load: s.node.GetLoad(),
+		poll.node = &wire.HeardNode{
+			ID: key.id, Incarnation: key.incarnation,
+			KnownVersion: knownVersion, AgeMillis: poll.node.GetAgeMillis(), Load: poll.node.GetLoad(),
 		}
-		out[name] = s
+		out[key] = poll
 	}
 
 	return out
--- a/internal/control/poll.go
+++ b/internal/control/poll.go
@@ -14,27 +14,27 @@
 // VM is not current, else when something changes or the wait ends.
 func (s *Server) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if r.GetCluster() != s.Cluster {
-		return nil, newFault(twirp.FailedPrecondition,
+		return nil, newRPCError(twirp.FailedPrecondition,
 			fmt.Sprintf("this control VM belongs to cluster %q, the poll to %q", s.Cluster, r.GetCluster()))
 	}
 
 	if r.GetNode().GetID() == "" {
-		return nil, missing("Node.ID")
+		return nil, missingField("Node.ID")
 	}
 
 	received := time.Now()
 	s.post(ctx, event{poll: r, at: received})
-	s.hold(ctx, r)
+	s.waitForChange(ctx, r)
 
 	if err := ctx.Err(); err != nil {
-		return nil, newFault(twirp.Canceled, "the poll ended early")
+		return nil, newRPCError(twirp.Canceled, "the poll ended early")
 	}
 
 	return s.answerPoll(r, received), nil
 }
 
-// hold waits until there is something to tell the reader.
-func (s *Server) hold(ctx context.Context, r *wire.PollRequest) {
+// waitForChange waits until there is something to tell the reader.
+func (s *Server) waitForChange(ctx context.Context, r *wire.PollRequest) {
 	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxPollWait)
 	if wait <= 0 {
 		return
@@ -45,12 +45,12 @@
 
 	for {
 		p := s.published.Load()
-		if _, fresh := s.age(time.Now()); !fresh || p.records.Version > r.GetKnownVersion() {
+		if _, valid := s.age(time.Now()); !valid || p.records.Version > r.GetKnownVersion() {
 			return
 		}
 
 		select {
-		case <-p.replaced:
+		case <-p.superseded:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -63,11 +63,11 @@
 // as the age says.
 func (s *Server) answerPoll(r *wire.PollRequest, received time.Time) *wire.PollResponse {
 	now := time.Now()
-	age, fresh := s.age(now)
+	age, valid := s.age(now)
 	p := s.published.Load()
 	out := &wire.PollResponse{
 		Version:    p.records.Version,
-		Stale:      !fresh,
+		Stale:      !valid,
 		AgeMillis:  uint64(age.Milliseconds()) + 1,
 		HeldMillis: uint64(now.Sub(received).Milliseconds()),
 
@@ -79,8 +79,8 @@
 	}
 
 	d := p.records.DeltaSince(r.GetKnownVersion())
-	if d.Full || len(d.Changed)+len(d.Removed) > maxRest {
-		out.Base, d = s.full(p)
+	if d.Full || len(d.Changed)+len(d.Removed) > maxBaseDelta {
+		out.Base, d = s.baseAndDelta(p)
 		out.Version = d.Version
 		out.Full = true
 	}
--- a/internal/control/recall.go
+++ b/internal/control/savedtargets.go
@@ -10,25 +10,25 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// keep saves the directory of targets where it changed. What a loss of power takes,
+// saveIfChanged saves the directory of targets where it changed. What a loss of power takes,
 // the targets say again within a beat.
-func (s *Server) keep(a *announcements) {
+func (s *Server) saveIfChanged(targets *targetTracker) {
 	if s.SaveTargets == nil {
 		return
 	}
 
 	now := time.Now()
-	entries := a.following(now)
+	current := targets.currentRoster(now)
 
-	if a.heard.Revision() == a.kept && entries.hash == a.keptRoster {
+	if targets.registry.Revision() == targets.savedRevision && current.hash == targets.savedRosterHash {
 		return
 	}
 
-	a.kept, a.keptRoster = a.heard.Revision(), entries.hash
+	targets.savedRevision, targets.savedRosterHash = targets.registry.Revision(), current.hash
 
-	saved := &wire.FollowResponse{Roster: entries.entries}
+	saved := &wire.FollowResponse{Roster: current.entries}
 
-	for _, t := range a.heard.ChangedSince(0) {
+	for _, t := range targets.registry.ChangedSince(0) {
 		saved.Targets = append(saved.Targets, t.ToWire(now))
 	}
 
@@ -40,21 +40,21 @@
 	}
 
 	select {
-	case s.saves <- data:
+	case s.saveQueue <- data:
 	default:
 		// The disk is slow, and an earlier one is being saved still.
-		a.kept = 0
+		targets.savedRevision = 0
 	}
 }
 
-// saveTargets writes what keep hands it, apart from the goroutine that hears: a disk
+// runTargetSaver writes what keep hands it, apart from the goroutine that hears: a disk
 // may hang for seconds.
-func (s *Server) saveTargets(ctx context.Context) {
+func (s *Server) runTargetSaver(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case data := <-s.saves:
+		case data := <-s.saveQueue:
 			if err := s.SaveTargets(data); err != nil {
 				s.Logger.Warn("The directory of targets is not saved.", "error", err)
 			}
@@ -62,13 +62,13 @@
 	}
 }
 
-// recall takes the directory of before a restart, and the entries that followed. Where all
+// restoreTargets takes the directory of before a restart, and the entries that followed. Where all
 // control VMs and entries are killed at once, callers would else be refused until the
 // targets have announced themselves again, and each entry would take itself for one of few
 // and use far more of a shared limit than its part. A target that has gone meanwhile does
 // not answer, another one at its address refuses what is meant for it, and one that says
 // nothing soon counts as silent. So does an entry that does not ask.
-func (s *Server) recall(a *announcements) {
+func (s *Server) restoreTargets(targets *targetTracker) {
 	if s.LoadTargets == nil {
 		return
 	}
@@ -96,11 +96,11 @@
 			continue
 		}
 
-		a.heard.Restore(now, t)
+		targets.registry.Restore(now, t)
 	}
 
 	for _, e := range saved.GetRoster() {
-		a.follow(e.GetID(), follower{asked: now, zone: e.GetZone()})
+		targets.recordFollower(e.GetID(), follower{lastRequest: now, zone: e.GetZone()})
 	}
 
 	s.Logger.Info("The directory of targets is taken from before.", "targets", len(saved.GetTargets()), "entries", len(saved.GetRoster()))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -77,18 +77,18 @@
 	Limits ledger.Limits
 	Logger *slog.Logger
 
-	state     *ledger.Ledger
-	published atomic.Pointer[published]
-	applied   atomic.Uint64
-	claims    atomic.Int64
-	fresh     atomic.Pointer[freshness]
-	base      atomic.Pointer[base]
-	baseMu    sync.Mutex
-	events    chan event
-	announced waking
-	saves     chan []byte
-	// boot tells this start's directory from an earlier one's.
-	boot uint64
+	state          *ledger.Ledger
+	published      atomic.Pointer[publishedState]
+	applied        atomic.Uint64
+	claimCount     atomic.Int64
+	confirmed      atomic.Pointer[confirmation]
+	base           atomic.Pointer[encodedBase]
+	baseMu         sync.Mutex
+	events         chan event
+	targetsChanged notifier
+	saveQueue      chan []byte
+	// directoryBoot tells this start's directory from an earlier one's.
+	directoryBoot uint64
 }
 
 // Peer is another control VM.
@@ -165,9 +165,9 @@
 	s.state = ledger.New(s.Limits)
 	s.state.OnGroup = s.groupApplied
 	s.events = make(chan event, eventBuffer)
-	s.announced.init()
-	s.saves = make(chan []byte)
-	s.boot = rand.Uint64()
+	s.targetsChanged.init()
+	s.saveQueue = make(chan []byte)
+	s.directoryBoot = rand.Uint64()
 
 	if s.AnnounceInterval == 0 {
 		s.AnnounceInterval = time.Second
@@ -181,19 +181,19 @@
 	g, ctx := errgroup.WithContext(ctx)
 
 	g.Go(func() error {
-		s.keepFresh(ctx)
+		s.runConfirmations(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		s.saveTargets(ctx)
+		s.runTargetSaver(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		s.hear(ctx)
+		s.runTrackers(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		s.tend(ctx)
+		s.runLeaderTasks(ctx)
 		return nil
 	})
 
@@ -202,12 +202,12 @@
 
 // Apply carries out a committed command. The log calls it in order of index.
 func (s *Server) Apply(index uint64, command []byte) []byte {
-	before := s.published.Load()
+	prev := s.published.Load()
 	result := s.state.Apply(index, command)
 	s.applied.Store(index)
-	s.claims.Store(int64(s.state.Claims()))
+	s.claimCount.Store(int64(s.state.Claims()))
 
-	if s.state.Changes() != before.changes {
+	if s.state.Changes() != prev.changes {
 		s.publish(time.Now())
 	}
 
@@ -224,7 +224,7 @@
 	}
 
 	s.applied.Store(s.state.Index())
-	s.claims.Store(int64(s.state.Claims()))
+	s.claimCount.Store(int64(s.state.Claims()))
 	s.publish(time.Now())
 
 	if s.OnGroup != nil {
--- a/internal/control/follow_test.go
+++ b/internal/control/server_test.go
@@ -19,14 +19,14 @@
 const cluster = "test"
 
 // newServer returns a control VM over a log in memory. Its Run ends with the test.
-func newServer(t testing.TB, change func(*control.Server)) *control.Server {
+func newServer(t testing.TB, configure func(*control.Server)) *control.Server {
 	t.Helper()
 
 	log := &control.MemoryLog{}
 	s := &control.Server{Cluster: cluster, VM: "control-1", Propose: log.Propose, ReadIndex: log.ReadIndex}
 
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 
 	s.Init()
@@ -35,7 +35,7 @@
 	return s
 }
 
-func run(t testing.TB, f func(context.Context) error) {
+func runUntilCleanup(t testing.TB, f func(context.Context) error) {
 	t.Helper()
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,10 +74,10 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newServer(t, nil)
-		run(t, s.Run)
+		runUntilCleanup(t, s.Run)
 
 		r := newReader("entry-1", 1, s)
-		run(t, r.Run)
+		runUntilCleanup(t, r.Run)
 		time.Sleep(time.Second)
 
 		node, ok := r.Snapshot().Node("entry-1")
@@ -116,31 +116,31 @@
 
 // A control VM is itself a process of the directory: its stop can be planned,
 // and is over once it runs again, so that it does not stop a second time.
-func TestStopOfAControlVM(t *testing.T) {
+func TestPlannedStopEndsWhenControlVMRestarts(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, 1)
+		vms := newControlVMs(t, 1)
 		var self atomic.Pointer[wire.Node]
 
 		self.Store(&wire.Node{ID: "control-9", Kind: wire.NodeKind_NodeControl, Incarnation: 1})
 
-		log := g.servers[0]
+		log := vms.servers[0]
 		s := &control.Server{
 			Cluster: cluster, VM: "control-9", Propose: log.Propose, ReadIndex: log.ReadIndex,
 			Self: self.Load,
 		}
 		s.Init()
-		g.servers[0] = s
-		run(t, s.Run)
+		vms.servers[0] = s
+		runUntilCleanup(t, s.Run)
 		time.Sleep(time.Second)
 
-		g.decide(t, 0, 1, "[Stop \"control-9\"]\nReason = new disk\n")
+		vms.decide(t, 0, 1, "[Stop \"control-9\"]\nReason = new disk\n")
 		require.True(t, s.StopPlanned("control-9"))
 		time.Sleep(time.Second)
 		self.Store(&wire.Node{ID: "control-9", Kind: wire.NodeKind_NodeControl, Incarnation: 2})
 		time.Sleep(time.Second)
 		require.False(t, s.StopPlanned("control-9"))
-		require.True(t, g.status(t, 0, 1).GetInForce())
+		require.True(t, vms.status(t, 0, 1).GetInForce())
 
 		dump, err := s.Dump(t.Context(), &wire.DumpRequest{})
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/control/trackers.go
@@ -0,0 +1,168 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"github.com/parsleygate/parsleygate/internal/ledger"
+	"github.com/parsleygate/parsleygate/internal/pauses"
+	"github.com/parsleygate/parsleygate/internal/wire"
+)
+
+// eventBuffer bounds how many polls wait for the goroutine that hears them.
+const eventBuffer = 4096
+
+// event is a poll, or a question to the goroutine that hears polls.
+type event struct {
+	poll  *wire.PollRequest
+	at    time.Time
+	query func(*pollTracker)
+	// targetQuery is a question about targets that announce themselves here.
+	targetQuery func(*targetTracker)
+}
+
+func (s *Server) post(ctx context.Context, e event) {
+	select {
+	case s.events <- e:
+	case <-ctx.Done():
+	}
+}
+
+// runTrackers owns what this VM has heard. It never waits for the log, so that a lost
+// quorum does not keep it from hearing.
+func (s *Server) runTrackers(ctx context.Context) {
+	polls := newPollTracker()
+	targets := newTargetTracker(s.AnnounceInterval)
+	s.restoreTargets(targets)
+
+	commitSlot := make(chan struct{}, 1)
+	batch := time.NewTicker(s.Settings.ReportBatchInterval)
+
+	defer batch.Stop()
+
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case e := <-s.events:
+			if e.targetQuery != nil {
+				e.targetQuery(targets)
+
+				continue
+			}
+
+			polls.updateDirectory(s.published.Load().records)
+			handleEvent(polls, e)
+		case <-batch.C:
+			polls.updateDirectory(s.published.Load().records)
+			s.recordSelf(polls)
+			polls.dropOldRecords(time.Now())
+
+			if targets.registry.Tick(time.Now()) {
+				s.targetsChanged.notify()
+			}
+
+			s.saveIfChanged(targets)
+
+			s.startCommit(ctx, polls, commitSlot)
+		}
+	}
+}
+
+// recordSelf makes this VM a process of the directory. It holds what it applied.
+func (s *Server) recordSelf(polls *pollTracker) {
+	if s.Self == nil {
+		return
+	}
+
+	polls.recordPoll(time.Now(), &wire.PollRequest{Node: s.Self(), KnownVersion: polls.version})
+}
+
+// StopPlanned reports whether the operators plan to stop the process with that
+// ID, in the incarnation that the directory holds.
+func (s *Server) StopPlanned(id string) bool {
+	return s.published.Load().records.Get(ledger.StopPrefix+id) != nil
+}
+
+func handleEvent(polls *pollTracker, e event) {
+	if e.query != nil {
+		e.query(polls)
+		return
+	}
+
+	polls.recordPoll(e.at, e.poll)
+}
+
+// startCommit proposes what is pending, unless the last proposal still waits.
+func (s *Server) startCommit(ctx context.Context, polls *pollTracker, commitSlot chan struct{}) {
+	if len(polls.pending) == 0 {
+		return
+	}
+
+	select {
+	case commitSlot <- struct{}{}:
+	default:
+		return
+	}
+
+	batch := polls.takeBatch()
+
+	go func() {
+		defer func() { <-commitSlot }()
+
+		s.proposeInternal(ctx, &wire.Command{
+			Kind: &wire.Command_NodeReports{NodeReports: &wire.NodeReports{Reports: batch}},
+		})
+	}()
+}
+
+// proposeInternal commits a command that no caller waits for.
+func (s *Server) proposeInternal(ctx context.Context, command *wire.Command) {
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.ProposeTimeout)
+	defer cancel()
+
+	if _, err := s.propose(ctx, command); err != nil && ctx.Err() == nil {
+		s.Logger.Warn("proposal failed", "error", err)
+	}
+}
+
+// runLeaderTasks moves the clock of the state and expires silent processes, while this VM leads.
+func (s *Server) runLeaderTasks(ctx context.Context) {
+	checker := newExpiryChecker(s.Settings.ExpiryTimeout)
+
+	for pauses.For(ctx, s.Settings.ExpiryCheckInterval) {
+		if s.IsLeader != nil && !s.IsLeader() {
+			checker.reset()
+			continue
+		}
+
+		s.proposeTick(ctx)
+		s.expireUnresponsive(ctx, checker)
+	}
+}
+
+func (s *Server) proposeTick(ctx context.Context) {
+	p := s.published.Load()
+
+	elapsed := time.Since(p.tickAppliedAt)
+	if elapsed < s.Settings.TickInterval {
+		return
+	}
+
+	s.proposeInternal(ctx, &wire.Command{Kind: &wire.Command_Tick{Tick: &wire.Tick{
+		After:         p.tickIndex,
+		ElapsedMillis: uint64(elapsed.Milliseconds()),
+	}}})
+}
+
+func (s *Server) expireUnresponsive(ctx context.Context, checker *expiryChecker) {
+	collected := s.collectPolls(ctx)
+
+	expired := checker.check(time.Now(), nodesByID(s.published.Load().records), collected.polls)
+	if len(expired) == 0 {
+		return
+	}
+
+	s.Logger.Info("silent processes", "count", len(expired), "first", expired[0].GetID())
+	s.proposeInternal(ctx, &wire.Command{Kind: &wire.Command_Expiry{Expiry: &wire.Expiry{Nodes: expired}}})
+}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -53,8 +53,8 @@
 	Group     Group
 }
 
-// newer reports whether a's word goes before b's, for one ID.
-func newer(a, b *Target) bool {
+// supersedes reports whether a's word goes before b's, for one ID.
+func supersedes(a, b *Target) bool {
 	if a.StartTime != b.StartTime {
 		return a.StartTime > b.StartTime
 	}
@@ -62,10 +62,10 @@
 	return a.Sequence > b.Sequence
 }
 
-// sameWord reports whether entries need not be told of b after a.
-func sameWord(a, b *Target, slack time.Duration) bool {
+// equivalent reports whether entries need not be told of b after a.
+func equivalent(a, b *Target, tolerance time.Duration) bool {
 	shift := b.ColdUntil.Sub(a.ColdUntil)
-	if a.ColdUntil.IsZero() != b.ColdUntil.IsZero() || shift > slack || shift < -slack {
+	if a.ColdUntil.IsZero() != b.ColdUntil.IsZero() || shift > tolerance || shift < -tolerance {
 		return false
 	}
 
@@ -82,8 +82,8 @@
 		GroupSize: uint32(t.Group.Size), GroupBroken: t.Group.Broken,
 	}
 
-	if left := t.ColdUntil.Sub(now); left > 0 {
-		out.ColdMillis = uint64(left.Milliseconds()) + 1
+	if remaining := t.ColdUntil.Sub(now); remaining > 0 {
+		out.ColdMillis = uint64(remaining.Milliseconds()) + 1
 	}
 
 	return out
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,7 +12,7 @@
 
 var begin = time.Unix(1000, 0)
 
-func target(id string, born int64, seq uint64, edit func(t *directory.Target)) directory.Target {
+func newTarget(id string, born int64, seq uint64, edit func(t *directory.Target)) directory.Target {
 	t := directory.Target{
 		ID: id, StartTime: born, Sequence: seq, Service: "drafts", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a", Slots: 12,
 	}
@@ -25,28 +25,28 @@
 
 func draining(t *directory.Target) { t.State = directory.Draining }
 
-func at(addr string) func(*directory.Target) {
+func withAddress(addr string) func(*directory.Target) {
 	return func(t *directory.Target) { t.Address = netip.MustParseAddrPort(addr) }
 }
 
-// world is a control VM's directory and the entry that follows it.
-type world struct {
-	heard  directory.Registry
-	merged directory.MergedTargets
-	seen   uint64
+// fixture is a control VM's directory and the entry that follows it.
+type fixture struct {
+	registry directory.Registry
+	merged   directory.MergedTargets
+	revision uint64
 }
 
-func newWorld() *world {
-	return &world{heard: directory.Registry{AnnounceTimeout: 3600 * time.Millisecond}}
+func newFixture() *fixture {
+	return &fixture{registry: directory.Registry{AnnounceTimeout: 3600 * time.Millisecond}}
 }
 
-func (w *world) follow() {
-	ts := w.heard.ChangedSince(w.seen)
-	w.seen = w.heard.Revision()
+func (w *fixture) follow() {
+	ts := w.registry.ChangedSince(w.revision)
+	w.revision = w.registry.Revision()
 	w.merged.Merge(ts)
 }
 
-func (w *world) states() map[string]directory.State {
+func (w *fixture) states() map[string]directory.State {
 	w.follow()
 
 	out := map[string]directory.State{}
@@ -59,132 +59,132 @@
 
 // A target drains, and a beat that it sent before arrives after that. Without the
 // order by sequence it would get new work again.
-func TestLateBeatChangesNothing(t *testing.T) {
+func TestLateAnnouncementIsIgnored(t *testing.T) {
 	t.Parallel()
 
-	w := newWorld()
-	require.True(t, w.heard.Announce(begin, target("i1", 5, 1, nil)))
-	require.True(t, w.heard.Announce(begin, target("i1", 5, 3, draining)))
-	require.False(t, w.heard.Announce(begin, target("i1", 5, 2, nil)))
+	w := newFixture()
+	require.True(t, w.registry.Announce(begin, newTarget("i1", 5, 1, nil)))
+	require.True(t, w.registry.Announce(begin, newTarget("i1", 5, 3, draining)))
+	require.False(t, w.registry.Announce(begin, newTarget("i1", 5, 2, nil)))
 	require.Equal(t, map[string]directory.State{"i1": directory.Draining}, w.states())
 
-	w.heard.Leave(begin, "i1")
-	require.False(t, w.heard.Announce(begin, target("i1", 5, 9, nil)), "its last beats were overtaken by its farewell")
+	w.registry.Leave(begin, "i1")
+	require.False(t, w.registry.Announce(begin, newTarget("i1", 5, 9, nil)), "its last beats were overtaken by its farewell")
 	require.Empty(t, w.states())
 
-	require.True(t, w.heard.Announce(begin, target("i1", 6, 1, nil)), "it starts anew under its ID, and its sequence too")
+	require.True(t, w.registry.Announce(begin, newTarget("i1", 6, 1, nil)), "it starts anew under its ID, and its sequence too")
 	require.Equal(t, map[string]directory.State{"i1": directory.Ready}, w.states())
 }
 
 // A target crashes, and its address goes to one of another service. A beat of the
 // first, held up by a partition, arrives after that: it must not take the address.
-func TestNewestHolderOfAnAddressRules(t *testing.T) {
+func TestNewestTargetHoldsAnAddress(t *testing.T) {
 	t.Parallel()
 
-	w := newWorld()
-	w.heard.Announce(begin, target("old", 5, 1, nil))
-	w.heard.Announce(begin, target("new", 8, 1, func(t *directory.Target) { t.Service = "desk" }))
+	w := newFixture()
+	w.registry.Announce(begin, newTarget("old", 5, 1, nil))
+	w.registry.Announce(begin, newTarget("new", 8, 1, func(t *directory.Target) { t.Service = "desk" }))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 
-	w.heard.Announce(begin, target("old", 5, 7, nil))
+	w.registry.Announce(begin, newTarget("old", 5, 7, nil))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 
 	// The same where each was heard by another control VM.
-	other := newWorld()
-	other.heard.Announce(begin, target("old", 5, 9, nil))
-	w.merged.Merge(other.heard.ChangedSince(0))
+	other := newFixture()
+	other.registry.Announce(begin, newTarget("old", 5, 9, nil))
+	w.merged.Merge(other.registry.ChangedSince(0))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 }
 
 // A target says farewell to a control VM that has just started and does not know
 // it. The entry knows it from another one, and must let go of it all the same.
-func TestFarewellOfAnUnknownTarget(t *testing.T) {
+func TestLeaveOfUnknownTargetRemovesIt(t *testing.T) {
 	t.Parallel()
 
-	first, second := newWorld(), newWorld()
-	first.heard.Announce(begin, target("i1", 5, 4, nil))
-	second.heard.Leave(begin, "i1")
+	first, second := newFixture(), newFixture()
+	first.registry.Announce(begin, newTarget("i1", 5, 4, nil))
+	second.registry.Leave(begin, "i1")
 
 	var m directory.MergedTargets
 
-	require.True(t, m.Merge(first.heard.ChangedSince(0)))
-	require.True(t, m.Merge(second.heard.ChangedSince(0)))
+	require.True(t, m.Merge(first.registry.ChangedSince(0)))
+	require.True(t, m.Merge(second.registry.ChangedSince(0)))
 	require.Empty(t, m.Targets())
-	require.False(t, m.Merge(first.heard.ChangedSince(0)), "what the first still says of it is old")
+	require.False(t, m.Merge(first.registry.ChangedSince(0)), "what the first still says of it is old")
 }
 
 // A target crashes without a word. After three missing beats it counts as silent,
 // and not before: a beat may be late, and go to another control VM.
-func TestSilence(t *testing.T) {
+func TestTargetIsUnresponsiveAfterTimeout(t *testing.T) {
 	t.Parallel()
 
-	w := newWorld()
-	w.heard.Announce(begin, target("i1", 5, 1, nil))
-	require.False(t, w.heard.Tick(begin.Add(3500*time.Millisecond)))
+	w := newFixture()
+	w.registry.Announce(begin, newTarget("i1", 5, 1, nil))
+	require.False(t, w.registry.Tick(begin.Add(3500*time.Millisecond)))
 	require.Equal(t, directory.Ready, w.states()["i1"])
-	require.True(t, w.heard.Tick(begin.Add(3700*time.Millisecond)))
+	require.True(t, w.registry.Tick(begin.Add(3700*time.Millisecond)))
 	require.Equal(t, directory.Unresponsive, w.states()["i1"])
 
-	w.heard.Announce(begin.Add(4*time.Second), target("i1", 5, 2, nil))
+	w.registry.Announce(begin.Add(4*time.Second), newTarget("i1", 5, 2, nil))
 	require.Equal(t, directory.Ready, w.states()["i1"])
 }
 
 // A target's beats move from one control VM to another. The one that it left calls
 // it silent; the entry must believe the one that hears it.
-func TestSilenceAtOneControlVM(t *testing.T) {
+func TestNewerAnnouncementOverridesUnresponsive(t *testing.T) {
 	t.Parallel()
 
-	left, now := newWorld(), newWorld()
-	left.heard.Announce(begin, target("i1", 5, 1, nil))
-	now.heard.Announce(begin, target("i1", 5, 2, nil))
+	previous, current := newFixture(), newFixture()
+	previous.registry.Announce(begin, newTarget("i1", 5, 1, nil))
+	current.registry.Announce(begin, newTarget("i1", 5, 2, nil))
 
 	var m directory.MergedTargets
 
-	m.Merge(left.heard.ChangedSince(0))
-	m.Merge(now.heard.ChangedSince(0))
+	m.Merge(previous.registry.ChangedSince(0))
+	m.Merge(current.registry.ChangedSince(0))
 
-	left.heard.Tick(begin.Add(5 * time.Second))
-	m.Merge(left.heard.ChangedSince(0))
+	previous.registry.Tick(begin.Add(5 * time.Second))
+	m.Merge(previous.registry.ChangedSince(0))
 	require.Equal(t, directory.Ready, m.Targets()[0].State)
 }
 
 // Most beats say what the one before said. Entries are told only now and then, so
 // that a thousand targets do not wake every entry a thousand times a second.
-func TestUnchangedBeatsAreToldSeldom(t *testing.T) {
+func TestUnchangedAnnouncementsAreRarelyPublished(t *testing.T) {
 	t.Parallel()
 
-	h := directory.Registry{AnnounceTimeout: time.Minute}
-	told := 0
+	r := directory.Registry{AnnounceTimeout: time.Minute}
+	published := 0
 
 	for i := range 100 {
-		if h.Announce(begin.Add(time.Duration(i)*100*time.Millisecond), target("i1", 5, uint64(i), nil)) {
-			told++
+		if r.Announce(begin.Add(time.Duration(i)*100*time.Millisecond), newTarget("i1", 5, uint64(i), nil)) {
+			published++
 		}
 	}
 
-	require.Equal(t, 4, told)
+	require.Equal(t, 4, published)
 }
 
-func TestColdStartIsToldOnceAndWhenItEnds(t *testing.T) {
+func TestColdStartIsPublishedOnceAndWhenItEnds(t *testing.T) {
 	t.Parallel()
 
-	h := directory.Registry{AnnounceTimeout: time.Minute}
+	r := directory.Registry{AnnounceTimeout: time.Minute}
 	cold := func(left time.Duration, now time.Time) func(*directory.Target) {
 		return func(t *directory.Target) { t.ColdUntil = now.Add(left) }
 	}
 	next := begin.Add(time.Second)
 
-	require.True(t, h.Announce(begin, target("i1", 5, 1, cold(3*time.Second, begin))))
-	require.False(t, h.Announce(next, target("i1", 5, 2, cold(2*time.Second, next))), "it goes on as it said")
-	require.True(t, h.Announce(next, target("i1", 5, 3, nil)))
-	require.True(t, h.Announce(next, target("i1", 5, 4, cold(3*time.Second, next))), "it turned cold again")
+	require.True(t, r.Announce(begin, newTarget("i1", 5, 1, cold(3*time.Second, begin))))
+	require.False(t, r.Announce(next, newTarget("i1", 5, 2, cold(2*time.Second, next))), "it goes on as it said")
+	require.True(t, r.Announce(next, newTarget("i1", 5, 3, nil)))
+	require.True(t, r.Announce(next, newTarget("i1", 5, 4, cold(3*time.Second, next))), "it turned cold again")
 }
 
-func TestWireKeepsATarget(t *testing.T) {
+func TestWireRoundTrip(t *testing.T) {
 	t.Parallel()
 
-	want := target("i1", 5, 4, func(t *directory.Target) {
-		at("10.0.0.9:81")(t)
+	want := newTarget("i1", 5, 4, func(t *directory.Target) {
+		withAddress("10.0.0.9:81")(t)
 		t.ColdUntil = begin.Add(2 * time.Second)
 		t.Group = directory.Group{Name: "g", Epoch: 2, Rank: 3, Size: 12, Broken: true}
 		t.State = directory.Unresponsive
--- a/internal/directory/merged.go
+++ b/internal/directory/mergedtargets.go
@@ -21,13 +21,13 @@
 	changed := false
 
 	for i := range ts {
-		changed = m.take(ts[i]) || changed
+		changed = m.mergeTarget(ts[i]) || changed
 	}
 
 	return changed
 }
 
-func (m *MergedTargets) take(t Target) bool {
+func (m *MergedTargets) mergeTarget(t Target) bool {
 	known := m.targets[t.ID]
 
 	switch {
@@ -44,7 +44,7 @@
 		return changed
 	case known.State == Removed && t.StartTime <= known.StartTime:
 		return false
-	case !newer(&t, known) && (t.StartTime != known.StartTime || t.Sequence != known.Sequence || t.State <= known.State):
+	case !supersedes(&t, known) && (t.StartTime != known.StartTime || t.Sequence != known.Sequence || t.State <= known.State):
 		return false
 	}
 
