--- a/internal/control/base.go
+++ b/internal/control/base.go
@@ -11,20 +11,20 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// encodedBase is all records at one version, encoded.
+// encodedBase is the compressed encoding of all records at one version.
 type encodedBase struct {
 	version uint64
 	data    []byte
 }
 
-// maxBaseDelta is how many changes may follow on a base before it is made anew.
+// maxBaseDelta is the number of changed and removed records after which the base is encoded
+// again.
 const maxBaseDelta = 256
 
-// baseAndDelta returns all records as an encoded base and what changed after it. It
-// guards against the return of all processes at once: each needs everything, and
-// encoding that for each would take longer than they wait, so that they would
-// ask again, and none would ever be served. The base is encoded once for all of
-// them, though each one's own report makes a new version.
+// baseAndDelta returns an encoded base of all records and the changes since that base. All
+// full answers share one base, although each process's report creates a new version. When
+// all processes restart at once, encoding the records for each of them takes longer than
+// their poll timeout: they would retry, and none would get an answer.
 func (s *Server) baseAndDelta(p *publishedState) ([]byte, ledger.Delta) {
 	if b := s.base.Load(); b != nil {
 		if delta, ok := p.deltaSince(b); ok {
@@ -45,7 +45,7 @@
 
 	data, err := encodeBase(p.records.All())
 	if err != nil {
-		s.Logger.Error("base not encoded", "error", err)
+		s.Logger.Error("encoding the base of a full answer failed; sending the records uncompressed", "error", err)
 		return nil, p.records.DeltaSince(0)
 	}
 
@@ -54,7 +54,7 @@
 	return data, ledger.Delta{Version: p.records.Version, Full: true}
 }
 
-// deltaSince returns what changed after b, if that is little.
+// deltaSince returns the changes after b, and false if they are more than maxBaseDelta.
 func (p *publishedState) deltaSince(b *encodedBase) (ledger.Delta, bool) {
 	if b.version > p.records.Version {
 		return ledger.Delta{}, false
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -21,16 +21,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// benchCluster is three control VMs over HTTP on loopback, with a state of the size that
-// parsleygate is designed for, and readers of it in this process. Bytes are
-// counted on the readers' connections, headers included.
+// benchCluster is three control VMs that serve HTTP on loopback, with a state of the size
+// that parsleygate is designed for, and readers in this process. Bytes are counted on the
+// connections of the readers, headers included.
 type benchCluster struct {
 	b        *testing.B
 	vms      *controlVMs
 	controls []netip.AddrPort
 	client   *http.Client
 	bytes    atomic.Int64
-	// fullPolls makes the poll of every reader ask for everything: the baseline.
+	// fullPolls makes each reader request the full state at each change, as the baseline.
 	fullPolls bool
 
 	mu          sync.Mutex
@@ -86,10 +86,10 @@
 	return w
 }
 
-// stableTime is how long the version must stay before a measurement begins.
+// stableTime is how long the version must stay unchanged before a measurement starts.
 const stableTime = 4 * time.Second
 
-// waitUntilStable waits until every reader holds the same, whole directory.
+// waitUntilStable waits until all readers hold the same version of the complete directory.
 func (w *benchCluster) waitUntilStable() {
 	begin := time.Now()
 
@@ -106,7 +106,7 @@
 	w.b.Logf("settled %v after the start", time.Since(begin)-stableTime)
 }
 
-// addWorkspaces puts 13,000 workspaces into the state.
+// addWorkspaces adds benchWorkspaces workspaces to the state.
 func (w *benchCluster) addWorkspaces() {
 	var text strings.Builder
 
@@ -124,7 +124,7 @@
 	return w.vms.decide(w.b, 0, w.number, declaration).GetVersion()
 }
 
-// toggleZone takes a zone out, or brings it back.
+// toggleZone takes a zone out of use, or back into use.
 func (w *benchCluster) toggleZone() { w.decide([]string{zoneIn, zoneOut}[w.number%2]) }
 
 type countedConn struct {
@@ -194,7 +194,7 @@
 	return w.partitioned[i]
 }
 
-// readersBehind returns how many readers that are not cut off lack the last decision.
+// readersBehind returns how many readers lack the last decision, partitioned ones excluded.
 func (w *benchCluster) readersBehind() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -226,30 +226,30 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkInForce measures from confirm until status says in force, and until
-// the last reader that is not cut off holds the decision.
+// BenchmarkInForce measures the time from the confirmation of a decision until its status
+// is in force, and until all readers that are not partitioned hold it.
 func BenchmarkInForce(b *testing.B) {
 	const readers = 1010
 
-	for _, silent := range []int{0, 50} {
-		b.Run(fmt.Sprintf("readers=%d/silent=%d", readers, silent), func(b *testing.B) {
+	for _, partitioned := range []int{0, 50} {
+		b.Run(fmt.Sprintf("readers=%d/silent=%d", readers, partitioned), func(b *testing.B) {
 			w := newBenchCluster(b, readers, false)
 
-			var held, force time.Duration
+			var delivered, inForce time.Duration
 
 			for b.Loop() {
-				h, f := w.measureInForce(silent)
-				held, force = held+h, force+f
+				d, f := w.measureInForce(partitioned)
+				delivered, inForce = delivered+d, inForce+f
 			}
 
-			b.ReportMetric(held.Seconds()*1000/float64(b.N), "ms-to-last-reader/op")
-			b.ReportMetric(force.Seconds()*1000/float64(b.N), "ms-to-in-force/op")
+			b.ReportMetric(delivered.Seconds()*1000/float64(b.N), "ms-to-last-reader/op")
+			b.ReportMetric(inForce.Seconds()*1000/float64(b.N), "ms-to-in-force/op")
 		})
 	}
 }
 
-func (w *benchCluster) measureInForce(silent int) (held, force time.Duration) {
-	w.partition(silent)
+func (w *benchCluster) measureInForce(partitioned int) (delivered, inForce time.Duration) {
+	w.partition(partitioned)
 
 	begin := time.Now()
 	w.toggleZone()
@@ -258,18 +258,18 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 
-	held = time.Since(begin)
+	delivered = time.Since(begin)
 
 	for !w.vms.status(w.b, 1, w.number).GetInForce() {
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	force = time.Since(begin)
+	inForce = time.Since(begin)
 
 	w.partition(0)
 	time.Sleep(3 * time.Second)
 
-	return held, force
+	return delivered, inForce
 }
 
 func (w *benchCluster) partition(n int) {
@@ -286,9 +286,9 @@
 	benchChanges = 30
 )
 
-// BenchmarkReaders measures bytes and processor time of readers and control VMs
-// together, per reader: a second in the quiet, and a change, against readers
-// that get the full state at each change.
+// BenchmarkReaders measures the traffic and CPU time of readers and control VMs together,
+// per reader, both idle (per second) and per change. The baseline is readers that request
+// the full state at each change.
 func BenchmarkReaders(b *testing.B) {
 	for _, readers := range []int{250, 1010} {
 		for _, full := range []bool{false, true} {
@@ -344,7 +344,7 @@
 	w.b.ReportMetric(perReader(changeCPU)*1e6, "cpu-µs/change/reader")
 }
 
-// BenchmarkFirstAnswer measures the full answer that a process gets at its start.
+// BenchmarkFirstAnswer measures the full answer that a process gets when it starts.
 func BenchmarkFirstAnswer(b *testing.B) {
 	w := newBenchCluster(b, 1010, false)
 
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -9,9 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Claim claims the key of a non-idempotent request in the replicated state. An
-// error with FateUnknown may have granted the claim; asking again for the same
-// attempt is safe.
+// Claim claims the key of a non-idempotent request in the replicated state. If the error
+// has OutcomeUnknown, the claim may have been granted; retrying with the same attempt ID is
+// safe.
 func (s *Server) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	if err := checkKey(r.GetService(), r.GetKey()); err != nil {
 		return nil, err
@@ -33,8 +33,8 @@
 	return result.GetClaim(), nil
 }
 
-// Settle records what became of the attempt that holds a claim. It may be sent
-// again after any error.
+// Settle records the outcome of the attempt that holds a claim. Retrying after any error is
+// safe.
 func (s *Server) Settle(ctx context.Context, r *wire.SettleRequest) (*wire.SettleResponse, error) {
 	if err := checkKey(r.GetService(), r.GetKey()); err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// propose commits a command. Where the log cannot tell whether it was
-// committed, the error says so, and no caller may take it for a refusal.
+// propose commits a command. Its errors carry the outcome: with OutcomeUnknown the command
+// may have been committed, so the caller must not treat the error as a rejection.
 func (s *Server) propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	data, err := proto.Marshal(command)
 	if err != nil {
--- a/internal/control/controlvms_test.go
+++ b/internal/control/controlvms_test.go
@@ -18,8 +18,8 @@
 
 var errIsolated = errors.New("no quorum")
 
-// controlVMs is several control VMs over one log in memory. A VM that is cut off
-// gets no commands, and its proposals and reads fail; healed, it catches up.
+// controlVMs is several control VMs on one in-memory log. An isolated VM gets no commands,
+// and its proposals and reads fail. When the isolation ends, it catches up.
 type controlVMs struct {
 	servers []*control.Server
 
@@ -27,9 +27,9 @@
 	log      [][]byte
 	applied  []int
 	isolated []bool
-	// applyPaused VMs apply nothing, though they are not cut off.
+	// applyPaused VMs apply no commands, although they are not isolated.
 	applyPaused []bool
-	// loseAnswers makes proposals commit and their answers get lost.
+	// loseAnswers makes proposals commit but return an error.
 	loseAnswers bool
 }
 
@@ -46,7 +46,7 @@
 		runUntilCleanup(t, s.Run)
 	}
 
-	// The first reads must have shown that the VMs are current.
+	// Wait for the first reads, which confirm that the VMs are current.
 	time.Sleep(20 * time.Millisecond)
 
 	return vms
@@ -81,7 +81,7 @@
 	return v.servers[i]
 }
 
-// restart replaces a VM by one that starts from its snapshot.
+// restart replaces a VM with one that starts from the snapshot of the old one.
 func (v *controlVMs) restart(t testing.TB, i int) {
 	t.Helper()
 
@@ -95,7 +95,7 @@
 	runUntilCleanup(t, next.Run)
 }
 
-// installSnapshot lets VM to catch up by a snapshot of VM from, and heals it.
+// installSnapshot installs a snapshot of VM from on VM to and ends the isolation of to.
 func (v *controlVMs) installSnapshot(t testing.TB, from, to int) {
 	t.Helper()
 
@@ -107,7 +107,7 @@
 	v.isolated[to] = false
 }
 
-// countNodeReports returns how many commands of the log are reports.
+// countNodeReports returns how many commands of the log are node reports.
 func (v *controlVMs) countNodeReports() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -212,7 +212,7 @@
 	return v.server(to).Heard(ctx, &wire.HeardRequest{Cluster: cluster})
 }
 
-// decide plans and confirms a declaration at one control VM.
+// decide plans and confirms a declaration at VM i.
 func (v *controlVMs) decide(t testing.TB, i int, number uint64, declaration string) *wire.DecisionAnswer {
 	t.Helper()
 
@@ -236,7 +236,8 @@
 	return status.GetDecisions()[0]
 }
 
-// tryDecideAt decides at VM i if that is current, and returns how many decisions were made.
+// tryDecideAt makes a decision at VM i if that VM is current. It returns the number of
+// decisions made, 0 or 1.
 func tryDecideAt(vms *controlVMs, i int, number uint64, declaration string) uint64 {
 	ctx := context.Background()
 
--- a/internal/control/decide_test.go
+++ b/internal/control/decide_test.go
@@ -15,9 +15,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Operators on two control VMs confirm different plans under one number at the
-// same moment, several times each. Exactly one plan is carried out, and each of
-// them is told so.
+// Operators confirm different plans under one number at several control VMs concurrently,
+// each several times. Exactly one plan must be carried out, and all answers must name it.
 func TestConcurrentConfirmsOfOneNumberHaveOneWinner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -63,15 +62,15 @@
 		for i, plan := range plans {
 			again, err := vms.servers[1].Confirm(t.Context(), &wire.ConfirmRequest{Operator: "may", Number: 5, PlanID: plan})
 			require.NoError(t, err)
-			require.Equal(t, answers[i].GetState(), again.GetAnswer().GetState(), "after a change of leader")
+			require.Equal(t, answers[i].GetState(), again.GetAnswer().GetState(), "the answer changed with the leader")
 			require.Equal(t, answers[i].GetVersion(), again.GetAnswer().GetVersion())
 		}
 	})
 }
 
-// A claim is committed and its answer lost on the way. The error must not read
-// as a refusal; asked again for the same attempt, the claim is granted, and for
-// another it is held. Where nothing was proposed, the error says that.
+// A claim is committed but its answer is lost. The error must not read as a rejection: a
+// retry with the same attempt ID must be granted, and another attempt must find the claim
+// held. If nothing was proposed, the error must say so.
 func TestProposalErrorsReportOutcome(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -114,9 +113,8 @@
 	return rpcError.Meta(control.OutcomeKey)
 }
 
-// A control VM restarts from its snapshot, in a group that took hundreds of
-// decisions. Resent decisions get their first answers, and readers go on from
-// the version that they hold.
+// A control VM restarts from its snapshot after 200 decisions. A resent decision must get
+// its first answer, and readers must continue from the version that they hold.
 func TestControlVMRestartsFromItsSnapshot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -132,13 +130,13 @@
 
 		time.Sleep(time.Second)
 
-		held := r.Snapshot().Version
+		version := r.Snapshot().Version
 		vms.restart(t, 0)
 		time.Sleep(2 * time.Second)
 
-		again := vms.decide(t, 0, 150, "[Workspace \"w5\"]\nWeight = 150\n")
-		require.True(t, again.GetRepeated())
-		require.Equal(t, held, r.Snapshot().Version)
+		repeated := vms.decide(t, 0, 150, "[Workspace \"w5\"]\nWeight = 150\n")
+		require.True(t, repeated.GetRepeated())
+		require.Equal(t, version, r.Snapshot().Version)
 		require.True(t, r.Snapshot().Fresh(time.Now()))
 
 		vms.decide(t, 0, 201, "[Workspace \"w5\"]\nWeight = 7\n")
--- a/internal/control/documents.go
+++ b/internal/control/documents.go
@@ -13,12 +13,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// maxDocumentBytes bounds a document as it was sent (bytes). It is what entries let
-// callers send at most by default, too.
+// maxDocumentBytes bounds an uncompressed document. It equals the default limit of a
+// request body at entries.
 const maxDocumentBytes = 16 << 20
 
-// document is the configuration in force as it was sent, and the table that it
-// declares, read when it is first asked for.
+// document is the configuration in force as the operator sent it. Its route table is parsed
+// at the first use.
 type document struct {
 	number uint64
 	stored *wire.Document
@@ -28,7 +28,8 @@
 	err   error
 }
 
-// newDocument returns the document of the state, keeping what was read of it before.
+// newDocument returns the document for stored. It reuses the one in prev, with its parsed
+// table, if the stored document is the same.
 func newDocument(stored *wire.Document, prev *publishedState) *document {
 	if stored == nil {
 		return nil
@@ -41,7 +42,7 @@
 	return &document{number: stored.GetNumber(), stored: stored}
 }
 
-// routeTable returns the table that the document declares.
+// routeTable returns the route table of the document, and parses it at the first call.
 func (d *document) routeTable(parse func([]byte) (*wire.RouteTable, error)) (*wire.RouteTable, error) {
 	d.once.Do(func() {
 		var data []byte
@@ -54,11 +55,11 @@
 	return d.table, d.err
 }
 
-// uncompressed returns the document byte by byte as it was sent.
+// uncompressed returns the bytes of the document as the operator sent them.
 func (d *document) uncompressed() ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.stored.GetCompressed())), maxDocumentBytes+1))
 
-	return data, eris.Wrap(err, "unpack the document")
+	return data, eris.Wrap(err, "decompress the document")
 }
 
 func compress(data []byte) ([]byte, error) {
@@ -80,13 +81,13 @@
 	return out.Bytes(), nil
 }
 
-// Adopt puts a document that the caller has checked in force in one step, under
-// the operator's own number. A number that is not higher than the one in force
-// is acknowledged and changes nothing: an order whose answer was lost is sent
-// again, and may arrive after later ones. An error with FateUnknown may have
-// adopted it; sending it again is safe.
+// Adopt puts a document in force under the operator's number; the caller has validated the
+// document. A number that is not higher than the one in force is acknowledged without a
+// change: an operator resends a request whose answer was lost, and the resend may arrive
+// after later documents. After an error with OutcomeUnknown the document may be in force;
+// resending it is safe.
 func (s *Server) Adopt(ctx context.Context, number uint64, data []byte) error {
-	// What this VM has applied is committed, so a resend needs no second entry.
+	// What this VM has applied is committed, so a resend needs no second log entry.
 	if d := s.published.Load().document; d != nil && d.number >= number {
 		return nil
 	}
@@ -103,17 +104,16 @@
 	return err
 }
 
-// UndeclaredError says that a zone or service that a caller names is not declared.
+// UndeclaredError reports that a request names a zone or service that is not declared.
 type UndeclaredError struct {
 	Kind string
 	Name string
 }
 
-// Error implements error.
 func (e *UndeclaredError) Error() string { return e.Kind + " " + e.Name + " is not declared" }
 
-// SetZoneOut takes a declared zone out or back in, in one step. It may be sent
-// again after any error but an *UndeclaredError.
+// SetZoneOut takes a declared zone out of use, or back into use, with a single command.
+// Retrying is safe after any error except an *UndeclaredError.
 func (s *Server) SetZoneOut(ctx context.Context, zone string, out bool) error {
 	region, ok := s.Zones[zone]
 	if !ok {
@@ -127,10 +127,10 @@
 	return err
 }
 
-// Document returns the newest document as it was sent; nil where none was
-// adopted yet. A quorum confirms it each time: a lease would rest on a clock
-// that stands still while a VM is suspended, and a VM that wakes would show an
-// old document as current.
+// Document returns the latest document as the operator sent it, or nil if there is none.
+// Each call confirms with a quorum that the document is current. A lease would not do: its
+// clock stops while the VM is suspended, and a resumed VM would return an old document as
+// current.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
 	_, index, err := s.ReadIndex(ctx)
 	if err != nil {
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -19,7 +19,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// startDocumentServer is a control VM whose operators decide in one step.
+// startDocumentServer runs a control VM with documents until the test ends.
 func startDocumentServer(t *testing.T) (*control.Server, *control.MemoryLog) {
 	t.Helper()
 
@@ -41,7 +41,8 @@
 	}
 }
 
-// runDocumentServer runs s over a log in memory until the test ends, after edits of it.
+// runDocumentServer applies the edits to s and runs it on an in-memory log until the test
+// ends.
 func runDocumentServer(t *testing.T, s *control.Server, edits ...func(*control.Server)) *control.MemoryLog {
 	t.Helper()
 
@@ -68,9 +69,9 @@
 	return log
 }
 
-// Operators race, resend after lost answers, and old changes arrive again. The
-// highest number rules, with the content under which it was accepted first; all of
-// them are acknowledged, and what is read back is what was sent.
+// Operators adopt documents concurrently and resend them after lost answers, and old
+// changes arrive late. The highest number must win, with the content first accepted under
+// it. All of them must be acknowledged, and the document must be returned as it was sent.
 func TestHighestDocumentNumberWins(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,8 +103,8 @@
 	})
 }
 
-// A control VM is cut off from the others, or wakes from a suspension. It cannot
-// know whether its configuration is the newest, and says so rather than show it.
+// A control VM without a quorum, or one resumed after a suspension, cannot tell whether its
+// document is the latest. It must return an error instead of the document.
 func TestDocumentReadNeedsQuorum(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -131,8 +132,8 @@
 	})
 }
 
-// The state that documents and zone orders make survives snapshots, which is what a
-// control VM that joins, or restarts, gets.
+// Documents and zone orders must be part of the snapshot from which a control VM starts
+// when it joins or restarts.
 func TestSnapshotKeepsDocumentAndZoneOrder(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -158,12 +159,12 @@
 
 		got, err = second.Document(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, sent, string(got), "an older number changes nothing after a restart either")
+		require.Equal(t, sent, string(got), "an older number changed the document after a restart")
 	})
 }
 
-// A zone is taken out twice, since the first answer was lost, and back in. Zones
-// that nobody declared are refused.
+// Taking a zone out must be repeatable, as the answer may be lost, and reversible.
+// Undeclared zones must be rejected.
 func TestSetZoneOut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -193,8 +194,8 @@
 	return directory.Target{ID: id, StartTime: 1, Sequence: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
-// Another writer names targets of services and zones that nobody declared. Kept,
-// such a target could take the address of one that is there.
+// Announcements with undeclared services or zones must be rejected. If they were recorded,
+// such a target could take over the address of an existing one.
 func TestUndeclaredTargetsAreRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -202,7 +203,7 @@
 
 		var undeclared *control.UndeclaredError
 
-		require.NoError(t, s.Announce(t.Context(), newTarget("i1", "anything", "a")), "without a document nobody can tell")
+		require.NoError(t, s.Announce(t.Context(), newTarget("i1", "anything", "a")), "rejected although no document declares services yet")
 		require.NoError(t, s.Adopt(t.Context(), 1, []byte("desk first")))
 		require.NoError(t, s.Announce(t.Context(), newTarget("i2", "desk", "a")))
 		require.ErrorAs(t, s.Announce(t.Context(), newTarget("i3", "other", "a")), &undeclared)
@@ -210,8 +211,8 @@
 	})
 }
 
-// An entry that follows is told at once of a new document, a zone that goes out, a
-// target that comes and one that drains, though it asked to be held for longer.
+// A follower's held request must be answered at once when a document is adopted, a zone
+// goes out, or a target is announced or ends.
 func TestFollowReturnsOnChange(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -249,13 +250,13 @@
 
 		began := time.Now()
 		require.Empty(t, next().GetTargets())
-		require.Equal(t, 1500*time.Millisecond, time.Since(began), "nothing happened")
+		require.Equal(t, 1500*time.Millisecond, time.Since(began), "answered early without a change")
 	})
 }
 
-// Followers end their questions at any moment, as processes are killed. A question that
-// is given up just as it is answered must not read what is still being written: the race
-// detector saw it in a control VM of the soak.
+// Followers cancel their requests at any time, for example when their process is killed. A
+// request that is canceled while its answer is built must not return that answer: the
+// caller would read it during the write, which is a data race.
 func TestCanceledFollowDoesNotRaceWithItsAnswer(t *testing.T) {
 	t.Parallel()
 
@@ -270,9 +271,10 @@
 	}
 }
 
-// An agent follows for the targets and services of its group. Six control VMs each sent
-// it all routes of a large configuration, over a link of 8 Mbit/s: it was deaf for a
-// second, its standby took it for gone, and the group stood still between the two.
+// Agents follow only for the targets and services of their group. When six control VMs each
+// sent an agent all routes of a large configuration over a link of 8 Mbit/s, the agent did
+// not respond for a second, its standby considered it failed, and the group made no
+// progress between the two.
 func TestServicesOnlyFollowGetsNoRoutes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -296,13 +298,13 @@
 
 		full, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "entry"})
 		require.NoError(t, err)
-		require.NotEmpty(t, full.GetTable().GetRoutes(), "what others get is untouched")
+		require.NotEmpty(t, full.GetTable().GetRoutes(), "a follower without ServicesOnly got no routes")
 	})
 }
 
-// All control VMs are killed at once and start again. Their followers get the
-// targets that were known before at once, and the farewells with them; a saved
-// directory that is torn is no directory.
+// All control VMs are killed at once and restart. Their followers must at once get the
+// targets known before, including the removed ones. A truncated file must count as no saved
+// directory.
 func TestTargetsSurviveRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -359,8 +361,8 @@
 	})
 }
 
-// Entries share what all of them together may do, so they must know how many they
-// are: those that leave or fell silent do not count.
+// Entries divide shared limits by their number. Entries that are leaving or have stopped
+// sending requests must not count.
 func TestOnlyActiveFollowersAreCounted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -385,8 +387,9 @@
 	})
 }
 
-// All VMs lose power, and the first entry to ask is answered before the others have. Guards
-// against an entry that takes itself for the only one, and a whole limit for its own.
+// All VMs lose power, and the first entry to send a request is answered before the others
+// have sent theirs. That entry must not count itself as the only one, or it would use the
+// complete shared limit.
 func TestRosterSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -409,7 +412,7 @@
 		out := follow(first, "e3", 0)
 		require.Len(t, out.GetRoster(), 3)
 		require.Equal(t, "ze1", out.GetRoster()[0].GetZone())
-		require.Empty(t, follow(first, "e3", out.GetRosterHash()).GetRoster(), "it has not changed")
+		require.Empty(t, follow(first, "e3", out.GetRosterHash()).GetRoster(), "sent the unchanged roster again")
 		time.Sleep(2 * time.Second)
 
 		second := newDocumentServer()
@@ -417,6 +420,6 @@
 		runDocumentServer(t, second)
 		require.Len(t, follow(second, "e2", 0).GetRoster(), 3)
 		time.Sleep(5 * time.Second)
-		require.Len(t, follow(second, "e2", 0).GetRoster(), 1, "those that do not ask count no longer")
+		require.Len(t, follow(second, "e2", 0).GetRoster(), 1, "counted entries that stopped sending requests")
 	})
 }
--- a/internal/control/dump.go
+++ b/internal/control/dump.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Dump returns this VM's state as text.
+// Dump returns the state of this control VM as text.
 func (s *Server) Dump(ctx context.Context, _ *wire.DumpRequest) (*wire.DumpResponse, error) {
 	p := s.published.Load()
 	age, valid := s.age(time.Now())
@@ -39,7 +39,7 @@
 	return &wire.DumpResponse{Text: b.String()}, nil
 }
 
-// oneLine writes a record's value for people, without its key and version.
+// oneLine formats the value of a record on one line, without its key and version.
 func oneLine(r *wire.Record) string {
 	text := fmt.Sprint(r.ProtoReflect().Interface())
 	_, value, _ := strings.Cut(text, fmt.Sprintf("Version:%d", r.GetVersion()))
--- a/internal/control/expiry.go
+++ b/internal/control/expiry.go
@@ -8,11 +8,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// expiryChecker is the core that decides, without I/O, which processes of the
-// directory are to be expired, from what all control VMs have heard.
+// expiryChecker finds the processes of the directory that have to be expired, from the
+// polls that all control VMs received. It does no I/O.
 type expiryChecker struct {
 	timeout time.Duration
-	// watchingSince is when this VM began to watch: silence before it says nothing.
+	// watchingSince is when this VM began to check, or zero while it is not the leader. A
+	// missing poll before that time counts for nothing.
 	watchingSince time.Time
 	lastPolls     map[processKey]time.Time
 }
@@ -21,12 +22,12 @@
 	return &expiryChecker{timeout: timeout, lastPolls: map[processKey]time.Time{}}
 }
 
-// reset forgets everything: this VM does not lead, so it does not watch.
+// reset stops the check, as this VM is not the leader. The next check starts from scratch.
 func (c *expiryChecker) reset() { c.watchingSince = time.Time{} }
 
-// check takes in what was heard, and returns the processes that no control VM
-// has heard from for too long. A process that no control VM ever named counts
-// from the first time it was missed.
+// check records the polls and returns the processes whose last poll at any control VM is
+// older than the timeout. If no control VM reported a process at all, its time counts from
+// the first check that missed it.
 func (c *expiryChecker) check(now time.Time, nodes map[string]*wire.Node, polls []reportedPoll) []*wire.NodeName {
 	if c.watchingSince.IsZero() {
 		c.watchingSince = now
--- a/internal/control/fault.go
+++ b/internal/control/fault.go
@@ -2,24 +2,26 @@
 
 import "github.com/twitchtv/twirp"
 
-// The values of the twirp error metadata FateKey: what became of a proposal.
+// OutcomeKey is the key of the twirp error metadata that holds the outcome of a proposal.
+// The other constants are its values.
 const (
 	OutcomeKey     = "Fate"
 	OutcomeUnknown = "Unknown"
 	OutcomeNotDone = "NotDone"
 )
 
-// rpcError is an error as callers of this VM's services get it.
+// rpcError is an error as clients of this VM's services receive it.
 type rpcError struct{ twirpError }
 
-// twirpError renames the interface, so that embedding it leaves Error a method.
+// twirpError is an alias under which the interface can be embedded: a field named Error
+// would hide the method Error.
 type twirpError = twirp.Error
 
 func newRPCError(code twirp.ErrorCode, text string) rpcError {
 	return rpcError{twirpError: twirp.NewError(code, text)}
 }
 
-// newProposalError is a fault that says what became of the proposed command.
+// newProposalError returns an error with the outcome of the proposed command.
 func newProposalError(code twirp.ErrorCode, text, outcome string) rpcError {
 	return rpcError{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, outcome)}
 }
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -13,11 +13,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// followerTimeout is how long after its last question an entry counts as one that
-// shares the targets. It is longer than a held question and a pause together.
+// followerTimeout is the time since an entry's last request after which the entry no longer
+// counts as one that shares the targets. It exceeds the longest held request plus the pause
+// before the next one.
 const followerTimeout = 4 * time.Second
 
-// follower is an entry that follows this VM. Only the goroutine that hears uses it.
+// follower is an entry that follows this VM. Only the goroutine of runTrackers uses it.
 type follower struct {
 	lastRequest time.Time
 	leaving     bool
@@ -25,12 +26,13 @@
 	zone        string
 }
 
-// targetTracker is what this VM heard from targets, and who follows it. The
-// goroutine that hears owns it.
+// targetTracker holds the targets that announced themselves to this VM, and the entries
+// that follow it. Only the goroutine of runTrackers uses it.
 type targetTracker struct {
 	registry  directory.Registry
 	followers map[string]follower
-	// savedRevision and keptRoster are the revision and the roster's hash that were saved.
+	// savedRevision and savedRosterHash identify the directory and the roster that were
+	// saved last.
 	savedRevision   uint64
 	savedRosterHash uint64
 
@@ -38,8 +40,9 @@
 	rosterExpires time.Time
 }
 
-// maxMissedAnnouncements is how many beats of a target may be missing before it counts as silent.
-// A beat may be late by more than one period, and a second node is tried after one.
+// maxMissedAnnouncements is the number of announcement intervals after which a target
+// counts as unresponsive. An announcement may be more than one interval late, and after one
+// interval the target tries a second control VM.
 const maxMissedAnnouncements = 3
 
 func newTargetTracker(interval time.Duration) *targetTracker {
@@ -49,7 +52,7 @@
 	}
 }
 
-// recordFollower takes in that a follower asks.
+// recordFollower records a request of a follower.
 func (t *targetTracker) recordFollower(id string, f follower) {
 	if known, ok := t.followers[id]; !ok || known.leaving != f.leaving || known.zone != f.zone {
 		t.rosterExpires = time.Time{}
@@ -58,11 +61,11 @@
 	t.followers[id] = f
 }
 
-// rosterTTL is how long a roster stands before silent entries are looked for again.
+// rosterTTL is how long a roster is used before followers are checked for timeouts again.
 const rosterTTL = 200 * time.Millisecond
 
-// currentRoster returns the entries that follow and stay, by ID. It is worked out anew where
-// that may have changed: every follower of a large deployment asks for it several times a
+// currentRoster returns the active followers that are not leaving, by ID. The result is
+// cached for rosterTTL, as each follower of a large deployment requests it several times a
 // second.
 func (t *targetTracker) currentRoster(now time.Time) *roster {
 	if now.Before(t.rosterExpires) {
@@ -90,13 +93,13 @@
 	return &t.roster
 }
 
-// roster is the entries that share the targets, and a hash of them.
+// roster holds the entries that share the targets, and a hash of them.
 type roster struct {
 	entries []*wire.RosterEntry
 	hash    uint64
 }
 
-// addTo adds the roster to an answer for who has the one with that hash.
+// addTo adds the roster to out, unless the receiver already has the roster with that hash.
 func (r *roster) addTo(out *wire.FollowResponse, knownHash uint64) {
 	out.Entries = uint32(len(r.entries))
 	out.RosterHash = r.hash
@@ -106,10 +109,11 @@
 	}
 }
 
-// maxRelays bounds the relays that are told: a director needs one or two.
+// maxRelays bounds the relay addresses in an answer; a director needs one or two.
 const maxRelays = 8
 
-// relayAddresses returns where some of the followers that stay relay orders to engines.
+// relayAddresses returns the addresses at which some of the followers relay orders to
+// engines. Followers that are leaving are left out.
 func (t *targetTracker) relayAddresses() []string {
 	var out []string
 
@@ -124,9 +128,9 @@
 	return out[:min(len(out), maxRelays)]
 }
 
-// Announce takes in a target's word. One of a zone or service that nobody declared
-// was named by another writer, and gets an *UndeclaredError: were it kept, it could
-// take the address of a target that is there.
+// Announce records a target's announcement. If its zone or service is not declared, it
+// returns an *UndeclaredError: the announcement comes from a foreign sender, and if it were
+// recorded it could take over the address of an existing target.
 func (s *Server) Announce(ctx context.Context, t directory.Target) error {
 	if _, ok := s.Zones[t.Zone]; !ok {
 		return &UndeclaredError{Kind: "zone", Name: t.Zone}
@@ -139,7 +143,7 @@
 	return s.updateTargets(ctx, func(targets *targetTracker) bool { return targets.registry.Announce(time.Now(), t) })
 }
 
-// Leave takes in that a target ends.
+// Leave records that a target has ended.
 func (s *Server) Leave(ctx context.Context, id string) error {
 	return s.updateTargets(ctx, func(targets *targetTracker) bool {
 		targets.registry.Leave(time.Now(), id)
@@ -148,8 +152,8 @@
 	})
 }
 
-// updateTargets lets the goroutine that hears change what was announced, and wakes the
-// entries that wait for it.
+// updateTargets runs change on the goroutine of runTrackers, and wakes the waiting
+// followers if change returns true.
 func (s *Server) updateTargets(ctx context.Context, change func(*targetTracker) bool) error {
 	return s.withTargets(ctx, func(targets *targetTracker) {
 		if change(targets) {
@@ -174,8 +178,8 @@
 	}
 }
 
-// Follow answers an entry that is the door of its targets: at once where it lacks
-// something, else when something changes or the wait ends.
+// Follow answers an entry that proxies directly to its targets. It answers at once if the
+// entry lacks something, otherwise at the next change or at the end of the requested wait.
 func (s *Server) Follow(ctx context.Context, r *wire.FollowRequest) (*wire.FollowResponse, error) {
 	if r.GetCluster() != s.Cluster {
 		return nil, newRPCError(twirp.FailedPrecondition, "this control VM belongs to another cluster")
@@ -185,7 +189,8 @@
 	defer timer.Stop()
 
 	for {
-		// The channels are taken first: what changes after the answer is made wakes this.
+		// Both channels are read before the answer is built, so a change during or after
+		// that ends the wait.
 		p, targetsChanged := s.published.Load(), s.targetsChanged.changed()
 
 		out, changed, err := s.answerFollower(ctx, p, r)
@@ -204,7 +209,7 @@
 	}
 }
 
-// answerFollower returns what the entry lacks, and whether that is anything.
+// answerFollower returns what the entry lacks, and whether it lacks anything.
 func (s *Server) answerFollower(ctx context.Context, p *publishedState, r *wire.FollowRequest) (*wire.FollowResponse, bool, error) {
 	out := &wire.FollowResponse{Index: p.stateIndex, DirectoryBoot: s.directoryBoot, Controls: s.controlAddresses(), Zone: s.Zone}
 	changed := p.stateIndex > r.GetKnownIndex() || r.GetWaitMillis() == 0
@@ -239,7 +244,7 @@
 		changed = changed || out.Full || out.DirectoryRevision > knownRevision
 	})
 	if err != nil {
-		// The goroutine that hears may still be writing the answer that nobody waits for.
+		// The goroutine of runTrackers may still write to out, so out must not be returned.
 		return nil, false, err
 	}
 
@@ -259,7 +264,7 @@
 
 	table, err := p.document.routeTable(s.ReadDocument)
 	if err != nil {
-		s.Logger.Error("The document in force cannot be read.", "number", p.document.number, "error", err)
+		s.Logger.Error("Reading the document in force failed; the follower gets an error.", "number", p.document.number, "error", err)
 
 		return newRPCError(twirp.Internal, "the document in force cannot be read")
 	}
@@ -273,8 +278,8 @@
 	return nil
 }
 
-// hasService reports whether the document in force has a service, and true where
-// none is in force yet.
+// hasService reports whether the document in force declares the service. Without a document
+// it returns true.
 func (s *Server) hasService(service string) bool {
 	d := s.published.Load().document
 	if d == nil {
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -6,15 +6,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// groupApplied passes an applied entry about an expert map on.
+// groupApplied calls OnGroup for an applied log entry about an expert map.
 func (s *Server) groupApplied(index uint64, e *wire.GroupEntry) {
 	if s.OnGroup != nil {
 		s.OnGroup(index, e, s.state.Groups())
 	}
 }
 
-// ProposeGroup appends an entry about an expert map. Whatever the error, the
-// entry may still be committed; proposing it again is safe.
+// ProposeGroup proposes a log entry about an expert map. After any error the entry may
+// still be committed; proposing it again is safe.
 func (s *Server) ProposeGroup(ctx context.Context, e *wire.GroupEntry) error {
 	_, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_GroupEntry{GroupEntry: e}})
 
@@ -24,5 +24,5 @@
 // Version returns the version of the configuration on this VM.
 func (s *Server) Version() uint64 { return s.published.Load().records.Version }
 
-// Configuration returns all records as they are on this VM.
+// Configuration returns all records on this VM.
 func (s *Server) Configuration() []*wire.Record { return s.published.Load().records.All() }
--- a/internal/control/inforce_test.go
+++ b/internal/control/inforce_test.go
@@ -19,8 +19,8 @@
 	zoneIn       = "[Zone \"ayutthaya\"]\nOut = false\n"
 )
 
-// An operator takes a zone out while all processes are well. It is in force
-// everywhere as soon as they acknowledge it, long before a lease runs out.
+// While no process is partitioned, taking a zone out must be in force as soon as all
+// processes acknowledged it, long before a lease expires.
 func TestInForceByAcknowledgement(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,10 +46,10 @@
 	})
 }
 
-// One entry is cut off by a silent partition just before a zone goes out. It
-// goes on sending into the zone while its lease holds, so the decision is not
-// in force yet, and status names it. Then its lease has run out, it refuses new
-// work, and the decision is in force, though the entry never learnt of it.
+// A silent partition cuts off one entry just before a zone goes out. While the entry's
+// lease holds, it still sends into the zone: the decision must not be in force, and the
+// status must name the entry. Once the lease has expired, the entry refuses new work and
+// the decision must be in force, although the entry never received it.
 func TestInForceOnceLeaseOfPartitionedProcessExpires(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -74,15 +74,15 @@
 
 		time.Sleep(4 * time.Second)
 
-		// Its lease has run out, but an agent that is cut off too may still let in a
-		// request that it sent before, for as long as its credit lasts.
+		// The lease has expired, but a partitioned agent may still admit a request that the
+		// entry sent before, until its credit expires.
 		require.False(t, partitioned.Snapshot().Fresh(time.Now()))
 		require.False(t, vms.status(t, 0, 2).GetInForce())
 		time.Sleep(2 * time.Second)
 
 		status = vms.status(t, 0, 2)
 		require.True(t, status.GetInForce(), status.GetWhy())
-		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID(), "it is still named")
+		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID(), "the status no longer names the partitioned entry")
 
 		readers.setPartitioned("entry-1", false)
 		time.Sleep(2 * time.Second)
@@ -91,16 +91,15 @@
 	})
 }
 
-// A control VM has just been cut off, or applies the log slowly, and a process
-// starts that asks only this one. It gets the configuration from before the
-// decision with a rest of a lease, and the other VMs do not know of it. Were the
-// decision said to be in force, that process would still act against it.
+// A control VM is isolated, or applies the log slowly, and a new process polls only that
+// VM. It gets the configuration before the decision with the rest of a lease, and the other
+// VMs do not know of it. The decision must not be in force while that process may act.
 func TestNotInForceWhileOneControlVMServesOldVersion(t *testing.T) {
 	t.Parallel()
 
 	cases := map[string]func(*controlVMs){
-		"cut off": func(vms *controlVMs) { vms.isolate(2, true) },
-		"slow":    func(vms *controlVMs) { vms.pauseApply(2, true) },
+		"isolated":     func(vms *controlVMs) { vms.isolate(2, true) },
+		"apply paused": func(vms *controlVMs) { vms.pauseApply(2, true) },
 	}
 
 	for name, breakVM := range cases {
@@ -117,7 +116,7 @@
 				breakVM(vms)
 				vms.decide(t, 0, 2, zoneOut)
 				time.Sleep(500 * time.Millisecond)
-				require.False(t, vms.status(t, 0, 2).GetInForce(), "before the process starts")
+				require.False(t, vms.status(t, 0, 2).GetInForce(), "in force before the process starts")
 
 				unknown := readers.start(entryNode("unknown", 1), 2)
 				time.Sleep(500 * time.Millisecond)
@@ -136,10 +135,10 @@
 	}
 }
 
-// A control VM is isolated for an hour, and an entry can reach only that one.
-// Hundreds of decisions pass it by. The entry must refuse soon after the cut,
-// though the VM still answers it, and must hold the last decision after the
-// heal; an entry that knows the other VMs moves to them at once.
+// A control VM is isolated for an hour, during 300 decisions, and one entry can reach only
+// that VM. The entry must soon refuse work although the VM still answers it, and must hold
+// the last decision after the isolation ends. An entry that can reach the other VMs must
+// switch to them at once.
 func TestEntryOfIsolatedControlVMRefusesUntilHeal(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -181,10 +180,10 @@
 	})
 }
 
-// A control VM was far behind and catches up by a snapshot that holds two
-// decisions of the last second. It skips the version of the first; if that
-// counted from the VM's start, hours ago, status would say that every lease has
-// run out since, while a cut-off entry still sends into the zone.
+// A control VM that was far behind catches up by a snapshot with two decisions of the last
+// second, and skips the version of the first. If that version counted from the VM's start,
+// hours ago, the status would treat every lease as expired while a partitioned entry still
+// sends into the zone.
 func TestInForceAfterCatchUpBySnapshot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -211,10 +210,10 @@
 	})
 }
 
-// What operators rely on: whenever any control VM says that a decision is in
-// force, no process that could act still holds an earlier version. Processes
-// start, restart and are cut off, control VMs are isolated and heal, decisions
-// follow each other, in any order; and at each step all VMs are asked.
+// Whenever a control VM reports a decision as in force, no process that may act holds an
+// earlier version. The schedule is random: processes start, restart and are partitioned,
+// control VMs are isolated and rejoin, and decisions follow each other. All VMs are queried
+// at each step.
 func TestInForceIsTrue(t *testing.T) {
 	t.Parallel()
 
@@ -263,10 +262,11 @@
 		}
 	}
 
-	require.Positive(t, reported, "the check must have met decisions in force")
+	require.Positive(t, reported, "no decision was in force, so nothing was checked")
 }
 
-// tryDecide makes a decision where a quorum is left, and returns how many were made.
+// tryDecide makes a decision if a VM is left to lead. It returns the number of decisions
+// made.
 func tryDecide(vms *controlVMs, number uint64, declaration string) uint64 {
 	i := vms.leader()
 	if i < 0 {
@@ -291,7 +291,7 @@
 
 		for id, r := range readers.byID {
 			require.False(t, actsOnOldVersion(r, d.GetEntry().GetVersion()),
-				"control-%d says %d is in force (%s); %s has %d", i+1, d.GetEntry().GetVersion(), d.GetWhy(), id, r.Snapshot().Version)
+				"control-%d reports version %d as in force (%s), but process %s may act on version %d", i+1, d.GetEntry().GetVersion(), d.GetWhy(), id, r.Snapshot().Version)
 		}
 	}
 
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -7,18 +7,19 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// confirmation says that the state applied on this VM was current at asOf.
+// confirmation records that the state applied on this VM was current at asOf.
 type confirmation struct {
 	asOf time.Time
 }
 
-// applyCheckInterval is how often a read looks whether the log's commands reached the state.
+// applyCheckInterval is how often a read checks whether the commands up to its index have
+// been applied.
 const applyCheckInterval = 2 * time.Millisecond
 
-// runConfirmations shows every ReadEvery, for all polls together, that the state is
-// current. It guards against a control VM that a silent partition has cut off:
-// it would go on telling readers that an old configuration holds. Its reads
-// fail, asOf stays where it was, and its polls soon answer Stale.
+// runConfirmations confirms with a quorum every ReadIndexInterval that the state of this VM
+// is current; all polls share the result. If a partition silently drops this VM's traffic
+// to the others, its reads fail and asOf does not advance, so its polls soon return Stale
+// instead of an outdated configuration.
 func (s *Server) runConfirmations(ctx context.Context) {
 	for {
 		s.confirmOnce(ctx)
@@ -35,7 +36,7 @@
 
 	asOf, index, err := s.ReadIndex(ctx)
 	if err != nil {
-		s.Logger.Debug("read failed", "error", err)
+		s.Logger.Debug("read index failed; the state is not confirmed as current", "error", err)
 		return
 	}
 
@@ -54,8 +55,8 @@
 	return true
 }
 
-// age returns how long ago the state was known to be current, and whether that
-// is recent enough to give readers any freshness.
+// age returns the time since the state was last confirmed as current, and whether that is
+// within the lease.
 func (s *Server) age(now time.Time) (age time.Duration, valid bool) {
 	last := s.confirmed.Load()
 	if last == nil {
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -11,9 +11,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A switch comes back and 300 processes restart and poll at once. Each must be
-// in the directory under its new incarnation within a second or two, and they
-// must not cost a command of the log each.
+// 300 processes restart and poll at once, as after the failure of a switch. Within two
+// seconds each must be in the directory with its new incarnation, without a log command for
+// each.
 func TestMassRestartIsBatched(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,10 +50,10 @@
 	})
 }
 
-// A thousand processes return at once and each needs everything, while their
-// own reports make new versions. Encoding everything for each took longer than
-// they waited; they asked again, and none was ever served. So what was encoded
-// for one serves the next, with what changed since beside it.
+// A thousand processes restart at once, and each needs the full state while their reports
+// create new versions. Encoding it for each took longer than their poll timeout, so they
+// retried and none got an answer. Full answers must share one base and add the changes
+// since.
 func TestFullAnswersShareOneBase(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -77,13 +77,13 @@
 		time.Sleep(time.Second)
 		require.True(t, r.Snapshot().ZoneInUse("ayutthaya"))
 		require.Len(t, r.Snapshot().Zones(), 1)
-		require.Len(t, r.Snapshot().Nodes(), 3, "the asker is one of them")
+		require.Len(t, r.Snapshot().Nodes(), 3, "two entries and the sender of the polls above")
 
 		for n := range uint64(300) {
 			vms.decide(t, 0, n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = 2\n", n))
 		}
 
-		require.NotEqual(t, first.GetBase(), fullAnswer(t, vms).GetBase(), "a base that is far behind is made anew")
+		require.NotEqual(t, first.GetBase(), fullAnswer(t, vms).GetBase(), "a base that is far behind was not encoded again")
 	})
 }
 
@@ -97,9 +97,9 @@
 	return answer
 }
 
-// An agent dies without a word, another is cut off for a while, a third ends in
-// order. The first two leave the directory after the bound, the third at once,
-// and the second comes back by itself.
+// One agent crashes, another is partitioned for a while, a third ends in order. The first
+// two must leave the directory after the timeout and the third at once. The second must
+// return when its partition ends.
 func TestUnresponsiveProcessesExpire(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -132,8 +132,8 @@
 	})
 }
 
-// An agent says that it leaves, and then that it does not. The directory keeps
-// it leaving, and the agent's polls must not fill the log from then on.
+// An agent reports that it is leaving, then that it is not. The directory keeps it as
+// leaving, and its further polls must not add commands to the log.
 func TestLeavingIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -159,8 +159,9 @@
 	})
 }
 
-// The control VMs' network fails towards all processes but one. Only a share of the
-// directory may be believed dead each minute, and it is whole again soon after.
+// A network fault on the side of the control VMs partitions all processes but one. The
+// ledger bounds the share of the directory that is expired per minute, and the directory
+// must be complete again soon after the fault ends.
 func TestControlNetworkFaultDoesNotEmptyDirectory(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -193,8 +194,8 @@
 	})
 }
 
-// A zone goes dark with 40 of 100 processes. The directory must lose them in
-// bounded time, though not all at once, and must lose nobody else.
+// A zone with 40 of 100 processes fails. All of these, and no others, must leave the
+// directory within two minutes despite the bound on expiries.
 func TestFailedZoneExpires(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -217,9 +218,9 @@
 	})
 }
 
-// The control VMs lose their quorum. A loss as short as an election must cost no
-// request; in a longer one processes refuse, since they cannot know what is
-// decided elsewhere, and go on soon after it ends.
+// The control VMs lose their quorum. A loss as short as an election must not make processes
+// refuse requests. In a longer one they must refuse, as they cannot know what was decided
+// elsewhere, and resume soon after it ends.
 func TestQuorumLoss(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/notifier.go
+++ b/internal/control/notifier.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// notifier wakes all who wait for a change at once.
+// notifier wakes all waiters at once when something changes.
 type notifier struct {
 	current atomic.Pointer[chan struct{}]
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Plan works out what a declaration would change, and keeps the plan for Confirm.
+// Plan computes the changes that a declaration would make, and stores the plan for Confirm.
 func (s *Server) Plan(ctx context.Context, r *wire.PlanRequest) (*wire.PlanResponse, error) {
 	if r.GetOperator() == "" {
 		return nil, missingField("Operator")
@@ -44,9 +44,10 @@
 	return &wire.PlanResponse{Plan: plan}, nil
 }
 
-// Confirm carries out a plan under a number of the operators' own. The same
-// number and content gets the first answer again. An error with FateUnknown may
-// have decided; confirming again under the same number is safe.
+// Confirm carries out a plan under a number that the operators choose. A repeated
+// confirmation with the same number and plan gets the first answer again. After an error
+// with OutcomeUnknown the plan may have been carried out; confirming again under the same
+// number is safe.
 func (s *Server) Confirm(ctx context.Context, r *wire.ConfirmRequest) (*wire.ConfirmResponse, error) {
 	switch {
 	case r.GetOperator() == "":
@@ -70,14 +71,14 @@
 	return &wire.ConfirmResponse{Answer: result.GetDecision()}, nil
 }
 
-// History returns the kept decisions, the latest first.
+// History returns the retained decisions, latest first.
 func (s *Server) History(_ context.Context, r *wire.HistoryRequest) (*wire.HistoryResponse, error) {
 	p := s.published.Load()
 
 	return &wire.HistoryResponse{Entries: newestDecisions(p.decisions, r.GetLimit()), Floor: p.numberFloor}, nil
 }
 
-// Diff compares a declaration with the state.
+// Diff returns the differences between a declaration and the state.
 func (s *Server) Diff(_ context.Context, r *wire.DiffRequest) (*wire.DiffResponse, error) {
 	declaration, err := parseDeclaration(r.GetSource(), r.GetDeclaration())
 	if err != nil {
@@ -112,8 +113,9 @@
 	return d, err
 }
 
-// planBase returns the state for a plan. A control VM that cannot show that
-// its state is current makes none: it may lack a zone that went out long ago.
+// planBase returns the state that a plan starts from. It fails if this VM cannot show that
+// its state is current: the state may lack, for example, a zone that was taken out long
+// ago.
 func (s *Server) planBase() (intent.Base, error) {
 	if _, valid := s.age(time.Now()); !valid {
 		return intent.Base{}, newProposalError(twirp.Unavailable,
@@ -137,7 +139,7 @@
 	return out
 }
 
-// defaultHistoryLimit is how many decisions are returned where no limit is given.
+// defaultHistoryLimit is the number of decisions returned if the request sets no limit.
 const defaultHistoryLimit = 20
 
 func newestDecisions(entries []*wire.DecisionEntry, limit uint32) []*wire.DecisionEntry {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,25 +12,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// peerTimeout bounds one question to another control VM.
+// peerTimeout bounds the collection of polls from all control VMs.
 const peerTimeout = time.Second
 
-// reportedPoll is one process as a control VM has heard from it.
+// reportedPoll is the last poll of a process as a control VM reported it.
 type reportedPoll struct {
 	node *wire.HeardNode
 	at   time.Time
 }
 
-// collectedPolls is what all control VMs have heard.
+// collectedPolls holds the last polls that the control VMs received.
 type collectedPolls struct {
 	polls []reportedPoll
-	// minVersion is the least that any control VM which answered serves to new polls.
+	// minVersion is the lowest version with which any of the responding control VMs answers
+	// new polls.
 	minVersion uint64
-	// unreachable names the control VMs that did not answer.
+	// unreachable names the control VMs that did not respond.
 	unreachable []string
 }
 
-// Heard tells another control VM which processes polled this one.
+// Heard returns to another control VM the processes that polled this one.
 func (s *Server) Heard(ctx context.Context, r *wire.HeardRequest) (*wire.HeardResponse, error) {
 	if r.GetCluster() != s.Cluster {
 		return nil, newRPCError(twirp.FailedPrecondition,
@@ -40,9 +41,9 @@
 	return s.localPolls(ctx)
 }
 
-// localPolls asks the goroutine that hears polls. The version in the answer is
-// read there, after all polls that it names and before all others: those are
-// answered with that version or a later one.
+// localPolls returns the processes that polled this VM. The goroutine of runTrackers reads
+// the version in the answer after it recorded all polls in the answer and before any later
+// poll; later polls get that version or a higher one.
 func (s *Server) localPolls(ctx context.Context) (*wire.HeardResponse, error) {
 	answer := make(chan *wire.HeardResponse, 1)
 
@@ -64,7 +65,7 @@
 	return s.Peers
 }
 
-// collectPolls asks this VM and all others at once.
+// collectPolls requests the polls of this VM and all others in parallel.
 func (s *Server) collectPolls(ctx context.Context) collectedPolls {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -110,8 +111,8 @@
 	return out
 }
 
-// latest returns the last sighting of each process, with the highest version
-// that it acknowledged anywhere.
+// latest returns the last reported poll of each process, with the highest version that the
+// process acknowledged at any control VM.
 func (c collectedPolls) latest() map[processKey]reportedPoll {
 	out := map[processKey]reportedPoll{}
 
--- a/internal/control/poll.go
+++ b/internal/control/poll.go
@@ -10,8 +10,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Poll answers an entry's or agent's poll: at once where there is news or this
-// VM is not current, else when something changes or the wait ends.
+// Poll answers a poll of an entry or agent. It answers at once if the process lacks a
+// version or if this VM's state is not confirmed as current; otherwise it waits for a
+// change or for the end of the requested wait.
 func (s *Server) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if r.GetCluster() != s.Cluster {
 		return nil, newRPCError(twirp.FailedPrecondition,
@@ -33,7 +34,8 @@
 	return s.answerPoll(r, received), nil
 }
 
-// waitForChange waits until there is something to tell the reader.
+// waitForChange waits until there is a version that the process lacks, the state is no
+// longer confirmed as current, or the wait ends.
 func (s *Server) waitForChange(ctx context.Context, r *wire.PollRequest) {
 	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxPollWait)
 	if wait <= 0 {
@@ -59,8 +61,8 @@
 	}
 }
 
-// answerPoll reads the age before the state: the state then is at least as new
-// as the age says.
+// answerPoll builds the answer. It reads the age before the state, so the state is at least
+// as new as the age says.
 func (s *Server) answerPoll(r *wire.PollRequest, received time.Time) *wire.PollResponse {
 	now := time.Now()
 	age, valid := s.age(now)
--- a/internal/control/polltracker.go
+++ b/internal/control/polltracker.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// processKey is one incarnation of an entry or agent.
+// processKey identifies one incarnation of a process (entry, agent or control VM).
 type processKey struct {
 	id          string
 	incarnation uint64
@@ -23,12 +23,13 @@
 	load         *wire.NodeLoad
 }
 
-// pollRecordTTL is how long a process that left stays in what was heard. It is
-// longer than any freshness lease, so that whoever may still act is named.
+// pollRecordTTL is how long the last poll of a process is kept after the process left the
+// directory. It exceeds any freshness lease, so every process that may still act is
+// reported.
 const pollRecordTTL = time.Minute
 
-// pollTracker is the core that knows, without I/O, which processes polled this VM
-// and which of their reports must go into the log.
+// pollTracker tracks which processes polled this VM and which of their reports have to be
+// committed to the log. It does no I/O.
 type pollTracker struct {
 	polls   map[processKey]pollRecord
 	pending map[string]*wire.NodeReport
@@ -44,7 +45,7 @@
 	}
 }
 
-// updateDirectory takes in the directory as the log has it.
+// updateDirectory copies the nodes of the replicated directory from records.
 func (t *pollTracker) updateDirectory(records ledger.Records) {
 	if records.Version == t.version {
 		return
@@ -70,7 +71,8 @@
 	t.version = records.Version
 }
 
-// recordPoll takes in a poll. What the directory already holds is not reported again.
+// recordPoll records a poll. It queues a report if the process ends or if the directory
+// does not hold the process as the poll describes it.
 func (t *pollTracker) recordPoll(now time.Time, r *wire.PollRequest) {
 	node := r.GetNode()
 	key := processKey{id: node.GetID(), incarnation: node.GetIncarnation()}
@@ -87,8 +89,9 @@
 	}
 }
 
-// inDirectory reports whether the directory has node as it is. A process that began to
-// leave stays leaving there, whatever it says later; that is no news each time.
+// inDirectory reports whether the directory already holds node. The directory keeps a
+// process as leaving once it began to leave. A later poll that says otherwise is therefore
+// no difference, or each such poll would be reported.
 func (t *pollTracker) inDirectory(node *wire.Node) bool {
 	current := t.nodes[node.GetID()]
 	if current.GetLeaving() && !node.GetLeaving() && current.GetIncarnation() == node.GetIncarnation() {
@@ -108,12 +111,12 @@
 	t.pending[r.GetNode().GetID()] = r
 }
 
-// maxReportBatch bounds the reports in one command, so that the return of all
-// processes at once makes a few commands, none of them large.
+// maxReportBatch bounds the reports in one command: when all processes restart at once,
+// their reports make a few commands of limited size.
 const maxReportBatch = 256
 
-// takeBatch returns the next reports to commit, and forgets them: a process whose
-// report is lost with a failed command polls again and is reported again.
+// takeBatch removes and returns the next reports to commit. If the command fails, the next
+// poll of the process queues its report again.
 func (t *pollTracker) takeBatch() []*wire.NodeReport {
 	var out []*wire.NodeReport
 
@@ -129,7 +132,8 @@
 	return out
 }
 
-// dropOldRecords drops processes that have long been silent and are not in the directory.
+// dropOldRecords drops processes that are not in the directory and have not polled within
+// pollRecordTTL.
 func (t *pollTracker) dropOldRecords(now time.Time) {
 	for key, h := range t.polls {
 		current := t.nodes[key.id].GetIncarnation() == key.incarnation
@@ -139,7 +143,7 @@
 	}
 }
 
-// response returns what was heard, for another control VM or for this one.
+// response returns the recorded polls for the Heard RPC.
 func (t *pollTracker) response(now time.Time) *wire.HeardResponse {
 	out := &wire.HeardResponse{Version: t.version}
 
--- a/internal/control/publishedstate.go
+++ b/internal/control/publishedstate.go
@@ -9,8 +9,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// publishedState is an immutable picture of the state, which polls and operators'
-// questions read.
+// publishedState is an immutable view of the state, read by polls and operator requests.
 type publishedState struct {
 	records     ledger.Records
 	decisions   []*wire.DecisionEntry
@@ -21,25 +20,25 @@
 	changes       uint64
 	versionTimes  []versionTime
 	document      *document
-	// stateIndex orders what entries hear of documents and zones.
+	// stateIndex orders the states of documents and zones that entries receive.
 	stateIndex uint64
-	// superseded is closed once a later picture is published.
+	// superseded is closed once a later state is published.
 	superseded chan struct{}
 }
 
-// versionTime is when this VM applied a version. It is never earlier than the
-// commit, so that counting a lease from it is cautious.
+// versionTime is when this VM applied a version. That is never before the commit, so a
+// lease counted from it never ends too early.
 type versionTime struct {
 	version uint64
 	at      time.Time
 }
 
-// maxVersionTimes bounds how many versions' times are kept.
+// maxVersionTimes bounds the number of versions whose times are kept.
 const maxVersionTimes = 4096
 
-// appliedAt returns when this VM applied version, or a later time. It guards
-// against a VM that caught up by a snapshot, which skips versions: those count
-// from the snapshot, not from a time at which this VM could not know them.
+// appliedAt returns when this VM applied version, or a later time. A VM that catches up by
+// a snapshot skips versions; their time is that of the snapshot, since this VM did not have
+// them earlier.
 func (p *publishedState) appliedAt(version uint64) time.Time {
 	i, _ := slices.BinarySearchFunc(p.versionTimes, version, func(l versionTime, v uint64) int {
 		return cmp.Compare(l.version, v)
@@ -48,7 +47,7 @@
 	return p.versionTimes[min(i, len(p.versionTimes)-1)].at
 }
 
-// publish replaces the picture. Only the goroutine that owns the ledger calls it.
+// publish replaces the published state. Only the goroutine that owns the ledger calls it.
 func (s *Server) publish(now time.Time) {
 	records := s.state.Records()
 	entries, floor := s.state.Decisions()
--- a/internal/control/readers_test.go
+++ b/internal/control/readers_test.go
@@ -12,7 +12,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// readerSet is a set of readers whose ways to the control VMs can be cut silently.
+// readerSet is a set of readers, which can be partitioned from the control VMs: their polls
+// then get no answer and no error.
 type readerSet struct {
 	t           testing.TB
 	vms         *controlVMs
@@ -29,7 +30,7 @@
 	}
 }
 
-// start runs one more process. It polls only the control VMs that are named.
+// start runs a reader for node. It polls only the control VMs with the given indexes.
 func (s *readerSet) start(node *wire.Node, controls ...int) *view.Reader {
 	r := &view.Reader{
 		Cluster: cluster,
@@ -85,7 +86,8 @@
 	return s.partitioned[id]
 }
 
-// poll loses the question or the answer without a word where the way is cut.
+// poll never answers while the reader is partitioned, whether that began before the request
+// or before its answer.
 func (s *readerSet) poll(ctx context.Context, id string, to int, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if s.isPartitioned(id) {
 		<-ctx.Done()
--- a/internal/control/savedtargets.go
+++ b/internal/control/savedtargets.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// saveIfChanged saves the directory of targets where it changed. What a loss of power takes,
-// the targets say again within a beat.
+// saveIfChanged saves the directory of targets and the roster if they changed. Changes lost
+// in a power failure are announced again by the targets within one announcement interval.
 func (s *Server) saveIfChanged(targets *targetTracker) {
 	if s.SaveTargets == nil {
 		return
@@ -34,7 +34,7 @@
 
 	data, err := proto.Marshal(saved)
 	if err != nil {
-		s.Logger.Warn("The directory of targets is not saved.", "error", err)
+		s.Logger.Warn("Encoding the directory of targets failed; it is not saved.", "error", err)
 
 		return
 	}
@@ -42,13 +42,13 @@
 	select {
 	case s.saveQueue <- data:
 	default:
-		// The disk is slow, and an earlier one is being saved still.
+		// The previous save is still in progress on a slow disk. Retry at the next call.
 		targets.savedRevision = 0
 	}
 }
 
-// runTargetSaver writes what keep hands it, apart from the goroutine that hears: a disk
-// may hang for seconds.
+// runTargetSaver writes the data queued by saveIfChanged. It has its own goroutine, since a
+// disk may block for seconds.
 func (s *Server) runTargetSaver(ctx context.Context) {
 	for {
 		select {
@@ -56,18 +56,19 @@
 			return
 		case data := <-s.saveQueue:
 			if err := s.SaveTargets(data); err != nil {
-				s.Logger.Warn("The directory of targets is not saved.", "error", err)
+				s.Logger.Warn("Writing the directory of targets failed; it is not saved.", "error", err)
 			}
 		}
 	}
 }
 
-// restoreTargets takes the directory of before a restart, and the entries that followed. Where all
-// control VMs and entries are killed at once, callers would else be refused until the
-// targets have announced themselves again, and each entry would take itself for one of few
-// and use far more of a shared limit than its part. A target that has gone meanwhile does
-// not answer, another one at its address refuses what is meant for it, and one that says
-// nothing soon counts as silent. So does an entry that does not ask.
+// restoreTargets loads the directory of targets and the roster of entries saved before a
+// restart. If all control VMs and entries are killed at once, entries without it would
+// reject callers until the targets have announced themselves again, and each entry would
+// count too few entries and use more than its share of a limit. Restored targets that have
+// ended do no harm: they do not answer, another target at the same address rejects requests
+// meant for them, and they soon count as unresponsive. Restored entries that send no
+// requests time out too.
 func (s *Server) restoreTargets(targets *targetTracker) {
 	if s.LoadTargets == nil {
 		return
@@ -81,7 +82,7 @@
 	}
 
 	if err != nil {
-		s.Logger.Info("No directory of targets from before.", "error", err)
+		s.Logger.Info("No saved directory of targets; starting with an empty one.", "error", err)
 
 		return
 	}
@@ -91,7 +92,7 @@
 	for _, w := range saved.GetTargets() {
 		t, err := directory.FromWire(w, now)
 		if err != nil {
-			s.Logger.Warn("A saved target cannot be read.", "target", w.GetID(), "error", err)
+			s.Logger.Warn("Reading a saved target failed; skipping it.", "target", w.GetID(), "error", err)
 
 			continue
 		}
@@ -103,5 +104,5 @@
 		targets.recordFollower(e.GetID(), follower{lastRequest: now, zone: e.GetZone()})
 	}
 
-	s.Logger.Info("The directory of targets is taken from before.", "targets", len(saved.GetTargets()), "entries", len(saved.GetRoster()))
+	s.Logger.Info("Restored the directory of targets saved before the restart.", "targets", len(saved.GetTargets()), "entries", len(saved.GetRoster()))
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,8 +1,8 @@
-// Package control is the shell of a control VM around the replicated state: it
-// answers the polls of entries and agents, their claims, and the operators. The
-// log calls Apply, Snapshot and Restore from one goroutine, which owns the
-// ledger; polls read immutable snapshots of it. A second goroutine owns what
-// this VM has heard from processes.
+// Package control implements the services of a control VM on top of the replicated state:
+// polls of entries and agents, their claims, and the requests of operators. The log calls
+// Apply, Snapshot and Restore from one goroutine, which owns the ledger; polls read
+// immutable snapshots of it. A second goroutine owns the polls and announcements that this
+// VM received.
 package control
 
 import (
@@ -21,59 +21,61 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Server is one control VM's state and services. Set its exported fields before
-// Run, and connect Apply, Snapshot and Restore to the log before it starts.
+// Server holds the state of one control VM and implements its services. Its exported fields
+// must be set before Init, and Apply, Snapshot and Restore connected to the log before the
+// log starts.
 type Server struct {
-	// Cluster names the deployment; polls of another are refused.
+	// Cluster names the deployment. Polls of other deployments are rejected.
 	Cluster string
-	// Zone is this VM's own; entries there fetch large answers from here.
+	// Zone is the zone of this VM. Entries in the same zone fetch large answers from it.
 	Zone string
-	// VM is this control VM's name, for dumps and logs.
+	// VM is the name of this control VM in dumps and logs.
 	VM string
 
-	// Propose commits a command and returns its index and result. An error
-	// leaves the command's fate unknown, unless NotProposed says otherwise.
+	// Propose commits a command and returns its index and result. After an error the
+	// command may have been committed, unless NotProposed returns true for the error.
 	Propose func(ctx context.Context, command []byte) (index uint64, result []byte, err error)
-	// NotProposed reports whether err shows that the command was not and will
-	// not be committed. Nil stands for errors whose verdict is NotRun.
+	// NotProposed reports whether err shows that the command was not and will not be
+	// committed. If nil, that holds for errors whose verdict is NotRun.
 	NotProposed func(err error) bool
-	// ReadIndex returns an instant of this VM's clock, and an index that no command
-	// committed before that instant exceeds.
+	// ReadIndex returns a time of this VM's clock and a log index. No command committed
+	// before that time has a higher index.
 	ReadIndex func(ctx context.Context) (asOf time.Time, index uint64, err error)
 	// IsLeader reports whether this VM leads the log; nil means always.
 	IsLeader func() bool
-	// Peers are the other control VMs. FindPeers, if set, returns them instead as
-	// they are now: whoever may still serve polls must be among them.
+	// Peers are the other control VMs. FindPeers, if set, is called instead for the current
+	// ones. Every control VM that may still answer polls must be among them.
 	Peers     []Peer
 	FindPeers func() []Peer
-	// StopUnsafe says why stopping the control VM with that name is not safe
-	// yet, or "" where it is safe or no control VM has that name.
+	// StopUnsafe returns why the named control VM cannot be stopped safely yet. It returns
+	// "" if stopping is safe or no control VM has that name.
 	StopUnsafe func(name string) string
 
-	// Self says what this control VM is as a process of the directory; nil leaves
-	// it out, and stops of it cannot be planned.
+	// Self returns this control VM as a node of the directory. If nil, the VM is not listed
+	// there and its stop cannot be planned.
 	Self func() *wire.Node
 
-	// OnGroup is called by the goroutine of the log after each entry about an
-	// expert map, and with a nil entry after a snapshot was restored; may be nil.
+	// OnGroup is called by the goroutine of the log after each entry about an expert map,
+	// and with a nil entry after a snapshot was restored. It may be nil.
 	OnGroup func(index uint64, e *wire.GroupEntry, states []*wire.GroupState)
 
-	// ReadDocument reads an adopted document; it is needed where entries are the
-	// doors of their targets. AnnounceEvery is how often targets announce themselves.
+	// ReadDocument parses an adopted document. It is required if entries proxy directly to
+	// their targets. AnnounceInterval is the interval at which targets announce themselves.
 	ReadDocument     func(sent []byte) (*wire.RouteTable, error)
 	AnnounceInterval time.Duration
-	// SaveTargets keeps the directory of targets beyond a restart, and SavedTargets
-	// returns what was kept; nil for neither. What was kept may be old or lost.
+	// SaveTargets stores the directory of targets, and LoadTargets returns what was stored
+	// before a restart. Either may be nil. The stored directory may be old or missing.
 	SaveTargets func(data []byte) error
 	LoadTargets func() ([]byte, error)
-	// Zones are the regions of the declared zones, by name, for orders in one step.
+	// Zones maps the names of the declared zones to their regions, for SetZoneOut.
 	Zones map[string]string
-	// ControlAddresses returns the addresses of all control VMs, for followers; may be nil.
+	// ControlAddresses returns the addresses of all control VMs, for followers. It may be
+	// nil.
 	ControlAddresses func() []string
 
-	// Settings holds the intervals; the zero value stands for DefaultSettings.
+	// Settings holds the intervals. The zero value means DefaultSettings.
 	Settings Settings
-	// Limits bounds the state and must be equal on all control VMs.
+	// Limits bounds the state. It must be equal on all control VMs.
 	Limits ledger.Limits
 	Logger *slog.Logger
 
@@ -87,46 +89,48 @@
 	events         chan event
 	targetsChanged notifier
 	saveQueue      chan []byte
-	// directoryBoot tells this start's directory from an earlier one's.
+	// directoryBoot identifies the directory of targets of this start of the server.
 	directoryBoot uint64
 }
 
 // Peer is another control VM.
 type Peer struct {
 	Name string
-	// RecentPolls asks it which processes polled it.
+	// RecentPolls returns the processes that polled it.
 	RecentPolls func(ctx context.Context) (*wire.HeardResponse, error)
 }
 
-// Settings are the intervals of a control VM.
+// Settings holds the intervals of a control VM.
 type Settings struct {
-	// Lease is how long a process may act on a view after it was current.
+	// Lease is how long a process may act on a view after the view was confirmed as
+	// current.
 	Lease time.Duration
-	// MaxCreditLifetime is the longest life of the credits that agents grant. An entry cut
-	// off with its view may send until its lease ends, and an agent cut off too
-	// takes its word for as long as the credit lasts: only then has the last
-	// request of the earlier version been let in.
+	// MaxCreditLifetime is the longest lifetime of the credits that agents grant. A
+	// partitioned entry may send by an old version until its lease ends, and a partitioned
+	// agent accepts such requests until the credit expires. No request of the old version
+	// is admitted after that.
 	MaxCreditLifetime time.Duration
-	// ClockMargin is added to Lease and CreditLife before the state counts as in force by time, for
-	// clocks that run at unequal rates.
+	// ClockMargin is added to Lease and MaxCreditLifetime before a version counts as in
+	// force by elapsed time. It covers clocks that run at different rates.
 	ClockMargin time.Duration
-	// ReadIndexInterval is how often this VM shows that its state is current.
+	// ReadIndexInterval is how often this VM confirms that its state is current.
 	ReadIndexInterval time.Duration
 	// MaxPollWait bounds how long a poll is held.
 	MaxPollWait time.Duration
-	// ReportBatchInterval is how long reports of processes are gathered into one command.
+	// ReportBatchInterval is how long reports of processes are collected for one command.
 	ReportBatchInterval time.Duration
-	// ExpiryTimeout is how long a process may be silent before it is expired.
+	// ExpiryTimeout is the time without a poll after which a process is expired.
 	ExpiryTimeout time.Duration
-	// ExpiryCheckInterval is how often the leading VM looks for silent processes.
+	// ExpiryCheckInterval is how often the leader looks for processes to expire.
 	ExpiryCheckInterval time.Duration
-	// TickInterval is how often the clock of the state is moved.
+	// TickInterval is how often the leader advances the clock of the state.
 	TickInterval time.Duration
-	// ProposeTimeout bounds one proposal of this VM's own.
+	// ProposeTimeout bounds a proposal that this VM makes on its own behalf.
 	ProposeTimeout time.Duration
 }
 
-// DefaultSettings returns the intervals for the size that parsleygate is designed for.
+// DefaultSettings returns the intervals for the deployment size that parsleygate is
+// designed for.
 func DefaultSettings() Settings {
 	return Settings{
 		Lease:               4 * time.Second,
@@ -142,8 +146,8 @@
 	}
 }
 
-// Init prepares the server for Apply, Restore and Run. It must be called once,
-// after the exported fields are set.
+// Init prepares the server for Apply, Restore and Run. It must be called once, after the
+// exported fields are set.
 func (s *Server) Init() {
 	if s.Settings == (Settings{}) {
 		s.Settings = DefaultSettings()
@@ -176,7 +180,7 @@
 	s.publish(time.Now())
 }
 
-// Run keeps the server current until ctx ends.
+// Run runs the background tasks of the server until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 
@@ -200,7 +204,7 @@
 	return eris.Wrap(g.Wait(), "run the control VM")
 }
 
-// Apply carries out a committed command. The log calls it in order of index.
+// Apply executes a committed command. The log calls it in the order of the indexes.
 func (s *Server) Apply(index uint64, command []byte) []byte {
 	prev := s.published.Load()
 	result := s.state.Apply(index, command)
@@ -214,10 +218,10 @@
 	return result
 }
 
-// Snapshot returns the whole state, for the log to store.
+// Snapshot returns the encoded state for the log to store.
 func (s *Server) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (s *Server) Restore(data []byte) error {
 	if err := s.state.Restore(data); err != nil {
 		return err
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -18,7 +18,7 @@
 
 const cluster = "test"
 
-// newServer returns a control VM over a log in memory. Its Run ends with the test.
+// newServer returns a control VM on an in-memory log. The caller runs it.
 func newServer(t testing.TB, configure func(*control.Server)) *control.Server {
 	t.Helper()
 
@@ -49,7 +49,7 @@
 	})
 }
 
-// newReader returns a reader of servers, which it knows by their port numbers.
+// newReader returns a reader of the servers. Their port numbers are their indexes plus one.
 func newReader(id string, incarnation uint64, servers ...*control.Server) *view.Reader {
 	r := &view.Reader{
 		Cluster: cluster,
@@ -114,8 +114,8 @@
 	require.Equal(t, []byte("slot 4"), got.GetAnswer().GetBody())
 }
 
-// A control VM is itself a process of the directory: its stop can be planned,
-// and is over once it runs again, so that it does not stop a second time.
+// A control VM is a process of the directory, so its stop can be planned. The planned stop
+// must end when the VM restarts, or the VM would stop a second time.
 func TestPlannedStopEndsWhenControlVMRestarts(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,7 +13,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Status says, for each decision, where it is in force and who is outstanding.
+// Status reports for each decision whether it is in force and which processes have not
+// acknowledged it.
 func (s *Server) Status(ctx context.Context, r *wire.StatusRequest) (*wire.StatusResponse, error) {
 	collected := s.collectPolls(ctx)
 	now := time.Now()
@@ -48,8 +49,8 @@
 	return out, nil
 }
 
-// maxOldVersionUse is how long after it learnt of a version this VM can be sure that no
-// process acts on an earlier one, whatever has become of their connections.
+// maxOldVersionUse is the time after this VM applied a version from which no process acts
+// on an earlier version, even if the process is partitioned.
 func (s *Settings) maxOldVersionUse() time.Duration {
 	return s.Lease + s.MaxCreditLifetime + s.ClockMargin
 }
@@ -63,15 +64,16 @@
 	return next
 }
 
-// acknowledgements is which processes acknowledged which version.
+// acknowledgements holds the version that each process acknowledged.
 type acknowledgements struct {
 	collected collectedPolls
 	processes map[processKey]reportedPoll
 	nodes     map[string]*wire.Node
 }
 
-// newAcknowledgements joins the directory with what was heard: a process that polled and
-// is not in the directory yet, or that runs beside its successor, may act too.
+// newAcknowledgements combines the directory with the collected polls. A process that
+// polled may act even if it is not in the directory yet, or if a later incarnation runs
+// beside it.
 func newAcknowledgements(collected collectedPolls, nodes map[string]*wire.Node) *acknowledgements {
 	a := &acknowledgements{collected: collected, processes: collected.latest(), nodes: nodes}
 
@@ -85,10 +87,10 @@
 	return a
 }
 
-// status tells where a decision is in force. That is true in two cases only.
-// Either every process acknowledged the version, and every control VM said so
-// and answers new polls with it; or the freshness lease of any process that was
-// answered before the commit has run out, so that it refuses new work.
+// status reports whether a decision is in force, which holds in two cases. Either every
+// process acknowledged the version, and every control VM responded and answers new polls
+// with that version. Or the freshness lease of every process that was answered before the
+// commit has expired, so that the process refuses new work.
 func (r *acknowledgements) status(now time.Time, entry *wire.DecisionEntry, leasesExpired bool) *wire.DecisionStatus {
 	out := &wire.DecisionStatus{Entry: entry, Live: uint32(len(r.processes))}
 
@@ -156,5 +158,6 @@
 	return out
 }
 
-// unresponsiveAfter is how long after its last poll a process counts as silent.
+// unresponsiveAfter is the time since its last poll after which a process counts as
+// unresponsive.
 const unresponsiveAfter = 4 * time.Second
--- a/internal/control/trackers.go
+++ b/internal/control/trackers.go
@@ -9,15 +9,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// eventBuffer bounds how many polls wait for the goroutine that hears them.
+// eventBuffer is the number of events that may wait for the goroutine of runTrackers.
 const eventBuffer = 4096
 
-// event is a poll, or a question to the goroutine that hears polls.
+// event is a poll to record, or a function to run on the goroutine of runTrackers.
 type event struct {
 	poll  *wire.PollRequest
 	at    time.Time
 	query func(*pollTracker)
-	// targetQuery is a question about targets that announce themselves here.
+	// targetQuery reads or changes the targets that announced themselves to this VM.
 	targetQuery func(*targetTracker)
 }
 
@@ -28,8 +28,8 @@
 	}
 }
 
-// runTrackers owns what this VM has heard. It never waits for the log, so that a lost
-// quorum does not keep it from hearing.
+// runTrackers owns the polls and announcements that this VM received. It never waits for
+// the log, so it keeps recording while the quorum is lost.
 func (s *Server) runTrackers(ctx context.Context) {
 	polls := newPollTracker()
 	targets := newTargetTracker(s.AnnounceInterval)
@@ -69,7 +69,8 @@
 	}
 }
 
-// recordSelf makes this VM a process of the directory. It holds what it applied.
+// recordSelf records a poll of this VM itself, so that the directory lists it as a process.
+// The version that it acknowledges is the one that it applied.
 func (s *Server) recordSelf(polls *pollTracker) {
 	if s.Self == nil {
 		return
@@ -78,8 +79,8 @@
 	polls.recordPoll(time.Now(), &wire.PollRequest{Node: s.Self(), KnownVersion: polls.version})
 }
 
-// StopPlanned reports whether the operators plan to stop the process with that
-// ID, in the incarnation that the directory holds.
+// StopPlanned reports whether operators plan to stop the process with that ID in the
+// incarnation that the directory holds.
 func (s *Server) StopPlanned(id string) bool {
 	return s.published.Load().records.Get(ledger.StopPrefix+id) != nil
 }
@@ -93,7 +94,8 @@
 	polls.recordPoll(e.at, e.poll)
 }
 
-// startCommit proposes what is pending, unless the last proposal still waits.
+// startCommit proposes the pending reports, unless the previous proposal is still in
+// progress.
 func (s *Server) startCommit(ctx context.Context, polls *pollTracker, commitSlot chan struct{}) {
 	if len(polls.pending) == 0 {
 		return
@@ -116,17 +118,18 @@
 	}()
 }
 
-// proposeInternal commits a command that no caller waits for.
+// proposeInternal commits a command that no client waits for.
 func (s *Server) proposeInternal(ctx context.Context, command *wire.Command) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.ProposeTimeout)
 	defer cancel()
 
 	if _, err := s.propose(ctx, command); err != nil && ctx.Err() == nil {
-		s.Logger.Warn("proposal failed", "error", err)
+		s.Logger.Warn("proposing an internal command failed", "error", err)
 	}
 }
 
-// runLeaderTasks moves the clock of the state and expires silent processes, while this VM leads.
+// runLeaderTasks advances the clock of the state and expires unresponsive processes while
+// this VM is the leader.
 func (s *Server) runLeaderTasks(ctx context.Context) {
 	checker := newExpiryChecker(s.Settings.ExpiryTimeout)
 
@@ -163,6 +166,6 @@
 		return
 	}
 
-	s.Logger.Info("silent processes", "count", len(expired), "first", expired[0].GetID())
+	s.Logger.Info("expiring unresponsive processes", "count", len(expired), "first", expired[0].GetID())
 	s.proposeInternal(ctx, &wire.Command{Kind: &wire.Command_Expiry{Expiry: &wire.Expiry{Nodes: expired}}})
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,7 +1,8 @@
-// Package directory keeps the targets that announce themselves. A control VM
-// holds what it heard; an entry merges what several control VMs publish. Nothing
-// in it rests on the time of day of this VM, and nothing goes through the log: a
-// target that a restarted control VM does not know yet announces itself again.
+// Package directory holds the targets that announce themselves. A control VM keeps the
+// announcements that it received in a Registry; an entry merges what several control VMs
+// publish in MergedTargets. The directory does not depend on this VM's time of day, and it
+// is not replicated through the log: a target unknown to a restarted control VM announces
+// itself again.
 package directory
 
 import (
@@ -13,21 +14,22 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// State is what a target says of itself, or what its silence says.
+// State is the state that a target announced, or Unresponsive if announcements are missing.
 type State uint8
 
-// The states, in the order in which a target usually passes through them.
+// The states of a target, in their usual order.
 const (
 	Ready State = iota
-	// Draining targets take no new work and finish what they have.
+	// Draining targets accept no new work and finish their requests.
 	Draining
-	// Removed targets said that they end.
+	// Removed targets have ended.
 	Removed
-	// Unresponsive targets have announced nothing for some beats. They may still serve.
+	// Unresponsive targets have not announced themselves for several intervals. They may
+	// still serve requests.
 	Unresponsive
 )
 
-// Group is a target's part in an expert group; Name is empty for none.
+// Group is a target's membership in an expert group. Name is empty if it has none.
 type Group struct {
 	Name   string
 	Epoch  uint64
@@ -36,11 +38,12 @@
 	Broken bool
 }
 
-// Target is one incarnation of a target, as it announced itself last.
+// Target is the latest announcement of one incarnation of a target.
 type Target struct {
 	ID string
-	// StartTime orders the incarnations under one ID and at one address, and Sequence
-	// what one incarnation says. Born is the target's own mark of its start.
+	// StartTime is the target's start time by its own clock. It orders the incarnations
+	// with one ID and the targets at one address. Sequence orders the announcements of one
+	// incarnation.
 	StartTime int64
 	Sequence  uint64
 	Service   string
@@ -48,12 +51,13 @@
 	Zone      string
 	State     State
 	Slots     int
-	// ColdUntil is when it will be warm, on this VM's steady clock; zero: it is warm.
+	// ColdUntil is when the target will be warm, on this VM's monotonic clock. It is zero
+	// for a warm target.
 	ColdUntil time.Time
 	Group     Group
 }
 
-// supersedes reports whether a's word goes before b's, for one ID.
+// supersedes reports whether announcement a is newer than b, for the same ID.
 func supersedes(a, b *Target) bool {
 	if a.StartTime != b.StartTime {
 		return a.StartTime > b.StartTime
@@ -62,7 +66,7 @@
 	return a.Sequence > b.Sequence
 }
 
-// equivalent reports whether entries need not be told of b after a.
+// equivalent reports whether a and b say the same, so that b need not be published after a.
 func equivalent(a, b *Target, tolerance time.Duration) bool {
 	shift := b.ColdUntil.Sub(a.ColdUntil)
 	if a.ColdUntil.IsZero() != b.ColdUntil.IsZero() || shift > tolerance || shift < -tolerance {
@@ -73,7 +77,7 @@
 		a.Zone == b.Zone && a.State == b.State && a.Slots == b.Slots && a.Group == b.Group
 }
 
-// ToWire returns t as it travels at now.
+// ToWire returns the wire form of t at the time now.
 func (t *Target) ToWire(now time.Time) *wire.TargetEntry {
 	out := &wire.TargetEntry{
 		ID: t.ID, Born: t.StartTime, Sequence: t.Sequence, Service: t.Service, Address: t.Address.String(),
@@ -89,7 +93,8 @@
 	return out
 }
 
-// FromWire reads a target that was sent at sent, by this VM's clock, or later.
+// FromWire decodes a target that this VM received at now or earlier. The remaining cold
+// time counts from now.
 func FromWire(w *wire.TargetEntry, now time.Time) (Target, error) {
 	t := Target{
 		ID: w.GetID(), StartTime: w.GetBorn(), Sequence: w.GetSequence(), Service: w.GetService(), Zone: w.GetZone(),
@@ -112,5 +117,5 @@
 
 	t.Address, err = netip.ParseAddrPort(w.GetAddress())
 
-	return t, eris.Wrap(err, "read target")
+	return t, eris.Wrap(err, "parse the address of a target")
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,9 +12,9 @@
 
 var begin = time.Unix(1000, 0)
 
-func newTarget(id string, born int64, seq uint64, edit func(t *directory.Target)) directory.Target {
+func newTarget(id string, startTime int64, sequence uint64, edit func(t *directory.Target)) directory.Target {
 	t := directory.Target{
-		ID: id, StartTime: born, Sequence: seq, Service: "drafts", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a", Slots: 12,
+		ID: id, StartTime: startTime, Sequence: sequence, Service: "drafts", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a", Slots: 12,
 	}
 	if edit != nil {
 		edit(&t)
@@ -29,7 +29,8 @@
 	return func(t *directory.Target) { t.Address = netip.MustParseAddrPort(addr) }
 }
 
-// fixture is a control VM's directory and the entry that follows it.
+// fixture is the registry of a control VM and the merged targets of an entry that follows
+// it.
 type fixture struct {
 	registry directory.Registry
 	merged   directory.MergedTargets
@@ -57,8 +58,8 @@
 	return out
 }
 
-// A target drains, and a beat that it sent before arrives after that. Without the
-// order by sequence it would get new work again.
+// An announcement that a target sent before it began to drain arrives late. If the order of
+// sequence numbers were ignored, the target would get new work again.
 func TestLateAnnouncementIsIgnored(t *testing.T) {
 	t.Parallel()
 
@@ -69,15 +70,15 @@
 	require.Equal(t, map[string]directory.State{"i1": directory.Draining}, w.states())
 
 	w.registry.Leave(begin, "i1")
-	require.False(t, w.registry.Announce(begin, newTarget("i1", 5, 9, nil)), "its last beats were overtaken by its farewell")
+	require.False(t, w.registry.Announce(begin, newTarget("i1", 5, 9, nil)), "sent before the target ended, but received later")
 	require.Empty(t, w.states())
 
-	require.True(t, w.registry.Announce(begin, newTarget("i1", 6, 1, nil)), "it starts anew under its ID, and its sequence too")
+	require.True(t, w.registry.Announce(begin, newTarget("i1", 6, 1, nil)), "a new start under the same ID restarts the sequence")
 	require.Equal(t, map[string]directory.State{"i1": directory.Ready}, w.states())
 }
 
-// A target crashes, and its address goes to one of another service. A beat of the
-// first, held up by a partition, arrives after that: it must not take the address.
+// A target crashes and its address is reused by a target of another service. An
+// announcement of the first one, delayed by a partition, must not take the address back.
 func TestNewestTargetHoldsAnAddress(t *testing.T) {
 	t.Parallel()
 
@@ -89,15 +90,15 @@
 	w.registry.Announce(begin, newTarget("old", 5, 7, nil))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 
-	// The same where each was heard by another control VM.
+	// The same must hold if another control VM received the delayed announcement.
 	other := newFixture()
 	other.registry.Announce(begin, newTarget("old", 5, 9, nil))
 	w.merged.Merge(other.registry.ChangedSince(0))
 	require.Equal(t, map[string]directory.State{"new": directory.Ready}, w.states())
 }
 
-// A target says farewell to a control VM that has just started and does not know
-// it. The entry knows it from another one, and must let go of it all the same.
+// A target deregisters at a control VM that has just started and does not know it. An entry
+// that received the target from another control VM must remove it nevertheless.
 func TestLeaveOfUnknownTargetRemovesIt(t *testing.T) {
 	t.Parallel()
 
@@ -110,11 +111,11 @@
 	require.True(t, m.Merge(first.registry.ChangedSince(0)))
 	require.True(t, m.Merge(second.registry.ChangedSince(0)))
 	require.Empty(t, m.Targets())
-	require.False(t, m.Merge(first.registry.ChangedSince(0)), "what the first still says of it is old")
+	require.False(t, m.Merge(first.registry.ChangedSince(0)), "the first control VM still publishes the ended target")
 }
 
-// A target crashes without a word. After three missing beats it counts as silent,
-// and not before: a beat may be late, and go to another control VM.
+// A target that crashes counts as unresponsive after its third missing announcement, but
+// not before: an announcement may be late, or go to another control VM.
 func TestTargetIsUnresponsiveAfterTimeout(t *testing.T) {
 	t.Parallel()
 
@@ -129,8 +130,9 @@
 	require.Equal(t, directory.Ready, w.states()["i1"])
 }
 
-// A target's beats move from one control VM to another. The one that it left calls
-// it silent; the entry must believe the one that hears it.
+// A target's announcements move to another control VM. The previous one publishes the
+// target as unresponsive; the entry must use the state of the one that still receives
+// announcements.
 func TestNewerAnnouncementOverridesUnresponsive(t *testing.T) {
 	t.Parallel()
 
@@ -148,8 +150,8 @@
 	require.Equal(t, directory.Ready, m.Targets()[0].State)
 }
 
-// Most beats say what the one before said. Entries are told only now and then, so
-// that a thousand targets do not wake every entry a thousand times a second.
+// Most announcements repeat the previous one. They are published only now and then, so that
+// a thousand targets do not wake every entry a thousand times a second.
 func TestUnchangedAnnouncementsAreRarelyPublished(t *testing.T) {
 	t.Parallel()
 
@@ -169,15 +171,15 @@
 	t.Parallel()
 
 	r := directory.Registry{AnnounceTimeout: time.Minute}
-	cold := func(left time.Duration, now time.Time) func(*directory.Target) {
-		return func(t *directory.Target) { t.ColdUntil = now.Add(left) }
+	cold := func(remaining time.Duration, now time.Time) func(*directory.Target) {
+		return func(t *directory.Target) { t.ColdUntil = now.Add(remaining) }
 	}
 	next := begin.Add(time.Second)
 
 	require.True(t, r.Announce(begin, newTarget("i1", 5, 1, cold(3*time.Second, begin))))
-	require.False(t, r.Announce(next, newTarget("i1", 5, 2, cold(2*time.Second, next))), "it goes on as it said")
+	require.False(t, r.Announce(next, newTarget("i1", 5, 2, cold(2*time.Second, next))), "the cold time decreases as announced before")
 	require.True(t, r.Announce(next, newTarget("i1", 5, 3, nil)))
-	require.True(t, r.Announce(next, newTarget("i1", 5, 4, cold(3*time.Second, next))), "it turned cold again")
+	require.True(t, r.Announce(next, newTarget("i1", 5, 4, cold(3*time.Second, next))), "the target became cold again")
 }
 
 func TestWireRoundTrip(t *testing.T) {
--- a/internal/directory/mergedtargets.go
+++ b/internal/directory/mergedtargets.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// MergedTargets is what an entry knows of targets from all control VMs. One goroutine
-// at a time uses it.
+// MergedTargets holds the targets that an entry received from all control VMs. It is not
+// safe for concurrent use.
 type MergedTargets struct {
 	targets map[string]*Target
 }
 
-// Merge merges what a control VM published. It reports whether something changed.
+// Merge merges the targets that a control VM published. It reports whether anything
+// changed.
 func (m *MergedTargets) Merge(ts []Target) bool {
 	if m.targets == nil {
 		m.targets = make(map[string]*Target)
@@ -36,8 +37,8 @@
 
 		return t.State != Removed
 	case t.State == Removed && t.StartTime == 0, t.State == Removed && t.StartTime == known.StartTime:
-		// A farewell that reached a control VM which did not know the target ends
-		// whatever start of it is known here.
+		// A control VM that did not know the target published its removal without a start
+		// time. That removes the target whatever its start time here.
 		changed := known.State != Removed
 		known.State = Removed
 
@@ -53,8 +54,8 @@
 	return true
 }
 
-// Targets returns the targets that are not gone, the newest holder of each
-// address, by ID.
+// Targets returns the targets that are not removed, sorted by ID. Of several targets with
+// the same address only the newest counts.
 func (m *MergedTargets) Targets() []Target {
 	holders := make(map[netip.AddrPort]*Target, len(m.targets))
 
--- a/internal/directory/registry.go
+++ b/internal/directory/registry.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// coldTolerance is how far the end of a cold start may move before entries are told
-// again: beats carry the remaining time, which jitters with their own delay.
+// coldTolerance is how far the end of a cold start may shift before the target is published
+// again. Announcements carry the remaining time, which varies with their network delay.
 const coldTolerance = 300 * time.Millisecond
 
-// republishInterval is how long after it was published an unchanged target is published
-// again with its latest sequence. A target may alternate between control VMs; the
-// one that it left calls it silent, and only a later word refutes that.
+// republishInterval is the time after which an unchanged target is published again with its
+// latest sequence number. A target may switch between control VMs: the previous one then
+// publishes it as unresponsive, and only a later sequence number overrides that.
 const republishInterval = 3 * time.Second
 
-// retention is how long a target that is gone or silent is remembered. A beat
-// held up on the way must not bring it back; it is longer than partitions last.
+// retention is how long removed and unresponsive targets are kept, so that a delayed
+// announcement does not bring them back. It exceeds the duration of partitions.
 const retention = 5 * time.Minute
 
-// Registry is what one control VM heard from targets. One goroutine at a time uses it.
+// Registry holds the targets that announced themselves to one control VM. It is not safe
+// for concurrent use.
 type Registry struct {
-	// AnnounceTimeout is how long a target may say nothing before it counts as silent.
+	// AnnounceTimeout is the time without an announcement after which a target is
+	// unresponsive.
 	AnnounceTimeout time.Duration
 
 	targets  map[string]*registeredTarget
@@ -30,14 +32,15 @@
 type registeredTarget struct {
 	Target
 
-	// lastAnnounced is when its last word came, revision when entries must be told of it.
+	// lastAnnounced is when the last announcement arrived, published when it was last
+	// published, and revision the registry's revision at that change.
 	lastAnnounced time.Time
 	published     time.Time
 	revision      uint64
 }
 
-// Announce takes in a target's word and reports whether it changed something.
-// A word that is older than one already heard changes nothing.
+// Announce records an announcement and reports whether it is published to entries. An
+// announcement older than the recorded one is ignored.
 func (r *Registry) Announce(now time.Time, t Target) bool {
 	r.init()
 
@@ -46,7 +49,7 @@
 	switch {
 	case known == nil:
 	case known.State == Removed && t.StartTime <= known.StartTime:
-		// Its last beats were overtaken by its farewell.
+		// A delayed announcement that was sent before the target ended.
 		return false
 	case !supersedes(&t, &known.Target):
 		if t.StartTime == known.StartTime && t.Sequence == known.Sequence {
@@ -73,8 +76,8 @@
 	return true
 }
 
-// Restore takes in a target as it was known before this control VM restarted, with
-// farewells. Its own next word goes before it.
+// Restore adds a target, possibly a removed one, that was saved before this control VM
+// restarted. The target's next announcement replaces it.
 func (r *Registry) Restore(now time.Time, t Target) {
 	r.init()
 
@@ -82,8 +85,8 @@
 	r.targets[t.ID] = &registeredTarget{Target: t, lastAnnounced: now, published: now, revision: r.revision}
 }
 
-// removePreviousHolders marks as gone what held t's address before: addresses of targets that
-// ended are used again, also by other services.
+// removePreviousHolders marks earlier targets with t's address as removed. Addresses of
+// ended targets are reused, also by targets of other services.
 func (r *Registry) removePreviousHolders(now time.Time, t *Target) {
 	for _, other := range r.targets {
 		if other.ID != t.ID && other.Address == t.Address && other.State != Removed && other.StartTime < t.StartTime {
@@ -92,8 +95,8 @@
 	}
 }
 
-// Leave takes in that a target ends. One that is not known is remembered too: its
-// beats may still be on their way, or have gone to another control VM.
+// Leave records that a target has ended. An unknown target is recorded too: its
+// announcements may be delayed, or may have gone to another control VM.
 func (r *Registry) Leave(now time.Time, id string) {
 	r.init()
 
@@ -106,8 +109,9 @@
 	r.setState(now, known, Removed)
 }
 
-// Tick marks silent targets and forgets old ones. It reports whether entries are
-// to be told something.
+// Tick marks targets with missing announcements: ready ones as unresponsive, draining ones
+// as removed. It drops targets after the retention time. It reports whether entries need an
+// update.
 func (r *Registry) Tick(now time.Time) bool {
 	r.init()
 
@@ -139,10 +143,11 @@
 	t.lastAnnounced = lastAnnounced
 }
 
-// Revision grows with each change that entries are to be told.
+// Revision returns the current revision. It increases with each change that entries need.
 func (r *Registry) Revision() uint64 { return r.revision }
 
-// ChangedSince returns what changed after revision, in order.
+// ChangedSince returns the targets that changed after revision, in the order of their
+// changes.
 func (r *Registry) ChangedSince(revision uint64) []Target {
 	var changed []*registeredTarget
 
