--- a/internal/control/decide_test.go
+++ b/internal/control/decide_test.go
@@ -137,7 +137,7 @@
 		repeated := vms.decide(t, 0, 150, "[Workspace \"w5\"]\nWeight = 150\n")
 		require.True(t, repeated.GetRepeated())
 		require.Equal(t, version, r.Snapshot().Version)
-		require.True(t, r.Snapshot().Fresh(time.Now()))
+		require.True(t, r.Snapshot().Valid(time.Now()))
 
 		vms.decide(t, 0, 201, "[Workspace \"w5\"]\nWeight = 7\n")
 		time.Sleep(time.Second)
--- a/internal/control/inforce_test.go
+++ b/internal/control/inforce_test.go
@@ -69,14 +69,14 @@
 		require.False(t, status.GetInForce(), status.GetWhy())
 		require.Len(t, status.GetOutstanding(), 1)
 		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID())
-		require.True(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.True(t, partitioned.Snapshot().Valid(time.Now()))
 		require.True(t, partitioned.Snapshot().ZoneInUse("ayutthaya"))
 
 		time.Sleep(4 * time.Second)
 
 		// The lease has expired, but a partitioned agent may still admit a request that the
 		// entry sent before, until its credit expires.
-		require.False(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.False(t, partitioned.Snapshot().Valid(time.Now()))
 		require.False(t, vms.status(t, 0, 2).GetInForce())
 		time.Sleep(2 * time.Second)
 
@@ -86,7 +86,7 @@
 
 		readers.setPartitioned("entry-1", false)
 		time.Sleep(2 * time.Second)
-		require.True(t, partitioned.Snapshot().Fresh(time.Now()))
+		require.True(t, partitioned.Snapshot().Valid(time.Now()))
 		require.False(t, partitioned.Snapshot().ZoneInUse("ayutthaya"))
 	})
 }
@@ -120,13 +120,13 @@
 
 				unknown := readers.start(entryNode("unknown", 1), 2)
 				time.Sleep(500 * time.Millisecond)
-				require.True(t, unknown.Snapshot().Fresh(time.Now()))
+				require.True(t, unknown.Snapshot().Valid(time.Now()))
 				require.True(t, unknown.Snapshot().ZoneInUse("ayutthaya"))
 
 				status := vms.status(t, 0, 2)
 				require.False(t, status.GetInForce(), status.GetWhy())
 				time.Sleep(4 * time.Second)
-				require.False(t, unknown.Snapshot().Fresh(time.Now()))
+				require.False(t, unknown.Snapshot().Valid(time.Now()))
 				require.False(t, vms.status(t, 0, 2).GetInForce(), "in force before the credits expired")
 				time.Sleep(2 * time.Second)
 				require.True(t, vms.status(t, 0, 2).GetInForce())
@@ -154,8 +154,8 @@
 		vms.decide(t, 0, 2, zoneOut)
 		time.Sleep(5 * time.Second)
 
-		require.False(t, single.Snapshot().Fresh(time.Now()))
-		require.True(t, redundant.Snapshot().Fresh(time.Now()))
+		require.False(t, single.Snapshot().Valid(time.Now()))
+		require.True(t, redundant.Snapshot().Valid(time.Now()))
 		require.False(t, redundant.Snapshot().ZoneInUse("ayutthaya"))
 
 		_, err := vms.servers[2].Plan(t.Context(), &wire.PlanRequest{Operator: "may", Declaration: []byte(zoneIn)})
@@ -164,13 +164,13 @@
 		for n := range uint64(300) {
 			vms.decide(t, int(n%2), n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = %d\n", n%40, n+1))
 			time.Sleep(12 * time.Second)
-			require.False(t, single.Snapshot().Fresh(time.Now()))
+			require.False(t, single.Snapshot().Valid(time.Now()))
 		}
 
 		vms.isolate(2, false)
 		time.Sleep(2 * time.Second)
 
-		require.True(t, single.Snapshot().Fresh(time.Now()))
+		require.True(t, single.Snapshot().Valid(time.Now()))
 		require.Equal(t, redundant.Snapshot().Version, single.Snapshot().Version)
 		require.False(t, single.Snapshot().ZoneInUse("ayutthaya"))
 
@@ -300,5 +300,5 @@
 
 func actsOnOldVersion(r *view.Reader, version uint64) bool {
 	s := r.Snapshot()
-	return s.Version < version && s.Fresh(time.Now())
+	return s.Version < version && s.Valid(time.Now())
 }
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -40,7 +40,7 @@
 		require.Less(t, len(vms.log)-commands, 30)
 
 		for id, r := range readers.byID {
-			require.True(t, r.Snapshot().Fresh(time.Now()))
+			require.True(t, r.Snapshot().Valid(time.Now()))
 
 			node, ok := r.Snapshot().Node(id)
 			require.True(t, ok)
@@ -245,7 +245,7 @@
 					}
 				}
 
-				if !r.Snapshot().Fresh(time.Now()) {
+				if !r.Snapshot().Valid(time.Now()) {
 					out += 10 * time.Millisecond
 				}
 
--- a/internal/control/publishedstate.go
+++ b/internal/control/publishedstate.go
@@ -56,7 +56,7 @@
 		decisions:    entries,
 		numberFloor:  floor,
 		tickIndex:    s.state.TickIndex(),
-		changes:      s.state.Changes(),
+		changes:      s.state.ChangeCount(),
 		versionTimes: s.recordVersionTime(records.Version, now),
 		superseded:   make(chan struct{}),
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -167,7 +167,7 @@
 
 	s.Logger = s.Logger.With("part", "control")
 	s.state = ledger.New(s.Limits)
-	s.state.OnGroup = s.groupApplied
+	s.state.OnGroupEntry = s.groupApplied
 	s.events = make(chan event, eventBuffer)
 	s.targetsChanged.init()
 	s.saveQueue = make(chan []byte)
@@ -209,9 +209,9 @@
 	prev := s.published.Load()
 	result := s.state.Apply(index, command)
 	s.applied.Store(index)
-	s.claimCount.Store(int64(s.state.Claims()))
+	s.claimCount.Store(int64(s.state.ClaimCount()))
 
-	if s.state.Changes() != prev.changes {
+	if s.state.ChangeCount() != prev.changes {
 		s.publish(time.Now())
 	}
 
@@ -228,7 +228,7 @@
 	}
 
 	s.applied.Store(s.state.Index())
-	s.claimCount.Store(int64(s.state.Claims()))
+	s.claimCount.Store(int64(s.state.ClaimCount()))
 	s.publish(time.Now())
 
 	if s.OnGroup != nil {
