--- a/internal/admission/arrive.go
+++ b/internal/admission/admit.go
@@ -8,16 +8,16 @@
 
 // Bounds of the advice on when to try again.
 const (
-	minRetry = 50 * time.Millisecond
-	maxRetry = 5 * time.Second
-	minTurn  = 5 * time.Millisecond
-	maxTurn  = time.Second
+	minRetryDelay      = 50 * time.Millisecond
+	maxRetryDelay      = 5 * time.Second
+	minQueueRetryDelay = 5 * time.Millisecond
+	maxQueueRetryDelay = time.Second
 )
 
 // Admit decides about one request.
 func (c *Core) Admit(now time.Time, r Request) Decision {
 	c.prepare()
-	c.memory.forget(now)
+	c.attempts.expire(now)
 	c.unknown.expire(now)
 
 	if d, known := c.duplicate(r.AttemptID); known {
@@ -25,32 +25,32 @@
 	}
 
 	expiresAt := c.tickTime(r.Credit.ExpiresAtTick)
-	if d, bad := c.badCredit(now, r, expiresAt); bad {
+	if d, bad := c.checkCredit(now, r, expiresAt); bad {
 		return d
 	}
 
-	if cause, refused := c.refuse(now, r); refused {
-		c.close(now, r.AttemptID, expiresAt)
+	if cause, refused := c.rejectionCause(now, r); refused {
+		c.markClosed(now, r.AttemptID, expiresAt)
 		return Decision{Verdict: verdict.NotRun, Cause: cause, RetryAt: c.retryAt(now, cause)}
 	}
 
-	if !c.memory.hasRoom(now, c.Settings.MaxAttempts) {
-		c.memory.revoke(expiresAt)
+	if !c.attempts.ensureCapacity(now, c.Settings.MaxAttempts) {
+		c.attempts.revoke(expiresAt)
 		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, RetryAt: now.Add(c.Settings.CreditLife)}
 	}
 
 	a := &attempt{
-		id:         r.AttemptID,
-		state:      stateRunning,
-		entryID:    r.Credit.EntryID,
-		expiresAt:  expiresAt,
-		admittedAt: now,
-		epoch:      c.ramp.epoch,
-		depth:      len(c.running) + 1,
-	}
-	c.memory.add(a)
+		id:          r.AttemptID,
+		state:       stateRunning,
+		entryID:     r.Credit.EntryID,
+		expiresAt:   expiresAt,
+		admittedAt:  now,
+		epoch:       c.ramp.epoch,
+		concurrency: len(c.running) + 1,
+	}
+	c.attempts.add(a)
 	c.running[a.id] = a
-	c.share.started(a.entryID)
+	c.allocator.started(a.entryID)
 
 	return Decision{Admitted: true}
 }
@@ -59,25 +59,25 @@
 // goes through the core so that a fit duplicate of it isn't let in later.
 func (c *Core) Reject(now time.Time, r Request, cause verdict.Cause) Decision {
 	c.prepare()
-	c.memory.forget(now)
+	c.attempts.expire(now)
 
 	if d, known := c.duplicate(r.AttemptID); known {
 		return d
 	}
 
 	expiresAt := c.tickTime(r.Credit.ExpiresAtTick)
-	if d, bad := c.badCredit(now, r, expiresAt); bad {
+	if d, bad := c.checkCredit(now, r, expiresAt); bad {
 		return d
 	}
 
-	c.close(now, r.AttemptID, expiresAt)
+	c.markClosed(now, r.AttemptID, expiresAt)
 
 	return Decision{Verdict: verdict.NotRun, Cause: cause}
 }
 
 // duplicate answers an attempt that is remembered. Only a closed one did not run.
 func (c *Core) duplicate(id string) (Decision, bool) {
-	a := c.memory.byID[id]
+	a := c.attempts.byID[id]
 	if a == nil {
 		return Decision{}, false
 	}
@@ -92,17 +92,17 @@
 	}
 }
 
-// badCredit refuses what this incarnation never granted or no longer honours.
-func (c *Core) badCredit(now time.Time, r Request, expiresAt time.Time) (Decision, bool) {
-	cr := r.Credit
+// checkCredit refuses what this incarnation never granted or no longer honours.
+func (c *Core) checkCredit(now time.Time, r Request, expiresAt time.Time) (Decision, bool) {
+	credit := r.Credit
 
 	switch {
-	case cr.AgentID != c.AgentID || cr.Incarnation != c.Incarnation:
+	case credit.AgentID != c.AgentID || credit.Incarnation != c.Incarnation:
 		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation, RetryAt: now}, true
-	case c.memory.mayHaveForgotten(expiresAt):
+	case c.attempts.mayHaveEvicted(expiresAt):
 		// So old that its attempt may have run and been forgotten.
 		return Decision{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCredit}, true
-	case c.expired(now, expiresAt):
+	case c.creditExpired(now, expiresAt):
 		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseCredit, RetryAt: now}, true
 	case expiresAt.After(c.lastExpiry):
 		// Never granted. It isn't remembered, so nothing is promised about a duplicate.
@@ -112,33 +112,33 @@
 	return Decision{}, false
 }
 
-// refuse says why a request with a good credit is not let in.
-func (c *Core) refuse(now time.Time, r Request) (verdict.Cause, bool) {
+// rejectionCause says why a request with a good credit is not let in.
+func (c *Core) rejectionCause(now time.Time, r Request) (verdict.Cause, bool) {
 	switch {
-	case c.leaving:
+	case c.draining:
 		return verdict.CauseStopping, true
 	case c.view.ZoneOut:
 		return verdict.CauseZoneOut, true
 	case c.view.Retired:
 		return verdict.CauseLeaving, true
-	case !c.fresh(now, r):
+	case !c.viewValid(now, r):
 		return verdict.CauseStale, true
-	case !c.target.up || c.silent(now):
+	case !c.target.up || c.announceTimedOut(now):
 		return verdict.CauseTargetDown, true
 	case r.Service != c.target.service:
 		return verdict.CauseUnknownService, true
 	}
 
-	return c.full(now, r.Credit)
+	return c.atCapacity(now, r.Credit)
 }
 
-// fresh reports whether the configuration is known well enough to let work in.
+// viewValid reports whether the configuration is known well enough to let work in.
 //
 // It guards against an agent that a silent partition keeps from learning that its
 // zone was taken out. A stale agent relies on the entry's word, which can't be
 // older than the credit that the agent itself dated; where both are stale nobody
 // can tell, and the request is refused.
-func (c *Core) fresh(now time.Time, r Request) bool {
+func (c *Core) viewValid(now time.Time, r Request) bool {
 	if now.Before(c.view.FreshUntil) {
 		return true
 	}
@@ -146,33 +146,33 @@
 	return r.ViewFresh && r.ViewVersion >= c.view.Version
 }
 
-// silent reports whether the target's announcements have stopped.
-func (c *Core) silent(now time.Time) bool {
+// announceTimedOut reports whether the target's announcements have stopped.
+func (c *Core) announceTimedOut(now time.Time) bool {
 	return !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceTimeout))
 }
 
-// full reports whether the target has no room for a request on this credit.
-func (c *Core) full(now time.Time, cr Credit) (verdict.Cause, bool) {
+// atCapacity reports whether the target has no room for a request on this credit.
+func (c *Core) atCapacity(now time.Time, credit Credit) (verdict.Cause, bool) {
 	cause := verdict.CauseOverload
 	if c.ramp.ramping() {
 		cause = verdict.CauseColdLimit
 	}
 
-	free := c.limit() - len(c.running) - c.unknownCount()
-	if free <= 0 {
+	available := c.limit() - len(c.running) - c.unknownCount()
+	if available <= 0 {
 		return cause, true
 	}
 
-	c.share.sweep(now)
+	c.allocator.sweep(now)
 
-	e := c.share.entries[cr.EntryID]
+	e := c.allocator.entries[credit.EntryID]
 	if e == nil {
 		e = &entry{}
 	}
 
-	c.share.lapse(e, now)
+	c.allocator.expire(e, now)
 
-	if e.reserved > 0 || c.share.open(now, e, c.limit()-c.unknownCount()) {
+	if e.reserved > 0 || c.allocator.hasFreeSlot(now, e, c.limit()-c.unknownCount()) {
 		return "", false
 	}
 
@@ -183,8 +183,8 @@
 func (c *Core) retryAt(now time.Time, cause verdict.Cause) time.Time {
 	switch cause {
 	case verdict.CauseOverload, verdict.CauseColdLimit:
-		wait := c.meanTime / time.Duration(max(c.limit(), 1))
-		return now.Add(min(max(wait, minRetry), maxRetry))
+		wait := c.meanDuration / time.Duration(max(c.limit(), 1))
+		return now.Add(min(max(wait, minRetryDelay), maxRetryDelay))
 	case verdict.CauseTargetDown, verdict.CauseStale:
 		return now.Add(time.Second)
 	default:
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -13,16 +13,16 @@
 	Started  time.Time
 	Settings Settings
 
-	ready    bool
-	view     View
-	leaving  bool
-	target   target
-	ramp     ramp
-	memory   memory
-	share    share
-	unknown  unknownWork
-	running  map[string]*attempt
-	meanTime time.Duration
+	ready        bool
+	view         View
+	draining     bool
+	target       target
+	ramp         ramp
+	attempts     attemptStore
+	allocator    allocator
+	unknown      unknownWork
+	running      map[string]*attempt
+	meanDuration time.Duration
 	// lastExpiry is the latest expiry of a credit that was granted.
 	lastExpiry time.Time
 }
@@ -30,7 +30,7 @@
 // target is what the target last said of itself.
 type target struct {
 	up          bool
-	seen        bool
+	announced   bool
 	bootID      string
 	service     string
 	capacity    uint32
@@ -46,9 +46,9 @@
 	c.ready = true
 	c.Settings.fill()
 	c.running = make(map[string]*attempt)
-	c.share.entries = make(map[string]*entry)
-	c.ramp.bounds(0, 0, 0)
-	c.ramp.fall(c.Started, c.Settings.RampInterval)
+	c.allocator.entries = make(map[string]*entry)
+	c.ramp.setBounds(0, 0, 0)
+	c.ramp.reset(c.Started, c.Settings.RampInterval)
 }
 
 // ChangeView takes the control configuration into account. A version that is
@@ -60,23 +60,23 @@
 		return
 	}
 
-	returned := c.view.out() && !v.out()
+	readmitted := c.view.excluded() && !v.excluded()
 	c.view = v
-	c.setBounds(now)
+	c.updateBounds(now)
 
 	// A target that got no work for a while may have been scaled down or lost its
 	// caches, and with a whole zone all of its targets get work again at once.
-	if returned {
-		c.ramp.fall(now, c.Settings.RampInterval)
+	if readmitted {
+		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 }
 
-// setBounds takes the limits over. A target that is still ramping must not keep
+// updateBounds takes the limits over. A target that is still ramping must not keep
 // a limit that came from a floor which the operators have lowered since.
-func (c *Core) setBounds(now time.Time) {
+func (c *Core) updateBounds(now time.Time) {
 	ramping := c.ramp.ramping()
-	if c.ramp.bounds(c.view.ColdLimit, c.view.WarmLimit, c.target.capacity) && ramping {
-		c.ramp.fall(now, c.Settings.RampInterval)
+	if c.ramp.setBounds(c.view.ColdLimit, c.view.WarmLimit, c.target.capacity) && ramping {
+		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 }
 
@@ -85,17 +85,17 @@
 	c.prepare()
 	c.Tick(now)
 
-	first := !c.target.seen
-	counted := a.InFlightKnown && a.BootID == c.target.bootID
-	cold := !c.target.up || a.BootID != c.target.bootID || (a.Cold && !c.ramp.held)
-	before := c.target.announcedAt
+	first := !c.target.announced
+	inFlightKnown := a.InFlightKnown && a.BootID == c.target.bootID
+	cold := !c.target.up || a.BootID != c.target.bootID || (a.Cold && !c.ramp.engineCold)
+	previous := c.target.announcedAt
 
-	c.target = target{up: true, seen: true, bootID: a.BootID, service: a.Service, capacity: a.Capacity, announcedAt: now}
-	c.setBounds(now)
-	c.ramp.held = a.Cold
+	c.target = target{up: true, announced: true, bootID: a.BootID, service: a.Service, capacity: a.Capacity, announcedAt: now}
+	c.updateBounds(now)
+	c.ramp.engineCold = a.Cold
 
 	if cold {
-		c.ramp.fall(now, c.Settings.RampInterval)
+		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 
 	if first {
@@ -103,8 +103,8 @@
 	}
 
 	// A first count may have been taken before the work was sent that it would deny.
-	if counted {
-		c.unknown.reported(int(a.InFlight), before, c.runningSince(before))
+	if inFlightKnown {
+		c.unknown.reconcile(int(a.InFlight), previous, c.runningSince(previous))
 	}
 }
 
@@ -114,12 +114,12 @@
 func (c *Core) ReportCold(now time.Time) {
 	c.prepare()
 
-	if !c.target.up || c.ramp.held {
+	if !c.target.up || c.ramp.engineCold {
 		return
 	}
 
-	c.ramp.held = true
-	c.ramp.fall(now, c.Settings.RampInterval)
+	c.ramp.engineCold = true
+	c.ramp.reset(now, c.Settings.RampInterval)
 }
 
 // runningSince counts the running attempts that were admitted before at.
@@ -144,57 +144,57 @@
 	}
 
 	c.target.up = false
-	c.ramp.fall(now, c.Settings.RampInterval)
+	c.ramp.reset(now, c.Settings.RampInterval)
 }
 
 // Drain stops grants and admissions for good; work in flight finishes.
 func (c *Core) Drain() {
 	c.prepare()
-	c.leaving = true
+	c.draining = true
 }
 
 // Drained reports whether the agent is leaving and nothing is in flight.
-func (c *Core) Drained() bool { return c.leaving && len(c.running) == 0 }
+func (c *Core) Drained() bool { return c.draining && len(c.running) == 0 }
 
 // Tick drops what has expired and looks for a target that has gone silent or cold.
 func (c *Core) Tick(now time.Time) {
 	c.prepare()
-	c.memory.forget(now)
+	c.attempts.expire(now)
 	c.unknown.expire(now)
-	c.share.sweep(now)
+	c.allocator.sweep(now)
 
 	if c.target.up && !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceTimeout)) {
 		c.TargetDown(now)
 	}
 
-	if c.ramp.limit > c.ramp.floor && c.overdue(now) {
-		c.ramp.fall(now, c.Settings.RampInterval)
+	if c.ramp.limit > c.ramp.floor && c.firstTokensOverdue(now) {
+		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 }
 
-// overdue reports whether first tokens are missing on so many requests, for so
+// firstTokensOverdue reports whether first tokens are missing on so many requests, for so
 // long, that the target must have turned cold. Without it a cold target would be
 // found out only once its late first tokens have come, and be filled until then.
-func (c *Core) overdue(now time.Time) bool {
-	if c.ramp.norm.bound == 0 {
+func (c *Core) firstTokensOverdue(now time.Time) bool {
+	if c.ramp.baseline.threshold == 0 {
 		return false
 	}
 
-	late, waiting := 0, 0
+	overdue, waiting := 0, 0
 
 	for _, a := range c.running {
-		if a.answered {
+		if a.firstTokenSeen {
 			continue
 		}
 
 		waiting++
 
-		if c.ramp.norm.isSlow(a.firstToken(now)) {
-			late++
+		if c.ramp.baseline.isSlow(a.firstTokenSample(now)) {
+			overdue++
 		}
 	}
 
-	return late >= slowInRow && 2*late > waiting
+	return overdue >= slowStreakLimit && 2*overdue > waiting
 }
 
 // Load reports on the target.
@@ -205,7 +205,7 @@
 		InFlight: uint32(len(c.running)),
 		Limit:    uint32(c.limit()),
 		Cold:     c.ramp.ramping(),
-		Leaving:  c.leaving || c.view.Retired,
+		Leaving:  c.draining || c.view.Retired,
 		Unknown:  uint32(c.unknownCount()),
 	}
 }
@@ -215,10 +215,10 @@
 	c.prepare()
 
 	return MemoryUse{
-		Attempts:    len(c.memory.byID),
-		AnswerBytes: c.memory.answerBytes,
-		Entries:     len(c.share.entries),
-		Waiting:     c.share.sum.waiting,
+		Attempts:    len(c.attempts.byID),
+		AnswerBytes: c.attempts.answerBytes,
+		Entries:     len(c.allocator.entries),
+		Waiting:     c.allocator.total.waiting,
 	}
 }
 
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -24,8 +24,8 @@
 	WarmLimit uint32
 }
 
-// out reports whether the operators let no work go to the target.
-func (v View) out() bool { return v.ZoneOut || v.Retired }
+// excluded reports whether the operators let no work go to the target.
+func (v View) excluded() bool { return v.ZoneOut || v.Retired }
 
 // Announcement is the target's word on itself, repeated about once a second.
 type Announcement struct {
--- a/internal/admission/finish.go
+++ b/internal/admission/finish.go
@@ -12,16 +12,16 @@
 	c.prepare()
 
 	a := c.running[attemptID]
-	if a == nil || a.answered {
+	if a == nil || a.firstTokenSeen {
 		return
 	}
 
-	a.answered = true
-	f := a.firstToken(now)
-	a.slow = c.ramp.norm.isSlow(f)
+	a.firstTokenSeen = true
+	sample := a.firstTokenSample(now)
+	a.slow = c.ramp.baseline.isSlow(sample)
 
-	if c.ramp.norm.observe(f, c.ramp.ramping()) {
-		c.ramp.fall(now, c.Settings.RampInterval)
+	if c.ramp.baseline.observe(sample, c.ramp.ramping()) {
+		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 }
 
@@ -36,7 +36,7 @@
 
 	if o.Verdict == verdict.Ran {
 		c.ramp.completed(now, a, len(c.running), c.Settings.RampInterval)
-		c.observeTime(now.Sub(a.admittedAt))
+		c.observeDuration(now.Sub(a.admittedAt))
 	}
 
 	if o.Abandoned {
@@ -44,22 +44,22 @@
 	}
 
 	delete(c.running, attemptID)
-	c.share.finished(a.entryID, now)
-	c.memory.end(a, endState(o.Verdict), c.forgetAt(now, a), o.Answer, c.Settings.MaxAnswerBytes)
+	c.allocator.finished(a.entryID, now)
+	c.attempts.end(a, finalState(o.Verdict), c.evictionTime(now, a), o.Answer, c.Settings.MaxAnswerBytes)
 }
 
-func endState(v verdict.Verdict) attemptState {
+func finalState(v verdict.Verdict) attemptState {
 	switch v {
 	case verdict.Ran:
 		return stateRan
 	case verdict.NotRun:
 		return stateClosed
 	default:
-		return stateLost
+		return stateOutcomeUnknown
 	}
 }
 
-func (c *Core) forgetAt(now time.Time, a *attempt) time.Time {
+func (c *Core) evictionTime(now time.Time, a *attempt) time.Time {
 	if a.expiresAt.After(now) {
 		now = a.expiresAt
 	}
@@ -67,41 +67,41 @@
 	return now.Add(c.Settings.AttemptRetention)
 }
 
-// observeTime learns how long requests take, for Retry-After.
-func (c *Core) observeTime(d time.Duration) {
-	if c.meanTime == 0 {
-		c.meanTime = d
+// observeDuration learns how long requests take, for Retry-After.
+func (c *Core) observeDuration(d time.Duration) {
+	if c.meanDuration == 0 {
+		c.meanDuration = d
 		return
 	}
 
-	c.meanTime += (d - c.meanTime) / 16
+	c.meanDuration += (d - c.meanDuration) / 16
 }
 
 // QueryAttempt answers what became of an attempt, and closes it where q asks for that.
-func (c *Core) QueryAttempt(now time.Time, q AttemptQuery) AttemptStatus {
+func (c *Core) QueryAttempt(now time.Time, query AttemptQuery) AttemptStatus {
 	c.prepare()
-	c.memory.forget(now)
+	c.attempts.expire(now)
 
-	if q.Incarnation != c.Incarnation || q.AttemptID == "" {
+	if query.Incarnation != c.Incarnation || query.AttemptID == "" {
 		return AttemptStatus{State: wire.AskState_AskUnknown}
 	}
 
-	if a := c.memory.byID[q.AttemptID]; a != nil {
+	if a := c.attempts.byID[query.AttemptID]; a != nil {
 		return AttemptStatus{State: askState(a.state), Answer: a.answer}
 	}
 
-	expiresAt := c.tickTime(q.CreditExpiresAtTick)
+	expiresAt := c.tickTime(query.CreditExpiresAtTick)
 
 	switch {
-	case c.memory.mayHaveForgotten(expiresAt):
+	case c.attempts.mayHaveEvicted(expiresAt):
 		return AttemptStatus{State: wire.AskState_AskUnknown}
-	case c.expired(now, expiresAt):
+	case c.creditExpired(now, expiresAt):
 		return AttemptStatus{State: wire.AskState_AskClosed}
-	case !q.Close || expiresAt.After(c.lastExpiry):
+	case !query.Close || expiresAt.After(c.lastExpiry):
 		return AttemptStatus{State: wire.AskState_AskUnknown}
 	}
 
-	c.close(now, q.AttemptID, expiresAt)
+	c.markClosed(now, query.AttemptID, expiresAt)
 
 	return AttemptStatus{State: wire.AskState_AskClosed}
 }
@@ -119,14 +119,14 @@
 	}
 }
 
-// close marks an attempt that has not run, so that it never will.
-func (c *Core) close(now time.Time, id string, expiresAt time.Time) {
-	if !c.memory.hasRoom(now, c.Settings.MaxAttempts) {
-		c.memory.revoke(expiresAt)
+// markClosed marks an attempt that has not run, so that it never will.
+func (c *Core) markClosed(now time.Time, id string, expiresAt time.Time) {
+	if !c.attempts.ensureCapacity(now, c.Settings.MaxAttempts) {
+		c.attempts.revoke(expiresAt)
 		return
 	}
 
-	c.memory.add(&attempt{id: id, state: stateClosed, expiresAt: expiresAt})
+	c.attempts.add(&attempt{id: id, state: stateClosed, expiresAt: expiresAt})
 }
 
 // tickTime is the instant of a tick of this incarnation.
@@ -136,7 +136,7 @@
 	return c.Started.Add(time.Duration(min(tick, maxTick)) * time.Millisecond)
 }
 
-// expired reports whether a credit with this expiry lets nothing in any more.
-func (c *Core) expired(now, expiresAt time.Time) bool {
-	return !expiresAt.After(now) || !expiresAt.After(c.memory.revokedUpTo)
+// creditExpired reports whether a credit with this expiry lets nothing in any more.
+func (c *Core) creditExpired(now, expiresAt time.Time) bool {
+	return !expiresAt.After(now) || !expiresAt.After(c.attempts.revokedUpTo)
 }
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -13,97 +13,97 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// bench drives a core through time.
-type bench struct {
+// harness drives a core through time.
+type harness struct {
 	t    testing.TB
 	core Core
 	now  time.Time
 	n    int
 }
 
-// newBench makes a core whose target is up, idle and warm at limit warm, with cold as its floor.
-func newBench(t testing.TB, cold, warm uint32) *bench {
+// newHarness makes a core whose target is up, idle and warm at limit warm, with cold as its floor.
+func newHarness(t testing.TB, cold, warm uint32) *harness {
 	t.Helper()
 
-	b := &bench{t: t, now: start.Add(time.Second)}
-	b.core = Core{AgentID: "agent-1", Incarnation: 3, Started: start}
-	b.view(View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: cold, WarmLimit: warm})
-	b.announce("boot-1", false)
-	b.announce("boot-1", false)
-	b.core.ramp.limit = float64(warm)
+	h := &harness{t: t, now: start.Add(time.Second)}
+	h.core = Core{AgentID: "agent-1", Incarnation: 3, Started: start}
+	h.view(View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: cold, WarmLimit: warm})
+	h.announce("boot-1", false)
+	h.announce("boot-1", false)
+	h.core.ramp.limit = float64(warm)
 
-	return b
+	return h
 }
 
-func (b *bench) view(v View) { b.core.ChangeView(b.now, v) }
+func (h *harness) view(v View) { h.core.ChangeView(h.now, v) }
 
-func (b *bench) announce(boot string, cold bool) {
-	b.core.Announce(b.now, Announcement{
-		BootID: boot, Service: "assist", Cold: cold, InFlight: b.core.Load().InFlight, InFlightKnown: true,
+func (h *harness) announce(boot string, cold bool) {
+	h.core.Announce(h.now, Announcement{
+		BootID: boot, Service: "assist", Cold: cold, InFlight: h.core.Load().InFlight, InFlightKnown: true,
 	})
 }
 
-// pass lets d go by while the target keeps announcing itself.
-func (b *bench) pass(d time.Duration) {
+// advance lets d go by while the target keeps announcing itself.
+func (h *harness) advance(d time.Duration) {
 	for d > 0 {
 		step := min(d, 100*time.Millisecond)
-		b.now = b.now.Add(step)
+		h.now = h.now.Add(step)
 		d -= step
-		b.core.target.announcedAt = b.now
-		b.core.Tick(b.now)
+		h.core.target.announcedAt = h.now
+		h.core.Tick(h.now)
 	}
 }
 
-func (b *bench) grant(entryID string, wanted uint32) Credit {
-	return b.core.Grant(b.now, GrantRequest{EntryID: entryID, Wanted: wanted}).Credit
+func (h *harness) grant(entryID string, wanted uint32) Credit {
+	return h.core.Grant(h.now, GrantRequest{EntryID: entryID, Wanted: wanted}).Credit
 }
 
-// arrival makes a request with a fresh attempt ID on c.
-func (b *bench) arrival(c Credit) Request {
-	b.n++
+// request makes a request with a fresh attempt ID on c.
+func (h *harness) request(c Credit) Request {
+	h.n++
 
-	return Request{AttemptID: "a" + strconv.Itoa(b.n), Credit: c, Service: "assist", ViewVersion: 1, ViewFresh: true}
+	return Request{AttemptID: "a" + strconv.Itoa(h.n), Credit: c, Service: "assist", ViewVersion: 1, ViewFresh: true}
 }
 
 // admit lets one request in, on a fresh credit.
-func (b *bench) admit() Request {
-	b.t.Helper()
+func (h *harness) admit() Request {
+	h.t.Helper()
 
-	r := b.arrival(b.grant("entry-1", 64))
-	d := b.core.Admit(b.now, r)
-	require.True(b.t, d.Admitted, "%+v", d)
+	r := h.request(h.grant("entry-1", 64))
+	d := h.core.Admit(h.now, r)
+	require.True(h.t, d.Admitted, "%+v", d)
 
 	return r
 }
 
-// serve lets n requests through at the same time, each with its first token after d.
-func (b *bench) serve(n int, d time.Duration) {
-	b.t.Helper()
+// completeConcurrent lets n requests through at the same time, each with its first token after d.
+func (h *harness) completeConcurrent(n int, d time.Duration) {
+	h.t.Helper()
 
-	var in []Request
+	var admitted []Request
 
 	for range n {
-		r := b.arrival(b.grant("entry-1", 64))
-		if b.core.Admit(b.now, r).Admitted {
-			in = append(in, r)
+		r := h.request(h.grant("entry-1", 64))
+		if h.core.Admit(h.now, r).Admitted {
+			admitted = append(admitted, r)
 		}
 	}
 
-	b.now = b.now.Add(d)
-	b.core.target.announcedAt = b.now
+	h.now = h.now.Add(d)
+	h.core.target.announcedAt = h.now
 
-	for _, r := range in {
-		b.core.FirstToken(b.now, r.AttemptID)
-		b.ran(r, nil)
+	for _, r := range admitted {
+		h.core.FirstToken(h.now, r.AttemptID)
+		h.complete(r, nil)
 	}
 }
 
-func (b *bench) ran(r Request, answer *wire.Answer) {
-	b.core.Finish(b.now, r.AttemptID, Outcome{Verdict: verdict.Ran, Answer: answer})
+func (h *harness) complete(r Request, answer *wire.Answer) {
+	h.core.Finish(h.now, r.AttemptID, Outcome{Verdict: verdict.Ran, Answer: answer})
 }
 
-func (b *bench) ask(r Request, closeIt bool) AttemptStatus {
-	return b.core.QueryAttempt(b.now, AttemptQuery{
+func (h *harness) query(r Request, closeIt bool) AttemptStatus {
+	return h.core.QueryAttempt(h.now, AttemptQuery{
 		AttemptID:           r.AttemptID,
 		Incarnation:         r.Credit.Incarnation,
 		CreditExpiresAtTick: r.Credit.ExpiresAtTick,
@@ -111,12 +111,12 @@
 	})
 }
 
-// requireRefused sends r and checks how it is refused.
-func (b *bench) requireRefused(r Request, v verdict.Verdict, cause verdict.Cause) {
-	b.t.Helper()
+// requireRejected sends r and checks how it is refused.
+func (h *harness) requireRejected(r Request, v verdict.Verdict, cause verdict.Cause) {
+	h.t.Helper()
 
-	d := b.core.Admit(b.now, r)
-	require.False(b.t, d.Admitted)
-	require.Equal(b.t, cause, d.Cause)
-	require.Equal(b.t, v, d.Verdict)
+	d := h.core.Admit(h.now, r)
+	require.False(h.t, d.Admitted)
+	require.Equal(h.t, cause, d.Cause)
+	require.Equal(h.t, v, d.Verdict)
 }
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -4,11 +4,11 @@
 
 // Grant gives an entry a credit. Without room the credit has no slots; a request
 // on it is let in only where room turns up that nobody else has reserved.
-func (c *Core) Grant(now time.Time, q GrantRequest) Grant {
+func (c *Core) Grant(now time.Time, req GrantRequest) Grant {
 	c.prepare()
 	c.unknown.expire(now)
-	c.share.sweep(now)
-	c.share.serial++
+	c.allocator.sweep(now)
+	c.allocator.serial++
 
 	g := Grant{ExpiresAt: c.tickTime(uint64(now.Add(c.Settings.CreditLife).Sub(c.Started) / time.Millisecond))}
 
@@ -19,14 +19,14 @@
 
 	slots := 0
 
-	if !c.share.full(q.EntryID) {
-		e := c.share.of(q.EntryID)
-		c.share.lapse(e, now)
-		c.share.see(e, now.Add(c.Settings.ActiveTimeout))
-		e.wanted = int(q.Wanted)
-		slots = c.allot(now, e, q.renewal)
+	if !c.allocator.atEntryLimit(req.EntryID) {
+		e := c.allocator.entryFor(req.EntryID)
+		c.allocator.expire(e, now)
+		c.allocator.markActive(e, now.Add(c.Settings.ActiveTimeout))
+		e.requested = int(req.Wanted)
+		slots = c.allocate(now, e, req.renewal)
 
-		if !q.renewal {
+		if !req.renewal {
 			g.RetryAt = c.reserve(now, e, slots)
 		}
 	}
@@ -34,8 +34,8 @@
 	g.Credit = Credit{
 		AgentID:       c.AgentID,
 		Incarnation:   c.Incarnation,
-		EntryID:       q.EntryID,
-		Serial:        c.share.serial,
+		EntryID:       req.EntryID,
+		Serial:        c.allocator.serial,
 		ExpiresAtTick: uint64(g.ExpiresAt.Sub(c.Started) / time.Millisecond),
 		Slots:         uint32(slots),
 	}
@@ -43,15 +43,15 @@
 	return g
 }
 
-// allot returns the slots that e may use now. While others wait, an answer gives
+// allocate returns the slots that e may use now. While others wait, an answer gives
 // an entry no more than it has in flight already.
-func (c *Core) allot(now time.Time, e *entry, renewal bool) int {
-	if c.leaving || c.view.out() {
+func (c *Core) allocate(now time.Time, e *entry, renewal bool) int {
+	if c.draining || c.view.excluded() {
 		return 0
 	}
 
-	slots := c.share.allot(now, e, c.limit()-c.unknownCount())
-	if renewal && c.share.othersWait(e) {
+	slots := c.allocator.allocate(now, e, c.limit()-c.unknownCount())
+	if renewal && c.allocator.othersWait(e) {
 		slots = min(slots, e.inFlight)
 	}
 
@@ -61,31 +61,31 @@
 // reserve keeps the slots that e asked for, or gives it a turn if it got none; it
 // returns when e should ask again.
 func (c *Core) reserve(now time.Time, e *entry, slots int) time.Time {
-	c.share.change(e, func(e *entry) { e.reserved = max(slots-e.inFlight, 0) })
+	c.allocator.update(e, func(e *entry) { e.reserved = max(slots-e.inFlight, 0) })
 	e.reservedUntil = now.Add(c.Settings.ReservationTTL)
 
 	switch {
 	case slots > e.inFlight:
-		c.share.served(e)
-	case e.wanted > 0:
-		retryAt := now.Add(c.turnIn(e))
-		c.share.wait(e, retryAt.Add(c.Settings.WaitTimeout))
+		c.allocator.recordAllocation(e)
+	case e.requested > 0:
+		retryAt := now.Add(c.queueRetryDelay(e))
+		c.allocator.markWaiting(e, retryAt.Add(c.Settings.WaitTimeout))
 
 		return retryAt
-	case e.asks > 0:
-		c.share.stopWaiting(e)
+	case e.unmetRequests > 0:
+		c.allocator.stopWaiting(e)
 	}
 
 	return time.Time{}
 }
 
-// turnIn advises how long a waiting entry should leave the agent alone: half of
+// queueRetryDelay advises how long a waiting entry should leave the agent alone: half of
 // the time in which those before it will be served, so that it's early.
-func (c *Core) turnIn(e *entry) time.Duration {
-	places := c.share.position(e)
-	d := c.meanTime * time.Duration(places) / time.Duration(2*max(c.limit(), 1))
+func (c *Core) queueRetryDelay(e *entry) time.Duration {
+	position := c.allocator.queuePosition(e)
+	d := c.meanDuration * time.Duration(position) / time.Duration(2*max(c.limit(), 1))
 
-	return min(max(d, minTurn), maxTurn)
+	return min(max(d, minQueueRetryDelay), maxQueueRetryDelay)
 }
 
 // Renew gives the entry of an answer a new credit, so that a busy entry seldom asks.
@@ -93,8 +93,8 @@
 	c.prepare()
 
 	wanted := 1
-	if e := c.share.entries[entryID]; e != nil {
-		wanted = max(e.wanted, 1)
+	if e := c.allocator.entries[entryID]; e != nil {
+		wanted = max(e.requested, 1)
 	}
 
 	return c.Grant(now, GrantRequest{EntryID: entryID, Wanted: uint32(wanted), renewal: true})
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -34,8 +34,8 @@
 	reported int
 }
 
-// schedule drives one core, its successors after restarts, and the target, by seed.
-type schedule struct {
+// simulation drives one core, its successors after restarts, and the target, by seed.
+type simulation struct {
 	t       *rapid.T
 	now     time.Time
 	core    Core
@@ -47,12 +47,12 @@
 	open []string
 	// ran and never record what is true for good; admitted counts per attempt.
 	admitted map[string]int
-	never    map[string]bool
+	notRun   map[string]bool
 	n        int
 }
 
-func newSchedule(t *rapid.T) *schedule {
-	s := &schedule{t: t, now: start, admitted: map[string]int{}, never: map[string]bool{}}
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{t: t, now: start, admitted: map[string]int{}, notRun: map[string]bool{}}
 	s.view = View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 12}
 	s.target = modelTarget{bootID: "boot-0", running: map[string]time.Time{}}
 	s.core = Core{AgentID: "agent-1", Incarnation: 1, Started: start, Settings: s.settings()}
@@ -62,24 +62,24 @@
 }
 
 // settings make memory short and small, so that schedules go past both bounds.
-func (s *schedule) settings() Settings {
+func (s *simulation) settings() Settings {
 	return Settings{AttemptRetention: 3 * time.Second, MaxAttempts: 8}
 }
 
-func (s *schedule) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(s.t, what) }
+func (s *simulation) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(s.t, what) }
 
-func (s *schedule) pass() {
+func (s *simulation) advance() {
 	d := time.Duration(rapid.SampledFrom([]int{1, 10, 60, 300, 1100, 2500}).Draw(s.t, "ms")) * time.Millisecond
 	s.now = s.now.Add(d)
-	s.settleTarget()
+	s.expireAbandoned()
 
 	if s.pick(3, "tick") > 0 {
 		s.core.Tick(s.now)
 	}
 }
 
-// settleTarget drops requests that the target stopped by itself.
-func (s *schedule) settleTarget() {
+// expireAbandoned drops requests that the target stopped by itself.
+func (s *simulation) expireAbandoned() {
 	for id, until := range s.target.running {
 		if !until.IsZero() && !until.After(s.now) {
 			delete(s.target.running, id)
@@ -87,25 +87,25 @@
 	}
 }
 
-func (s *schedule) announce() {
+func (s *simulation) announce() {
 	s.core.Announce(s.now, Announcement{
 		BootID: s.target.bootID, Service: "assist", Cold: s.target.cold,
 		InFlight: uint32(s.target.reported), InFlightKnown: s.pick(4, "counted") > 0,
 	})
-	s.count()
+	s.countInFlight()
 }
 
-// count takes the number that the next announcement will carry.
-func (s *schedule) count() { s.target.reported = len(s.target.running) }
+// countInFlight takes the number that the next announcement will carry.
+func (s *simulation) countInFlight() { s.target.reported = len(s.target.running) }
 
-func (s *schedule) grant() {
+func (s *simulation) grant() {
 	id := fmt.Sprintf("entry-%d", s.pick(20, "entry"))
 	g := s.core.Grant(s.now, GrantRequest{EntryID: id, Wanted: uint32(s.pick(6, "wanted"))})
 	s.credits = append(s.credits, g.Credit)
 }
 
 // send sends a new request on some credit, or an old message once more.
-func (s *schedule) send() {
+func (s *simulation) send() {
 	if len(s.credits) == 0 {
 		return
 	}
@@ -120,10 +120,10 @@
 		s.sent = append(s.sent, r)
 	}
 
-	s.arrive(r)
+	s.admit(r)
 }
 
-func (s *schedule) arrive(r Request) {
+func (s *simulation) admit(r Request) {
 	id := r.AttemptID
 	cold := s.core.Load().Cold
 	d := s.core.Admit(s.now, r)
@@ -131,14 +131,14 @@
 	if !d.Admitted {
 		sameAgent := r.Credit.Incarnation == s.core.Incarnation
 		if d.Verdict == verdict.NotRun && sameAgent {
-			require.Zero(s.t, s.admitted[id]*s.bool(!s.never[id]), "NotRun said of an attempt that was let in")
-			s.never[id] = true
+			require.Zero(s.t, s.admitted[id]*s.toInt(!s.notRun[id]), "NotRun said of an attempt that was let in")
+			s.notRun[id] = true
 		}
 
 		return
 	}
 
-	require.False(s.t, s.never[id], "attempt let in after NotRun was said of it")
+	require.False(s.t, s.notRun[id], "attempt let in after NotRun was said of it")
 	s.admitted[id]++
 	require.Equal(s.t, 1, s.admitted[id], "attempt let in twice")
 	require.False(s.t, s.view.ZoneOut)
@@ -148,7 +148,7 @@
 	s.checkLimit(cold)
 }
 
-func (s *schedule) bool(b bool) int {
+func (s *simulation) toInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -157,7 +157,7 @@
 }
 
 // checkLimit holds what was just let in against the limit.
-func (s *schedule) checkLimit(cold bool) {
+func (s *simulation) checkLimit(cold bool) {
 	l := s.core.Load()
 	require.LessOrEqual(s.t, l.InFlight, l.Limit)
 	require.LessOrEqual(s.t, l.Limit, s.view.WarmLimit)
@@ -166,13 +166,13 @@
 		require.LessOrEqual(s.t, len(s.target.running), int(l.Limit), "a ramping target holds more than its limit")
 	}
 
-	if s.target.cold && s.core.ramp.held {
+	if s.target.cold && s.core.ramp.engineCold {
 		require.LessOrEqual(s.t, l.Limit, s.view.ColdLimit)
 	}
 }
 
 // finish ends an open attempt: whole, refused by the target, or cut off.
-func (s *schedule) finish() {
+func (s *simulation) finish() {
 	if len(s.open) == 0 {
 		return
 	}
@@ -188,17 +188,17 @@
 	case 1:
 		s.core.Finish(s.now, id, Outcome{Verdict: verdict.NotRun})
 		delete(s.target.running, id)
-		s.never[id] = true
+		s.notRun[id] = true
 	default:
 		s.core.FirstToken(s.now, id)
 		s.core.Finish(s.now, id, Outcome{Verdict: verdict.Ran})
 		delete(s.target.running, id)
 	}
 
-	s.settleTarget()
+	s.expireAbandoned()
 }
 
-func (s *schedule) ask() {
+func (s *simulation) query() {
 	if len(s.credits) == 0 {
 		return
 	}
@@ -219,15 +219,15 @@
 
 	switch f.State {
 	case wire.AskState_AskClosed:
-		require.Zero(s.t, s.admitted[r.AttemptID]*s.bool(!s.never[r.AttemptID]), "closed, but it was let in")
-		s.never[r.AttemptID] = true
+		require.Zero(s.t, s.admitted[r.AttemptID]*s.toInt(!s.notRun[r.AttemptID]), "closed, but it was let in")
+		s.notRun[r.AttemptID] = true
 	case wire.AskState_AskRan, wire.AskState_AskRunning:
 		require.Equal(s.t, 1, s.admitted[r.AttemptID])
 	}
 }
 
-// boot replaces the target by a cold one.
-func (s *schedule) boot() {
+// bootTarget replaces the target by a cold one.
+func (s *simulation) bootTarget() {
 	s.target.bootID += "+"
 	s.target.cold = s.pick(2, "cold") == 0
 	s.target.running = map[string]time.Time{}
@@ -241,8 +241,8 @@
 	s.announce()
 }
 
-// restart replaces the agent. The target drops the connections of the old one in its own time.
-func (s *schedule) restart() {
+// restartAgent replaces the agent. The target drops the connections of the old one in its own time.
+func (s *simulation) restartAgent() {
 	for _, id := range s.open {
 		s.target.running[id] = s.now.Add(time.Duration(s.pick(10_000, "lingers")) * time.Millisecond)
 	}
@@ -254,7 +254,7 @@
 	s.announce()
 }
 
-func (s *schedule) changeView() {
+func (s *simulation) changeView() {
 	s.view.Version++
 	s.view.ZoneOut = s.pick(3, "out") == 0
 	s.view.ColdLimit = uint32(1 + s.pick(4, "cold limit"))
@@ -265,20 +265,20 @@
 // A cold target would be pushed over, or a booking made twice or denied, under any
 // order of events: sudden cold, restarts of agent and target with work in flight,
 // many entries, lowered limits, a zone that leaves and returns, late copies.
-func TestAdmissionHoldsUnderSchedules(t *testing.T) {
+func TestAdmissionInvariantsUnderRandomEvents(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSchedule(t)
+		s := newSimulation(t)
 		s.announce()
 
 		weighted := []func(){
 			s.send, s.send, s.send, s.send, s.send, s.send, s.grant, s.grant, s.grant,
-			s.finish, s.finish, s.finish, s.pass, s.pass, s.announce, s.announce, s.count,
-			s.ask, s.ask, s.changeView, s.boot,
+			s.finish, s.finish, s.finish, s.advance, s.advance, s.announce, s.announce, s.countInFlight,
+			s.query, s.query, s.changeView, s.bootTarget,
 		}
 		if s.pick(2, "restarts") == 0 {
-			weighted = append(weighted, s.restart)
+			weighted = append(weighted, s.restartAgent)
 		}
 
 		for range 300 {
--- a/internal/admission/ramp.go
+++ b/internal/admission/ramp.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// growth is how much one completed request adds to the limit of a ramping target,
+// limitIncrement is how much one completed request adds to the limit of a ramping target,
 // so that it doubles in the time that requests take (slow start).
-const growth = 1.0
+const limitIncrement = 1.0
 
 // ramp holds the limit on requests in flight between the cold and the warm limit.
 //
@@ -13,68 +13,68 @@
 // admitted since then and completed at the usual speed while the limit was in
 // use; it at most doubles in each interval, however short the requests are.
 type ramp struct {
-	floor float64
-	top   float64
-	limit float64
+	floor   float64
+	ceiling float64
+	limit   float64
 	// epoch counts the falls; work admitted before the last fall doesn't raise the limit.
 	epoch uint64
-	// held is set while the engine itself says that it is cold.
-	held        bool
-	windowEnds  time.Time
+	// engineCold is set while the engine itself says that it is cold.
+	engineCold  bool
+	windowEnd   time.Time
 	windowLimit float64
-	norm        norm
+	baseline    firstTokenBaseline
 }
 
-// bounds sets floor and top, and reports whether the floor is lower than before.
+// setBounds sets floor and top, and reports whether the floor is lower than before.
 // Without a warm limit and a capacity one request is let through at a time.
-func (r *ramp) bounds(cold, warm, capacity uint32) bool {
-	top := warm
-	if capacity > 0 && (top == 0 || capacity < top) {
-		top = capacity
+func (r *ramp) setBounds(cold, warm, capacity uint32) bool {
+	ceiling := warm
+	if capacity > 0 && (ceiling == 0 || capacity < ceiling) {
+		ceiling = capacity
 	}
 
 	floor := max(cold, 1)
-	top = max(top, 1)
-	floor = min(floor, top)
-	fell := float64(floor) < r.floor
+	ceiling = max(ceiling, 1)
+	floor = min(floor, ceiling)
+	lowered := float64(floor) < r.floor
 	r.floor = float64(floor)
-	r.top = float64(top)
-	r.limit = min(max(r.limit, r.floor), r.top)
+	r.ceiling = float64(ceiling)
+	r.limit = min(max(r.limit, r.floor), r.ceiling)
 
-	return fell
+	return lowered
 }
 
 // ramping reports whether the target isn't yet trusted with its warm limit.
-func (r *ramp) ramping() bool { return r.held || r.limit < r.top }
+func (r *ramp) ramping() bool { return r.engineCold || r.limit < r.ceiling }
 
 // current is the limit in whole requests.
 func (r *ramp) current() int {
-	if r.held {
+	if r.engineCold {
 		return int(r.floor)
 	}
 
 	return int(r.limit)
 }
 
-// fall drops the limit to its floor.
-func (r *ramp) fall(now time.Time, interval time.Duration) {
+// reset drops the limit to its floor.
+func (r *ramp) reset(now time.Time, interval time.Duration) {
 	r.epoch++
 	r.limit = r.floor
 	r.windowLimit = r.floor
-	r.windowEnds = now.Add(interval)
-	r.norm.row = 0
+	r.windowEnd = now.Add(interval)
+	r.baseline.slowStreak = 0
 }
 
 // completed takes one whole answer; inFlight counts it still.
 func (r *ramp) completed(now time.Time, a *attempt, inFlight int, interval time.Duration) {
-	if r.held || a.slow || a.epoch != r.epoch || 2*inFlight < r.current() {
+	if r.engineCold || a.slow || a.epoch != r.epoch || 2*inFlight < r.current() {
 		return
 	}
 
-	if !now.Before(r.windowEnds) {
-		r.windowEnds = now.Add(interval)
+	if !now.Before(r.windowEnd) {
+		r.windowEnd = now.Add(interval)
 		r.windowLimit = 2 * r.limit
 	}
 
-	r.limit = max(r.limit, min(r.limit+growth, r.windowLimit, r.top))
+	r.limit = max(r.limit, min(r.limit+limitIncrement, r.windowLimit, r.ceiling))
 }
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -9,83 +9,83 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-const usual = 50 * time.Millisecond
+const baselineWait = 50 * time.Millisecond
 
 // warmUp teaches the norm and leaves the target warm.
-func (b *bench) warmUp() {
-	b.t.Helper()
+func (h *harness) warmUp() {
+	h.t.Helper()
 
 	for range 4 {
-		b.serve(8, usual)
+		h.completeConcurrent(8, baselineWait)
 	}
 
-	require.False(b.t, b.core.Load().Cold)
+	require.False(h.t, h.core.Load().Cold)
 }
 
 // A cold target would get its warm load and fall over. It turned cold, by
 // restart, by its own word, or without any word.
-func TestSignsOfColdDropTheLimit(t *testing.T) {
+func TestColdTargetDropsLimitToFloor(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
 		name string
-		sign func(b *bench)
+		sign func(h *harness)
 		cold bool
 	}{
-		{"new boot", func(b *bench) { b.announce("boot-2", false) }, true},
-		{"engine's own word", func(b *bench) { b.announce("boot-1", true) }, true},
-		{"engine's word on an answer", func(b *bench) { b.core.ReportCold(b.now) }, true},
-		{"target silent", func(b *bench) {
-			b.now = b.now.Add(DefaultAnnounceTimeout)
-			b.core.Tick(b.now)
-			b.announce("boot-1", false)
+		{"new boot", func(h *harness) { h.announce("boot-2", false) }, true},
+		{"engine's own word", func(h *harness) { h.announce("boot-1", true) }, true},
+		{"engine's word on an answer", func(h *harness) { h.core.ReportCold(h.now) }, true},
+		{"target silent", func(h *harness) {
+			h.now = h.now.Add(DefaultAnnounceTimeout)
+			h.core.Tick(h.now)
+			h.announce("boot-1", false)
 		}, true},
-		{"zone returned", func(b *bench) {
-			b.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ZoneOut: true, ColdLimit: 2, WarmLimit: 32})
-			b.view(View{Version: 3, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
+		{"zone returned", func(h *harness) {
+			h.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ZoneOut: true, ColdLimit: 2, WarmLimit: 32})
+			h.view(View{Version: 3, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
 		}, true},
-		{"late first tokens", func(b *bench) { b.serve(slowInRow, 10*usual) }, true},
-		{"missing first tokens", func(b *bench) {
-			for range slowInRow {
-				b.admit()
+		{"late first tokens", func(h *harness) { h.completeConcurrent(slowStreakLimit, 10*baselineWait) }, true},
+		{"missing first tokens", func(h *harness) {
+			for range slowStreakLimit {
+				h.admit()
 			}
-			b.pass(10 * usual)
+			h.advance(10 * baselineWait)
 		}, true},
-		{"same boot again", func(b *bench) { b.announce("boot-1", false) }, false},
-		{"one outlier", func(b *bench) { b.serve(1, 100*usual) }, false},
-		{"a few slow ones between usual ones", func(b *bench) {
+		{"same boot again", func(h *harness) { h.announce("boot-1", false) }, false},
+		{"one outlier", func(h *harness) { h.completeConcurrent(1, 100*baselineWait) }, false},
+		{"a few slow ones between usual ones", func(h *harness) {
 			for range 20 {
-				b.serve(slowInRow-1, 10*usual)
-				b.serve(slowInRow, usual)
+				h.completeConcurrent(slowStreakLimit-1, 10*baselineWait)
+				h.completeConcurrent(slowStreakLimit, baselineWait)
 			}
 		}, false},
-		{"jitter of a quick service", func(b *bench) {
-			b.core.ramp.norm = norm{}
+		{"jitter of a quick service", func(h *harness) {
+			h.core.ramp.baseline = firstTokenBaseline{}
 			for range 8 {
-				b.serve(8, time.Millisecond)
+				h.completeConcurrent(8, time.Millisecond)
 			}
-			b.serve(8, minSlow)
+			h.completeConcurrent(8, minSlowThreshold)
 		}, false},
-		{"burst at a target that serves one by one", func(b *bench) {
-			b.core.ramp.norm = norm{}
+		{"burst at a target that serves one by one", func(h *harness) {
+			h.core.ramp.baseline = firstTokenBaseline{}
 			for range 32 {
-				b.serve(1, usual)
+				h.completeConcurrent(1, baselineWait)
 			}
 
-			var in []Request
+			var admitted []Request
 			for range 32 {
-				in = append(in, b.admit())
+				admitted = append(admitted, h.admit())
 			}
 
-			for _, r := range in {
-				b.pass(usual)
-				b.core.FirstToken(b.now, r.AttemptID)
-				b.ran(r, nil)
+			for _, r := range admitted {
+				h.advance(baselineWait)
+				h.core.FirstToken(h.now, r.AttemptID)
+				h.complete(r, nil)
 			}
 		}, false},
-		{"slow drift of load", func(b *bench) {
-			for d := usual; d < 20*usual; d += d / 20 {
-				b.serve(8, d)
+		{"slow drift of load", func(h *harness) {
+			for d := baselineWait; d < 20*baselineWait; d += d / 20 {
+				h.completeConcurrent(8, d)
 			}
 		}, false},
 	}
@@ -94,11 +94,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			b := newBench(t, 2, 32)
-			b.warmUp()
-			tc.sign(b)
+			h := newHarness(t, 2, 32)
+			h.warmUp()
+			tc.sign(h)
 
-			l := b.core.Load()
+			l := h.core.Load()
 			require.Equal(t, tc.cold, l.Cold)
 
 			if tc.cold {
@@ -113,145 +113,145 @@
 func TestRampGrowsOnCompletedWork(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 2, 32)
-	old := b.admit()
-	b.announce("boot-2", false)
-	b.pass(2 * time.Second)
-	b.ran(old, nil)
-	require.EqualValues(t, 2, b.core.Load().Limit, "work from before the fall counts for nothing")
+	h := newHarness(t, 2, 32)
+	old := h.admit()
+	h.announce("boot-2", false)
+	h.advance(2 * time.Second)
+	h.complete(old, nil)
+	require.EqualValues(t, 2, h.core.Load().Limit, "work from before the fall counts for nothing")
 
 	for range 40 {
-		b.serve(2, time.Millisecond)
+		h.completeConcurrent(2, time.Millisecond)
 	}
 
-	require.LessOrEqual(t, b.core.Load().Limit, uint32(4), "quick requests don't shorten the ramp")
+	require.LessOrEqual(t, h.core.Load().Limit, uint32(4), "quick requests don't shorten the ramp")
 
 	for range 20 {
-		limit := b.core.Load().Limit
-		b.pass(100 * time.Millisecond)
-		b.serve(int(limit), usual)
-		require.LessOrEqual(t, b.core.Load().Limit, 2*limit)
+		limit := h.core.Load().Limit
+		h.advance(100 * time.Millisecond)
+		h.completeConcurrent(int(limit), baselineWait)
+		require.LessOrEqual(t, h.core.Load().Limit, 2*limit)
 	}
 
-	for b.core.Load().Cold {
-		b.serve(int(b.core.Load().Limit), usual)
+	for h.core.Load().Cold {
+		h.completeConcurrent(int(h.core.Load().Limit), baselineWait)
 	}
 
-	require.EqualValues(t, 32, b.core.Load().Limit)
-	require.Less(t, b.now.Sub(start), time.Minute)
+	require.EqualValues(t, 32, h.core.Load().Limit)
+	require.Less(t, h.now.Sub(start), time.Minute)
 }
 
 // A target would stay at its floor for good after the prompts of its callers
 // became longer, as each first token looks like one of a cold target.
-func TestNormIsLearntAnew(t *testing.T) {
+func TestBaselineIsRebuiltAfterLastingSlowdown(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 2, 8)
-	b.warmUp()
+	h := newHarness(t, 2, 8)
+	h.warmUp()
 
 	for range 100 {
-		b.serve(8, 10*usual)
+		h.completeConcurrent(8, 10*baselineWait)
 	}
 
-	require.False(t, b.core.Load().Cold)
-	require.EqualValues(t, 8, b.core.Load().Limit)
+	require.False(t, h.core.Load().Cold)
+	require.EqualValues(t, 8, h.core.Load().Limit)
 }
 
 // A cold target would keep more than the operators allow it: they lower its cold
 // limit while it ramps.
-func TestLoweredLimits(t *testing.T) {
+func TestLoweredColdLimitAppliesWhileRamping(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 8, 32)
-	b.announce("boot-2", false)
-	require.EqualValues(t, 8, b.core.Load().Limit)
+	h := newHarness(t, 8, 32)
+	h.announce("boot-2", false)
+	require.EqualValues(t, 8, h.core.Load().Limit)
 
-	in := []Request{b.admit(), b.admit(), b.admit()}
-	b.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
-	require.EqualValues(t, 2, b.core.Load().Limit)
+	admitted := []Request{h.admit(), h.admit(), h.admit()}
+	h.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
+	require.EqualValues(t, 2, h.core.Load().Limit)
 
-	for _, r := range in {
-		b.requireRefused(b.arrival(b.grant("entry-1", 4)), verdict.NotRun, verdict.CauseColdLimit)
-		require.EqualValues(t, 2, b.core.Load().Limit)
-		b.core.Finish(b.now, r.AttemptID, Outcome{Verdict: verdict.NotRun})
+	for _, r := range admitted {
+		h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseColdLimit)
+		require.EqualValues(t, 2, h.core.Load().Limit)
+		h.core.Finish(h.now, r.AttemptID, Outcome{Verdict: verdict.NotRun})
 
-		if len(b.core.running) < 2 {
+		if len(h.core.running) < 2 {
 			break
 		}
 	}
 
-	b.admit()
+	h.admit()
 }
 
 // A cold target would get more than it bears: the agent restarted and knows
 // nothing of what its predecessor sent, or callers of a cold target give up and
 // their requests go on there.
-func TestUnknownWorkCounts(t *testing.T) {
+func TestUnknownWorkCountsAgainstLimit(t *testing.T) {
 	t.Parallel()
 
-	word := func(inFlight uint32, counted bool) Announcement {
+	announcement := func(inFlight uint32, counted bool) Announcement {
 		return Announcement{BootID: "boot-1", Service: "assist", InFlight: inFlight, InFlightKnown: counted}
 	}
-	restart := func(t *testing.T) *bench {
+	restart := func(t *testing.T) *harness {
 		t.Helper()
 
-		b := newBench(t, 2, 8)
-		b.core = Core{AgentID: "agent-1", Incarnation: 4, Started: b.now}
-		b.view(View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 8})
-		b.now = b.now.Add(time.Millisecond)
+		h := newHarness(t, 2, 8)
+		h.core = Core{AgentID: "agent-1", Incarnation: 4, Started: h.now}
+		h.view(View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 8})
+		h.now = h.now.Add(time.Millisecond)
 
-		return b
+		return h
 	}
-	full := func(b *bench) {
-		b.t.Helper()
-		b.requireRefused(b.arrival(b.grant("entry-1", 4)), verdict.NotRun, verdict.CauseColdLimit)
+	requireFull := func(h *harness) {
+		h.t.Helper()
+		h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseColdLimit)
 	}
 
 	t.Run("target doesn't count", func(t *testing.T) {
 		t.Parallel()
 
-		b := restart(t)
-		b.core.Announce(b.now, word(0, false))
-		full(b)
-		b.pass(DefaultUnknownWorkTTL - time.Second)
-		full(b)
-		b.pass(time.Second)
-		b.admit()
+		h := restart(t)
+		h.core.Announce(h.now, announcement(0, false))
+		requireFull(h)
+		h.advance(DefaultUnknownWorkTTL - time.Second)
+		requireFull(h)
+		h.advance(time.Second)
+		h.admit()
 	})
 	t.Run("target counts", func(t *testing.T) {
 		t.Parallel()
 
-		b := restart(t)
-		b.core.Announce(b.now, word(0, true))
-		full(b) // the count may be older than the last work of the predecessor
-		b.now = b.now.Add(time.Second)
-		b.core.Announce(b.now, word(1, true))
-		b.admit()
-		full(b)
-		b.now = b.now.Add(time.Second)
-		b.core.Announce(b.now, word(1, true)) // may be the old one still
-		full(b)
-		b.now = b.now.Add(time.Second)
-		b.core.Announce(b.now, word(1, true)) // is the new one
-		b.admit()
+		h := restart(t)
+		h.core.Announce(h.now, announcement(0, true))
+		requireFull(h) // the count may be older than the last work of the predecessor
+		h.now = h.now.Add(time.Second)
+		h.core.Announce(h.now, announcement(1, true))
+		h.admit()
+		requireFull(h)
+		h.now = h.now.Add(time.Second)
+		h.core.Announce(h.now, announcement(1, true)) // may be the old one still
+		requireFull(h)
+		h.now = h.now.Add(time.Second)
+		h.core.Announce(h.now, announcement(1, true)) // is the new one
+		h.admit()
 	})
 	t.Run("cancelled on a cold target", func(t *testing.T) {
 		t.Parallel()
 
-		b := newBench(t, 1, 8)
-		b.announce("boot-2", false)
-		r := b.admit()
-		b.core.Finish(b.now, r.AttemptID, Outcome{Abandoned: true})
-		full(b)
-		b.pass(DefaultCanceledWorkTTL)
-		b.admit()
+		h := newHarness(t, 1, 8)
+		h.announce("boot-2", false)
+		r := h.admit()
+		h.core.Finish(h.now, r.AttemptID, Outcome{Abandoned: true})
+		requireFull(h)
+		h.advance(DefaultCanceledWorkTTL)
+		h.admit()
 	})
 	t.Run("cancelled on a warm target", func(t *testing.T) {
 		t.Parallel()
 
-		b := newBench(t, 1, 1)
-		r := b.admit()
-		b.core.Finish(b.now, r.AttemptID, Outcome{Abandoned: true})
-		b.admit()
+		h := newHarness(t, 1, 1)
+		r := h.admit()
+		h.core.Finish(h.now, r.AttemptID, Outcome{Abandoned: true})
+		h.admit()
 	})
 }
--- a/internal/admission/unknown.go
+++ b/internal/admission/unknown_work.go
@@ -12,7 +12,7 @@
 
 // unknownItem is one or more requests with the same history.
 type unknownItem struct {
-	n         int
+	count     int
 	inherited bool
 	sentAt    time.Time
 	expiresAt time.Time
@@ -23,28 +23,28 @@
 
 // inherit counts the work of an earlier incarnation of the agent, assuming the worst.
 func (u *unknownWork) inherit(sentAt, expiresAt time.Time) {
-	u.items = append(u.items, unknownItem{n: unbounded, inherited: true, sentAt: sentAt, expiresAt: expiresAt})
+	u.items = append(u.items, unknownItem{count: unbounded, inherited: true, sentAt: sentAt, expiresAt: expiresAt})
 }
 
 // abandon counts one request that was cancelled.
 func (u *unknownWork) abandon(sentAt, expiresAt time.Time) {
-	u.items = append(u.items, unknownItem{n: 1, sentAt: sentAt, expiresAt: expiresAt})
+	u.items = append(u.items, unknownItem{count: 1, sentAt: sentAt, expiresAt: expiresAt})
 }
 
-// reported takes the target's own count, taken since the previous announcement
+// reconcile takes the target's own count, taken since the previous announcement
 // came. It so tells only about work sent before that one: what the agent still has
 // running of that work is in the count, and the rest bounds the unknown work.
-func (u *unknownWork) reported(count int, previous time.Time, known int) {
-	room := max(count-known, 0)
+func (u *unknownWork) reconcile(count int, previous time.Time, known int) {
+	remaining := max(count-known, 0)
 	kept := u.items[:0]
 
 	for _, it := range u.items {
 		if it.sentAt.Before(previous) {
-			it.n = min(it.n, room)
-			room -= it.n
+			it.count = min(it.count, remaining)
+			remaining -= it.count
 		}
 
-		if it.n > 0 {
+		if it.count > 0 {
 			kept = append(kept, it)
 		}
 	}
@@ -71,7 +71,7 @@
 
 	for _, it := range u.items {
 		if it.inherited || cancelled {
-			n += it.n
+			n += it.count
 		}
 	}
 
--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -11,7 +11,7 @@
 
 // New work would go to a zone that was taken out or to a target that leaves. The
 // agent or the entry was cut off when the operators decided, or the agent stops.
-func TestViewGovernsAdmission(t *testing.T) {
+func TestViewDecidesAdmission(t *testing.T) {
 	t.Parallel()
 
 	fresh := start.Add(time.Hour)
@@ -45,31 +45,31 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			b := newBench(t, 8, 8)
-			before := b.admit()
-			r := b.arrival(b.grant("entry-1", 4))
+			h := newHarness(t, 8, 8)
+			before := h.admit()
+			r := h.request(h.grant("entry-1", 4))
 			r.ViewFresh, r.ViewVersion = tc.entryFresh, tc.entryView
 			tc.view.ColdLimit, tc.view.WarmLimit = 8, 8
-			b.view(tc.view)
+			h.view(tc.view)
 
 			if tc.leave {
-				b.core.Drain()
+				h.core.Drain()
 			}
 
 			if tc.want == "" {
-				require.True(t, b.core.Admit(b.now, r).Admitted)
+				require.True(t, h.core.Admit(h.now, r).Admitted)
 				return
 			}
 
-			b.requireRefused(r, verdict.NotRun, tc.want)
+			h.requireRejected(r, verdict.NotRun, tc.want)
 
 			if tc.want != verdict.CauseStale {
-				require.Zero(t, b.grant("entry-2", 4).Slots)
+				require.Zero(t, h.grant("entry-2", 4).Slots)
 			}
 
-			require.False(t, b.core.Drained())
-			b.ran(before, nil)
-			require.Equal(t, tc.leave, b.core.Drained())
+			require.False(t, h.core.Drained())
+			h.complete(before, nil)
+			require.Equal(t, tc.leave, h.core.Drained())
 		})
 	}
 }
@@ -79,30 +79,30 @@
 func TestViewNeverReverts(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 8, 8)
-	b.view(View{Version: 6, FreshUntil: start.Add(time.Hour), ZoneOut: true})
-	b.view(View{Version: 5, FreshUntil: start.Add(2 * time.Hour)})
-	b.requireRefused(b.arrival(b.grant("entry-1", 1)), verdict.NotRun, verdict.CauseZoneOut)
+	h := newHarness(t, 8, 8)
+	h.view(View{Version: 6, FreshUntil: start.Add(time.Hour), ZoneOut: true})
+	h.view(View{Version: 5, FreshUntil: start.Add(2 * time.Hour)})
+	h.requireRejected(h.request(h.grant("entry-1", 1)), verdict.NotRun, verdict.CauseZoneOut)
 }
 
 // Requests would go to a target that is gone or carries another service.
-func TestTargetGone(t *testing.T) {
+func TestTargetDownOrOtherService(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 8, 8)
-	c := b.grant("entry-1", 4)
-	other := b.arrival(c)
+	h := newHarness(t, 8, 8)
+	c := h.grant("entry-1", 4)
+	other := h.request(c)
 	other.Service = "desk"
-	b.requireRefused(other, verdict.NotRun, verdict.CauseUnknownService)
+	h.requireRejected(other, verdict.NotRun, verdict.CauseUnknownService)
 
-	b.now = b.now.Add(DefaultAnnounceTimeout)
-	c = b.core.Grant(b.now, GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
-	b.requireRefused(b.arrival(c), verdict.NotRun, verdict.CauseTargetDown)
-	b.core.Tick(b.now)
-	require.Zero(t, b.core.Load().Limit)
+	h.now = h.now.Add(DefaultAnnounceTimeout)
+	c = h.core.Grant(h.now, GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
+	h.requireRejected(h.request(c), verdict.NotRun, verdict.CauseTargetDown)
+	h.core.Tick(h.now)
+	require.Zero(t, h.core.Load().Limit)
 
 	fresh := Core{AgentID: "agent-1", Incarnation: 3, Started: start}
-	b.core = fresh
-	b.view(View{Version: 1, FreshUntil: start.Add(time.Hour)})
-	b.requireRefused(b.arrival(b.grant("entry-1", 4)), verdict.NotRun, verdict.CauseTargetDown)
+	h.core = fresh
+	h.view(View{Version: 1, FreshUntil: start.Add(time.Hour)})
+	h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseTargetDown)
 }
--- a/internal/agentclient/link.go
+++ b/internal/agentclient/client.go
@@ -31,8 +31,8 @@
 const (
 	// maxFrame bounds one frame, in bytes.
 	maxFrame = 1 << 20
-	// readBuffer is the size of the buffer behind each answer, in bytes.
-	readBuffer = 4 << 10
+	// readBufferSize is the size of the buffer behind each answer, in bytes.
+	readBufferSize = 4 << 10
 	// maxIdlePerAgent bounds the idle connections to one agent.
 	maxIdlePerAgent = 64
 )
@@ -50,11 +50,11 @@
 
 	once      sync.Once
 	transport *http.Transport
-	fresh     *http.Transport
+	unpooled  *http.Transport
 }
 
-// errSilent is the cause with which a silent answer is cancelled.
-var errSilent = eris.New("agent sent nothing for too long")
+// errReadTimeout is the cause with which a silent answer is cancelled.
+var errReadTimeout = eris.New("agent sent nothing for too long")
 
 // Receiver takes an answer as it comes. Head comes once, before all Data.
 type Receiver struct {
@@ -68,25 +68,25 @@
 	Load *wire.Load
 }
 
-func (l *Client) init() {
-	l.once.Do(func() {
-		if l.Dial == nil {
-			l.Dial = (&net.Dialer{Timeout: l.DialTimeout, KeepAlive: -1}).DialContext
+func (c *Client) init() {
+	c.once.Do(func() {
+		if c.Dial == nil {
+			c.Dial = (&net.Dialer{Timeout: c.DialTimeout, KeepAlive: -1}).DialContext
 		}
 
-		l.transport = &http.Transport{
-			DialContext:         l.Dial,
+		c.transport = &http.Transport{
+			DialContext:         c.Dial,
 			MaxIdleConnsPerHost: maxIdlePerAgent,
-			IdleConnTimeout:     l.IdleConnTimeout,
+			IdleConnTimeout:     c.IdleConnTimeout,
 			DisableCompression:  true,
 		}
-		l.fresh = &http.Transport{DialContext: l.Dial, DisableKeepAlives: true, DisableCompression: true}
+		c.unpooled = &http.Transport{DialContext: c.Dial, DisableKeepAlives: true, DisableCompression: true}
 	})
 }
 
 // Send sends req to the agent at address and passes its answer on to rc.
-func (l *Client) Send(ctx context.Context, address netip.AddrPort, req *wire.Request, rc Receiver) Result {
-	l.init()
+func (c *Client) Send(ctx context.Context, address netip.AddrPort, req *wire.Request, receiver Receiver) Result {
+	c.init()
 
 	body, err := proto.Marshal(req)
 	if err != nil {
@@ -96,8 +96,8 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 
-	watch := time.AfterFunc(l.ReadTimeout, func() { cancel(errSilent) })
-	defer watch.Stop()
+	watchdog := time.AfterFunc(c.ReadTimeout, func() { cancel(errReadTimeout) })
+	defer watchdog.Stop()
 
 	var conn net.Conn
 
@@ -114,63 +114,63 @@
 	// byte of it; anything more the agent refuses by the attempt's id.
 	r.Header.Set("Content-Type", "application/x-protobuf")
 
-	resp, err := l.transport.RoundTrip(r)
+	resp, err := c.transport.RoundTrip(r)
 	if err != nil {
-		return Result{Err: l.fault(ctx, err)}
+		return Result{Err: c.classify(ctx, err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 
 	in := &reader{
-		attempt: req.GetAttemptID(), receiver: rc, digest: xxhash.New(),
-		in: bufio.NewReaderSize(resp.Body, readBuffer), watch: watch, silence: l.ReadTimeout,
+		attempt: req.GetAttemptID(), receiver: receiver, digest: xxhash.New(),
+		in: bufio.NewReaderSize(resp.Body, readBufferSize), watchdog: watchdog, readTimeout: c.ReadTimeout,
 	}
 
-	res, err := in.run(resp.StatusCode)
+	result, err := in.run(resp.StatusCode)
 	if err != nil {
-		res.Err = l.fault(ctx, err)
+		result.Err = c.classify(ctx, err)
 		// The transport keeps the connection of any answer that it has read to its
 		// end, also of a crossed or mixed one: the next request on it would get what
 		// else is out of step there.
 		_ = conn.Close()
 
-		return res
+		return result
 	}
 
-	if !in.finish() {
+	if !in.atEOF() {
 		_ = conn.Close()
 	}
 
-	return res
+	return result
 }
 
-// fault names the verdict of a connection's fault.
-func (l *Client) fault(ctx context.Context, err error) *verdict.Error {
+// classify names the verdict of a connection's fault.
+func (c *Client) classify(ctx context.Context, err error) *verdict.Error {
 	var known *verdict.Error
 
 	switch {
 	case errors.As(err, &known):
 		return known
-	case errors.Is(context.Cause(ctx), errSilent):
-		return l.silent(err)
+	case errors.Is(context.Cause(ctx), errReadTimeout):
+		return c.onReadTimeout(err)
 	case ctx.Err() != nil:
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: err}
-	case neverConnected(err):
+	case dialFailed(err):
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, Err: err}
 	default:
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 	}
 }
 
-// silent closes the idle connections too: what lost track of one connection to
+// onReadTimeout closes the idle connections too: what lost track of one connection to
 // an agent has often lost its sisters, and each would cost a caller the wait again.
-func (l *Client) silent(err error) *verdict.Error {
-	l.transport.CloseIdleConnections()
+func (c *Client) onReadTimeout(err error) *verdict.Error {
+	c.transport.CloseIdleConnections()
 
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, Err: err}
 }
 
-// neverConnected reports whether err shows that no byte of the request was sent.
-func neverConnected(err error) bool {
+// dialFailed reports whether err shows that no byte of the request was sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 
 	return errors.As(err, &op) && op.Op == "dial"
@@ -178,19 +178,19 @@
 
 // reader reads the frames of one answer.
 type reader struct {
-	attempt  string
-	receiver Receiver
-	digest   *xxhash.Digest
-	length   uint64
-	in       *bufio.Reader
-	watch    *time.Timer
-	silence  time.Duration
-	headed   bool
+	attempt     string
+	receiver    Receiver
+	digest      *xxhash.Digest
+	length      uint64
+	in          *bufio.Reader
+	watchdog    *time.Timer
+	readTimeout time.Duration
+	headSeen    bool
 }
 
 var frameOptions = protodelim.UnmarshalOptions{MaxSize: maxFrame}
 
-func (d *reader) run(status int) (Result, error) {
+func (r *reader) run(status int) (Result, error) {
 	if status != http.StatusOK {
 		return Result{}, eris.Errorf("agent answered with status %d", status)
 	}
@@ -198,47 +198,47 @@
 	for {
 		f := &wire.Frame{}
 
-		d.watch.Reset(d.silence)
+		r.watchdog.Reset(r.readTimeout)
 
-		if err := frameOptions.UnmarshalFrom(d.in, f); err != nil {
+		if err := frameOptions.UnmarshalFrom(r.in, f); err != nil {
 			return Result{}, eris.Wrap(err, "read frame")
 		}
 
 		// While the caller takes its time the agent is not the one who is silent.
-		d.watch.Stop()
+		r.watchdog.Stop()
 
-		res, done, err := d.frame(f)
+		res, done, err := r.handleFrame(f)
 		if done || err != nil {
 			return res, err
 		}
 	}
 }
 
-// finish reads to the end of the answer, which comes right behind its last
+// atEOF reads to the end of the answer, which comes right behind its last
 // frame: only then does the transport keep the connection. It reports false
 // where more bytes come instead, or nothing.
-func (d *reader) finish() bool {
-	d.watch.Reset(d.silence)
+func (r *reader) atEOF() bool {
+	r.watchdog.Reset(r.readTimeout)
 
-	_, err := d.in.ReadByte()
+	_, err := r.in.ReadByte()
 
 	return errors.Is(err, io.EOF)
 }
 
-func (d *reader) frame(f *wire.Frame) (Result, bool, error) {
+func (r *reader) handleFrame(f *wire.Frame) (Result, bool, error) {
 	switch k := f.GetKind().(type) {
 	case *wire.Frame_Head:
-		return Result{}, false, d.head(k.Head)
+		return Result{}, false, r.handleHead(k.Head)
 	case *wire.Frame_Data:
-		return Result{}, false, d.data(k.Data)
+		return Result{}, false, r.handleData(k.Data)
 	case *wire.Frame_Heartbeat:
-		return Result{}, false, d.mine(k.Heartbeat.GetAttemptID())
+		return Result{}, false, r.checkAttempt(k.Heartbeat.GetAttemptID())
 	case *wire.Frame_End:
-		res, err := d.end(k.End)
+		res, err := r.handleEnd(k.End)
 
 		return res, true, err
 	case *wire.Frame_Refusal:
-		res, err := d.refusal(k.Refusal)
+		res, err := r.handleRefusal(k.Refusal)
 
 		return res, true, err
 	default:
@@ -246,76 +246,76 @@
 	}
 }
 
-// mine guards against crossed answers: a frame of another attempt means that
+// checkAttempt guards against crossed answers: a frame of another attempt means that
 // the connection carries somebody else's answer, and nothing of it is passed on.
-func (d *reader) mine(attempt string) error {
-	if attempt == d.attempt {
+func (r *reader) checkAttempt(attempt string) error {
+	if attempt == r.attempt {
 		return nil
 	}
 
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCrossed}
 }
 
-func (d *reader) head(h *wire.Head) error {
-	if err := d.mine(h.GetAttemptID()); err != nil {
+func (r *reader) handleHead(head *wire.Head) error {
+	if err := r.checkAttempt(head.GetAttemptID()); err != nil {
 		return err
 	}
 
-	if d.headed {
+	if r.headSeen {
 		return eris.New("second head in one answer")
 	}
 
-	d.headed = true
+	r.headSeen = true
 
-	return d.receiver.Head(h)
+	return r.receiver.Head(head)
 }
 
-func (d *reader) data(b []byte) error {
-	if !d.headed {
+func (r *reader) handleData(b []byte) error {
+	if !r.headSeen {
 		return eris.New("data before head")
 	}
 
-	d.length += uint64(len(b))
-	_, _ = d.digest.Write(b)
+	r.length += uint64(len(b))
+	_, _ = r.digest.Write(b)
 
-	return d.receiver.Data(b)
+	return r.receiver.Data(b)
 }
 
-// end guards against answers that were cut or mixed on the way: length and
+// handleEnd guards against answers that were cut or mixed on the way: length and
 // digest of what was passed on must be those of what the agent sent.
-func (d *reader) end(e *wire.End) (Result, error) {
-	if err := d.mine(e.GetAttemptID()); err != nil {
+func (r *reader) handleEnd(end *wire.End) (Result, error) {
+	if err := r.checkAttempt(end.GetAttemptID()); err != nil {
 		return Result{}, err
 	}
 
-	if !d.headed || e.GetLength() != d.length || e.GetDigest() != d.digest.Sum64() {
+	if !r.headSeen || end.GetLength() != r.length || end.GetDigest() != r.digest.Sum64() {
 		return Result{}, eris.New("answer is not what the agent sent")
 	}
 
-	return Result{Load: e.GetLoad()}, nil
+	return Result{Load: end.GetLoad()}, nil
 }
 
-func (d *reader) refusal(f *wire.Refusal) (Result, error) {
-	refused := &verdict.Error{Verdict: verdict.Verdict(f.GetVerdict()), Cause: verdict.Cause(f.GetCause())}
+func (r *reader) handleRefusal(refusal *wire.Refusal) (Result, error) {
+	refused := &verdict.Error{Verdict: verdict.Verdict(refusal.GetVerdict()), Cause: verdict.Cause(refusal.GetCause())}
 
 	// An agent that could not read a request, or would not for lack of room, names
 	// no attempt. The cause helps the caller; but whose refusal it is nobody can
 	// tell, so that its word that the request did not run counts for nothing.
-	if f.GetAttemptID() == "" {
+	if refusal.GetAttemptID() == "" {
 		refused.Verdict = verdict.MayHaveRun
-	} else if err := d.mine(f.GetAttemptID()); err != nil {
+	} else if err := r.checkAttempt(refusal.GetAttemptID()); err != nil {
 		return Result{}, err
 	}
 
-	if f.GetRetryAfterMillis() > 0 {
-		refused.RetryAt = time.Now().Add(time.Duration(f.GetRetryAfterMillis()) * time.Millisecond)
+	if refusal.GetRetryAfterMillis() > 0 {
+		refused.RetryAt = time.Now().Add(time.Duration(refusal.GetRetryAfterMillis()) * time.Millisecond)
 	}
 
-	return Result{Err: refused, Load: f.GetLoad()}, nil
+	return Result{Err: refused, Load: refusal.GetLoad()}, nil
 }
 
 // Close closes the idle connections.
-func (l *Client) Close() {
-	l.init()
-	l.transport.CloseIdleConnections()
+func (c *Client) Close() {
+	c.init()
+	c.transport.CloseIdleConnections()
 }
--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -11,11 +11,11 @@
 	// may have sent, bars later ones at an engine that ignores numbers.
 	UnsettledTimeout time.Duration
 
-	learnt  bool
-	highest uint64
+	highestKnown bool
+	highest      uint64
 	// last is the order with the highest number, state says how far it has come.
 	last   Order
-	state  state
+	state  orderState
 	result Result
 	// running is the number of the order at the engine, 0 for none.
 	running  uint64
@@ -27,32 +27,32 @@
 	unsettledSince time.Time
 	unsettledUntil time.Time
 	reportedAt     time.Time
-	started        bool
+	initialized    bool
 }
 
 // Submit decides about one order.
 func (c *Core) Submit(now time.Time, o Order) Decision {
-	c.start(now)
+	c.init(now)
 
-	if cause := c.refuse(o); cause != CauseNone {
-		return c.refused(cause)
+	if cause := c.rejectionCause(o); cause != CauseNone {
+		return c.reject(cause)
 	}
 
 	if o.FencingNumber == c.highest {
-		if d, known := c.again(o); known {
+		if d, known := c.repeat(o); known {
 			return d
 		}
 	}
 
 	c.highest = o.FencingNumber
 	c.last = o
-	c.state = stateSeen
+	c.state = stateNotSent
 
 	switch {
 	case c.running != 0:
-		return c.refused(CauseBusy)
+		return c.reject(CauseBusy)
 	case !c.enforces && now.Before(c.unsettledUntil):
-		return c.refused(CauseUnsettled)
+		return c.reject(CauseUnsettled)
 	}
 
 	c.state = stateRunning
@@ -61,35 +61,35 @@
 	return Decision{Action: ActionSend, Highest: c.highest}
 }
 
-// start assumes the worst about an agent's predecessor: that its last order is
+// init assumes the worst about an agent's predecessor: that its last order is
 // still worked on.
-func (c *Core) start(now time.Time) {
-	if c.started {
+func (c *Core) init(now time.Time) {
+	if c.initialized {
 		return
 	}
 
-	c.started = true
+	c.initialized = true
 	if c.UnsettledTimeout == 0 {
 		c.UnsettledTimeout = DefaultUnsettledTimeout
 	}
 
-	c.unsettle(now)
+	c.markUnsettled(now)
 }
 
-// unsettle bars other orders, as the engine may work on one that nobody waits for.
-func (c *Core) unsettle(now time.Time) {
+// markUnsettled bars other orders, as the engine may work on one that nobody waits for.
+func (c *Core) markUnsettled(now time.Time) {
 	c.unsettledSince = now
 	c.unsettledUntil = now.Add(c.UnsettledTimeout)
 }
 
-// refuse says why o is not even looked at, or CauseNone.
-func (c *Core) refuse(o Order) Cause {
+// rejectionCause says why o is not even looked at, or CauseNone.
+func (c *Core) rejectionCause(o Order) Cause {
 	switch {
 	case o.FencingNumber == 0 || o.Kind == KindNone || o.Kind > KindSwitchMap:
 		return CauseMalformed
 	case o.AgentID != c.AgentID || o.Incarnation != c.Incarnation:
 		return CauseIncarnation
-	case !c.learnt:
+	case !c.highestKnown:
 		return CauseHighestUnknown
 	case o.FencingNumber < c.highest:
 		return CauseFenced
@@ -100,18 +100,18 @@
 	}
 }
 
-func (c *Core) refused(cause Cause) Decision {
+func (c *Core) reject(cause Cause) Decision {
 	return Decision{Action: ActionRefuse, Result: Result{Cause: cause}, Highest: c.highest}
 }
 
-// again answers an order with the highest number; it isn't known if that one came
+// repeat answers an order with the highest number; it isn't known if that one came
 // and wasn't sent yet.
-func (c *Core) again(o Order) (Decision, bool) {
+func (c *Core) repeat(o Order) (Decision, bool) {
 	switch {
-	case c.state == stateForeign:
-		return c.refused(CauseAnswerLost), true
+	case c.state == stateUnknown:
+		return c.reject(CauseAnswerLost), true
 	case o != c.last:
-		return c.refused(CauseConflict), true
+		return c.reject(CauseConflict), true
 	case c.state == stateRunning:
 		return Decision{Action: ActionJoin, Highest: c.highest}, true
 	case c.state == stateEnded:
@@ -126,7 +126,7 @@
 // An answer to any other order than the one at the engine changes nothing: it
 // comes late, of an order that was given up, and a later one may be in force.
 func (c *Core) Completed(now time.Time, number uint64, r Result) {
-	if !c.end(number, r) {
+	if !c.finish(number, r) {
 		return
 	}
 
@@ -137,15 +137,15 @@
 // still carry it out, so one that ignores numbers gets no other order for a while:
 // the late effect of this one would undo the later one's.
 func (c *Core) Unanswered(now time.Time, number uint64) {
-	c.start(now)
+	c.init(now)
 
-	if c.end(number, Result{Cause: CauseUnanswered}) {
-		c.unsettle(now)
+	if c.finish(number, Result{Cause: CauseUnanswered}) {
+		c.markUnsettled(now)
 	}
 }
 
-// end clears the engine of the order with this number.
-func (c *Core) end(number uint64, r Result) bool {
+// finish clears the engine of the order with this number.
+func (c *Core) finish(number uint64, r Result) bool {
 	if number == 0 || number != c.running {
 		return false
 	}
@@ -162,11 +162,11 @@
 
 // Report takes the engine's word on itself.
 func (c *Core) Report(now time.Time, r Report) {
-	c.start(now)
+	c.init(now)
 
 	if c.bootID != "" && r.BootID != c.bootID {
 		// What the former process worked on is gone with it.
-		c.end(c.running, Result{Cause: CauseEngineRestarted})
+		c.finish(c.running, Result{Cause: CauseEngineRestarted})
 		c.unsettledUntil = now
 	}
 
@@ -190,12 +190,12 @@
 // configuration. Until then a restarted agent takes no order: it could be one that
 // a later one has replaced.
 func (c *Core) ObserveNumber(number uint64) {
-	c.learnt = true
+	c.highestKnown = true
 
 	if number > c.highest {
 		c.highest = number
 		c.last = Order{}
-		c.state = stateForeign
+		c.state = stateUnknown
 	}
 }
 
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -112,14 +112,14 @@
 // DefaultUnsettledTimeout is how long an order without an answer bars later ones.
 const DefaultUnsettledTimeout = 10 * time.Minute
 
-// state is how far the order with the highest number has come.
-type state uint8
+// orderState is how far the order with the highest number has come.
+type orderState uint8
 
 const (
-	// stateForeign: the number was learnt, its order isn't known here.
-	stateForeign state = iota
-	// stateSeen: it came while another was running and wasn't sent.
-	stateSeen
+	// stateUnknown: the number was learnt, its order isn't known here.
+	stateUnknown orderState = iota
+	// stateNotSent: it came while another was running and wasn't sent.
+	stateNotSent
 	stateRunning
 	stateEnded
 )
--- a/internal/targetclient/door.go
+++ b/internal/targetclient/client.go
@@ -63,17 +63,17 @@
 }
 
 const (
-	// readBuffer holds some events of a stream (bytes).
-	readBuffer = 4 << 10
-	// inlineBody is the longest body that is sent before the answer is read (bytes).
+	// readBufferSize holds some events of a stream (bytes).
+	readBufferSize = 4 << 10
+	// maxInlineBody is the longest body that is sent before the answer is read (bytes).
 	// A target may answer before it has read a longer one and then stop reading.
-	inlineBody = 16 << 10
+	maxInlineBody = 16 << 10
 )
 
 // Open sends call to the target at address and returns the head of its answer. An
 // error is a *verdict.Error: NotRun only where not a byte has left.
-func (d *Client) Open(ctx context.Context, address netip.AddrPort, call *Request) (*Answer, error) {
-	dialer := net.Dialer{Timeout: d.DialTimeout, Deadline: call.Deadline, KeepAlive: -1}
+func (c *Client) Open(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
+	dialer := net.Dialer{Timeout: c.DialTimeout, Deadline: req.Deadline, KeepAlive: -1}
 
 	conn, err := dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
@@ -82,7 +82,7 @@
 
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 
-	answer, err := d.exchange(conn, call)
+	answer, err := c.roundTrip(conn, req)
 	if err != nil {
 		stop()
 		_ = conn.Close()
@@ -95,21 +95,21 @@
 	return answer, nil
 }
 
-func (d *Client) exchange(conn net.Conn, call *Request) (*Answer, error) {
-	if err := conn.SetDeadline(call.Deadline); err != nil {
+func (c *Client) roundTrip(conn net.Conn, req *Request) (*Answer, error) {
+	if err := conn.SetDeadline(req.Deadline); err != nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, Err: err}
 	}
 
-	if err := send(conn, call); err != nil {
+	if err := writeRequest(conn, req); err != nil {
 		return nil, err
 	}
 
-	limited := &io.LimitedReader{R: conn, N: int64(d.MaxHeaderBytes)}
-	buffered := bufio.NewReaderSize(limited, readBuffer)
+	limited := &io.LimitedReader{R: conn, N: int64(c.MaxHeaderBytes)}
+	buffered := bufio.NewReaderSize(limited, readBufferSize)
 
-	resp, err := readFinal(buffered, call.Method) //nolint:bodyclose // Answer.Close closes it
+	resp, err := readFinalHead(buffered, req.Method) //nolint:bodyclose // Answer.Close closes it
 	if err != nil {
-		return nil, broken(err)
+		return nil, brokenError(err)
 	}
 
 	limited.N = 1<<63 - 1
@@ -117,12 +117,12 @@
 	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, close: resp.Body.Close}, nil
 }
 
-// readFinal reads the head of the final answer, past informational ones.
-func readFinal(r *bufio.Reader, method string) (*http.Response, error) {
-	request := &http.Request{Method: method}
+// readFinalHead reads the head of the final answer, past informational ones.
+func readFinalHead(r *bufio.Reader, method string) (*http.Response, error) {
+	req := &http.Request{Method: method}
 
 	for {
-		resp, err := http.ReadResponse(r, request) //nolint:bodyclose // the caller of Open closes it
+		resp, err := http.ReadResponse(r, req) //nolint:bodyclose // the caller of Open closes it
 		if err != nil {
 			return nil, err //nolint:wrapcheck // broken wraps it
 		}
@@ -133,25 +133,25 @@
 	}
 }
 
-// send writes the call. Only where nothing was written is it sure not to run.
-func send(conn net.Conn, call *Request) error {
+// writeRequest writes the call. Only where nothing was written is it sure not to run.
+func writeRequest(conn net.Conn, req *Request) error {
 	var b strings.Builder
 
-	b.Grow(readBuffer / 4)
-	b.WriteString(call.Method + " " + call.URI + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
+	b.Grow(readBufferSize / 4)
+	b.WriteString(req.Method + " " + req.URI + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 
-	if len(call.Body) > 0 || call.Method != http.MethodGet && call.Method != http.MethodHead {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
+	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 
-	if err := call.Header.Write(&b); err != nil {
+	if err := req.Header.Write(&b); err != nil {
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, Err: err}
 	}
 
 	b.WriteString("\r\n")
 
-	if len(call.Body) <= inlineBody {
-		b.Write(call.Body)
+	if len(req.Body) <= maxInlineBody {
+		b.Write(req.Body)
 	}
 
 	n, err := io.WriteString(conn, b.String())
@@ -160,18 +160,18 @@
 	case err != nil && n == 0:
 		return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseTargetDown, Err: err}
 	case err != nil:
-		return broken(err)
+		return brokenError(err)
 	}
 
-	if len(call.Body) > inlineBody {
+	if len(req.Body) > maxInlineBody {
 		// The answer is read meanwhile. Closing the connection ends this too.
-		go func() { _, _ = conn.Write(call.Body) }()
+		go func() { _, _ = conn.Write(req.Body) }()
 	}
 
 	return nil
 }
 
-func broken(err error) error {
+func brokenError(err error) error {
 	cause := verdict.CauseBroken
 
 	var timeout net.Error
--- a/internal/targetclient/events.go
+++ b/internal/targetclient/event_reader.go
@@ -22,35 +22,35 @@
 // EventReader reads a stream event by event. A part of an event at the end of a stream
 // that broke off is never returned.
 type EventReader struct {
-	r    *bufio.Reader
-	most int
-	buf  []byte
+	r        *bufio.Reader
+	maxBytes int
+	buf      []byte
 }
 
 // NewEventReader returns a reader of the events in r, each at most most bytes long.
-func NewEventReader(r io.Reader, most int) *EventReader {
-	return &EventReader{r: bufio.NewReaderSize(r, readBuffer), most: most}
+func NewEventReader(r io.Reader, maxBytes int) *EventReader {
+	return &EventReader{r: bufio.NewReaderSize(r, readBufferSize), maxBytes: maxBytes}
 }
 
 // Next returns the next event, which holds until Next is called again. It returns
 // io.EOF where the stream ended whole.
-func (e *EventReader) Next() (Event, error) {
-	e.buf = e.buf[:0]
+func (r *EventReader) Next() (Event, error) {
+	r.buf = r.buf[:0]
 
 	var ev Event
 
 	for {
-		line, err := e.r.ReadSlice('\n')
-		if len(e.buf)+len(line) > e.most {
+		line, err := r.r.ReadSlice('\n')
+		if len(r.buf)+len(line) > r.maxBytes {
 			return Event{}, ErrEventTooLong
 		}
 
-		e.buf = append(e.buf, line...)
+		r.buf = append(r.buf, line...)
 
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
-		case errors.Is(err, io.EOF) && len(bytes.TrimSpace(e.buf)) > 0:
+		case errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.buf)) > 0:
 			return Event{}, io.ErrUnexpectedEOF
 		case err != nil:
 			return Event{}, err //nolint:wrapcheck // io.EOF must stay comparable
@@ -63,8 +63,8 @@
 			ev.ID, ev.HasID = n, err == nil
 		}
 
-		if len(line) == 0 && len(bytes.TrimSpace(e.buf)) > 0 {
-			ev.Bytes = e.buf
+		if len(line) == 0 && len(bytes.TrimSpace(r.buf)) > 0 {
+			ev.Bytes = r.buf
 
 			return ev, nil
 		}
@@ -72,4 +72,4 @@
 }
 
 // Buffered returns whether bytes of a next event are here already.
-func (e *EventReader) Buffered() bool { return e.r.Buffered() > 0 }
+func (r *EventReader) Buffered() bool { return r.r.Buffered() > 0 }
