--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -1,6 +1,6 @@
-// Package agentclient is the entry's side of the connection to agents: it sends
-// requests, reads the framed answers, and asks about attempts over new
-// connections. A connection that fell silent or broke is closed and never used again.
+// Package agentclient is the entry's client for agents. It sends requests, reads the
+// framed answers, and queries the outcome of attempts over new connections. A
+// connection that timed out or failed is closed and never reused.
 package agentclient
 
 import (
@@ -25,27 +25,29 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// RequestPath is where an agent takes framed requests.
+// RequestPath is the URL path at which an agent accepts requests and answers in frames.
 const RequestPath = "/v1/request"
 
 const (
-	// maxFrame bounds one frame, in bytes.
+	// maxFrame bounds the size of one frame, in bytes.
 	maxFrame = 1 << 20
-	// readBufferSize is the size of the buffer behind each answer, in bytes.
+	// readBufferSize is the size of the read buffer of each answer, in bytes.
 	readBufferSize = 4 << 10
 	// maxIdlePerAgent bounds the idle connections to one agent.
 	maxIdlePerAgent = 64
 )
 
-// Client holds the connections of one entry to all agents. Its fields are set before use.
+// Client holds the connections of one entry to all agents. Set its fields before use.
 type Client struct {
-	// ReadTimeout is how long an agent may send nothing before its connection counts
-	// as silent. Agents send a heartbeat each second.
+	// ReadTimeout is how long to wait for the next frame of an answer before the
+	// attempt fails as unresponsive. Agents send a heartbeat every second. It also
+	// bounds each Ask and Grant call.
 	ReadTimeout time.Duration
-	// DialTimeout bounds a dial; IdleFor is how long an idle connection is kept.
+	// DialTimeout bounds the default dialer's connection attempts. IdleConnTimeout is
+	// how long an idle connection is kept.
 	DialTimeout     time.Duration
 	IdleConnTimeout time.Duration
-	// Dial replaces the dialer, for tests and TLS.
+	// Dial replaces the default dialer, for TLS and in tests.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	once      sync.Once
@@ -53,16 +55,17 @@
 	unpooled  *http.Transport
 }
 
-// errReadTimeout is the cause with which a silent answer is cancelled.
-var errReadTimeout = eris.New("agent sent nothing for too long")
+// errReadTimeout is the cause with which an attempt is canceled after ReadTimeout.
+var errReadTimeout = eris.New("agent sent no frame within the read timeout")
 
-// Receiver takes an answer as it comes. Head comes once, before all Data.
+// Receiver holds the callbacks for an answer. Head is called at most once, and before
+// any call of Data.
 type Receiver struct {
 	Head func(*wire.Head) error
 	Data func([]byte) error
 }
 
-// Result is how an attempt ended: whole where Err is nil.
+// Result is the outcome of an attempt. Err is nil if the answer is complete.
 type Result struct {
 	Err  *verdict.Error
 	Load *wire.Load
@@ -84,7 +87,7 @@
 	})
 }
 
-// Send sends req to the agent at address and passes its answer on to rc.
+// Send sends req to the agent at address and passes the answer on to receiver.
 func (c *Client) Send(ctx context.Context, address netip.AddrPort, req *wire.Request, receiver Receiver) Result {
 	c.init()
 
@@ -110,8 +113,8 @@
 		return Result{Err: &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, Err: err}}
 	}
 
-	// The transport may send the body again on a reused connection that took no
-	// byte of it; anything more the agent refuses by the attempt's id.
+	// The transport may resend the body if a reused connection failed before any
+	// byte was written. The agent rejects every other duplicate by its attempt ID.
 	r.Header.Set("Content-Type", "application/x-protobuf")
 
 	resp, err := c.transport.RoundTrip(r)
@@ -128,9 +131,9 @@
 	result, err := in.run(resp.StatusCode)
 	if err != nil {
 		result.Err = c.classify(ctx, err)
-		// The transport keeps the connection of any answer that it has read to its
-		// end, also of a crossed or mixed one: the next request on it would get what
-		// else is out of step there.
+		// The transport pools the connection after any body that was read to its
+		// end, even if the answer belonged to another attempt or was corrupted. The
+		// next request on that connection could receive wrong data too.
 		_ = conn.Close()
 
 		return result
@@ -143,7 +146,7 @@
 	return result
 }
 
-// classify names the verdict of a connection's fault.
+// classify returns the verdict and cause of a failed attempt.
 func (c *Client) classify(ctx context.Context, err error) *verdict.Error {
 	var known *verdict.Error
 
@@ -161,15 +164,17 @@
 	}
 }
 
-// onReadTimeout closes the idle connections too: what lost track of one connection to
-// an agent has often lost its sisters, and each would cost a caller the wait again.
+// onReadTimeout closes all idle connections. A middlebox that dropped the state of one
+// connection has often dropped others to the same agent, and on each of them a
+// caller would wait for the whole timeout again.
 func (c *Client) onReadTimeout(err error) *verdict.Error {
 	c.transport.CloseIdleConnections()
 
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, Err: err}
 }
 
-// dialFailed reports whether err shows that no byte of the request was sent.
+// dialFailed reports whether the connection was never established, so that no byte of
+// the request was sent.
 func dialFailed(err error) bool {
 	var op *net.OpError
 
@@ -190,6 +195,7 @@
 
 var frameOptions = protodelim.UnmarshalOptions{MaxSize: maxFrame}
 
+// run reads frames up to the end or refusal frame, or the first error.
 func (r *reader) run(status int) (Result, error) {
 	if status != http.StatusOK {
 		return Result{}, eris.Errorf("agent answered with status %d", status)
@@ -204,7 +210,8 @@
 			return Result{}, eris.Wrap(err, "read frame")
 		}
 
-		// While the caller takes its time the agent is not the one who is silent.
+		// The time that the receiver takes, for instance to write to a slow caller,
+		// does not count towards the agent's timeout.
 		r.watchdog.Stop()
 
 		res, done, err := r.handleFrame(f)
@@ -214,9 +221,9 @@
 	}
 }
 
-// atEOF reads to the end of the answer, which comes right behind its last
-// frame: only then does the transport keep the connection. It reports false
-// where more bytes come instead, or nothing.
+// atEOF reports whether the response body ends right after the last frame. The
+// transport reuses a connection only after the body was read to its end. It returns
+// false if more bytes follow, or if nothing arrives within the read timeout.
 func (r *reader) atEOF() bool {
 	r.watchdog.Reset(r.readTimeout)
 
@@ -225,6 +232,7 @@
 	return errors.Is(err, io.EOF)
 }
 
+// handleFrame processes one frame and reports whether it was the last.
 func (r *reader) handleFrame(f *wire.Frame) (Result, bool, error) {
 	switch k := f.GetKind().(type) {
 	case *wire.Frame_Head:
@@ -242,12 +250,13 @@
 
 		return res, true, err
 	default:
-		return Result{}, true, eris.New("unknown frame")
+		return Result{}, true, eris.New("unknown frame kind")
 	}
 }
 
-// checkAttempt guards against crossed answers: a frame of another attempt means that
-// the connection carries somebody else's answer, and nothing of it is passed on.
+// checkAttempt guards against crossed answers. A frame with another attempt ID means
+// that the connection carries the answer to another request. Nothing of that frame is
+// passed on.
 func (r *reader) checkAttempt(attempt string) error {
 	if attempt == r.attempt {
 		return nil
@@ -262,7 +271,7 @@
 	}
 
 	if r.headSeen {
-		return eris.New("second head in one answer")
+		return eris.New("answer has a second head frame")
 	}
 
 	r.headSeen = true
@@ -272,7 +281,7 @@
 
 func (r *reader) handleData(b []byte) error {
 	if !r.headSeen {
-		return eris.New("data before head")
+		return eris.New("answer has a data frame before its head frame")
 	}
 
 	r.length += uint64(len(b))
@@ -281,15 +290,15 @@
 	return r.receiver.Data(b)
 }
 
-// handleEnd guards against answers that were cut or mixed on the way: length and
-// digest of what was passed on must be those of what the agent sent.
+// handleEnd guards against answers that were truncated or corrupted in transit: the
+// length and digest of the data passed on must match those in the end frame.
 func (r *reader) handleEnd(end *wire.End) (Result, error) {
 	if err := r.checkAttempt(end.GetAttemptID()); err != nil {
 		return Result{}, err
 	}
 
 	if !r.headSeen || end.GetLength() != r.length || end.GetDigest() != r.digest.Sum64() {
-		return Result{}, eris.New("answer is not what the agent sent")
+		return Result{}, eris.New("answer does not match the length or digest in its end frame")
 	}
 
 	return Result{Load: end.GetLoad()}, nil
@@ -298,9 +307,9 @@
 func (r *reader) handleRefusal(refusal *wire.Refusal) (Result, error) {
 	refused := &verdict.Error{Verdict: verdict.Verdict(refusal.GetVerdict()), Cause: verdict.Cause(refusal.GetCause())}
 
-	// An agent that could not read a request, or would not for lack of room, names
-	// no attempt. The cause helps the caller; but whose refusal it is nobody can
-	// tell, so that its word that the request did not run counts for nothing.
+	// An agent that could not read a request, or rejected it unread for lack of
+	// capacity, sends no attempt ID. The cause is still useful to the caller. But the
+	// refusal cannot be matched to this attempt, so NotRun cannot be trusted.
 	if refusal.GetAttemptID() == "" {
 		refused.Verdict = verdict.MayHaveRun
 	} else if err := r.checkAttempt(refusal.GetAttemptID()); err != nil {
@@ -314,7 +323,7 @@
 	return Result{Err: refused, Load: refusal.GetLoad()}, nil
 }
 
-// Close closes the idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.init()
 	c.transport.CloseIdleConnections()
--- a/internal/agentclient/client_test.go
+++ b/internal/agentclient/client_test.go
@@ -28,13 +28,14 @@
 const (
 	ownAttempt   = "attempt-1"
 	otherAttempt = "attempt-2"
-	// shortReadTimeout is how long a silent agent is waited for in tests of just that, patience
-	// in all others: a busy machine's pause must not pass for the agent's.
+	// shortReadTimeout is the read timeout in tests of the timeout itself. All other tests
+	// use longReadTimeout, so that a stall of a busy machine is not taken for an
+	// unresponsive agent.
 	shortReadTimeout = time.Second
 	longReadTimeout  = time.Minute
 )
 
-// scriptedAnswer is a scripted agent's answer under way.
+// scriptedAnswer writes the answer of a scripted agent.
 type scriptedAnswer struct {
 	w http.ResponseWriter
 	r *http.Request
@@ -48,7 +49,7 @@
 	_ = http.NewResponseController(s.w).Flush()
 }
 
-// reset ends the connection in the middle.
+// reset aborts the connection in the middle of the answer.
 func (s *scriptedAnswer) reset() { panic(http.ErrAbortHandler) }
 
 func head(id string) *wire.Frame {
@@ -61,15 +62,15 @@
 	return &wire.Frame{Kind: &wire.Frame_Heartbeat{Heartbeat: &wire.Heartbeat{AttemptID: id}}}
 }
 
-func end(id, whole string) *wire.Frame {
-	return &wire.Frame{Kind: &wire.Frame_End{End: &wire.End{AttemptID: id, Length: uint64(len(whole)), Digest: xxhash.Sum64String(whole)}}}
+func end(id, complete string) *wire.Frame {
+	return &wire.Frame{Kind: &wire.Frame_End{End: &wire.End{AttemptID: id, Length: uint64(len(complete)), Digest: xxhash.Sum64String(complete)}}}
 }
 
 func refusal(id string, v wire.Verdict) *wire.Frame {
 	return &wire.Frame{Kind: &wire.Frame_Refusal{Refusal: &wire.Refusal{AttemptID: id, Verdict: v, Cause: string(verdict.CauseOverload)}}}
 }
 
-// agent is a scripted agent on loopback that counts its connections.
+// agent is a scripted agent on the loopback interface. It counts its connections.
 type agent struct {
 	address     netip.AddrPort
 	connections atomic.Int32
@@ -77,21 +78,21 @@
 
 func newAgent(t *testing.T, answer func(s *scriptedAnswer)) *agent {
 	a := &agent{}
-	web := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == agentclient.RequestPath {
-			_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the other end go
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after reading the body
 		}
 
 		answer(&scriptedAnswer{w: w, r: r})
 	}))
-	web.Config.ConnState = func(_ net.Conn, s http.ConnState) {
+	server.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		if s == http.StateNew {
 			a.connections.Add(1)
 		}
 	}
-	web.Start()
-	t.Cleanup(web.Close)
-	a.address = netip.MustParseAddrPort(web.Listener.Addr().String())
+	server.Start()
+	t.Cleanup(server.Close)
+	a.address = netip.MustParseAddrPort(server.Listener.Addr().String())
 
 	return a
 }
@@ -103,28 +104,29 @@
 	return c
 }
 
-// recorder collects what is passed on.
+// recorder collects the data passed to its receiver. It sleeps for delay before each
+// part, like a slow caller.
 type recorder struct {
 	got   string
 	delay time.Duration
 }
 
-func (c *recorder) receiver() agentclient.Receiver {
+func (r *recorder) receiver() agentclient.Receiver {
 	return agentclient.Receiver{
 		Head: func(*wire.Head) error { return nil },
 		Data: func(b []byte) error {
-			time.Sleep(c.delay)
+			time.Sleep(r.delay)
 
-			c.got += string(b)
+			r.got += string(b)
 
 			return nil
 		},
 	}
 }
 
-// Whatever an agent, or what stands between, makes of an answer, the caller gets
-// the whole answer to its own request or is told what became of it: a booking
-// reported as not run that ran would be made again, and a kiln fired twice.
+// The agent or the network delays, truncates, corrupts or crosses an answer. The
+// caller must get the complete answer to its own request, or a verdict that is true.
+// If a booking that ran were reported as NotRun, it would be made a second time.
 func TestAnswers(t *testing.T) {
 	t.Parallel()
 
@@ -138,45 +140,45 @@
 		answer  func(s *scriptedAnswer)
 		verdict verdict.Verdict
 		cause   verdict.Cause
-		got     string
-		// kept says that the connection is used again.
-		kept bool
+		rec     string
+		// reused says that the next request goes over the same connection.
+		reused bool
 	}{
-		{"whole", complete, verdict.Ran, "", "abcd", true},
+		{"complete", complete, verdict.Ran, "", "abcd", true},
 		{"refused", func(s *scriptedAnswer) { s.frames(refusal(ownAttempt, wire.Verdict_NotRun)) }, verdict.NotRun, verdict.CauseOverload, "", true},
-		{"refused without a name", func(s *scriptedAnswer) { s.frames(refusal("", wire.Verdict_NotRun)) }, verdict.MayHaveRun, verdict.CauseOverload, "", true},
-		{"another's refusal", func(s *scriptedAnswer) { s.frames(refusal(otherAttempt, wire.Verdict_NotRun)) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
-		{"another's answer", func(s *scriptedAnswer) { s.frames(head(otherAttempt), data("xy"), end(otherAttempt, "xy")) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
-		{"another's heartbeat", func(s *scriptedAnswer) { s.frames(heartbeat(otherAttempt)) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
-		{"another's end", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab"), end(otherAttempt, "ab")) }, verdict.MayHaveRun, verdict.CauseCrossed, "ab", false},
-		{"silent at once", hang, verdict.MayHaveRun, verdict.CauseSilent, "", false},
-		{"silent in the middle", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")); hang(s) }, verdict.MayHaveRun, verdict.CauseSilent, "ab", false},
-		{"reset before an answer", func(s *scriptedAnswer) { s.reset() }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
-		{"reset in the middle", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")); s.reset() }, verdict.MayHaveRun, verdict.CauseBroken, "ab", false},
-		{"no end", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")) }, verdict.MayHaveRun, verdict.CauseBroken, "ab", false},
-		{"nothing", func(*scriptedAnswer) {}, verdict.MayHaveRun, verdict.CauseBroken, "", false},
+		{"refused without an attempt ID", func(s *scriptedAnswer) { s.frames(refusal("", wire.Verdict_NotRun)) }, verdict.MayHaveRun, verdict.CauseOverload, "", true},
+		{"refusal for another attempt", func(s *scriptedAnswer) { s.frames(refusal(otherAttempt, wire.Verdict_NotRun)) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
+		{"answer to another attempt", func(s *scriptedAnswer) { s.frames(head(otherAttempt), data("xy"), end(otherAttempt, "xy")) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
+		{"heartbeat of another attempt", func(s *scriptedAnswer) { s.frames(heartbeat(otherAttempt)) }, verdict.MayHaveRun, verdict.CauseCrossed, "", false},
+		{"end of another attempt", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab"), end(otherAttempt, "ab")) }, verdict.MayHaveRun, verdict.CauseCrossed, "ab", false},
+		{"unresponsive from the start", hang, verdict.MayHaveRun, verdict.CauseSilent, "", false},
+		{"unresponsive after some data", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")); hang(s) }, verdict.MayHaveRun, verdict.CauseSilent, "ab", false},
+		{"reset before the answer", func(s *scriptedAnswer) { s.reset() }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
+		{"reset after some data", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")); s.reset() }, verdict.MayHaveRun, verdict.CauseBroken, "ab", false},
+		{"no end frame", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab")) }, verdict.MayHaveRun, verdict.CauseBroken, "ab", false},
+		{"empty body", func(*scriptedAnswer) {}, verdict.MayHaveRun, verdict.CauseBroken, "", false},
 		{"data lost", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab"), end(ownAttempt, "abcd")) }, verdict.MayHaveRun, verdict.CauseBroken, "ab", false},
-		{"data mixed", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("xb"), end(ownAttempt, "ab")) }, verdict.MayHaveRun, verdict.CauseBroken, "xb", false},
+		{"data corrupted", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("xb"), end(ownAttempt, "ab")) }, verdict.MayHaveRun, verdict.CauseBroken, "xb", false},
 		{"data before head", func(s *scriptedAnswer) { s.frames(data("ab"), end(ownAttempt, "ab")) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
 		{"end before head", func(s *scriptedAnswer) { s.frames(end(ownAttempt, "")) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
 		{"two heads", func(s *scriptedAnswer) { s.frames(head(ownAttempt), head(ownAttempt)) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
-		{"unknown frame", func(s *scriptedAnswer) { s.frames(&wire.Frame{}) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
-		{"no frame", func(s *scriptedAnswer) { _, _ = s.w.Write([]byte("\x05hello")) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
+		{"unknown frame kind", func(s *scriptedAnswer) { s.frames(&wire.Frame{}) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
+		{"bytes that are not a frame", func(s *scriptedAnswer) { _, _ = s.w.Write([]byte("\x05hello")) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
 		{"frame of 2 MiB", func(s *scriptedAnswer) { s.frames(head(ownAttempt), data(string(make([]byte, 2<<20)))) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
 		{"wrong status", func(s *scriptedAnswer) { s.w.WriteHeader(http.StatusForbidden) }, verdict.MayHaveRun, verdict.CauseBroken, "", false},
-		{"bytes behind the end", func(s *scriptedAnswer) { complete(s); s.frames(head(otherAttempt)) }, verdict.Ran, "", "abcd", false},
+		{"bytes after the end frame", func(s *scriptedAnswer) { complete(s); s.frames(head(otherAttempt)) }, verdict.Ran, "", "abcd", false},
 	}
 
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			a, client, got := newAgent(t, tc.answer), newClient(t), &recorder{}
+			a, client, rec := newAgent(t, tc.answer), newClient(t), &recorder{}
 			if tc.cause == verdict.CauseSilent {
 				client.ReadTimeout = shortReadTimeout
 			}
 
-			res := client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, got.receiver())
+			res := client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, rec.receiver())
 
 			if tc.cause == "" {
 				require.Nil(t, res.Err)
@@ -186,30 +188,31 @@
 				require.Equal(t, tc.verdict, res.Err.Verdict)
 			}
 
-			require.Equal(t, tc.got, got.got)
+			require.Equal(t, tc.rec, rec.got)
 
 			_ = client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, (&recorder{}).receiver())
-			require.Equal(t, tc.kept, a.connections.Load() == 1, "%d connections", a.connections.Load())
+			require.Equal(t, tc.reused, a.connections.Load() == 1, "%d connections", a.connections.Load())
 		})
 	}
 }
 
-// A caller on a bad line takes longer over one part than an agent may be silent.
-// The agent has sent everything and must not be blamed: the answer is whole.
+// A slow caller takes longer to accept one part of the answer than the read timeout.
+// The agent has sent everything, so the answer must be complete and the attempt must
+// not fail as unresponsive.
 func TestSlowCallerIsNotAReadTimeout(t *testing.T) {
 	t.Parallel()
 
 	a := newAgent(t, func(s *scriptedAnswer) { s.frames(head(ownAttempt), data("ab"), data("cd"), end(ownAttempt, "abcd")) })
-	got := &recorder{delay: 2 * shortReadTimeout}
+	rec := &recorder{delay: 2 * shortReadTimeout}
 	client := newClient(t)
 	client.ReadTimeout = shortReadTimeout
-	res := client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, got.receiver())
+	res := client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, rec.receiver())
 	require.Nil(t, res.Err)
-	require.Equal(t, "abcd", got.got)
+	require.Equal(t, "abcd", rec.got)
 }
 
-// An agent's process is gone, and its VM refuses the connection: nothing was
-// sent, so the caller may be served by another target.
+// The agent's process has ended and its VM refuses the connection. Nothing was sent,
+// so the request may go to another target.
 func TestRefusedDialIsNotRun(t *testing.T) {
 	t.Parallel()
 
@@ -222,7 +225,7 @@
 	require.Equal(t, verdict.CauseTargetDown, res.Err.Cause)
 }
 
-// A caller hangs up while its booking is on the way: it may have run.
+// The caller disconnects while its request is in flight. The request may have run.
 func TestCanceledRequestMayHaveRun(t *testing.T) {
 	t.Parallel()
 
@@ -234,7 +237,7 @@
 	require.Equal(t, verdict.CauseCancelled, res.Err.Cause)
 }
 
-// askServer is an agent that answers Ask, and is silent on the first connection.
+// askServer answers every Ask with AskClosed.
 type askServer struct {
 	wire.Agent
 }
@@ -243,8 +246,9 @@
 	return &wire.AskResponse{State: wire.AskState_AskClosed}, nil
 }
 
-// What stands between entry and agent has lost track of one connection, which is
-// silent for good. The question what became of the request goes over a new one.
+// A middlebox between entry and agent has dropped the state of a connection, so that
+// nothing arrives on it any more. Each query for the outcome of the request must use
+// a new connection.
 func TestAskUsesNewConnection(t *testing.T) {
 	t.Parallel()
 
@@ -272,9 +276,9 @@
 	require.Nil(t, client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, (&recorder{}).receiver()).Err)
 
 	for range 2 {
-		r, err := client.Ask(t.Context(), a.address, &wire.AskRequest{AttemptID: ownAttempt})
+		resp, err := client.Ask(t.Context(), a.address, &wire.AskRequest{AttemptID: ownAttempt})
 		require.NoError(t, err)
-		require.Equal(t, wire.AskState_AskClosed, r.GetState())
+		require.Equal(t, wire.AskState_AskClosed, resp.GetState())
 	}
 
 	mu.Lock()
--- a/internal/agentclient/rpc.go
+++ b/internal/agentclient/rpc.go
@@ -10,9 +10,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Ask asks the agent at address what became of an attempt. It dials a new
-// connection each time, because the one that carried the attempt may be silent
-// for good while new ones work.
+// Ask queries the agent at address for the outcome of an attempt. It dials a new
+// connection each time, because the connection that carried the attempt may be dead
+// although new ones work.
 func (c *Client) Ask(ctx context.Context, address netip.AddrPort, req *wire.AskRequest) (*wire.AskResponse, error) {
 	c.init()
 
@@ -23,10 +23,10 @@
 
 	resp, err := client.Ask(ctx, req)
 
-	return resp, eris.Wrap(err, "ask agent")
+	return resp, eris.Wrap(err, "query attempt at agent")
 }
 
-// Grant asks the agent at address for a credit.
+// Grant requests a credit from the agent at address.
 func (c *Client) Grant(ctx context.Context, address netip.AddrPort, req *wire.GrantRequest) (*wire.GrantResponse, error) {
 	c.init()
 
@@ -37,5 +37,5 @@
 
 	resp, err := client.Grant(ctx, req)
 
-	return resp, eris.Wrap(err, "ask for credit")
+	return resp, eris.Wrap(err, "request credit from agent")
 }
--- a/internal/targetclient/client.go
+++ b/internal/targetclient/client.go
@@ -1,10 +1,10 @@
-// Package targetclient is an entry's own way into a target that has no agent: one HTTP
-// request over one fresh connection.
+// Package targetclient is the HTTP/1.1 client with which an entry proxies directly
+// to a target that has no agent. It opens a new connection for each request.
 //
-// A kept connection may hold the late second answer of an earlier request, may be
-// closed by the target while the next request crosses, or may have gone silent
-// unseen. A fresh one has none of these faults, so whatever comes on it answers
-// the one request that was sent on it.
+// A reused connection may still carry a late second response to an earlier request,
+// may be closed by the target just as the next request is sent, or may be dead
+// without either end having noticed. On a new connection, every byte received
+// belongs to the one request that was sent on it.
 package targetclient
 
 import (
@@ -22,20 +22,21 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Request is one request as it goes to a target.
+// Request is one request to a target.
 type Request struct {
 	Method string
-	// URI and Host are passed on as the caller sent them.
+	// URI and Host are forwarded unchanged from the caller's request.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Deadline is when an answer is of no use any more.
+	// Deadline is the time after which an answer is useless. It bounds all I/O on
+	// the connection.
 	Deadline time.Time
 }
 
-// Answer is a target's answer. Body must be read to its end before it counts as
-// whole, and Close must be called.
+// Answer is a target's response. It is complete only once Body has been read to
+// io.EOF. The caller must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -46,32 +47,36 @@
 	close func() error
 }
 
-// Close ends the connection. A target that is still at work stops then.
+// Close closes the connection, which also cancels the request if the target is
+// still working on it.
 func (a *Answer) Close() {
 	a.stop()
 	_ = a.close()
 	_ = a.conn.Close()
 }
 
-// Client opens calls to targets. Its fields are set before use.
+// Client sends requests to targets. Set its fields before use.
 type Client struct {
-	// DialTimeout bounds how long a connection may take to open. A target that is
-	// dark does not answer at all, and another one could.
+	// DialTimeout bounds the TCP handshake. A target that is powered off or
+	// unreachable never answers it, and the request can go to another target.
 	DialTimeout time.Duration
-	// MaxHeaderBytes bounds the head of an answer.
+	// MaxHeaderBytes bounds the status line and headers of a response.
 	MaxHeaderBytes int
 }
 
 const (
-	// readBufferSize holds some events of a stream (bytes).
+	// readBufferSize is the read buffer size in bytes, enough for several events of
+	// a stream.
 	readBufferSize = 4 << 10
-	// maxInlineBody is the longest body that is sent before the answer is read (bytes).
-	// A target may answer before it has read a longer one and then stop reading.
+	// maxInlineBody is the longest body, in bytes, that is written before the response
+	// is read. A target may respond before it has read all of a longer body and then
+	// stop reading, which would block the write.
 	maxInlineBody = 16 << 10
 )
 
-// Open sends call to the target at address and returns the head of its answer. An
-// error is a *verdict.Error: NotRun only where not a byte has left.
+// Open sends req to the target at address and returns once the response headers have
+// been read. Errors are of type *verdict.Error. The verdict is NotRun only if no
+// byte of the request was sent.
 func (c *Client) Open(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
 	dialer := net.Dialer{Timeout: c.DialTimeout, Deadline: req.Deadline, KeepAlive: -1}
 
@@ -117,14 +122,15 @@
 	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, close: resp.Body.Close}, nil
 }
 
-// readFinalHead reads the head of the final answer, past informational ones.
+// readFinalHead reads the headers of the final response and skips informational
+// (1xx) responses.
 func readFinalHead(r *bufio.Reader, method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
 
 	for {
 		resp, err := http.ReadResponse(r, req) //nolint:bodyclose // the caller of Open closes it
 		if err != nil {
-			return nil, err //nolint:wrapcheck // broken wraps it
+			return nil, err //nolint:wrapcheck // brokenError wraps it
 		}
 
 		if resp.StatusCode >= http.StatusOK {
@@ -133,7 +139,8 @@
 	}
 }
 
-// writeRequest writes the call. Only where nothing was written is it sure not to run.
+// writeRequest writes the request. It returns NotRun only if nothing was written;
+// after the first byte the target may run the request.
 func writeRequest(conn net.Conn, req *Request) error {
 	var b strings.Builder
 
@@ -164,13 +171,16 @@
 	}
 
 	if len(req.Body) > maxInlineBody {
-		// The answer is read meanwhile. Closing the connection ends this too.
+		// Written while the caller reads the response. The goroutine ends at the
+		// latest when the connection is closed.
 		go func() { _, _ = conn.Write(req.Body) }()
 	}
 
 	return nil
 }
 
+// brokenError wraps an error that occurred after the request was sent, when the
+// target may have run it. A timeout is reported as an exceeded deadline.
 func brokenError(err error) error {
 	cause := verdict.CauseBroken
 
--- a/internal/targetclient/event_reader.go
+++ b/internal/targetclient/event_reader.go
@@ -8,32 +8,34 @@
 	"strconv"
 )
 
-// ErrEventTooLong says that one event of a stream is longer than an event may be.
-var ErrEventTooLong = errors.New("door: an event of the stream is too long")
+// ErrEventTooLong is returned for an event that exceeds the reader's size limit.
+var ErrEventTooLong = errors.New("targetclient: event of the stream exceeds the size limit")
 
-// Event is one whole event of a stream, with the empty line that ends it.
+// Event is one complete server-sent event, including the empty line that ends it.
 type Event struct {
-	// ID is the event's number; HasID is false where it carries none.
+	// ID is the value of the id field. HasID is false if the event has no numeric id.
 	ID    uint64
 	HasID bool
 	Bytes []byte
 }
 
-// EventReader reads a stream event by event. A part of an event at the end of a stream
-// that broke off is never returned.
+// EventReader reads a stream of server-sent events. It never returns an incomplete
+// event from the end of an interrupted stream.
 type EventReader struct {
 	r        *bufio.Reader
 	maxBytes int
 	buf      []byte
 }
 
-// NewEventReader returns a reader of the events in r, each at most most bytes long.
+// NewEventReader returns a reader of the events in r. An event longer than maxBytes is
+// an error.
 func NewEventReader(r io.Reader, maxBytes int) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(r, readBufferSize), maxBytes: maxBytes}
 }
 
-// Next returns the next event, which holds until Next is called again. It returns
-// io.EOF where the stream ended whole.
+// Next returns the next event. Its bytes are valid until the next call of Next.
+// The error is io.EOF if the stream ended after a complete event and
+// io.ErrUnexpectedEOF if it ended within one.
 func (r *EventReader) Next() (Event, error) {
 	r.buf = r.buf[:0]
 
@@ -71,5 +73,5 @@
 	}
 }
 
-// Buffered returns whether bytes of a next event are here already.
+// Buffered reports whether bytes after the last event have already been received.
 func (r *EventReader) Buffered() bool { return r.r.Buffered() > 0 }
