--- a/internal/orders/core.go
+++ b/internal/orders/core.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// Core decides about the orders of one engine. Set the exported fields before the
-// first event. It is not safe for concurrent use.
+// Core decides about the orders for one engine. Set the exported fields before the
+// first call of a method. Core is not safe for concurrent use.
 type Core struct {
 	AgentID     string
 	Incarnation uint64
-	// UnsettledTimeout is how long an order that got no answer, or one that an earlier agent
-	// may have sent, bars later ones at an engine that ignores numbers.
+	// UnsettledTimeout is how long later orders are rejected after an order without an
+	// answer, or after a restart of the agent, whose previous incarnation may have sent
+	// one. It applies only to engines that ignore fencing numbers.
 	UnsettledTimeout time.Duration
 
 	highestKnown bool
 	highest      uint64
-	// last is the order with the highest number, state says how far it has come.
+	// last is the order with the highest number, state its progress, and result its
+	// result once it has ended.
 	last   Order
 	state  orderState
 	result Result
-	// running is the number of the order at the engine, 0 for none.
-	running  uint64
-	bootID   string
-	enforces bool
-	leaving  bool
-	// unsettledUntil is until when the engine may still carry out an order that
-	// nobody waits for any more.
+	// running is the number of the order that the engine is carrying out, or 0.
+	running         uint64
+	bootID          string
+	enforcesFencing bool
+	draining        bool
+	// Between unsettledSince and unsettledUntil the engine may still carry out an
+	// order whose answer is no longer awaited.
 	unsettledSince time.Time
 	unsettledUntil time.Time
 	reportedAt     time.Time
 	initialized    bool
 }
 
-// Submit decides about one order.
+// Submit decides whether o is sent to the engine, joined to the same running order,
+// answered from the recorded result, or rejected.
 func (c *Core) Submit(now time.Time, o Order) Decision {
 	c.init(now)
 
@@ -51,7 +54,7 @@
 	switch {
 	case c.running != 0:
 		return c.reject(CauseBusy)
-	case !c.enforces && now.Before(c.unsettledUntil):
+	case !c.enforcesFencing && now.Before(c.unsettledUntil):
 		return c.reject(CauseUnsettled)
 	}
 
@@ -61,8 +64,8 @@
 	return Decision{Action: ActionSend, Highest: c.highest}
 }
 
-// init assumes the worst about an agent's predecessor: that its last order is
-// still worked on.
+// init fills in the default timeout. It assumes the worst case, in which the engine
+// is still working on an order of the agent's previous incarnation.
 func (c *Core) init(now time.Time) {
 	if c.initialized {
 		return
@@ -76,13 +79,15 @@
 	c.markUnsettled(now)
 }
 
-// markUnsettled bars other orders, as the engine may work on one that nobody waits for.
+// markUnsettled blocks other orders for UnsettledTimeout, because the engine may still
+// be working on an order whose answer is no longer awaited.
 func (c *Core) markUnsettled(now time.Time) {
 	c.unsettledSince = now
 	c.unsettledUntil = now.Add(c.UnsettledTimeout)
 }
 
-// rejectionCause says why o is not even looked at, or CauseNone.
+// rejectionCause returns why o is rejected before it is compared with the last order,
+// or CauseNone.
 func (c *Core) rejectionCause(o Order) Cause {
 	switch {
 	case o.FencingNumber == 0 || o.Kind == KindNone || o.Kind > KindSwitchMap:
@@ -93,7 +98,7 @@
 		return CauseHighestUnknown
 	case o.FencingNumber < c.highest:
 		return CauseFenced
-	case c.leaving && o.FencingNumber != c.running:
+	case c.draining && o.FencingNumber != c.running:
 		return CauseLeaving
 	default:
 		return CauseNone
@@ -101,11 +106,11 @@
 }
 
 func (c *Core) reject(cause Cause) Decision {
-	return Decision{Action: ActionRefuse, Result: Result{Cause: cause}, Highest: c.highest}
+	return Decision{Action: ActionReject, Result: Result{Cause: cause}, Highest: c.highest}
 }
 
-// repeat answers an order with the highest number; it isn't known if that one came
-// and wasn't sent yet.
+// repeat decides about an order with the highest number seen so far. It reports false
+// if that order was received but never sent, so that it can be sent now.
 func (c *Core) repeat(o Order) (Decision, bool) {
 	switch {
 	case c.state == stateUnknown:
@@ -121,10 +126,10 @@
 	}
 }
 
-// Completed takes the engine's answer to the order with this number.
+// Completed records the engine's answer to the order with this number.
 //
-// An answer to any other order than the one at the engine changes nothing: it
-// comes late, of an order that was given up, and a later one may be in force.
+// An answer to an order that is not running is ignored. It is the late answer to an
+// order recorded as unanswered, and a later order may have replaced that one.
 func (c *Core) Completed(now time.Time, number uint64, r Result) {
 	if !c.finish(number, r) {
 		return
@@ -133,9 +138,9 @@
 	c.unsettledUntil = now
 }
 
-// Unanswered takes the end of an order without the engine's answer. The engine may
-// still carry it out, so one that ignores numbers gets no other order for a while:
-// the late effect of this one would undo the later one's.
+// Unanswered records that an order ended without the engine's answer. The engine may
+// still carry it out. An engine that ignores fencing numbers therefore gets no other
+// order for UnsettledTimeout, since the late effect of this one would undo the other.
 func (c *Core) Unanswered(now time.Time, number uint64) {
 	c.init(now)
 
@@ -144,7 +149,7 @@
 	}
 }
 
-// finish clears the engine of the order with this number.
+// finish ends the running order if it has this number, and reports whether it did.
 func (c *Core) finish(number uint64, r Result) bool {
 	if number == 0 || number != c.running {
 		return false
@@ -160,25 +165,26 @@
 	return true
 }
 
-// Report takes the engine's word on itself.
+// Report records a status report of the engine.
 func (c *Core) Report(now time.Time, r Report) {
 	c.init(now)
 
 	if c.bootID != "" && r.BootID != c.bootID {
-		// What the former process worked on is gone with it.
+		// The order ended with the previous engine process.
 		c.finish(c.running, Result{Cause: CauseEngineRestarted})
 		c.unsettledUntil = now
 	}
 
 	c.bootID = r.BootID
-	c.enforces = r.EnforcesFencing
+	c.enforcesFencing = r.EnforcesFencing
 
 	if r.HasHighest {
 		c.ObserveNumber(r.Highest)
 	}
 
-	// A report that was on its way may be older than the order. The engine writes one
-	// after the other, so only one that follows another since then tells.
+	// A report received after the order ended may have been written before. The engine
+	// writes its reports one after the other, so an idle report is conclusive only
+	// if another report has been received since the order ended.
 	if r.Idle && c.running == 0 && !c.reportedAt.Before(c.unsettledSince) {
 		c.unsettledUntil = now
 	}
@@ -186,9 +192,9 @@
 	c.reportedAt = now
 }
 
-// ObserveNumber takes a number that was used before, from the engine or from the control
-// configuration. Until then a restarted agent takes no order: it could be one that
-// a later one has replaced.
+// ObserveNumber records a fencing number that was used before, as reported by the
+// engine or by the control configuration. Until the first such number a restarted
+// agent rejects all orders, because a later order may have replaced them.
 func (c *Core) ObserveNumber(number uint64) {
 	c.highestKnown = true
 
@@ -199,11 +205,11 @@
 	}
 }
 
-// Drain refuses new orders for good; a running one ends.
-func (c *Core) Drain() { c.leaving = true }
+// Drain rejects all new orders from now on. A running order is carried out to its end.
+func (c *Core) Drain() { c.draining = true }
 
-// Running is the number of the order at the engine, 0 for none.
+// Running returns the number of the order that the engine is carrying out, or 0.
 func (c *Core) Running() uint64 { return c.running }
 
-// Highest is the highest number seen.
+// Highest returns the highest fencing number seen.
 func (c *Core) Highest() uint64 { return c.highest }
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// TestMain fixes the seed, unless the command line names another one.
+// TestMain fixes the random seed. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -36,18 +36,18 @@
 	}
 }
 
-// An engine would run an old adapter or map that a later order had replaced. Orders
-// come late, twice, with equal numbers, across restarts of agent and engine, or
-// their answers are lost.
+// Guards against an engine that runs an old adapter or map which a later order had
+// replaced. Orders arrive late, twice or with equal numbers, across restarts of the
+// agent and the engine, and answers are lost.
 func TestSubmit(t *testing.T) {
 	t.Parallel()
 
 	done := Result{Done: true}
 	send := Decision{Action: ActionSend, Highest: 5}
 	rejected := func(cause Cause, highest uint64) Decision {
-		return Decision{Action: ActionRefuse, Result: Result{Cause: cause}, Highest: highest}
+		return Decision{Action: ActionReject, Result: Result{Cause: cause}, Highest: highest}
 	}
-	// ran has order 5 sent and answered.
+	// ran submits order 5 and completes it.
 	ran := func(c *Core) {
 		c.ObserveNumber(4)
 		c.Submit(start, order(5, "v5"))
@@ -57,7 +57,7 @@
 		c.ObserveNumber(4)
 		c.Submit(start, order(5, "v5"))
 	}
-	late := start.Add(DefaultUnsettledTimeout)
+	afterTimeout := start.Add(DefaultUnsettledTimeout)
 
 	cases := []struct {
 		name   string
@@ -66,29 +66,29 @@
 		give   Order
 		want   Decision
 	}{
-		{"number not learnt after a restart", func(*Core) {}, start, order(5, "v5"), rejected(CauseHighestUnknown, 0)},
-		{"learnt from control", func(c *Core) { c.ObserveNumber(4) }, start, order(5, "v5"), send},
-		{"learnt from the engine", func(c *Core) {
+		{"highest number unknown after a restart", func(*Core) {}, start, order(5, "v5"), rejected(CauseHighestUnknown, 0)},
+		{"highest number received from control", func(c *Core) { c.ObserveNumber(4) }, start, order(5, "v5"), send},
+		{"highest number received from the engine", func(c *Core) {
 			c.Report(start, Report{BootID: "boot-1", Highest: 4, HasHighest: true})
 		}, start, order(5, "v5"), send},
-		{"learnt number used again", func(c *Core) { c.ObserveNumber(5) }, start, order(5, "v5"), rejected(CauseAnswerLost, 5)},
-		{"lower than learnt", func(c *Core) { c.ObserveNumber(6) }, start, order(5, "v5"), rejected(CauseFenced, 6)},
+		{"observed number used again", func(c *Core) { c.ObserveNumber(5) }, start, order(5, "v5"), rejected(CauseAnswerLost, 5)},
+		{"lower than the observed number", func(c *Core) { c.ObserveNumber(6) }, start, order(5, "v5"), rejected(CauseFenced, 6)},
 		{"control lags behind the engine", func(c *Core) {
 			c.Report(start, Report{BootID: "boot-1", Highest: 6, HasHighest: true})
 			c.ObserveNumber(2)
 		}, start, order(5, "v5"), rejected(CauseFenced, 6)},
-		{"lower than one that ran", ran, start, order(4, "v4"), rejected(CauseFenced, 5)},
-		{"resend after it ran", ran, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: done, Highest: 5}},
-		{"resend while it runs", running, start, order(5, "v5"), Decision{Action: ActionJoin, Highest: 5}},
-		{"same number, other content, after", ran, start, order(5, "v6"), rejected(CauseConflict, 5)},
-		{"same number, other content, during", running, start, order(5, "v6"), rejected(CauseConflict, 5)},
-		{"higher while one runs", running, start, order(6, "v6"), rejected(CauseBusy, 6)},
-		{"lower than one refused as busy", func(c *Core) {
+		{"lower than a completed order", ran, start, order(4, "v4"), rejected(CauseFenced, 5)},
+		{"resend of a completed order", ran, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: done, Highest: 5}},
+		{"resend of a running order", running, start, order(5, "v5"), Decision{Action: ActionJoin, Highest: 5}},
+		{"same number and other content, after completion", ran, start, order(5, "v6"), rejected(CauseConflict, 5)},
+		{"same number and other content, while running", running, start, order(5, "v6"), rejected(CauseConflict, 5)},
+		{"higher number while an order runs", running, start, order(6, "v6"), rejected(CauseBusy, 6)},
+		{"lower than an order rejected as busy", func(c *Core) {
 			running(c)
 			c.Submit(start, order(7, "v7"))
 			c.Completed(start, 5, done)
 		}, start, order(6, "v6"), rejected(CauseFenced, 7)},
-		{"resend of one refused as busy", func(c *Core) {
+		{"resend of an order rejected as busy", func(c *Core) {
 			running(c)
 			c.Submit(start, order(7, "v7"))
 			c.Completed(start, 5, done)
@@ -99,57 +99,57 @@
 
 			return o
 		}(), rejected(CauseIncarnation, 5)},
-		{"another agent", ran, start, func() Order {
+		{"other agent", ran, start, func() Order {
 			o := order(6, "v6")
 			o.AgentID = "agent-2"
 
 			return o
 		}(), rejected(CauseIncarnation, 5)},
-		{"no number", ran, start, order(0, "v"), rejected(CauseMalformed, 5)},
-		{"after an order without answer", func(c *Core) {
+		{"no fencing number", ran, start, order(0, "v"), rejected(CauseMalformed, 5)},
+		{"before the timeout of an unanswered order", func(c *Core) {
 			running(c)
 			c.Unanswered(start, 5)
-		}, late.Add(-1), order(6, "v6"), rejected(CauseUnsettled, 6)},
-		{"long after an order without answer", func(c *Core) {
+		}, afterTimeout.Add(-1), order(6, "v6"), rejected(CauseUnsettled, 6)},
+		{"after the timeout of an unanswered order", func(c *Core) {
 			running(c)
 			c.Unanswered(start, 5)
-		}, late, order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
-		{"resend of an order without answer", func(c *Core) {
+		}, afterTimeout, order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
+		{"resend of an unanswered order", func(c *Core) {
 			running(c)
 			c.Unanswered(start, 5)
 		}, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: Result{Cause: CauseUnanswered}, Highest: 5}},
-		{"no answer, and a report on its way says idle", func(c *Core) {
+		{"unanswered, one idle report that may be older", func(c *Core) {
 			running(c)
 			c.Unanswered(start.Add(1), 5)
 			c.Report(start.Add(2), Report{BootID: "boot-1", Idle: true})
 		}, start.Add(2), order(6, "v6"), rejected(CauseUnsettled, 6)},
-		{"no answer, but the engine says it is idle", func(c *Core) {
+		{"unanswered, second idle report", func(c *Core) {
 			running(c)
 			c.Unanswered(start.Add(1), 5)
 			c.Report(start.Add(2), Report{BootID: "boot-1", Idle: true})
 			c.Report(start.Add(3), Report{BootID: "boot-1", Idle: true})
 		}, start.Add(3), order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
-		{"no answer, but the engine refuses old numbers", func(c *Core) {
+		{"unanswered, engine enforces fencing", func(c *Core) {
 			running(c)
 			c.Unanswered(start, 5)
 			c.Report(start, Report{BootID: "boot-1", EnforcesFencing: true})
 		}, start, order(6, "v6"), Decision{Action: ActionSend, Highest: 6}},
-		{"engine restarted while it ran", func(c *Core) {
+		{"engine restarted while the order ran", func(c *Core) {
 			running(c)
 			c.Report(start, Report{BootID: "boot-2"})
 		}, start, order(5, "v5"), Decision{Action: ActionAnswer, Result: Result{Cause: CauseEngineRestarted}, Highest: 5}},
-		{"old number after the engine restarted", func(c *Core) {
+		{"lower number after the engine restarted", func(c *Core) {
 			ran(c)
 			c.Report(start, Report{BootID: "boot-2", HasHighest: true})
 		}, start, order(4, "v4"), rejected(CauseFenced, 5)},
-		{"late answer of an order given up", func(c *Core) {
+		{"late answer to an unanswered order", func(c *Core) {
 			running(c)
 			c.Unanswered(start, 5)
 			c.Report(start, Report{BootID: "boot-1", Idle: true})
 			c.Submit(start, order(6, "v6"))
 			c.Completed(start, 5, done)
 		}, start, order(6, "v6"), Decision{Action: ActionJoin, Highest: 6}},
-		{"agent leaving", func(c *Core) {
+		{"agent draining", func(c *Core) {
 			ran(c)
 			c.Drain()
 		}, start, order(6, "v6"), rejected(CauseLeaving, 5)},
@@ -166,8 +166,9 @@
 	}
 }
 
-// An engine would run an old version: the agent died while its engine, which
-// ignores numbers, worked on an order, and a new agent sends the next one at once.
+// The agent died while its engine, which ignores fencing numbers, was working on an
+// order. If the restarted agent sent the next order at once, the earlier one could
+// take effect after it and the engine would run an old version.
 func TestRestartedAgentWaitsForUnsettledOrder(t *testing.T) {
 	t.Parallel()
 
@@ -178,8 +179,9 @@
 	require.Equal(t, ActionSend, c.Submit(start.Add(DefaultUnsettledTimeout), order(5, "v5")).Action)
 }
 
-// The engine's state would go back, under any order of events. The model engine
-// ignores numbers, and carries out what it was sent at any later time, or never.
+// Checks under random events that an older order never takes effect after a later one.
+// The model engine ignores fencing numbers and carries out an order at any later
+// time, or never.
 func TestOlderOrderNeverOverridesLaterOne(t *testing.T) {
 	t.Parallel()
 
@@ -189,10 +191,10 @@
 		c.ObserveNumber(0)
 
 		var (
-			atEngine     []uint64 // sent, not carried out
+			atEngine     []uint64 // sent and not yet carried out
 			applied      uint64
 			unansweredAt time.Time
-			idle         bool // what the next report will say
+			idle         bool // Idle in the next report
 			incarnation  = uint64(3)
 		)
 
@@ -212,7 +214,7 @@
 
 		for range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "s")) * time.Second)
-			// An order that nobody waits for is carried out within SettleFor, or never.
+			// An unanswered order is carried out within UnsettledTimeout, or never.
 			if len(atEngine) > 0 && c.Running() == 0 && now.Sub(unansweredAt) >= DefaultUnsettledTimeout {
 				atEngine = nil
 			}
@@ -237,7 +239,7 @@
 				c.Report(now, Report{BootID: "boot-1", Idle: idle})
 				idle = len(atEngine) == 0
 			default:
-				// The agent restarts and learns the number from control.
+				// The agent restarts and receives the highest number from control.
 				if c.Running() != 0 {
 					unansweredAt = now
 				}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,14 +1,14 @@
-// Package orders decides which orders of the control plane an agent passes on to
-// its engine. It is a core without I/O: each method takes one event and the time
-// at which it happened. The caller serialises the calls.
+// Package orders decides which orders of the control plane an agent forwards to its
+// engine. It performs no I/O: each method handles one event, with the time at which
+// it happened as an argument. The caller serialises the calls.
 //
-// Orders carry fencing numbers, which only grow. Some engines refuse an old
-// number, others ignore it; so the number is checked here for all of them.
+// Orders carry fencing numbers, which only increase. Some engines reject an old
+// number and others ignore the number, so it is checked here for all engines.
 package orders
 
 import "time"
 
-// Kind is what an order changes.
+// Kind says what an order changes.
 type Kind uint8
 
 // The kinds of orders.
@@ -21,104 +21,107 @@
 	KindSwitchMap
 )
 
-// Order tells the engine to change. Two orders are the same if all fields are equal.
+// Order is a command to the engine to change its state. Two orders are the same if all
+// fields are equal.
 type Order struct {
 	AgentID       string
 	Incarnation   uint64
 	FencingNumber uint64
 	Kind          Kind
-	// Subject names the model, adapter or role; Version its version.
+	// Subject is the name of the model, adapter or role, and Version its version.
 	Subject string
 	Version string
-	// MapVersion and Step are set for expert maps; Payload holds the placement.
+	// MapVersion and Step are set for expert maps, and Payload holds the placement.
 	MapVersion uint64
 	Step       uint64
 	Payload    string
 }
 
-// Cause says why an order was not carried out.
+// Cause is the reason why an order was not carried out.
 type Cause string
 
-// The causes of refused and failed orders.
+// The causes of rejected and failed orders.
 const (
 	CauseNone Cause = ""
-	// CauseIncarnation: the order was meant for another agent or an earlier incarnation.
+	// CauseIncarnation: the order names another agent or another incarnation of this one.
 	CauseIncarnation Cause = "EarlierIncarnation"
-	// CauseHighestUnknown: after a restart the agent doesn't know the highest number yet.
+	// CauseHighestUnknown: the agent has restarted and has not received the highest
+	// fencing number yet.
 	CauseHighestUnknown Cause = "HighestNumberUnknown"
-	// CauseFenced: a higher number has been seen.
+	// CauseFenced: an order with a higher fencing number has been seen.
 	CauseFenced Cause = "FencedOff"
-	// CauseConflict: the same number came with other content.
+	// CauseConflict: an order with the same number and different content has been seen.
 	CauseConflict Cause = "FencingConflict"
-	// CauseAnswerLost: the number was used before the agent restarted; what became of
-	// it isn't known here. A new number settles it.
+	// CauseAnswerLost: the number was used before the agent restarted, and the result of
+	// that order is unknown. Submitting the order with a new number resolves it.
 	CauseAnswerLost Cause = "AnswerLost"
-	// CauseBusy: an earlier order is being carried out.
+	// CauseBusy: the engine is carrying out an earlier order.
 	CauseBusy Cause = "Busy"
-	// CauseUnsettled: an earlier order may still be worked on by an engine that ignores
-	// fencing numbers.
+	// CauseUnsettled: the engine ignores fencing numbers and may still be working on an
+	// earlier order.
 	CauseUnsettled Cause = "EarlierOrderUnsettled"
-	// CauseMalformed: the order has no number or an unknown kind.
+	// CauseMalformed: the order has no fencing number or an unknown kind.
 	CauseMalformed Cause = "Malformed"
-	// CauseLeaving: the agent is leaving.
+	// CauseLeaving: the agent is draining.
 	CauseLeaving Cause = "Leaving"
-	// CauseEngineRestarted: the engine restarted while it carried the order out.
+	// CauseEngineRestarted: the engine restarted while it was carrying out the order.
 	CauseEngineRestarted Cause = "EngineRestarted"
-	// CauseUnanswered: the engine didn't answer; it may still carry the order out.
+	// CauseUnanswered: the engine did not answer. It may still carry out the order.
 	CauseUnanswered Cause = "EngineSilent"
 )
 
-// Result is what became of an order.
+// Result is the outcome of an order.
 type Result struct {
 	Done  bool
 	Cause Cause
-	// Detail is the engine's own word on a failure.
+	// Detail is the engine's description of a failure.
 	Detail string
 }
 
-// Action is what the caller does with an order.
+// Action is what the caller of Submit must do with the order.
 type Action uint8
 
 const (
-	// ActionRefuse says: answer with Result; the order wasn't sent.
-	ActionRefuse Action = iota
-	// ActionAnswer says: answer with Result, the first answer to this order.
+	// ActionReject: answer with Result. The order is not sent.
+	ActionReject Action = iota
+	// ActionAnswer: answer with Result, which was recorded when the order ended.
 	ActionAnswer
-	// ActionSend says: send the order to the engine, then call Completed or Lost.
+	// ActionSend: send the order to the engine, then call Completed or Unanswered.
 	ActionSend
-	// ActionJoin says: the same order is being carried out, wait for its result.
+	// ActionJoin: the same order is being carried out. Wait for its result.
 	ActionJoin
 )
 
-// Decision is the answer to Give.
+// Decision is the result of Submit.
 type Decision struct {
 	Action  Action
 	Result  Result
 	Highest uint64
 }
 
-// Report is what the engine says of itself.
+// Report is a status report of the engine.
 type Report struct {
 	BootID string
-	// Highest is the highest number that the engine has seen, where Counts says that it keeps one.
+	// Highest is the highest fencing number that the engine has seen. It is valid only
+	// if HasHighest is set.
 	Highest    uint64
 	HasHighest bool
-	// EnforcesFencing says that the engine itself refuses an old number.
+	// EnforcesFencing says that the engine itself rejects old fencing numbers.
 	EnforcesFencing bool
-	// Idle says that the engine works on no order; false says nothing.
+	// Idle says that the engine is working on no order. False means unknown.
 	Idle bool
 }
 
-// DefaultUnsettledTimeout is how long an order without an answer bars later ones.
+// DefaultUnsettledTimeout is the default of Core.UnsettledTimeout.
 const DefaultUnsettledTimeout = 10 * time.Minute
 
-// orderState is how far the order with the highest number has come.
+// orderState is the progress of the order with the highest number.
 type orderState uint8
 
 const (
-	// stateUnknown: the number was learnt, its order isn't known here.
+	// stateUnknown: only the number was observed, its order is unknown.
 	stateUnknown orderState = iota
-	// stateNotSent: it came while another was running and wasn't sent.
+	// stateNotSent: the order was received but rejected as busy or unsettled.
 	stateNotSent
 	stateRunning
 	stateEnded
