--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -6,7 +6,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Bounds of the advice on when to try again.
+// Bounds on the delays after which an entry is advised to retry. The queue delays apply
+// to entries that wait for a slot, the others to rejected requests.
 const (
 	minRetryDelay      = 50 * time.Millisecond
 	maxRetryDelay      = 5 * time.Second
@@ -14,7 +15,7 @@
 	maxQueueRetryDelay = time.Second
 )
 
-// Admit decides about one request.
+// Admit decides whether one request is admitted.
 func (c *Core) Admit(now time.Time, r Request) Decision {
 	c.prepare()
 	c.attempts.expire(now)
@@ -55,8 +56,8 @@
 	return Decision{Admitted: true}
 }
 
-// Reject refuses a request that the shell found unfit, for the given cause. It
-// goes through the core so that a fit duplicate of it isn't let in later.
+// Reject rejects a request that the agent found invalid, for the given cause. It marks
+// the attempt as closed, so that a valid duplicate is not admitted later.
 func (c *Core) Reject(now time.Time, r Request, cause verdict.Cause) Decision {
 	c.prepare()
 	c.attempts.expire(now)
@@ -75,7 +76,8 @@
 	return Decision{Verdict: verdict.NotRun, Cause: cause}
 }
 
-// duplicate answers an attempt that is remembered. Only a closed one did not run.
+// duplicate returns the rejection of an attempt that is already stored. Only a closed
+// attempt is reported as NotRun.
 func (c *Core) duplicate(id string) (Decision, bool) {
 	a := c.attempts.byID[id]
 	if a == nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// checkCredit refuses what this incarnation never granted or no longer honours.
+// checkCredit rejects a credit that this incarnation did not grant or that has expired.
 func (c *Core) checkCredit(now time.Time, r Request, expiresAt time.Time) (Decision, bool) {
 	credit := r.Credit
 
@@ -100,19 +102,20 @@
 	case credit.AgentID != c.AgentID || credit.Incarnation != c.Incarnation:
 		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseIncarnation, RetryAt: now}, true
 	case c.attempts.mayHaveEvicted(expiresAt):
-		// So old that its attempt may have run and been forgotten.
+		// The credit is so old that its attempt may have run and been evicted.
 		return Decision{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCredit}, true
 	case c.creditExpired(now, expiresAt):
 		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseCredit, RetryAt: now}, true
 	case expiresAt.After(c.lastExpiry):
-		// Never granted. It isn't remembered, so nothing is promised about a duplicate.
+		// Never granted. The attempt is not stored, so a duplicate could still be
+		// admitted and NotRun would not be safe.
 		return Decision{Verdict: verdict.MayHaveRun, Cause: verdict.CauseMalformed}, true
 	}
 
 	return Decision{}, false
 }
 
-// rejectionCause says why a request with a good credit is not let in.
+// rejectionCause returns why a request with a valid credit is rejected.
 func (c *Core) rejectionCause(now time.Time, r Request) (verdict.Cause, bool) {
 	switch {
 	case c.draining:
@@ -132,12 +135,12 @@
 	return c.atCapacity(now, r.Credit)
 }
 
-// viewValid reports whether the configuration is known well enough to let work in.
+// viewValid reports whether the configuration is recent enough to admit work.
 //
-// It guards against an agent that a silent partition keeps from learning that its
-// zone was taken out. A stale agent relies on the entry's word, which can't be
-// older than the credit that the agent itself dated; where both are stale nobody
-// can tell, and the request is refused.
+// It guards against an agent that is partitioned from the control VMs and does not
+// receive that its zone was taken out of service. An agent whose lease has expired
+// relies on the entry's view, which cannot be older than the credit that this agent
+// issued. If both leases have expired, the request is rejected.
 func (c *Core) viewValid(now time.Time, r Request) bool {
 	if now.Before(c.view.FreshUntil) {
 		return true
@@ -146,12 +149,13 @@
 	return r.ViewFresh && r.ViewVersion >= c.view.Version
 }
 
-// announceTimedOut reports whether the target's announcements have stopped.
+// announceTimedOut reports whether the last announcement is older than AnnounceTimeout.
 func (c *Core) announceTimedOut(now time.Time) bool {
 	return !now.Before(c.target.announcedAt.Add(c.Settings.AnnounceTimeout))
 }
 
-// atCapacity reports whether the target has no room for a request on this credit.
+// atCapacity reports whether the target has no capacity for a request on this credit,
+// and returns the cause of the rejection.
 func (c *Core) atCapacity(now time.Time, credit Credit) (verdict.Cause, bool) {
 	cause := verdict.CauseOverload
 	if c.ramp.ramping() {
@@ -179,7 +183,7 @@
 	return cause, true
 }
 
-// retryAt advises when a refused request may find room.
+// retryAt advises when a retry of a rejected request may succeed.
 func (c *Core) retryAt(now time.Time, cause verdict.Cause) time.Time {
 	switch cause {
 	case verdict.CauseOverload, verdict.CauseColdLimit:
--- a/internal/admission/allocator.go
+++ b/internal/admission/allocator.go
@@ -3,45 +3,46 @@
 import "time"
 
 const (
-	// maxEntries bounds the entries that are known at a time.
+	// maxEntries bounds the number of entries with state.
 	maxEntries = 4096
-	// sweepInterval is how often lapsed reservations are looked for, at most.
+	// sweepInterval is the shortest time between two sweeps for expired state.
 	sweepInterval = 10 * time.Millisecond
-	// queueWindow is how many of the longest waiting entries may take the next free place.
-	// Held for the first alone, the place would stay empty until that one asks again.
+	// queueWindow is how many of the longest waiting entries may take the next free slot.
+	// A slot held for the first one alone would stay unused until that one asks again.
 	queueWindow = 8
-	// maxSlotHold is how long a place is kept for those that wait; then whoever asks gets
-	// it. Entries that went elsewhere seem to wait for a while, and a target would
-	// idle for their sake.
+	// maxSlotHold is how long a free slot is held for waiting entries. After that any
+	// entry may take it. An entry that went to another target still counts as waiting
+	// for a while, and the slot would stay unused.
 	maxSlotHold = 10 * time.Millisecond
-	// maxBypassed is how many others may be served before the longest waiting entry;
-	// then a place is kept for it.
+	// maxBypassed is how many other entries may get slots before the longest waiting
+	// entry. After that a slot is held for it.
 	maxBypassed = 32
 )
 
-// allocator divides the limit among the entries that ask for credits.
+// allocator divides the limit among the entries that request credits.
 //
-// The slots of a credit advise an entry how much to send. Those that an entry has
-// asked for are reserved for a moment, so that the request it asked for is let in;
-// then, and for credits that ride on answers, a request is let in wherever there
-// is room that nobody has reserved.
+// The slots of a credit advise an entry how much to send. Slots that an entry requested
+// are reserved for ReservationTTL, so that the request they are meant for is admitted.
+// After that, and on credits sent along with answers, a request is admitted if there
+// is capacity that is not reserved.
 //
-// It guards against parked capacity and starved entries where hundreds share a
-// limit of two: reservations lapse soon, an answer reserves nothing, and entries
-// that ask again and again are served in about the order in which they came.
+// It guards against unused capacity and starved entries where hundreds of entries share
+// a limit of two. Reservations expire soon, credits sent along with answers reserve
+// nothing, and entries that keep asking get slots in about the order of arrival.
 type allocator struct {
 	entries map[string]*entry
-	// queue holds the entries that asked in vain more than once, longest waiting first.
+	// queue holds the entries that have been denied slots more than once, longest
+	// waiting first.
 	queue  []*entry
 	serial uint64
-	// total is over all entries.
-	total   usage
-	sweepAt time.Time
-	// slotFreeSince is since when there has been a free place, or zero.
+	// total is the usage of all entries.
+	total     usage
+	nextSweep time.Time
+	// slotFreeSince is since when a slot has been free, or zero.
 	slotFreeSince time.Time
 }
 
-// update alters e and keeps the sum right.
+// update applies a change to e and adjusts the total.
 func (a *allocator) update(e *entry, apply func(e *entry)) {
 	a.total = a.total.minus(e.usage())
 	apply(e)
@@ -52,7 +53,7 @@
 	a.total.waiting += u.waiting
 }
 
-// entryFor returns the standing of an entry.
+// entryFor returns the state of the entry with this ID, and creates it if needed.
 func (a *allocator) entryFor(id string) *entry {
 	e := a.entries[id]
 	if e == nil {
@@ -63,19 +64,20 @@
 	return e
 }
 
-// atEntryLimit reports whether there is no place for one more entry with this ID.
+// atEntryLimit reports whether the entry with this ID is new and exceeds maxEntries.
 func (a *allocator) atEntryLimit(id string) bool {
 	return a.entries[id] == nil && len(a.entries) >= maxEntries
 }
 
-// sweep drops lapsed reservations and turns, and entries that hold nothing. Between
-// sweeps a lapsed one counts still, which refuses a little too much.
+// sweep removes expired reservations and queue positions, and entries without usage.
+// Until the next sweep, an expired reservation still counts and may cause a few
+// rejections too many.
 func (a *allocator) sweep(now time.Time) {
-	if now.Before(a.sweepAt) {
+	if now.Before(a.nextSweep) {
 		return
 	}
 
-	a.sweepAt = now.Add(sweepInterval)
+	a.nextSweep = now.Add(sweepInterval)
 
 	for id, e := range a.entries {
 		a.expire(e, now)
@@ -97,7 +99,7 @@
 	a.queue = kept
 }
 
-// markActive notes that e is active.
+// markActive marks e as active until the given time.
 func (a *allocator) markActive(e *entry, until time.Time) {
 	e.activeUntil = until
 
@@ -106,7 +108,7 @@
 	}
 }
 
-// expire drops what of e has expired.
+// expire removes the expired parts of e's state.
 func (a *allocator) expire(e *entry, now time.Time) {
 	if e.reserved > 0 && !e.reservedUntil.After(now) {
 		a.update(e, func(e *entry) { e.reserved = 0 })
@@ -129,7 +131,7 @@
 	})
 }
 
-// markWaiting records that e asked in vain.
+// markWaiting records that e was denied a slot. From the second time on, e is queued.
 func (a *allocator) markWaiting(e *entry, until time.Time) {
 	a.update(e, func(e *entry) { e.unmetRequests++ })
 	e.waitingUntil = until
@@ -140,7 +142,8 @@
 	}
 }
 
-// recordAllocation records that e got a place, before others that wait for one.
+// recordAllocation records that e got a slot. If e was not the longest waiting entry,
+// that one was bypassed.
 func (a *allocator) recordAllocation(e *entry) {
 	a.slotFreeSince = time.Time{}
 
@@ -153,7 +156,7 @@
 	}
 }
 
-// longestWaiting is the longest waiting entry, or nil.
+// longestWaiting returns the longest waiting entry, or nil.
 func (a *allocator) longestWaiting() *entry {
 	for _, e := range a.queue {
 		if e.queued {
@@ -164,7 +167,8 @@
 	return nil
 }
 
-// heldForQueue counts the places, of the room that is free now, that are kept for entries before e.
+// heldForQueue returns how many of the available slots are held for entries that have
+// waited longer than e.
 func (a *allocator) heldForQueue(now time.Time, e *entry, available int) int {
 	if available <= 0 {
 		return 0
@@ -199,7 +203,7 @@
 	return n
 }
 
-// queuePosition is how many entries have waited longer than e.
+// queuePosition returns how many entries have waited longer than e.
 func (a *allocator) queuePosition(e *entry) int {
 	n := 0
 
@@ -216,7 +220,7 @@
 	return n
 }
 
-// started and finished count the requests in flight of an entry.
+// started records that a request of an entry was admitted.
 func (a *allocator) started(id string) {
 	a.slotFreeSince = time.Time{}
 	a.update(a.entryFor(id), func(e *entry) {
@@ -225,6 +229,7 @@
 	})
 }
 
+// finished records that a request of an entry has ended.
 func (a *allocator) finished(id string, now time.Time) {
 	if a.slotFreeSince.IsZero() {
 		a.slotFreeSince = now
@@ -235,13 +240,14 @@
 	}
 }
 
-// allocate returns how many slots of limit e gets: its fair share at least, more
-// where the others leave room, and no more than there is room for now.
+// allocate returns how many slots of the limit e may use: its fair share, or more if no
+// other entry waits, but no more than are available.
 func (a *allocator) allocate(now time.Time, e *entry, limit int) int {
 	others := a.total.minus(e.usage())
 	available := limit - others.reserved
 	available -= a.heldForQueue(now, e, available)
-	// One more than there are may come, and shall find its part.
+	// The share is computed for one entry more than there are, so that a new entry
+	// finds its share free.
 	fair := max(limit/(others.active+2), 1)
 	n := min(e.requested, available)
 
@@ -254,17 +260,18 @@
 	return max(n, 0)
 }
 
-// othersWait reports whether other entries than e wait.
+// othersWait reports whether any entry other than e waits.
 func (a *allocator) othersWait(e *entry) bool {
 	return a.total.waiting > e.usage().waiting
 }
 
-// allocationReserve is an eighth of the limit, left for entries that come next, so that one
-// that took all doesn't keep them waiting for its credit to expire.
+// allocationReserve returns the part of the limit, an eighth, that is left for new
+// entries. Otherwise one entry could take all slots, and others would have to wait until
+// its reservation expires.
 func allocationReserve(limit int) int { return limit / 8 }
 
-// hasFreeSlot reports whether e may have one more request than its slots: where there is
-// room that nobody else has reserved or waits for.
+// hasFreeSlot reports whether e may use a slot beyond its reserved ones, that is,
+// whether one is free that is neither reserved nor held for another entry.
 func (a *allocator) hasFreeSlot(now time.Time, e *entry, limit int) bool {
 	available := limit - a.total.minus(e.usage()).reserved - e.inFlight
 
--- a/internal/admission/allocator_test.go
+++ b/internal/admission/allocator_test.go
@@ -28,13 +28,13 @@
 		name string
 		// next is when a refused entry asks again.
 		next func(step, e int, advice time.Duration) int
-		// rest is when a served entry has its next request, after the end of this one.
-		rest    int
-		minBusy float64
-		// waits: each entry waits here until it is served. One that passes by is
+		// idleSteps is when a served entry has its next request, after the end of this one.
+		idleSteps      int
+		minUtilization float64
+		// neverStarves: each entry waits here until it is served. One that passes by is
 		// promised no turn.
-		waits     bool
-		maxSpread int
+		neverStarves bool
+		maxSpread    int
 	}{
 		{"pass by", func(step, e int, _ time.Duration) int { return step + 40 + (e*7919+step*31)%97 }, 90, 0.9, false, 60},
 		{"wait at their own pace", func(step, _ int, _ time.Duration) int { return step + 10 }, 1, 0.6, true, 20},
@@ -51,7 +51,7 @@
 			completed := make([]int, entries)
 			nextRequestAt := make([]int, entries)
 			ends := map[int][]Request{}
-			busy, requests := 0, 0
+			busySlots, requests := 0, 0
 
 			for e := range entries {
 				nextRequestAt[e] = e % 40
@@ -76,20 +76,20 @@
 					if r := h.request(g.Credit); g.Credit.Slots > 0 && h.core.Admit(h.now, r).Admitted {
 						completed[e]++
 						ends[now+durationSteps] = append(ends[now+durationSteps], r)
-						nextRequestAt[e] = now + durationSteps + tc.rest
+						nextRequestAt[e] = now + durationSteps + tc.idleSteps
 					}
 				}
 
 				require.LessOrEqual(t, len(h.core.running), 2)
-				busy += len(h.core.running)
+				busySlots += len(h.core.running)
 				h.advance(step)
 			}
 
-			utilization := float64(busy) / (2 * steps)
+			utilization := float64(busySlots) / (2 * steps)
 			t.Logf("served %d to %d times, busy %.2f, asks %d", slices.Min(completed), slices.Max(completed), utilization, requests)
-			require.True(t, !tc.waits || slices.Min(completed) > 0, "an entry was starved")
+			require.True(t, !tc.neverStarves || slices.Min(completed) > 0, "an entry was starved")
 			require.LessOrEqual(t, slices.Max(completed)-slices.Min(completed), tc.maxSpread)
-			require.GreaterOrEqual(t, utilization, tc.minBusy, "the target idled")
+			require.GreaterOrEqual(t, utilization, tc.minUtilization, "the target idled")
 		})
 	}
 }
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -7,66 +7,69 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// attemptState is what the agent knows of one attempt.
+// attemptState is the state of one attempt as far as the agent has seen it.
 type attemptState uint8
 
 const (
-	// stateRunning: admitted and not ended.
+	// stateRunning: the attempt was admitted and has not ended.
 	stateRunning attemptState = iota
-	// stateRan: it ended with a whole answer.
+	// stateRan: the attempt ended with a complete answer.
 	stateRan
-	// stateClosed: it did not run and never will.
+	// stateClosed: the attempt did not run and will never be admitted.
 	stateClosed
-	// stateOutcomeUnknown: it was sent to the target, and nobody can tell what became of it.
+	// stateOutcomeUnknown: the attempt was sent to the target and may have run.
 	stateOutcomeUnknown
 )
 
-// attempt is one remembered attempt.
+// attempt is the record of one attempt.
 type attempt struct {
 	id      string
 	state   attemptState
 	entryID string
-	// expiresAt is when the credit of the attempt expires.
+	// expiresAt is when the attempt's credit expires.
 	expiresAt time.Time
-	// evictAt is when an ended attempt leaves the memory.
+	// evictAt is when the record of an ended attempt is removed.
 	evictAt    time.Time
 	admittedAt time.Time
-	// epoch is the ramp's at admission, depth counts the requests in flight then.
+	// epoch is the ramp's epoch at admission. concurrency is the number of requests
+	// in flight at admission, including this one.
 	epoch       uint64
 	concurrency int
-	// firstTokenSeen says that the first byte of the answer was seen; slow that it came late.
+	// firstTokenSeen says that the first byte of the answer has arrived, slow that it
+	// arrived late.
 	firstTokenSeen bool
 	slow           bool
 	answer         *wire.Answer
 }
 
-// firstTokenSample is how long a has waited for its first token at now.
+// firstTokenSample returns a sample for a first token that arrives now.
 func (a *attempt) firstTokenSample(now time.Time) firstTokenSample {
 	return firstTokenSample{wait: now.Sub(a.admittedAt), concurrency: a.concurrency}
 }
 
-// attemptStore remembers attempts, so that a duplicate is refused and an entry can ask.
+// attemptStore records attempts, so that duplicates are rejected and entries can query
+// outcomes.
 //
-// It guards against a second run of a request whose message was duplicated or
-// came late. An attempt is remembered at least until its credit has expired;
-// from then on the expiry itself refuses a duplicate, so memory is bounded and
-// still safe against duplicates of any age.
+// It guards against a second run of a request whose message was duplicated or delayed.
+// A record is kept at least until the attempt's credit has expired. From then on a
+// duplicate is rejected because of its expired credit. The store is therefore bounded
+// and still protects against duplicates of any age.
 type attemptStore struct {
 	byID map[string]*attempt
-	// closed holds the closed attempts, ended those that ran or may have.
+	// closed holds the closed attempts, ended those that ran or may have run.
 	closed evictionQueue
 	ended  evictionQueue
-	// evictedUpTo is the latest credit expiry of a forgotten attempt that may have
-	// run. Of an unknown attempt with a later credit it is certain that it didn't.
+	// evictedUpTo is the latest credit expiry of all evicted attempts that may have
+	// run. An attempt without a record whose credit expires later has not run.
 	evictedUpTo time.Time
-	// revokedUpTo: credits that expire no later are refused, see revoke.
+	// revokedUpTo is the time up to which credit expiries are revoked. See revoke.
 	revokedUpTo time.Time
-	// answers holds ended attempts with an answer, oldest first.
+	// answers holds the ended attempts with a recorded answer, oldest first.
 	answers     []*attempt
 	answerBytes int
 }
 
-// add remembers a.
+// add stores a.
 func (s *attemptStore) add(a *attempt) {
 	if s.byID == nil {
 		s.byID = make(map[string]*attempt)
@@ -80,8 +83,9 @@
 	}
 }
 
-// end moves a running attempt to state. A closed one is remembered like any
-// closed one, until its credit expires; else forgetAt says how long. Its answer is kept within maxBytes for all answers.
+// end moves a running attempt to state. A closed attempt is kept until its credit
+// expires, any other until evictAt. The answer is recorded, and the oldest answers are
+// dropped until all of them fit in maxBytes.
 func (s *attemptStore) end(a *attempt, state attemptState, evictAt time.Time, answer *wire.Answer, maxBytes int) {
 	a.state = state
 	a.evictAt = evictAt
@@ -108,7 +112,7 @@
 	}
 }
 
-// dropOldestAnswer forgets the oldest answer, but not that its attempt ran.
+// dropOldestAnswer drops the oldest recorded answer but keeps the attempt's record.
 func (s *attemptStore) dropOldestAnswer() {
 	a := s.answers[0]
 	s.answers[0] = nil
@@ -120,8 +124,8 @@
 	}
 }
 
-// ensureCapacity reports whether one more attempt may be remembered. Where needed it
-// forgets ended ones early, but none whose credit still holds.
+// ensureCapacity reports whether one more attempt may be stored. If needed it evicts
+// ended attempts early, but none whose credit is still valid.
 func (s *attemptStore) ensureCapacity(now time.Time, maxAttempts int) bool {
 	for len(s.byID) >= maxAttempts {
 		if len(s.ended) == 0 || s.ended[0].expiresAt.After(now) {
@@ -134,7 +138,7 @@
 	return true
 }
 
-// evictEnded drops the ended attempt whose time comes first.
+// evictEnded removes the ended attempt with the earliest eviction time.
 func (s *attemptStore) evictEnded() {
 	a := heap.Pop(&s.ended).(*attempt)
 	delete(s.byID, a.id)
@@ -149,7 +153,7 @@
 	}
 }
 
-// expire drops the attempts whose time has come.
+// expire removes all attempts whose eviction time has passed.
 func (s *attemptStore) expire(now time.Time) {
 	for s.closed.due(now) {
 		delete(s.byID, heap.Pop(&s.closed).(*attempt).id)
@@ -164,23 +168,25 @@
 	}
 }
 
-// revoke refuses from now on every credit that expires no later than at.
+// revoke invalidates every credit that expires at or before at.
 //
-// It stands in for remembering a refused attempt when the memory is full:
-// without it a duplicate of a request refused as not run could be let in later,
-// and the refusal would have been a lie. Credits granted later expire later.
+// It replaces the record of a rejected attempt when the store is full. Otherwise a
+// duplicate of a request that was reported as NotRun could be admitted later. Credits
+// granted later expire later and are not affected.
 func (s *attemptStore) revoke(at time.Time) {
 	if at.After(s.revokedUpTo) {
 		s.revokedUpTo = at
 	}
 }
 
-// mayHaveEvicted reports whether an unknown attempt with this credit expiry may have run.
+// mayHaveEvicted reports whether an attempt without a record, whose credit has this
+// expiry, may have run and been evicted.
 func (s *attemptStore) mayHaveEvicted(expiresAt time.Time) bool {
 	return !expiresAt.After(s.evictedUpTo)
 }
 
-// answerSize is what a recorded answer counts for, in bytes.
+// answerSize returns the size of an answer in bytes: its body, header names and header
+// values.
 func answerSize(a *wire.Answer) int {
 	n := len(a.GetBody())
 	for _, h := range a.GetHeaders() {
@@ -190,10 +196,10 @@
 	return n
 }
 
-// evictionQueue orders ended attempts by forgetAt.
+// evictionQueue is a heap of ended attempts, ordered by evictAt.
 type evictionQueue []*attempt
 
-// due reports whether the first attempt is to be forgotten at now.
+// due reports whether the first attempt's eviction time has passed.
 func (q evictionQueue) due(now time.Time) bool {
 	return len(q) > 0 && !q[0].evictAt.After(now)
 }
--- a/internal/admission/baseline.go
+++ b/internal/admission/baseline.go
@@ -6,55 +6,62 @@
 )
 
 const (
-	// baselineSamples is how many first-token times the norm is learnt from.
+	// baselineSamples is how many of the latest first-token times form the baseline.
 	baselineSamples = 64
-	// minBaselineSamples is how many samples there must be before any is judged.
+	// minBaselineSamples is how many samples are needed before any time counts as slow.
 	minBaselineSamples = 16
-	// thresholdUpdateSamples is after how many samples the bound is worked out anew.
+	// thresholdUpdateSamples is after how many samples the threshold is recomputed.
 	thresholdUpdateSamples = 8
-	// slowStreakLimit is how many slow answers in a row are a sign of cold.
+	// slowStreakLimit is how many consecutive slow first tokens indicate a cold target.
 	slowStreakLimit = 4
-	// rebuildAfterSlow is how many slow answers at a ramping target make the norm forgotten.
+	// rebuildAfterSlow is how many slow first tokens at a ramping target reset the baseline.
 	rebuildAfterSlow = 32
-	// A first token is slow past medianFactor times the median and tailFactor times the 90th percentile.
+	// A first token is slow if it takes longer than medianFactor times the median and
+	// than p90Factor times the 90th percentile.
 	medianFactor = 4
 	p90Factor    = 2
-	// minSlowThreshold is a first-token time that is never slow: a cold start takes longer, and
-	// on quick services the scheduler's jitter is many times the median.
+	// minSlowThreshold is the lowest threshold. A cold start takes longer than this,
+	// and on fast services scheduling jitter is many times the median.
 	minSlowThreshold = 100 * time.Millisecond
-	// maxConcurrencyFactor bounds how much longer a first token may take in a burst.
+	// maxConcurrencyFactor bounds the factor by which the threshold rises in a burst.
 	maxConcurrencyFactor = 16
 )
 
-// firstTokenBaseline learns the usual first-token time and tells when answers are far off it.
+// firstTokenBaseline tracks the typical time to the first token and detects times far
+// above it.
 //
-// It guards against a target that turned cold without a word: first tokens then
-// come many times later than usual. One outlier doesn't count (slowInRow), nor
-// does a mix of short and long prompts (the 90th percentile is part of the
-// bound), nor a slow drift of load (the samples follow it), nor a burst (where
-// requests queue, a first token takes longer by as much as there are more of them).
+// It guards against a target that turned cold without reporting it, so that first
+// tokens take many times longer than before. These do not count as cold:
+//   - single outliers, because slowStreakLimit consecutive slow times are required;
+//   - a mix of short and long prompts, because the threshold includes the 90th
+//     percentile;
+//   - slowly changing load, because the samples follow it;
+//   - bursts, because the threshold rises in proportion to the number of concurrent
+//     requests: where requests queue, so does the time to the first token.
 type firstTokenBaseline struct {
 	samples [baselineSamples]time.Duration
 	n       int
-	// threshold is past what a first token is slow; 0 while there are too few samples.
+	// threshold is the time above which a first token is slow, or 0 while there are
+	// too few samples.
 	threshold          time.Duration
 	samplesSinceUpdate int
-	// meanConcurrency is the mean number of requests in flight behind the samples.
+	// meanConcurrency is the moving average of the concurrency of the samples.
 	meanConcurrency float64
-	// slowStreak counts slow answers in a row, pending holds them until it's clear whether they belong to the norm.
+	// slowStreak counts consecutive slow samples. pending holds these until either a
+	// fast sample shows that they are outliers, or the streak reaches its limit.
 	slowStreak       int
 	pending          [slowStreakLimit]firstTokenSample
 	slowWhileRamping int
 }
 
-// firstTokenSample is the wait for one first token, and how many requests were in flight
-// when it began.
+// firstTokenSample is the time to one first token, and the number of requests in flight
+// when the request was admitted.
 type firstTokenSample struct {
 	wait        time.Duration
 	concurrency int
 }
 
-// isSlow reports whether f is far off the norm.
+// isSlow reports whether the sample is far above the baseline.
 func (b *firstTokenBaseline) isSlow(sample firstTokenSample) bool {
 	if b.threshold == 0 {
 		return false
@@ -65,11 +72,11 @@
 	return float64(sample.wait) > float64(b.threshold)*factor
 }
 
-// observe takes one first-token time and reports whether it is a sign of cold.
+// observe records one sample and reports whether it indicates a cold target.
 //
-// At a ramping target slow answers that don't end are no cold start but how the
-// target now works, and the norm is learnt anew; without that the limit would
-// stay at its floor for good.
+// If slow first tokens persist while the target is ramping, they are not a cold start
+// but the new normal, for instance after prompts became longer. The baseline is then
+// rebuilt. Otherwise the limit would stay at its floor.
 func (b *firstTokenBaseline) observe(sample firstTokenSample, ramping bool) bool {
 	if !ramping {
 		b.slowWhileRamping = 0
@@ -103,7 +110,7 @@
 	return true
 }
 
-// acceptPending learns the slow answers that turned out to be single ones.
+// acceptPending adds the slow samples that turned out to be outliers to the baseline.
 func (b *firstTokenBaseline) acceptPending() {
 	for _, p := range b.pending[:b.slowStreak] {
 		b.addSample(p)
@@ -127,7 +134,7 @@
 	}
 }
 
-// updateThreshold works the bound out.
+// updateThreshold recomputes the threshold from the current samples.
 func (b *firstTokenBaseline) updateThreshold() {
 	sorted := b.samples
 	count := min(b.n, baselineSamples)
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// Core decides about all work of one target. Set the exported fields before the
-// first event. It is not safe for concurrent use.
+// Core decides about all requests to one target. Set the exported fields before the
+// first call of a method. Core is not safe for concurrent use.
 type Core struct {
 	AgentID     string
 	Incarnation uint64
-	// Started is when the incarnation began: tick 0 of its credits.
+	// Started is the start time of the incarnation and tick 0 of its credits.
 	Started  time.Time
 	Settings Settings
 
@@ -23,11 +23,11 @@
 	unknown      unknownWork
 	running      map[string]*attempt
 	meanDuration time.Duration
-	// lastExpiry is the latest expiry of a credit that was granted.
+	// lastExpiry is the latest expiry of all credits granted so far.
 	lastExpiry time.Time
 }
 
-// target is what the target last said of itself.
+// target is the state of the target as of its last announcement.
 type target struct {
 	up          bool
 	announced   bool
@@ -37,7 +37,7 @@
 	announcedAt time.Time
 }
 
-// prepare fills what the caller left out, at the first event.
+// prepare fills in defaults and initial state at the first event.
 func (c *Core) prepare() {
 	if c.ready {
 		return
@@ -51,8 +51,8 @@
 	c.ramp.reset(c.Started, c.Settings.RampInterval)
 }
 
-// ChangeView takes the control configuration into account. A version that is
-// older than the known one is ignored, so that the view never reverts.
+// ChangeView applies a view of the control configuration. A view with an older version
+// than the current one is ignored, so that the configuration never reverts.
 func (c *Core) ChangeView(now time.Time, v View) {
 	c.prepare()
 
@@ -64,15 +64,16 @@
 	c.view = v
 	c.updateBounds(now)
 
-	// A target that got no work for a while may have been scaled down or lost its
-	// caches, and with a whole zone all of its targets get work again at once.
+	// A target without work may have been scaled down or lost its caches. When a
+	// zone returns to service, all of its targets get work again at once.
 	if readmitted {
 		c.ramp.reset(now, c.Settings.RampInterval)
 	}
 }
 
-// updateBounds takes the limits over. A target that is still ramping must not keep
-// a limit that came from a floor which the operators have lowered since.
+// updateBounds applies the limits of the view and the target's capacity. If the floor
+// is lowered while the target is ramping, the ramp restarts from the new floor, since
+// the current limit grew from the old one.
 func (c *Core) updateBounds(now time.Time) {
 	ramping := c.ramp.ramping()
 	if c.ramp.setBounds(c.view.ColdLimit, c.view.WarmLimit, c.target.capacity) && ramping {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Announce takes the target's own word.
+// Announce applies an announcement of the target.
 func (c *Core) Announce(now time.Time, a Announcement) {
 	c.prepare()
 	c.Tick(now)
@@ -99,18 +100,19 @@
 	}
 
 	if first {
-		c.unknown.inherit(c.Started, now.Add(c.Settings.UnknownWorkTTL))
+		c.unknown.addInherited(c.Started, now.Add(c.Settings.UnknownWorkTTL))
 	}
 
-	// A first count may have been taken before the work was sent that it would deny.
+	// The first in-flight count of a boot may be older than the last work sent to the
+	// target, so it cannot show that this work is gone.
 	if inFlightKnown {
 		c.unknown.reconcile(int(a.InFlight), previous, c.runningSince(previous))
 	}
 }
 
-// ReportCold takes the target's word, on the head of an answer, that it is cold. It
-// guards against an engine that turns cold between two announcements: for up to
-// a second it would get as much as a warm one. The next announcement may lift it.
+// ReportCold records that the engine reported itself cold in the headers of an answer.
+// Without it, an engine that turns cold between two announcements would get the load of
+// a warm one for up to a second. The next announcement may report it warm again.
 func (c *Core) ReportCold(now time.Time) {
 	c.prepare()
 
@@ -122,7 +124,7 @@
 	c.ramp.reset(now, c.Settings.RampInterval)
 }
 
-// runningSince counts the running attempts that were admitted before at.
+// runningSince returns how many of the running attempts were admitted before at.
 func (c *Core) runningSince(at time.Time) int {
 	n := 0
 
@@ -135,7 +137,7 @@
 	return n
 }
 
-// TargetDown takes a sign that the target is gone.
+// TargetDown records that the target appears to be down.
 func (c *Core) TargetDown(now time.Time) {
 	c.prepare()
 
@@ -147,16 +149,17 @@
 	c.ramp.reset(now, c.Settings.RampInterval)
 }
 
-// Drain stops grants and admissions for good; work in flight finishes.
+// Drain stops grants and admissions from now on. Requests in flight run to their end.
 func (c *Core) Drain() {
 	c.prepare()
 	c.draining = true
 }
 
-// Drained reports whether the agent is leaving and nothing is in flight.
+// Drained reports whether the agent is draining and no request is in flight.
 func (c *Core) Drained() bool { return c.draining && len(c.running) == 0 }
 
-// Tick drops what has expired and looks for a target that has gone silent or cold.
+// Tick removes expired state, marks the target as down if its announcements have stopped,
+// and drops the limit to its floor if first tokens are overdue.
 func (c *Core) Tick(now time.Time) {
 	c.prepare()
 	c.attempts.expire(now)
@@ -172,9 +175,10 @@
 	}
 }
 
-// firstTokensOverdue reports whether first tokens are missing on so many requests, for so
-// long, that the target must have turned cold. Without it a cold target would be
-// found out only once its late first tokens have come, and be filled until then.
+// firstTokensOverdue reports whether so many requests have waited so long for their
+// first token that the target must have turned cold. Without this check a cold target
+// would be detected only when its late first tokens arrive, and would get full load
+// until then.
 func (c *Core) firstTokensOverdue(now time.Time) bool {
 	if c.ramp.baseline.threshold == 0 {
 		return false
@@ -197,7 +201,7 @@
 	return overdue >= slowStreakLimit && 2*overdue > waiting
 }
 
-// Load reports on the target.
+// Load returns the load of the target.
 func (c *Core) Load() Load {
 	c.prepare()
 
@@ -210,7 +214,7 @@
 	}
 }
 
-// Memory reports what is remembered.
+// Memory returns how much state the core holds.
 func (c *Core) Memory() MemoryUse {
 	c.prepare()
 
@@ -222,13 +226,13 @@
 	}
 }
 
-// unknownCount is how much unknown work counts against the limit now. On a warm
-// target cancelled work frees its place at once.
+// unknownCount returns how much unknown work counts against the limit now. On a warm
+// target a canceled request frees its slot at once.
 func (c *Core) unknownCount() int {
 	return c.unknown.count(c.ramp.ramping())
 }
 
-// limit is how many requests the target may hold now.
+// limit returns how many requests the target may hold now.
 func (c *Core) limit() int {
 	if !c.target.up {
 		return 0
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -2,34 +2,39 @@
 
 import "time"
 
-// usage is what a group of entries holds and wants.
+// usage sums up the state of one or more entries: the slots that they have reserved or
+// in use, how many of them are active, and how many wait for a slot.
 type usage struct {
 	reserved int
 	active   int
 	waiting  int
 }
 
-// entry is the standing of one entry.
+// entry is the allocation state of one entry.
 type entry struct {
-	// reserved slots are not in use yet; they lapse at reservedUntil.
+	// reserved counts slots that are reserved and not in use. They expire at
+	// reservedUntil.
 	reserved      int
 	reservedUntil time.Time
 	inFlight      int
 	requested     int
-	// active says that the entry used or asked for a credit until seenUntil.
+	// active says that the entry has used or requested a credit lately, and counts as
+	// active until activeUntil.
 	active      bool
 	activeUntil time.Time
-	// unmetRequests counts how often the entry asked in vain; at waitsUntil its turn lapses.
+	// unmetRequests counts how often the entry was denied a slot since it last got one.
+	// At waitingUntil it loses its queue position.
 	unmetRequests int
 	waitingUntil  time.Time
 	queued        bool
-	bypassed      int
+	// bypassed counts slots given to other entries while this one has waited longest.
+	bypassed int
 }
 
-// held is how much of the limit is reserved for e or in use by it.
+// held returns how many slots e has reserved or in use.
 func (e *entry) held() int { return e.reserved + e.inFlight }
 
-// usage is what e adds to the sum.
+// usage returns what e adds to the total.
 func (e *entry) usage() usage {
 	u := usage{reserved: e.held()}
 
@@ -44,7 +49,7 @@
 	return u
 }
 
-// minus returns st without other.
+// minus returns u without other.
 func (u usage) minus(other usage) usage {
 	return usage{
 		reserved: u.reserved - other.reserved,
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -1,6 +1,6 @@
-// Package admission decides which requests one agent lets through to its target.
-// It is a core without I/O: each method takes one event and the time at which it
-// happened, and returns a decision. The caller serialises the calls.
+// Package admission decides which requests one agent forwards to its target. It
+// performs no I/O: each method handles one event, with the time at which it happened
+// as an argument, and returns a decision. The caller serialises the calls.
 package admission
 
 import (
@@ -10,50 +10,54 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// View is what the control configuration says about this agent's target.
+// View is the part of the control configuration that concerns this agent's target.
 type View struct {
 	Version uint64
-	// FreshUntil is when the freshness lease of the view ends.
+	// FreshUntil is when the lease of the view ends. After that the configuration may
+	// have changed.
 	FreshUntil time.Time
-	// ZoneOut says that the operators have taken the availability zone out.
+	// ZoneOut says that the operators have taken the availability zone out of service.
 	ZoneOut bool
 	// Retired says that the operators have retired the target.
 	Retired bool
-	// ColdLimit and WarmLimit bound the requests in flight on a cold and on a warm target.
+	// ColdLimit and WarmLimit bound the requests in flight at a cold and at a warm target.
 	ColdLimit uint32
 	WarmLimit uint32
 }
 
-// excluded reports whether the operators let no work go to the target.
+// excluded reports whether the operators have excluded the target from new work.
 func (v View) excluded() bool { return v.ZoneOut || v.Retired }
 
-// Announcement is the target's word on itself, repeated about once a second.
+// Announcement is the target's status, which it sends about once a second.
 type Announcement struct {
-	// BootID is fresh at each start of the target.
+	// BootID is different after each start of the target.
 	BootID string
-	// Service is what the target carries.
+	// Service is the service that the target provides.
 	Service string
-	// Capacity is how many requests the warm target bears at once; 0 leaves it to the view.
+	// Capacity is how many concurrent requests the warm target can handle. If it is 0,
+	// only the view limits them.
 	Capacity uint32
-	// Cold is the engine's own word that it is cold.
+	// Cold says that the engine reports itself as cold.
 	Cold bool
-	// InFlight is how many requests the target holds, where Counted says that it reports this.
+	// InFlight is how many requests the target holds. It is valid only if InFlightKnown
+	// is set.
 	InFlight      uint32
 	InFlightKnown bool
 }
 
-// Credit is the permission of one entry to send work, dated by the agent's own clock.
+// Credit permits one entry to send requests until it expires by the agent's clock.
 type Credit struct {
 	AgentID     string
 	Incarnation uint64
 	EntryID     string
 	Serial      uint64
-	// ExpiresAtTick is in milliseconds since the agent's incarnation began.
+	// ExpiresAtTick is the expiry in milliseconds since the start of the agent's
+	// incarnation.
 	ExpiresAtTick uint64
 	Slots         uint32
 }
 
-// Request is a request that asks to be let in.
+// Request is a request that arrived for admission.
 type Request struct {
 	AttemptID   string
 	Credit      Credit
@@ -62,7 +66,8 @@
 	ViewFresh   bool
 }
 
-// Decision is the answer to an Arrival. Verdict, Cause and RetryAt are set for a refusal.
+// Decision is the result of Admit or Reject. Verdict, Cause and RetryAt apply only to a
+// rejection.
 type Decision struct {
 	Admitted bool
 	Verdict  verdict.Verdict
@@ -73,63 +78,65 @@
 // GrantRequest is an entry's request for a credit.
 type GrantRequest struct {
 	EntryID string
-	// Wanted is how many requests the entry would like to have in flight.
+	// Wanted is how many requests the entry would like to have in flight at once.
 	Wanted uint32
-	// renewal marks a credit that rides on an answer: the entry didn't ask.
+	// renewal marks a credit that is sent along with an answer, without a request for it.
 	renewal bool
 }
 
-// Grant is a credit and the time until which it holds.
+// Grant is a credit and its expiry.
 type Grant struct {
 	Credit    Credit
 	ExpiresAt time.Time
-	// RetryAt is when an entry that got no slots should ask again to keep its turn;
-	// zero where waiting is of no use.
+	// RetryAt is when an entry that got no slots should repeat its request to keep its
+	// position in the queue. It is zero if waiting is of no use.
 	RetryAt time.Time
 }
 
-// AttemptQuery asks what became of an attempt.
+// AttemptQuery asks for the outcome of an attempt.
 type AttemptQuery struct {
 	AttemptID           string
 	Incarnation         uint64
 	CreditExpiresAtTick uint64
-	// Close marks an attempt that was never seen as closed.
+	// Close says to mark an attempt that never arrived as closed.
 	Close bool
 }
 
-// AttemptStatus is the answer to a Question.
+// AttemptStatus is the reply to an AttemptQuery.
 type AttemptStatus struct {
 	State wire.AskState
-	// Answer is set for a recorded answer that is still held whole.
+	// Answer is the recorded answer, or nil if none is stored.
 	Answer *wire.Answer
 }
 
-// Outcome is how an admitted attempt ended.
+// Outcome is the outcome of an admitted attempt.
 type Outcome struct {
-	// Verdict is Ran for a whole answer, NotRun where the target never got the
-	// request, and MayHaveRun for all else.
+	// Verdict is Ran for a complete answer, NotRun if the target never received the
+	// request, and MayHaveRun otherwise.
 	Verdict verdict.Verdict
-	// Answer is the whole answer of a request that must not be repeated, or nil.
+	// Answer is the complete answer of a request that must not run twice, or nil.
 	Answer *wire.Answer
-	// Abandoned says that the target may still work on the request.
+	// Abandoned says that the target may still be working on the request.
 	Abandoned bool
 }
 
-// Load is what the agent reports about its target.
+// Load is the load of the target as the agent reports it.
 type Load struct {
 	InFlight uint32
 	Limit    uint32
 	Cold     bool
 	Leaving  bool
-	// Unknown is how many requests the target may hold that the agent can't account for.
+	// Unknown is how many further requests the target may hold that the agent does not
+	// track.
 	Unknown uint32
 }
 
-// MemoryUse is what the core remembers.
+// MemoryUse is the amount of state that the core holds.
 type MemoryUse struct {
 	Attempts    int
 	AnswerBytes int
-	// Entries have a credit or wait for one; Waiting counts the latter.
+	// Entries counts the entries that have used or requested a credit lately, Waiting
+	// those of them that wait for a slot.
 	Entries int
 	Waiting int
 }
--- a/internal/admission/finish.go
+++ b/internal/admission/finish.go
@@ -7,7 +7,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// FirstToken takes the first byte of an attempt's answer.
+// FirstToken records the arrival of the first byte of an attempt's answer.
 func (c *Core) FirstToken(now time.Time, attemptID string) {
 	c.prepare()
 
@@ -25,7 +25,7 @@
 	}
 }
 
-// Finish takes the end of an admitted attempt.
+// Finish records the end of an admitted attempt.
 func (c *Core) Finish(now time.Time, attemptID string, o Outcome) {
 	c.prepare()
 
@@ -40,7 +40,7 @@
 	}
 
 	if o.Abandoned {
-		c.unknown.abandon(a.admittedAt, now.Add(c.Settings.CanceledWorkTTL))
+		c.unknown.addCanceled(a.admittedAt, now.Add(c.Settings.CanceledWorkTTL))
 	}
 
 	delete(c.running, attemptID)
@@ -59,6 +59,8 @@
 	}
 }
 
+// evictionTime returns until when an attempt that ends now is stored: AttemptRetention
+// after its end or the expiry of its credit, whichever is later.
 func (c *Core) evictionTime(now time.Time, a *attempt) time.Time {
 	if a.expiresAt.After(now) {
 		now = a.expiresAt
@@ -67,7 +69,8 @@
 	return now.Add(c.Settings.AttemptRetention)
 }
 
-// observeDuration learns how long requests take, for Retry-After.
+// observeDuration updates the moving average of request durations, which the retry
+// advice is computed from.
 func (c *Core) observeDuration(d time.Duration) {
 	if c.meanDuration == 0 {
 		c.meanDuration = d
@@ -77,7 +80,8 @@
 	c.meanDuration += (d - c.meanDuration) / 16
 }
 
-// QueryAttempt answers what became of an attempt, and closes it where q asks for that.
+// QueryAttempt returns the status of an attempt. If the query says so, it closes an
+// attempt that never arrived.
 func (c *Core) QueryAttempt(now time.Time, query AttemptQuery) AttemptStatus {
 	c.prepare()
 	c.attempts.expire(now)
@@ -119,7 +123,7 @@
 	}
 }
 
-// markClosed marks an attempt that has not run, so that it never will.
+// markClosed marks an attempt that did not run, so that it is never admitted.
 func (c *Core) markClosed(now time.Time, id string, expiresAt time.Time) {
 	if !c.attempts.ensureCapacity(now, c.Settings.MaxAttempts) {
 		c.attempts.revoke(expiresAt)
@@ -129,14 +133,14 @@
 	c.attempts.add(&attempt{id: id, state: stateClosed, expiresAt: expiresAt})
 }
 
-// tickTime is the instant of a tick of this incarnation.
+// tickTime converts a tick of this incarnation to a time.
 func (c *Core) tickTime(tick uint64) time.Time {
 	const maxTick = uint64(1<<63-1) / uint64(time.Millisecond)
 
 	return c.Started.Add(time.Duration(min(tick, maxTick)) * time.Millisecond)
 }
 
-// creditExpired reports whether a credit with this expiry lets nothing in any more.
+// creditExpired reports whether a credit with this expiry has expired or was revoked.
 func (c *Core) creditExpired(now, expiresAt time.Time) bool {
 	return !expiresAt.After(now) || !expiresAt.After(c.attempts.revokedUpTo)
 }
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -102,12 +102,12 @@
 	h.core.Finish(h.now, r.AttemptID, Outcome{Verdict: verdict.Ran, Answer: answer})
 }
 
-func (h *harness) query(r Request, closeIt bool) AttemptStatus {
+func (h *harness) query(r Request, closeUnknown bool) AttemptStatus {
 	return h.core.QueryAttempt(h.now, AttemptQuery{
 		AttemptID:           r.AttemptID,
 		Incarnation:         r.Credit.Incarnation,
 		CreditExpiresAtTick: r.Credit.ExpiresAtTick,
-		Close:               closeIt,
+		Close:               closeUnknown,
 	})
 }
 
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Grant gives an entry a credit. Without room the credit has no slots; a request
-// on it is let in only where room turns up that nobody else has reserved.
+// Grant issues a credit to an entry. If there is no capacity, the credit has no slots. A
+// request on it is then admitted only if capacity becomes free that is not reserved
+// for others.
 func (c *Core) Grant(now time.Time, req GrantRequest) Grant {
 	c.prepare()
 	c.unknown.expire(now)
 	c.allocator.sweep(now)
 	c.allocator.serial++
 
-	g := Grant{ExpiresAt: c.tickTime(uint64(now.Add(c.Settings.CreditLife).Sub(c.Started) / time.Millisecond))}
+	grant := Grant{ExpiresAt: c.tickTime(uint64(now.Add(c.Settings.CreditLife).Sub(c.Started) / time.Millisecond))}
 
-	// Events of several goroutines may come with times that are not in order.
-	if g.ExpiresAt.After(c.lastExpiry) {
-		c.lastExpiry = g.ExpiresAt
+	// Events from different goroutines may arrive with times that are out of order.
+	if grant.ExpiresAt.After(c.lastExpiry) {
+		c.lastExpiry = grant.ExpiresAt
 	}
 
 	slots := 0
@@ -27,24 +28,24 @@
 		slots = c.allocate(now, e, req.renewal)
 
 		if !req.renewal {
-			g.RetryAt = c.reserve(now, e, slots)
+			grant.RetryAt = c.reserve(now, e, slots)
 		}
 	}
 
-	g.Credit = Credit{
+	grant.Credit = Credit{
 		AgentID:       c.AgentID,
 		Incarnation:   c.Incarnation,
 		EntryID:       req.EntryID,
 		Serial:        c.allocator.serial,
-		ExpiresAtTick: uint64(g.ExpiresAt.Sub(c.Started) / time.Millisecond),
+		ExpiresAtTick: uint64(grant.ExpiresAt.Sub(c.Started) / time.Millisecond),
 		Slots:         uint32(slots),
 	}
 
-	return g
+	return grant
 }
 
-// allocate returns the slots that e may use now. While others wait, an answer gives
-// an entry no more than it has in flight already.
+// allocate returns how many slots e may use now. While other entries wait, a renewal
+// gives e no more slots than it has requests in flight.
 func (c *Core) allocate(now time.Time, e *entry, renewal bool) int {
 	if c.draining || c.view.excluded() {
 		return 0
@@ -58,8 +59,8 @@
 	return slots
 }
 
-// reserve keeps the slots that e asked for, or gives it a turn if it got none; it
-// returns when e should ask again.
+// reserve reserves the slots that e was given, or marks e as waiting if it got none
+// beyond its requests in flight. It returns when a waiting entry should ask again.
 func (c *Core) reserve(now time.Time, e *entry, slots int) time.Time {
 	c.allocator.update(e, func(e *entry) { e.reserved = max(slots-e.inFlight, 0) })
 	e.reservedUntil = now.Add(c.Settings.ReservationTTL)
@@ -79,8 +80,9 @@
 	return time.Time{}
 }
 
-// queueRetryDelay advises how long a waiting entry should leave the agent alone: half of
-// the time in which those before it will be served, so that it's early.
+// queueRetryDelay returns how long a waiting entry should wait before it asks again: half
+// of the time in which the entries ahead of it are expected to get a slot, so that it
+// asks again before its turn.
 func (c *Core) queueRetryDelay(e *entry) time.Duration {
 	position := c.allocator.queuePosition(e)
 	d := c.meanDuration * time.Duration(position) / time.Duration(2*max(c.limit(), 1))
@@ -88,7 +90,8 @@
 	return min(max(d, minQueueRetryDelay), maxQueueRetryDelay)
 }
 
-// Renew gives the entry of an answer a new credit, so that a busy entry seldom asks.
+// Renew issues a new credit to an entry along with an answer, so that a busy entry
+// rarely has to ask for one.
 func (c *Core) Renew(now time.Time, entryID string) Grant {
 	c.prepare()
 
--- a/internal/admission/ramp.go
+++ b/internal/admission/ramp.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// limitIncrement is how much one completed request adds to the limit of a ramping target,
-// so that it doubles in the time that requests take (slow start).
+// limitIncrement is how much one completed request adds to the limit of a ramping
+// target. As in TCP slow start, the limit doubles within the duration of a request.
 const limitIncrement = 1.0
 
-// ramp holds the limit on requests in flight between the cold and the warm limit.
+// ramp controls the limit on requests in flight, between the cold and the warm limit.
 //
-// It guards against a cold target that falls over under full load. The limit
-// falls to its floor at any sign of cold, and grows only on requests that were
-// admitted since then and completed at the usual speed while the limit was in
-// use; it at most doubles in each interval, however short the requests are.
+// It guards against a cold target that is overloaded by the full load of a warm one.
+// Whenever the target appears to be cold, the limit drops to its floor. It then grows
+// only on requests that were admitted after the drop and that completed at normal
+// speed while at least half of the limit was in use. It at most doubles in each
+// interval, however short the requests are.
 type ramp struct {
 	floor   float64
 	ceiling float64
 	limit   float64
-	// epoch counts the falls; work admitted before the last fall doesn't raise the limit.
+	// epoch counts the resets. Requests admitted before the last reset do not raise
+	// the limit.
 	epoch uint64
-	// engineCold is set while the engine itself says that it is cold.
+	// engineCold is set while the engine itself reports that it is cold.
 	engineCold  bool
 	windowEnd   time.Time
 	windowLimit float64
 	baseline    firstTokenBaseline
 }
 
-// setBounds sets floor and top, and reports whether the floor is lower than before.
-// Without a warm limit and a capacity one request is let through at a time.
+// setBounds sets floor and ceiling, and reports whether the floor is lower than before.
+// Without a warm limit and a capacity, one request is admitted at a time.
 func (r *ramp) setBounds(cold, warm, capacity uint32) bool {
 	ceiling := warm
 	if capacity > 0 && (ceiling == 0 || capacity < ceiling) {
@@ -44,10 +46,10 @@
 	return lowered
 }
 
-// ramping reports whether the target isn't yet trusted with its warm limit.
+// ramping reports whether the target has not reached its warm limit yet.
 func (r *ramp) ramping() bool { return r.engineCold || r.limit < r.ceiling }
 
-// current is the limit in whole requests.
+// current returns the limit as a whole number of requests.
 func (r *ramp) current() int {
 	if r.engineCold {
 		return int(r.floor)
@@ -65,7 +67,7 @@
 	r.baseline.slowStreak = 0
 }
 
-// completed takes one whole answer; inFlight counts it still.
+// completed raises the limit after a complete answer to a. inFlight still includes a.
 func (r *ramp) completed(now time.Time, a *attempt, inFlight int, interval time.Duration) {
 	if r.engineCold || a.slow || a.epoch != r.epoch || 2*inFlight < r.current() {
 		return
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -28,9 +28,9 @@
 	t.Parallel()
 
 	cases := []struct {
-		name string
-		sign func(h *harness)
-		cold bool
+		name  string
+		event func(h *harness)
+		cold  bool
 	}{
 		{"new boot", func(h *harness) { h.announce("boot-2", false) }, true},
 		{"engine's own word", func(h *harness) { h.announce("boot-1", true) }, true},
@@ -96,7 +96,7 @@
 
 			h := newHarness(t, 2, 32)
 			h.warmUp()
-			tc.sign(h)
+			tc.event(h)
 
 			l := h.core.Load()
 			require.Equal(t, tc.cold, l.Cold)
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -5,33 +5,38 @@
 	"time"
 )
 
-// Settings tune a Core. Zero fields take their defaults.
+// Settings configures a Core. Zero fields are replaced by their defaults.
 type Settings struct {
-	// CreditLife is how long a credit holds. Slots that an entry asked for are
-	// reserved for ReserveFor only; after that a request is let in where there is room.
+	// CreditLife is how long a credit is valid. Slots that an entry requested are
+	// reserved only for ReservationTTL. After that a request on the credit is admitted
+	// if there is capacity.
 	CreditLife     time.Duration
 	ReservationTTL time.Duration
-	// ActiveTimeout is how long an entry counts in the fair shares after it was heard of.
+	// ActiveTimeout is how long an entry counts in the fair shares after its last use of
+	// or request for a credit.
 	ActiveTimeout time.Duration
-	// WaitTimeout is for how long a waiting entry that doesn't ask again keeps its turn.
+	// WaitTimeout is how long a waiting entry keeps its queue position past the time at
+	// which it was advised to ask again.
 	WaitTimeout time.Duration
-	// AttemptRetention is how long an ended attempt is remembered after its credit's expiry.
+	// AttemptRetention is how long the record of an ended attempt is kept after its
+	// end and the expiry of its credit.
 	AttemptRetention time.Duration
-	// MaxAttempts bounds the remembered attempts, MaxAnswerBytes the recorded answers.
+	// MaxAttempts bounds the number of stored attempts, MaxAnswerBytes the total size
+	// of recorded answers.
 	MaxAttempts    int
 	MaxAnswerBytes int
-	// AnnounceTimeout is how long the target may stay silent before it counts as down.
+	// AnnounceTimeout is how long after its last announcement the target counts as down.
 	AnnounceTimeout time.Duration
-	// UnknownWorkTTL is how long work of an earlier agent incarnation is counted
-	// where the target doesn't report what it holds.
+	// UnknownWorkTTL is how long requests of an earlier agent incarnation count against
+	// the limit if the target does not report how many requests it holds.
 	UnknownWorkTTL time.Duration
-	// CanceledWorkTTL is the same for a request that was cancelled on a cold target.
+	// CanceledWorkTTL is the same for a request that was canceled at a cold target.
 	CanceledWorkTTL time.Duration
-	// RampInterval is the shortest time in which the limit may double.
+	// RampInterval is the shortest time in which the limit of a ramping target may double.
 	RampInterval time.Duration
 }
 
-// The defaults of Settings.
+// Defaults of the fields of Settings.
 const (
 	DefaultCreditLife       = 2 * time.Second
 	DefaultReservationTTL   = 50 * time.Millisecond
@@ -46,7 +51,7 @@
 	DefaultRampInterval     = time.Second
 )
 
-// fill puts the defaults into zero fields.
+// fill sets zero fields to their defaults.
 func (s *Settings) fill() {
 	s.CreditLife = cmp.Or(s.CreditLife, DefaultCreditLife)
 	s.ReservationTTL = cmp.Or(s.ReservationTTL, DefaultReservationTTL)
--- a/internal/admission/unknown_work.go
+++ b/internal/admission/unknown_work.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// unknownWork counts requests that the target may hold and the agent can't
-// account for: those of an earlier agent incarnation, and those cancelled on a
-// cold target that may still work on them. They count against the limit, which
-// a restart or a wave of cancelled callers would else push the target over.
+// unknownWork counts requests that the target may hold although the agent no longer
+// tracks them: requests of an earlier agent incarnation, and requests that were canceled
+// at a cold target but may still be running there. They count against the limit.
+// Otherwise a restart of the agent or many canceled requests would overload the target.
 type unknownWork struct {
 	items []unknownItem
 }
 
-// unknownItem is one or more requests with the same history.
+// unknownItem is one or more such requests with the same origin and times.
 type unknownItem struct {
 	count     int
 	inherited bool
@@ -18,24 +18,26 @@
 	expiresAt time.Time
 }
 
-// unbounded stands for an unknown number of requests; it is above any limit.
+// unbounded represents an unknown number of requests. It is above any limit.
 const unbounded = 1 << 30
 
-// inherit counts the work of an earlier incarnation of the agent, assuming the worst.
-func (u *unknownWork) inherit(sentAt, expiresAt time.Time) {
+// addInherited adds the requests of an earlier incarnation of the agent. Their number is
+// unknown and assumed to fill the target.
+func (u *unknownWork) addInherited(sentAt, expiresAt time.Time) {
 	u.items = append(u.items, unknownItem{count: unbounded, inherited: true, sentAt: sentAt, expiresAt: expiresAt})
 }
 
-// abandon counts one request that was cancelled.
-func (u *unknownWork) abandon(sentAt, expiresAt time.Time) {
+// addCanceled adds one canceled request.
+func (u *unknownWork) addCanceled(sentAt, expiresAt time.Time) {
 	u.items = append(u.items, unknownItem{count: 1, sentAt: sentAt, expiresAt: expiresAt})
 }
 
-// reconcile takes the target's own count, taken since the previous announcement
-// came. It so tells only about work sent before that one: what the agent still has
-// running of that work is in the count, and the rest bounds the unknown work.
-func (u *unknownWork) reconcile(count int, previous time.Time, known int) {
-	remaining := max(count-known, 0)
+// reconcile bounds the unknown work by the number of requests that the target reports.
+// The target counted them after the previous announcement arrived, so only requests
+// sent before that are certain to be covered. Of these, tracked are still running for the
+// agent and included in the count. The remainder bounds the unknown ones.
+func (u *unknownWork) reconcile(reported int, previous time.Time, tracked int) {
+	remaining := max(reported-tracked, 0)
 	kept := u.items[:0]
 
 	for _, it := range u.items {
@@ -52,7 +54,7 @@
 	u.items = kept
 }
 
-// expire drops what can't be on the target any more.
+// expire removes requests that the target cannot hold any more.
 func (u *unknownWork) expire(now time.Time) {
 	kept := u.items[:0]
 
@@ -65,12 +67,13 @@
 	u.items = kept
 }
 
-// count sums the inherited work up, and with cancelled that of cancelled callers.
-func (u *unknownWork) count(cancelled bool) int {
+// count returns the number of inherited requests and, with includeCanceled, of canceled
+// ones.
+func (u *unknownWork) count(includeCanceled bool) int {
 	n := 0
 
 	for _, it := range u.items {
-		if it.inherited || cancelled {
+		if it.inherited || includeCanceled {
 			n += it.count
 		}
 	}
--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -14,31 +14,31 @@
 func TestViewDecidesAdmission(t *testing.T) {
 	t.Parallel()
 
-	fresh := start.Add(time.Hour)
-	stale := start
+	valid := start.Add(time.Hour)
+	expired := start
 	cases := []struct {
-		name       string
-		view       View
-		entryFresh bool
-		entryView  uint64
-		leave      bool
-		want       verdict.Cause
+		name             string
+		view             View
+		entryViewValid   bool
+		entryViewVersion uint64
+		drain            bool
+		want             verdict.Cause
 	}{
-		{name: "agent fresh", view: View{Version: 5, FreshUntil: fresh}},
-		{name: "agent fresh, entry behind", view: View{Version: 5, FreshUntil: fresh}, entryView: 2},
-		{name: "agent stale, entry fresh", view: View{Version: 5, FreshUntil: stale}, entryFresh: true, entryView: 5},
+		{name: "agent fresh", view: View{Version: 5, FreshUntil: valid}},
+		{name: "agent fresh, entry behind", view: View{Version: 5, FreshUntil: valid}, entryViewVersion: 2},
+		{name: "agent stale, entry fresh", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 5},
 		{
-			name: "agent stale, entry fresh but behind", view: View{Version: 5, FreshUntil: stale}, entryFresh: true, entryView: 4,
+			name: "agent stale, entry fresh but behind", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 4,
 			want: verdict.CauseStale,
 		},
-		{name: "both stale", view: View{Version: 5, FreshUntil: stale}, entryView: 5, want: verdict.CauseStale},
-		{name: "zone out", view: View{Version: 5, FreshUntil: fresh, ZoneOut: true}, want: verdict.CauseZoneOut},
+		{name: "both stale", view: View{Version: 5, FreshUntil: expired}, entryViewVersion: 5, want: verdict.CauseStale},
+		{name: "zone out", view: View{Version: 5, FreshUntil: valid, ZoneOut: true}, want: verdict.CauseZoneOut},
 		{
-			name: "zone out, agent stale", view: View{Version: 5, FreshUntil: stale, ZoneOut: true}, entryFresh: true, entryView: 9,
+			name: "zone out, agent stale", view: View{Version: 5, FreshUntil: expired, ZoneOut: true}, entryViewValid: true, entryViewVersion: 9,
 			want: verdict.CauseZoneOut,
 		},
-		{name: "retired", view: View{Version: 5, FreshUntil: fresh, Retired: true}, want: verdict.CauseLeaving},
-		{name: "agent leaving", view: View{Version: 5, FreshUntil: fresh}, leave: true, want: verdict.CauseStopping},
+		{name: "retired", view: View{Version: 5, FreshUntil: valid, Retired: true}, want: verdict.CauseLeaving},
+		{name: "agent leaving", view: View{Version: 5, FreshUntil: valid}, drain: true, want: verdict.CauseStopping},
 	}
 
 	for _, tc := range cases {
@@ -48,11 +48,11 @@
 			h := newHarness(t, 8, 8)
 			before := h.admit()
 			r := h.request(h.grant("entry-1", 4))
-			r.ViewFresh, r.ViewVersion = tc.entryFresh, tc.entryView
+			r.ViewFresh, r.ViewVersion = tc.entryViewValid, tc.entryViewVersion
 			tc.view.ColdLimit, tc.view.WarmLimit = 8, 8
 			h.view(tc.view)
 
-			if tc.leave {
+			if tc.drain {
 				h.core.Drain()
 			}
 
@@ -69,7 +69,7 @@
 
 			require.False(t, h.core.Drained())
 			h.complete(before, nil)
-			require.Equal(t, tc.leave, h.core.Drained())
+			require.Equal(t, tc.drain, h.core.Drained())
 		})
 	}
 }
@@ -101,8 +101,8 @@
 	h.core.Tick(h.now)
 	require.Zero(t, h.core.Load().Limit)
 
-	fresh := Core{AgentID: "agent-1", Incarnation: 3, Started: start}
-	h.core = fresh
+	restarted := Core{AgentID: "agent-1", Incarnation: 3, Started: start}
+	h.core = restarted
 	h.view(View{Version: 1, FreshUntil: start.Add(time.Hour)})
 	h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseTargetDown)
 }
