--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -26,11 +26,11 @@
 	}
 
 	expiresAt := c.tickTime(r.Credit.ExpiresAtTick)
-	if d, bad := c.checkCredit(now, r, expiresAt); bad {
+	if d, invalid := c.checkCredit(now, r, expiresAt); invalid {
 		return d
 	}
 
-	if cause, refused := c.rejectionCause(now, r); refused {
+	if cause, rejected := c.rejectionCause(now, r); rejected {
 		c.markClosed(now, r.AttemptID, expiresAt)
 		return Decision{Verdict: verdict.NotRun, Cause: cause, RetryAt: c.retryAt(now, cause)}
 	}
@@ -67,7 +67,7 @@
 	}
 
 	expiresAt := c.tickTime(r.Credit.ExpiresAtTick)
-	if d, bad := c.checkCredit(now, r, expiresAt); bad {
+	if d, invalid := c.checkCredit(now, r, expiresAt); invalid {
 		return d
 	}
 
--- a/internal/admission/allocator_test.go
+++ b/internal/admission/allocator_test.go
@@ -11,9 +11,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// A cold target with room for two would idle, or serve a few entries only, while
-// 410 entries want it at once, and a request takes 20 ms. They pass by and go
-// elsewhere when refused, or wait, at their own pace or at the agent's advice.
+// Guards against an idle target and starved entries when 410 entries compete for a cold
+// target with a limit of two and a request takes 20 ms. An entry that gets no slot goes
+// to another target, or asks again at a fixed interval or at the advised time.
 func TestManyEntriesAtSmallLimit(t *testing.T) {
 	t.Parallel()
 
@@ -26,19 +26,20 @@
 
 	cases := []struct {
 		name string
-		// next is when a refused entry asks again.
+		// next returns the step at which an entry without a slot asks again.
 		next func(step, e int, advice time.Duration) int
-		// idleSteps is when a served entry has its next request, after the end of this one.
+		// idleSteps is how many steps after the end of a request an entry has its
+		// next one.
 		idleSteps      int
 		minUtilization float64
-		// neverStarves: each entry waits here until it is served. One that passes by is
-		// promised no turn.
+		// neverStarves says that each entry must get a slot. Entries that go to
+		// another target keep no queue position and may get none.
 		neverStarves bool
 		maxSpread    int
 	}{
-		{"pass by", func(step, e int, _ time.Duration) int { return step + 40 + (e*7919+step*31)%97 }, 90, 0.9, false, 60},
-		{"wait at their own pace", func(step, _ int, _ time.Duration) int { return step + 10 }, 1, 0.6, true, 20},
-		{"wait as advised", func(step, _ int, advice time.Duration) int {
+		{"go to another target", func(step, e int, _ time.Duration) int { return step + 40 + (e*7919+step*31)%97 }, 90, 0.9, false, 60},
+		{"wait and ask at a fixed interval", func(step, _ int, _ time.Duration) int { return step + 10 }, 1, 0.6, true, 20},
+		{"wait and ask at the advised time", func(step, _ int, advice time.Duration) int {
 			return step + int(advice/(5*time.Millisecond))
 		}, 1, 0.75, true, 3},
 	}
@@ -86,20 +87,20 @@
 			}
 
 			utilization := float64(busySlots) / (2 * steps)
-			t.Logf("served %d to %d times, busy %.2f, asks %d", slices.Min(completed), slices.Max(completed), utilization, requests)
-			require.True(t, !tc.neverStarves || slices.Min(completed) > 0, "an entry was starved")
+			t.Logf("completed %d to %d requests per entry, utilization %.2f, %d credit requests", slices.Min(completed), slices.Max(completed), utilization, requests)
+			require.True(t, !tc.neverStarves || slices.Min(completed) > 0, "an entry got no slot")
 			require.LessOrEqual(t, slices.Max(completed)-slices.Min(completed), tc.maxSpread)
-			require.GreaterOrEqual(t, utilization, tc.minUtilization, "the target idled")
+			require.GreaterOrEqual(t, utilization, tc.minUtilization, "the target was idle too long")
 		})
 	}
 }
 
-// Callers would be refused at a target with room, since an entry that came first
-// took all credits, or one that is gone holds them.
+// Guards against requests that are rejected although the target has capacity, because
+// the first entry took all slots or an entry that no longer exists still holds them.
 func TestFairShares(t *testing.T) {
 	t.Parallel()
 
-	t.Run("later entry gets a fair share within a reservation's time", func(t *testing.T) {
+	t.Run("later entry gets its fair share within ReservationTTL", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 16, 16)
@@ -111,7 +112,7 @@
 		require.LessOrEqual(t, greedy+late, uint32(16))
 		require.Positive(t, late)
 	})
-	t.Run("unused credits flow back", func(t *testing.T) {
+	t.Run("unused reservations expire", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 4, 4)
@@ -120,7 +121,7 @@
 		h.advance(DefaultReservationTTL)
 		require.EqualValues(t, 4, h.grant("entry-1", 4).Slots)
 	})
-	t.Run("an entry may give its credit back", func(t *testing.T) {
+	t.Run("an entry may return its reservation", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 4, 4)
@@ -128,7 +129,7 @@
 		h.grant("done", 0)
 		require.EqualValues(t, 4, h.grant("entry-1", 4).Slots)
 	})
-	t.Run("room that nobody reserved is open to all credits", func(t *testing.T) {
+	t.Run("unreserved capacity is open to all credits", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 4, 4)
@@ -138,9 +139,9 @@
 		require.True(t, h.core.Admit(h.now, h.request(one)).Admitted)
 		require.True(t, h.core.Admit(h.now, h.request(one)).Admitted)
 		h.requireRejected(h.request(one), verdict.NotRun, verdict.CauseOverload)
-		require.True(t, h.core.Admit(h.now, h.request(two)).Admitted, "reserved for the other entry")
+		require.True(t, h.core.Admit(h.now, h.request(two)).Admitted, "slot reserved for this entry was not available")
 	})
-	t.Run("credits that ride on answers keep nobody else out", func(t *testing.T) {
+	t.Run("credits sent with answers reserve nothing", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 64, 64)
@@ -153,14 +154,14 @@
 			}
 
 			r := h.request(credits[id])
-			require.True(t, h.core.Admit(h.now, r).Admitted, "refused with nothing in flight")
+			require.True(t, h.core.Admit(h.now, r).Admitted, "rejected although nothing is in flight")
 			h.complete(r, nil)
 			credits[id] = h.core.Renew(h.now, id).Credit
 			require.Positive(t, credits[id].Slots)
 			h.advance(time.Millisecond)
 		}
 	})
-	t.Run("a credit holds although a later event came with an earlier time", func(t *testing.T) {
+	t.Run("credit stays valid after an event with an earlier time", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 4, 4)
@@ -168,7 +169,7 @@
 		h.core.Grant(h.now.Add(-time.Millisecond), GrantRequest{EntryID: "entry-2", Wanted: 1})
 		require.True(t, h.core.Admit(h.now, r).Admitted)
 	})
-	t.Run("a flood of entry IDs is bounded", func(t *testing.T) {
+	t.Run("number of entries is bounded", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 4, 4)
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// A booking would be made twice. Its message is doubled by a network or a client
-// that sends again by itself, and the copy comes in every state of the first.
+// Guards against a booking that is made twice. The network or a client that resends by
+// itself duplicates the request, and the copy arrives in each state of the first attempt.
 func TestDuplicateAttempt(t *testing.T) {
 	t.Parallel()
 
@@ -23,23 +23,23 @@
 		cause verdict.Cause
 		state wire.AskState
 	}{
-		{"while it runs", func(*harness, Request) {}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning},
+		{"while running", func(*harness, Request) {}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning},
 		{
-			"while it runs past its credit", func(h *harness, _ Request) { h.advance(10 * time.Minute) },
+			"while running, credit expired", func(h *harness, _ Request) { h.advance(10 * time.Minute) },
 			verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskRunning,
 		},
-		{"after it ran", func(h *harness, r Request) { h.complete(r, nil) }, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
-		{"after it ran, past its credit", func(h *harness, r Request) {
+		{"after completion", func(h *harness, r Request) { h.complete(r, nil) }, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
+		{"after completion, credit expired", func(h *harness, r Request) {
 			h.complete(r, nil)
 			h.advance(10 * time.Second)
 		}, verdict.Ran, verdict.CauseDuplicate, wire.AskState_AskRan},
-		{"after its answer broke", func(h *harness, r Request) {
+		{"after an interrupted answer", func(h *harness, r Request) {
 			h.core.Finish(h.now, r.AttemptID, Outcome{Abandoned: true})
 		}, verdict.MayHaveRun, verdict.CauseDuplicate, wire.AskState_AskUnknown},
-		{"after the target refused to connect", func(h *harness, r Request) {
+		{"after a refused connection to the target", func(h *harness, r Request) {
 			h.core.Finish(h.now, r.AttemptID, Outcome{Verdict: verdict.NotRun})
 		}, verdict.NotRun, verdict.CauseClosed, wire.AskState_AskClosed},
-		{"after it was forgotten", func(h *harness, r Request) {
+		{"after eviction", func(h *harness, r Request) {
 			h.complete(r, nil)
 			h.advance(2 * time.Minute)
 		}, verdict.MayHaveRun, verdict.CauseCredit, wire.AskState_AskUnknown},
@@ -58,12 +58,13 @@
 	}
 }
 
-// An entry says "not run" of a request that runs later. It asks the agent to close
-// an unanswered attempt, and the message comes before, after or never.
+// Guards against a request that runs after the entry reported it as NotRun. The entry
+// asks the agent to close an unanswered attempt. The request itself arrives after that,
+// or never, or has an invalid credit.
 func TestQueryAndCloseAttempt(t *testing.T) {
 	t.Parallel()
 
-	t.Run("close before arrival", func(t *testing.T) {
+	t.Run("closed before arrival", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 8, 8)
@@ -84,7 +85,7 @@
 		require.Equal(t, wire.AskState_AskClosed, h.query(r, false).State)
 		h.requireRejected(r, verdict.NotRun, verdict.CauseCredit)
 	})
-	t.Run("another incarnation", func(t *testing.T) {
+	t.Run("other incarnation", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 8, 8)
@@ -110,8 +111,9 @@
 	})
 }
 
-// A caller is told "not run" and books elsewhere; then the booking is made here too.
-// The request was refused for lack of room, and a copy of it came when there was room.
+// Guards against a booking that is made at two targets. The request was rejected for
+// lack of capacity, its caller booked elsewhere, and a copy of it arrives when there is
+// capacity again.
 func TestRejectedAttemptIsNotAdmittedLater(t *testing.T) {
 	t.Parallel()
 
@@ -127,8 +129,8 @@
 	h.requireRejected(tooLarge, verdict.NotRun, verdict.CauseClosed)
 }
 
-// The same with the memory full: a flood of attempts must neither make the agent
-// forget a refusal nor let a copy in, and new credits work once there is room.
+// With a full store a duplicate of a rejected request must still be rejected, also after
+// the store has capacity again, and requests on new credits must be admitted.
 func TestAttemptStoreFull(t *testing.T) {
 	t.Parallel()
 
@@ -158,8 +160,8 @@
 	require.LessOrEqual(t, len(h.core.attempts.byID), 4)
 }
 
-// The agent would run out of memory on recorded answers. Past the bound the
-// oldest go, and an ask still says that the attempt ran.
+// Guards against unbounded memory use by recorded answers. Above the limit the oldest
+// answers are dropped, and a query still reports that their attempts ran.
 func TestRecordedAnswersAreBounded(t *testing.T) {
 	t.Parallel()
 
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// BenchmarkAdmitFinish is one request through the core, with its share of ticks
-// and, for each, the credit that rides on the answer.
+// BenchmarkAdmitFinish measures one request from admission to its end, including the
+// renewal of the credit and a thousandth of a tick.
 func BenchmarkAdmitFinish(b *testing.B) {
 	for _, entries := range []int{1, 4, 410} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -55,7 +55,8 @@
 	}
 }
 
-// BenchmarkGrantAtFullTarget is one of many entries asking at a full target.
+// BenchmarkGrantAtFullTarget measures a credit request of one of many entries at a full
+// target.
 func BenchmarkGrantAtFullTarget(b *testing.B) {
 	for _, entries := range []int{4, 410, 4000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// BenchmarkStoredAttempt reports the memory of one remembered attempt.
+// BenchmarkStoredAttempt reports the memory used by the record of one attempt.
 func BenchmarkStoredAttempt(b *testing.B) {
 	const n = 50_000
 
@@ -106,7 +107,7 @@
 	}
 }
 
-// BenchmarkRamp reports how long a saturated target takes from a limit of 2 to 32.
+// BenchmarkRamp reports how long the limit of a saturated target takes to grow from 2 to 32.
 func BenchmarkRamp(b *testing.B) {
 	for _, duration := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		b.Run(duration.String(), func(b *testing.B) {
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -8,14 +8,15 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// A target that bears one request at a time: a second one is refused, and so is a
-// copy of the first.
+// A cold target may hold one request at a time. A second request is rejected, and so is
+// a duplicate of the first.
 func ExampleCore() {
 	now := time.Unix(0, 0)
 	c := admission.Core{AgentID: "agent-1", Incarnation: 1, Started: now}
 	c.ChangeView(now, admission.View{Version: 1, FreshUntil: now.Add(time.Minute), ColdLimit: 1, WarmLimit: 8})
 
-	// The second announcement shows that an earlier agent left nothing behind.
+	// The second announcement shows that no request of an earlier agent incarnation
+	// is left.
 	for range 2 {
 		now = now.Add(time.Second)
 		c.Announce(now, admission.Announcement{BootID: "boot-1", Service: "assist", Capacity: 8, InFlightKnown: true})
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// harness drives a core through time.
+// harness drives a core with simulated time.
 type harness struct {
 	t    testing.TB
 	core Core
@@ -21,7 +21,8 @@
 	n    int
 }
 
-// newHarness makes a core whose target is up, idle and warm at limit warm, with cold as its floor.
+// newHarness returns a harness whose target is up, idle and warm, with the given cold
+// and warm limits.
 func newHarness(t testing.TB, cold, warm uint32) *harness {
 	t.Helper()
 
@@ -43,7 +44,8 @@
 	})
 }
 
-// advance lets d go by while the target keeps announcing itself.
+// advance moves the time forward by d in steps of at most 100 ms. The target announces
+// itself at each step.
 func (h *harness) advance(d time.Duration) {
 	for d > 0 {
 		step := min(d, 100*time.Millisecond)
@@ -58,14 +60,14 @@
 	return h.core.Grant(h.now, GrantRequest{EntryID: entryID, Wanted: wanted}).Credit
 }
 
-// request makes a request with a fresh attempt ID on c.
+// request returns a request with a new attempt ID on credit c.
 func (h *harness) request(c Credit) Request {
 	h.n++
 
 	return Request{AttemptID: "a" + strconv.Itoa(h.n), Credit: c, Service: "assist", ViewVersion: 1, ViewFresh: true}
 }
 
-// admit lets one request in, on a fresh credit.
+// admit admits one request on a new credit.
 func (h *harness) admit() Request {
 	h.t.Helper()
 
@@ -76,7 +78,8 @@
 	return r
 }
 
-// completeConcurrent lets n requests through at the same time, each with its first token after d.
+// completeConcurrent admits up to n requests at the same time. After d each gets its first
+// token and completes.
 func (h *harness) completeConcurrent(n int, d time.Duration) {
 	h.t.Helper()
 
@@ -111,7 +114,7 @@
 	})
 }
 
-// requireRejected sends r and checks how it is refused.
+// requireRejected checks that r is rejected with the given verdict and cause.
 func (h *harness) requireRejected(r Request, v verdict.Verdict, cause verdict.Cause) {
 	h.t.Helper()
 
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -80,9 +80,9 @@
 	return time.Time{}
 }
 
-// queueRetryDelay returns how long a waiting entry should wait before it asks again: half
-// of the time in which the entries ahead of it are expected to get a slot, so that it
-// asks again before its turn.
+// queueRetryDelay returns how long a waiting entry should wait before it asks again. It
+// is half of the time in which the entries ahead of it are expected to get slots, so
+// that the entry asks before a slot is free for it.
 func (c *Core) queueRetryDelay(e *entry) time.Duration {
 	position := c.allocator.queuePosition(e)
 	d := c.meanDuration * time.Duration(position) / time.Duration(2*max(c.limit(), 1))
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// TestMain fixes the seed, unless the command line names another one.
+// TestMain fixes the random seed. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -23,18 +23,20 @@
 	os.Exit(m.Run())
 }
 
-// modelTarget is what really goes on at the target, beside what the agent knows.
+// modelTarget is the actual state of the target, which may differ from the agent's view.
 type modelTarget struct {
 	bootID string
 	cold   bool
-	// running maps each request that the target works on to when it drops it by
-	// itself; zero while the agent's connection is open.
+	// running maps each request in progress to the time at which the target drops it
+	// by itself, or to zero while the agent's connection is open.
 	running map[string]time.Time
-	// reported is the target's count at some moment since its last announcement.
+	// reported is the number of requests in progress at some time since the last
+	// announcement.
 	reported int
 }
 
-// simulation drives one core, its successors after restarts, and the target, by seed.
+// simulation drives the target and one core, which is replaced when the agent restarts,
+// with random events.
 type simulation struct {
 	t       *rapid.T
 	now     time.Time
@@ -43,9 +45,11 @@
 	target  modelTarget
 	credits []Credit
 	sent    []Request
-	// open are attempts that the present incarnation has admitted and not ended.
+	// open holds the attempts that the current incarnation has admitted and that have
+	// not ended.
 	open []string
-	// ran and never record what is true for good; admitted counts per attempt.
+	// admitted counts the admissions of each attempt. notRun holds the attempts that
+	// were reported as NotRun and must never run from then on.
 	admitted map[string]int
 	notRun   map[string]bool
 	n        int
@@ -61,7 +65,7 @@
 	return s
 }
 
-// settings make memory short and small, so that schedules go past both bounds.
+// settings returns a short retention and a small store, so that simulations exceed both.
 func (s *simulation) settings() Settings {
 	return Settings{AttemptRetention: 3 * time.Second, MaxAttempts: 8}
 }
@@ -78,7 +82,7 @@
 	}
 }
 
-// expireAbandoned drops requests that the target stopped by itself.
+// expireAbandoned removes the requests that the target has dropped by itself.
 func (s *simulation) expireAbandoned() {
 	for id, until := range s.target.running {
 		if !until.IsZero() && !until.After(s.now) {
@@ -95,7 +99,7 @@
 	s.countInFlight()
 }
 
-// countInFlight takes the number that the next announcement will carry.
+// countInFlight sets the number of requests that the next announcement reports.
 func (s *simulation) countInFlight() { s.target.reported = len(s.target.running) }
 
 func (s *simulation) grant() {
@@ -104,7 +108,7 @@
 	s.credits = append(s.credits, g.Credit)
 }
 
-// send sends a new request on some credit, or an old message once more.
+// send sends a new request on a recent credit, or a duplicate of an earlier request.
 func (s *simulation) send() {
 	if len(s.credits) == 0 {
 		return
@@ -131,16 +135,16 @@
 	if !d.Admitted {
 		sameAgent := r.Credit.Incarnation == s.core.Incarnation
 		if d.Verdict == verdict.NotRun && sameAgent {
-			require.Zero(s.t, s.admitted[id]*s.toInt(!s.notRun[id]), "NotRun said of an attempt that was let in")
+			require.Zero(s.t, s.admitted[id]*s.toInt(!s.notRun[id]), "NotRun reported for an admitted attempt")
 			s.notRun[id] = true
 		}
 
 		return
 	}
 
-	require.False(s.t, s.notRun[id], "attempt let in after NotRun was said of it")
+	require.False(s.t, s.notRun[id], "attempt admitted after it was reported as NotRun")
 	s.admitted[id]++
-	require.Equal(s.t, 1, s.admitted[id], "attempt let in twice")
+	require.Equal(s.t, 1, s.admitted[id], "attempt admitted twice")
 	require.False(s.t, s.view.ZoneOut)
 
 	s.target.running[id] = time.Time{}
@@ -156,14 +160,14 @@
 	return 0
 }
 
-// checkLimit holds what was just let in against the limit.
+// checkLimit checks the limits after an admission.
 func (s *simulation) checkLimit(cold bool) {
 	l := s.core.Load()
 	require.LessOrEqual(s.t, l.InFlight, l.Limit)
 	require.LessOrEqual(s.t, l.Limit, s.view.WarmLimit)
 
 	if cold {
-		require.LessOrEqual(s.t, len(s.target.running), int(l.Limit), "a ramping target holds more than its limit")
+		require.LessOrEqual(s.t, len(s.target.running), int(l.Limit), "ramping target exceeds its limit")
 	}
 
 	if s.target.cold && s.core.ramp.engineCold {
@@ -171,7 +175,8 @@
 	}
 }
 
-// finish ends an open attempt: whole, refused by the target, or cut off.
+// finish ends an open attempt: with a complete answer, with a connection refused by the
+// target, or abandoned.
 func (s *simulation) finish() {
 	if len(s.open) == 0 {
 		return
@@ -219,14 +224,14 @@
 
 	switch f.State {
 	case wire.AskState_AskClosed:
-		require.Zero(s.t, s.admitted[r.AttemptID]*s.toInt(!s.notRun[r.AttemptID]), "closed, but it was let in")
+		require.Zero(s.t, s.admitted[r.AttemptID]*s.toInt(!s.notRun[r.AttemptID]), "admitted attempt reported as closed")
 		s.notRun[r.AttemptID] = true
 	case wire.AskState_AskRan, wire.AskState_AskRunning:
 		require.Equal(s.t, 1, s.admitted[r.AttemptID])
 	}
 }
 
-// bootTarget replaces the target by a cold one.
+// bootTarget restarts the target, which then may or may not report that it is cold.
 func (s *simulation) bootTarget() {
 	s.target.bootID += "+"
 	s.target.cold = s.pick(2, "cold") == 0
@@ -241,7 +246,8 @@
 	s.announce()
 }
 
-// restartAgent replaces the agent. The target drops the connections of the old one in its own time.
+// restartAgent restarts the agent. The target drops the requests of the old incarnation
+// after a random time.
 func (s *simulation) restartAgent() {
 	for _, id := range s.open {
 		s.target.running[id] = s.now.Add(time.Duration(s.pick(10_000, "lingers")) * time.Millisecond)
@@ -262,9 +268,10 @@
 	s.core.ChangeView(s.now, s.view)
 }
 
-// A cold target would be pushed over, or a booking made twice or denied, under any
-// order of events: sudden cold, restarts of agent and target with work in flight,
-// many entries, lowered limits, a zone that leaves and returns, late copies.
+// Checks under random events that a cold target is never overloaded and that no request
+// runs twice or runs after it was reported as NotRun. The events include restarts of the
+// agent and of a target with requests in flight, targets that turn cold, many entries,
+// lowered limits, a zone that goes out of service and returns, and late duplicates.
 func TestAdmissionInvariantsUnderRandomEvents(t *testing.T) {
 	t.Parallel()
 
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -11,7 +11,7 @@
 
 const baselineWait = 50 * time.Millisecond
 
-// warmUp teaches the norm and leaves the target warm.
+// warmUp fills the first-token baseline. The target stays warm.
 func (h *harness) warmUp() {
 	h.t.Helper()
 
@@ -22,8 +22,8 @@
 	require.False(h.t, h.core.Load().Cold)
 }
 
-// A cold target would get its warm load and fall over. It turned cold, by
-// restart, by its own word, or without any word.
+// Guards against a cold target that gets the load of a warm one. The target turned cold
+// by a restart, reported that it is cold, or turned cold without reporting it.
 func TestColdTargetDropsLimitToFloor(t *testing.T) {
 	t.Parallel()
 
@@ -32,15 +32,15 @@
 		event func(h *harness)
 		cold  bool
 	}{
-		{"new boot", func(h *harness) { h.announce("boot-2", false) }, true},
-		{"engine's own word", func(h *harness) { h.announce("boot-1", true) }, true},
-		{"engine's word on an answer", func(h *harness) { h.core.ReportCold(h.now) }, true},
-		{"target silent", func(h *harness) {
+		{"target restarted", func(h *harness) { h.announce("boot-2", false) }, true},
+		{"announcement reports cold", func(h *harness) { h.announce("boot-1", true) }, true},
+		{"answer headers report cold", func(h *harness) { h.core.ReportCold(h.now) }, true},
+		{"announcements stopped", func(h *harness) {
 			h.now = h.now.Add(DefaultAnnounceTimeout)
 			h.core.Tick(h.now)
 			h.announce("boot-1", false)
 		}, true},
-		{"zone returned", func(h *harness) {
+		{"zone returned to service", func(h *harness) {
 			h.view(View{Version: 2, FreshUntil: start.Add(time.Hour), ZoneOut: true, ColdLimit: 2, WarmLimit: 32})
 			h.view(View{Version: 3, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 32})
 		}, true},
@@ -51,22 +51,22 @@
 			}
 			h.advance(10 * baselineWait)
 		}, true},
-		{"same boot again", func(h *harness) { h.announce("boot-1", false) }, false},
-		{"one outlier", func(h *harness) { h.completeConcurrent(1, 100*baselineWait) }, false},
-		{"a few slow ones between usual ones", func(h *harness) {
+		{"repeated announcement", func(h *harness) { h.announce("boot-1", false) }, false},
+		{"single outlier", func(h *harness) { h.completeConcurrent(1, 100*baselineWait) }, false},
+		{"short slow streaks", func(h *harness) {
 			for range 20 {
 				h.completeConcurrent(slowStreakLimit-1, 10*baselineWait)
 				h.completeConcurrent(slowStreakLimit, baselineWait)
 			}
 		}, false},
-		{"jitter of a quick service", func(h *harness) {
+		{"jitter of a fast service", func(h *harness) {
 			h.core.ramp.baseline = firstTokenBaseline{}
 			for range 8 {
 				h.completeConcurrent(8, time.Millisecond)
 			}
 			h.completeConcurrent(8, minSlowThreshold)
 		}, false},
-		{"burst at a target that serves one by one", func(h *harness) {
+		{"burst at a target that runs one request at a time", func(h *harness) {
 			h.core.ramp.baseline = firstTokenBaseline{}
 			for range 32 {
 				h.completeConcurrent(1, baselineWait)
@@ -83,7 +83,7 @@
 				h.complete(r, nil)
 			}
 		}, false},
-		{"slow drift of load", func(h *harness) {
+		{"slowly growing load", func(h *harness) {
 			for d := baselineWait; d < 20*baselineWait; d += d / 20 {
 				h.completeConcurrent(8, d)
 			}
@@ -108,8 +108,9 @@
 	}
 }
 
-// A target would stay at its floor, or get a jump in load. The limit grows only on
-// work completed since the fall, only in use, and at most doubles in a second.
+// Guards against a target that stays at its floor and against a sudden rise in load. The
+// limit grows only on requests that were admitted after the reset and completed while
+// the limit was in use, and at most doubles in a second.
 func TestRampGrowsOnCompletedWork(t *testing.T) {
 	t.Parallel()
 
@@ -118,13 +119,13 @@
 	h.announce("boot-2", false)
 	h.advance(2 * time.Second)
 	h.complete(old, nil)
-	require.EqualValues(t, 2, h.core.Load().Limit, "work from before the fall counts for nothing")
+	require.EqualValues(t, 2, h.core.Load().Limit, "request admitted before the reset raised the limit")
 
 	for range 40 {
 		h.completeConcurrent(2, time.Millisecond)
 	}
 
-	require.LessOrEqual(t, h.core.Load().Limit, uint32(4), "quick requests don't shorten the ramp")
+	require.LessOrEqual(t, h.core.Load().Limit, uint32(4), "short requests shortened the ramp")
 
 	for range 20 {
 		limit := h.core.Load().Limit
@@ -141,8 +142,8 @@
 	require.Less(t, h.now.Sub(start), time.Minute)
 }
 
-// A target would stay at its floor for good after the prompts of its callers
-// became longer, as each first token looks like one of a cold target.
+// Guards against a target that stays at its floor after prompts became longer, because
+// each first token takes as long as that of a cold target.
 func TestBaselineIsRebuiltAfterLastingSlowdown(t *testing.T) {
 	t.Parallel()
 
@@ -157,8 +158,8 @@
 	require.EqualValues(t, 8, h.core.Load().Limit)
 }
 
-// A cold target would keep more than the operators allow it: they lower its cold
-// limit while it ramps.
+// Guards against a cold target that keeps a limit above the configured one after the
+// operators lowered the cold limit while the target was ramping.
 func TestLoweredColdLimitAppliesWhileRamping(t *testing.T) {
 	t.Parallel()
 
@@ -183,9 +184,9 @@
 	h.admit()
 }
 
-// A cold target would get more than it bears: the agent restarted and knows
-// nothing of what its predecessor sent, or callers of a cold target give up and
-// their requests go on there.
+// Guards against an overloaded cold target. The agent restarted and does not know what
+// its previous incarnation sent, or callers canceled requests that are still running
+// at the target.
 func TestUnknownWorkCountsAgainstLimit(t *testing.T) {
 	t.Parallel()
 
@@ -207,7 +208,7 @@
 		h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseColdLimit)
 	}
 
-	t.Run("target doesn't count", func(t *testing.T) {
+	t.Run("target does not report in-flight requests", func(t *testing.T) {
 		t.Parallel()
 
 		h := restart(t)
@@ -218,24 +219,24 @@
 		h.advance(time.Second)
 		h.admit()
 	})
-	t.Run("target counts", func(t *testing.T) {
+	t.Run("target reports in-flight requests", func(t *testing.T) {
 		t.Parallel()
 
 		h := restart(t)
 		h.core.Announce(h.now, announcement(0, true))
-		requireFull(h) // the count may be older than the last work of the predecessor
+		requireFull(h) // the count may be older than the previous incarnation's last request
 		h.now = h.now.Add(time.Second)
 		h.core.Announce(h.now, announcement(1, true))
 		h.admit()
 		requireFull(h)
 		h.now = h.now.Add(time.Second)
-		h.core.Announce(h.now, announcement(1, true)) // may be the old one still
+		h.core.Announce(h.now, announcement(1, true)) // may still be a request of the previous incarnation
 		requireFull(h)
 		h.now = h.now.Add(time.Second)
-		h.core.Announce(h.now, announcement(1, true)) // is the new one
+		h.core.Announce(h.now, announcement(1, true)) // can only be the request admitted above
 		h.admit()
 	})
-	t.Run("cancelled on a cold target", func(t *testing.T) {
+	t.Run("canceled at a cold target", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 1, 8)
@@ -246,7 +247,7 @@
 		h.advance(DefaultCanceledWorkTTL)
 		h.admit()
 	})
-	t.Run("cancelled on a warm target", func(t *testing.T) {
+	t.Run("canceled at a warm target", func(t *testing.T) {
 		t.Parallel()
 
 		h := newHarness(t, 1, 1)
--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -9,8 +9,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// New work would go to a zone that was taken out or to a target that leaves. The
-// agent or the entry was cut off when the operators decided, or the agent stops.
+// Guards against new work for a zone that was taken out of service, or for a target that
+// is retired or draining. The agent or the entry was cut off from the control VMs when
+// the operators decided, or the agent stops.
 func TestViewDecidesAdmission(t *testing.T) {
 	t.Parallel()
 
@@ -24,21 +25,21 @@
 		drain            bool
 		want             verdict.Cause
 	}{
-		{name: "agent fresh", view: View{Version: 5, FreshUntil: valid}},
-		{name: "agent fresh, entry behind", view: View{Version: 5, FreshUntil: valid}, entryViewVersion: 2},
-		{name: "agent stale, entry fresh", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 5},
+		{name: "agent view valid", view: View{Version: 5, FreshUntil: valid}},
+		{name: "agent view valid, entry view older", view: View{Version: 5, FreshUntil: valid}, entryViewVersion: 2},
+		{name: "agent view expired, entry view valid", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 5},
 		{
-			name: "agent stale, entry fresh but behind", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 4,
+			name: "agent view expired, entry view valid but older", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 4,
 			want: verdict.CauseStale,
 		},
-		{name: "both stale", view: View{Version: 5, FreshUntil: expired}, entryViewVersion: 5, want: verdict.CauseStale},
-		{name: "zone out", view: View{Version: 5, FreshUntil: valid, ZoneOut: true}, want: verdict.CauseZoneOut},
+		{name: "both views expired", view: View{Version: 5, FreshUntil: expired}, entryViewVersion: 5, want: verdict.CauseStale},
+		{name: "zone out of service", view: View{Version: 5, FreshUntil: valid, ZoneOut: true}, want: verdict.CauseZoneOut},
 		{
-			name: "zone out, agent stale", view: View{Version: 5, FreshUntil: expired, ZoneOut: true}, entryViewValid: true, entryViewVersion: 9,
+			name: "zone out of service, agent view expired", view: View{Version: 5, FreshUntil: expired, ZoneOut: true}, entryViewValid: true, entryViewVersion: 9,
 			want: verdict.CauseZoneOut,
 		},
-		{name: "retired", view: View{Version: 5, FreshUntil: valid, Retired: true}, want: verdict.CauseLeaving},
-		{name: "agent leaving", view: View{Version: 5, FreshUntil: valid}, drain: true, want: verdict.CauseStopping},
+		{name: "target retired", view: View{Version: 5, FreshUntil: valid, Retired: true}, want: verdict.CauseLeaving},
+		{name: "agent draining", view: View{Version: 5, FreshUntil: valid}, drain: true, want: verdict.CauseStopping},
 	}
 
 	for _, tc := range cases {
@@ -74,8 +75,8 @@
 	}
 }
 
-// A zone that was taken out would get work again: a view of an older version comes
-// late, after the newer one.
+// Guards against new work for a zone that was taken out of service, when a view with an
+// older version arrives after the newer one.
 func TestViewNeverReverts(t *testing.T) {
 	t.Parallel()
 
@@ -85,7 +86,7 @@
 	h.requireRejected(h.request(h.grant("entry-1", 1)), verdict.NotRun, verdict.CauseZoneOut)
 }
 
-// Requests would go to a target that is gone or carries another service.
+// Guards against requests to a target that is down or provides another service.
 func TestTargetDownOrOtherService(t *testing.T) {
 	t.Parallel()
 
--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -305,22 +305,22 @@
 }
 
 func (r *reader) handleRefusal(refusal *wire.Refusal) (Result, error) {
-	refused := &verdict.Error{Verdict: verdict.Verdict(refusal.GetVerdict()), Cause: verdict.Cause(refusal.GetCause())}
+	rejection := &verdict.Error{Verdict: verdict.Verdict(refusal.GetVerdict()), Cause: verdict.Cause(refusal.GetCause())}
 
 	// An agent that could not read a request, or rejected it unread for lack of
 	// capacity, sends no attempt ID. The cause is still useful to the caller. But the
 	// refusal cannot be matched to this attempt, so NotRun cannot be trusted.
 	if refusal.GetAttemptID() == "" {
-		refused.Verdict = verdict.MayHaveRun
+		rejection.Verdict = verdict.MayHaveRun
 	} else if err := r.checkAttempt(refusal.GetAttemptID()); err != nil {
 		return Result{}, err
 	}
 
 	if refusal.GetRetryAfterMillis() > 0 {
-		refused.RetryAt = time.Now().Add(time.Duration(refusal.GetRetryAfterMillis()) * time.Millisecond)
+		rejection.RetryAt = time.Now().Add(time.Duration(refusal.GetRetryAfterMillis()) * time.Millisecond)
 	}
 
-	return Result{Err: refused, Load: refusal.GetLoad()}, nil
+	return Result{Err: rejection, Load: refusal.GetLoad()}, nil
 }
 
 // Close closes all idle connections.
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -63,7 +63,7 @@
 		name   string
 		before func(c *Core)
 		at     time.Time
-		give   Order
+		submit Order
 		want   Decision
 	}{
 		{"highest number unknown after a restart", func(*Core) {}, start, order(5, "v5"), rejected(CauseHighestUnknown, 0)},
@@ -161,7 +161,7 @@
 
 			c := newCore()
 			tc.before(c)
-			require.Equal(t, tc.want, c.Submit(tc.at, tc.give))
+			require.Equal(t, tc.want, c.Submit(tc.at, tc.submit))
 		})
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -82,13 +82,13 @@
 type Action uint8
 
 const (
-	// ActionReject: answer with Result. The order is not sent.
+	// ActionReject means: answer with Result. The order is not sent.
 	ActionReject Action = iota
-	// ActionAnswer: answer with Result, which was recorded when the order ended.
+	// ActionAnswer means: answer with Result, which was recorded when the order ended.
 	ActionAnswer
-	// ActionSend: send the order to the engine, then call Completed or Unanswered.
+	// ActionSend means: send the order to the engine, then call Completed or Unanswered.
 	ActionSend
-	// ActionJoin: the same order is being carried out. Wait for its result.
+	// ActionJoin means: wait for the result of the same order, which is being carried out.
 	ActionJoin
 )
 
