--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -137,10 +137,11 @@
 
 // viewValid reports whether the configuration is recent enough to admit work.
 //
-// It guards against an agent that is partitioned from the control VMs and does not
-// receive that its zone was taken out of service. An agent whose lease has expired
-// relies on the entry's view, which cannot be older than the credit that this agent
-// issued. If both leases have expired, the request is rejected.
+// It guards against an agent that is partitioned from the control VMs without noticing
+// and does not receive the update that takes its zone out of service. An agent whose
+// lease has expired relies on the entry's view, which cannot be older than the credit,
+// since this agent itself dated the credit. If both leases have expired, the request is
+// rejected.
 func (c *Core) viewValid(now time.Time, r Request) bool {
 	if now.Before(c.view.FreshUntil) {
 		return true
