--- a/internal/admission/view_test.go
+++ b/internal/admission/view_test.go
@@ -9,100 +9,101 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// New work would go to a zone that was taken out or to a target that leaves. The
-// agent or the entry was cut off when the operators decided, or the agent stops.
-func TestViewGovernsAdmission(t *testing.T) {
+// Guards against new work for a zone that was taken out of service, or for a target that
+// is retired or draining. The agent or the entry was cut off from the control VMs when
+// the operators decided, or the agent stops.
+func TestViewDecidesAdmission(t *testing.T) {
 	t.Parallel()
 
-	fresh := start.Add(time.Hour)
-	stale := start
+	valid := start.Add(time.Hour)
+	expired := start
 	cases := []struct {
-		name       string
-		view       View
-		entryFresh bool
-		entryView  uint64
-		leave      bool
-		want       verdict.Cause
+		name             string
+		view             View
+		entryViewValid   bool
+		entryViewVersion uint64
+		drain            bool
+		want             verdict.Cause
 	}{
-		{name: "agent fresh", view: View{Version: 5, FreshUntil: fresh}},
-		{name: "agent fresh, entry behind", view: View{Version: 5, FreshUntil: fresh}, entryView: 2},
-		{name: "agent stale, entry fresh", view: View{Version: 5, FreshUntil: stale}, entryFresh: true, entryView: 5},
+		{name: "agent view valid", view: View{Version: 5, FreshUntil: valid}},
+		{name: "agent view valid, entry view older", view: View{Version: 5, FreshUntil: valid}, entryViewVersion: 2},
+		{name: "agent view expired, entry view valid", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 5},
 		{
-			name: "agent stale, entry fresh but behind", view: View{Version: 5, FreshUntil: stale}, entryFresh: true, entryView: 4,
+			name: "agent view expired, entry view valid but older", view: View{Version: 5, FreshUntil: expired}, entryViewValid: true, entryViewVersion: 4,
 			want: verdict.CauseStale,
 		},
-		{name: "both stale", view: View{Version: 5, FreshUntil: stale}, entryView: 5, want: verdict.CauseStale},
-		{name: "zone out", view: View{Version: 5, FreshUntil: fresh, ZoneOut: true}, want: verdict.CauseZoneOut},
+		{name: "both views expired", view: View{Version: 5, FreshUntil: expired}, entryViewVersion: 5, want: verdict.CauseStale},
+		{name: "zone out of service", view: View{Version: 5, FreshUntil: valid, ZoneOut: true}, want: verdict.CauseZoneOut},
 		{
-			name: "zone out, agent stale", view: View{Version: 5, FreshUntil: stale, ZoneOut: true}, entryFresh: true, entryView: 9,
+			name: "zone out of service, agent view expired", view: View{Version: 5, FreshUntil: expired, ZoneOut: true}, entryViewValid: true, entryViewVersion: 9,
 			want: verdict.CauseZoneOut,
 		},
-		{name: "retired", view: View{Version: 5, FreshUntil: fresh, Retired: true}, want: verdict.CauseLeaving},
-		{name: "agent leaving", view: View{Version: 5, FreshUntil: fresh}, leave: true, want: verdict.CauseStopping},
+		{name: "target retired", view: View{Version: 5, FreshUntil: valid, Retired: true}, want: verdict.CauseLeaving},
+		{name: "agent draining", view: View{Version: 5, FreshUntil: valid}, drain: true, want: verdict.CauseStopping},
 	}
 
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			b := newBench(t, 8, 8)
-			before := b.admit()
-			r := b.arrival(b.grant("entry-1", 4))
-			r.ViewFresh, r.ViewVersion = tc.entryFresh, tc.entryView
+			h := newHarness(t, 8, 8)
+			before := h.admit()
+			r := h.request(h.grant("entry-1", 4))
+			r.ViewFresh, r.ViewVersion = tc.entryViewValid, tc.entryViewVersion
 			tc.view.ColdLimit, tc.view.WarmLimit = 8, 8
-			b.view(tc.view)
+			h.view(tc.view)
 
-			if tc.leave {
-				b.core.Drain()
+			if tc.drain {
+				h.core.Drain()
 			}
 
 			if tc.want == "" {
-				require.True(t, b.core.Admit(b.now, r).Admitted)
+				require.True(t, h.core.Admit(h.now, r).Admitted)
 				return
 			}
 
-			b.requireRefused(r, verdict.NotRun, tc.want)
+			h.requireRejected(r, verdict.NotRun, tc.want)
 
 			if tc.want != verdict.CauseStale {
-				require.Zero(t, b.grant("entry-2", 4).Slots)
+				require.Zero(t, h.grant("entry-2", 4).Slots)
 			}
 
-			require.False(t, b.core.Drained())
-			b.ran(before, nil)
-			require.Equal(t, tc.leave, b.core.Drained())
+			require.False(t, h.core.Drained())
+			h.complete(before, nil)
+			require.Equal(t, tc.drain, h.core.Drained())
 		})
 	}
 }
 
-// A zone that was taken out would get work again: a view of an older version comes
-// late, after the newer one.
+// Guards against new work for a zone that was taken out of service, when a view with an
+// older version arrives after the newer one.
 func TestViewNeverReverts(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 8, 8)
-	b.view(View{Version: 6, FreshUntil: start.Add(time.Hour), ZoneOut: true})
-	b.view(View{Version: 5, FreshUntil: start.Add(2 * time.Hour)})
-	b.requireRefused(b.arrival(b.grant("entry-1", 1)), verdict.NotRun, verdict.CauseZoneOut)
+	h := newHarness(t, 8, 8)
+	h.view(View{Version: 6, FreshUntil: start.Add(time.Hour), ZoneOut: true})
+	h.view(View{Version: 5, FreshUntil: start.Add(2 * time.Hour)})
+	h.requireRejected(h.request(h.grant("entry-1", 1)), verdict.NotRun, verdict.CauseZoneOut)
 }
 
-// Requests would go to a target that is gone or carries another service.
-func TestTargetGone(t *testing.T) {
+// Guards against requests to a target that is down or provides another service.
+func TestTargetDownOrOtherService(t *testing.T) {
 	t.Parallel()
 
-	b := newBench(t, 8, 8)
-	c := b.grant("entry-1", 4)
-	other := b.arrival(c)
+	h := newHarness(t, 8, 8)
+	c := h.grant("entry-1", 4)
+	other := h.request(c)
 	other.Service = "desk"
-	b.requireRefused(other, verdict.NotRun, verdict.CauseUnknownService)
-
-	b.now = b.now.Add(DefaultAnnounceTimeout)
-	c = b.core.Grant(b.now, GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
-	b.requireRefused(b.arrival(c), verdict.NotRun, verdict.CauseTargetDown)
-	b.core.Tick(b.now)
-	require.Zero(t, b.core.Load().Limit)
-
-	fresh := Core{AgentID: "agent-1", Incarnation: 3, Started: start}
-	b.core = fresh
-	b.view(View{Version: 1, FreshUntil: start.Add(time.Hour)})
-	b.requireRefused(b.arrival(b.grant("entry-1", 4)), verdict.NotRun, verdict.CauseTargetDown)
+	h.requireRejected(other, verdict.NotRun, verdict.CauseUnknownService)
+
+	h.now = h.now.Add(DefaultAnnounceTimeout)
+	c = h.core.Grant(h.now, GrantRequest{EntryID: "entry-1", Wanted: 4}).Credit
+	h.requireRejected(h.request(c), verdict.NotRun, verdict.CauseTargetDown)
+	h.core.Tick(h.now)
+	require.Zero(t, h.core.Load().Limit)
+
+	restarted := Core{AgentID: "agent-1", Incarnation: 3, Started: start}
+	h.core = restarted
+	h.view(View{Version: 1, FreshUntil: start.Add(time.Hour)})
+	h.requireRejected(h.request(h.grant("entry-1", 4)), verdict.NotRun, verdict.CauseTargetDown)
 }
