--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -202,7 +202,7 @@
 		Controls: role.NewControls(s.ControlAddresses(), p.identity),
 		Settings: agent.Settings{
 			Admission:      admission.Settings{CreditLife: s.Agent.CreditLife, AnnounceTimeout: s.Agent.AnnounceLimit},
-			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetSilence: s.Agent.TargetSilence,
+			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetIdleTimeout: s.Agent.TargetSilence,
 		},
 		Logs: p.logs, Dump: p.dump,
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,12 +34,12 @@
 	// Address is where the agent listens, unless Listener is set.
 	Address  netip.AddrPort
 	Listener net.Listener
-	// Announce takes announcements only, beside Listener; nil for none.
-	Announce net.Listener
+	// AnnounceListener takes announcements only, beside Listener; nil for none.
+	AnnounceListener net.Listener
 	// Mount adds further services to the routes of Listener; nil for none.
 	Mount func(chi.Router)
-	// Guard, if set, decides who may use the paths of Listener.
-	Guard func(http.Handler) http.Handler
+	// Authorize, if set, decides who may use the paths of Listener.
+	Authorize func(http.Handler) http.Handler
 	// View returns what the control configuration says now. It is called for each
 	// request, from many goroutines, and must not block.
 	View func() admission.View
@@ -106,7 +106,7 @@
 			Started:     a.Now(),
 			Settings:    a.Settings.Admission,
 		}
-		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.OrderSettle}
+		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.UnsettledOrderTimeout}
 	})
 }
 
@@ -200,7 +200,7 @@
 
 // tick lets the core look at the time.
 func (a *Agent) tick(ctx context.Context) {
-	t := time.NewTicker(a.Settings.TickEvery)
+	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
 
 	for {
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -16,17 +16,17 @@
 
 // guarded returns the agent's routes behind Guard.
 func (a *Agent) guarded() http.Handler {
-	if a.Guard == nil {
+	if a.Authorize == nil {
 		return a.routes()
 	}
 
-	return a.Guard(a.routes())
+	return a.Authorize(a.routes())
 }
 
 // serveAnnouncements takes announcements on a listener of their own. Targets
 // speak no TLS, and nothing but their word on themselves is heard there.
 func (a *Agent) serveAnnouncements() (stop func()) {
-	if a.Announce == nil {
+	if a.AnnounceListener == nil {
 		return func() {}
 	}
 
@@ -35,7 +35,7 @@
 
 	web := &http.Server{Handler: r, ReadHeaderTimeout: a.Settings.ReadTimeout}
 
-	go func() { _ = web.Serve(a.Announce) }()
+	go func() { _ = web.Serve(a.AnnounceListener) }()
 
 	return func() { _ = web.Close() }
 }
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -15,7 +15,7 @@
 	a.desk.leave()
 	a.Logger.Info("Agent is leaving.")
 
-	t := time.NewTicker(a.Settings.TickEvery)
+	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
 
 	for !a.idle() {
@@ -56,5 +56,5 @@
 // over another connection. An agent that left at once would make a booking that
 // ran into one that may have run.
 func (a *Agent) undelivered(now time.Time) {
-	a.keepUntil.Store(now.Add(a.Settings.AskWait).UnixNano())
+	a.keepUntil.Store(now.Add(a.Settings.AttemptQueryWait).UnixNano())
 }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -89,8 +89,8 @@
 	noticed := make(chan struct{})
 	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) {
 		a.Logger = slog.New(lineHandler{line: "The entry is gone.", seen: func() { close(noticed) }})
-		a.Settings.AskWait = 4 * time.Second
-		a.Settings.TickEvery = time.Millisecond
+		a.Settings.AttemptQueryWait = 4 * time.Second
+		a.Settings.TickInterval = time.Millisecond
 	})
 	req := r.booking("/book", "x")
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/agent/entry_fault_test.go
+++ b/internal/agent/entry_fault_test.go
@@ -271,7 +271,7 @@
 				sent.Add(int64(n))
 			}
 		})
-		r := newRig(t, target, func(a *Agent) { a.Settings.WriteStall = 300 * time.Millisecond })
+		r := newRig(t, target, func(a *Agent) { a.Settings.WriteTimeout = 300 * time.Millisecond })
 		dial(t, r)
 		<-gone
 		// What the sockets on the way buffer is bounded; the agent must not add to it.
@@ -317,7 +317,7 @@
 
 	g := newGate()
 	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) {
-		a.Settings.HeartbeatEvery = 5 * time.Millisecond
+		a.Settings.HeartbeatInterval = 5 * time.Millisecond
 	})
 	resp, frames := r.open(context.Background(), r.request("/draft", "x"))
 	defer resp.Body.Close()
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -38,7 +38,7 @@
 }
 
 func newExchange(a *Agent, req *wire.Request, out *frameWriter, now time.Time) *exchange {
-	x := &exchange{agent: a, req: req, out: out, until: now.Add(a.Settings.MaxRunning)}
+	x := &exchange{agent: a, req: req, out: out, until: now.Add(a.Settings.MaxRequestDuration)}
 	x.call.attemptID = req.GetAttemptID()
 	x.digest.Reset()
 
@@ -72,7 +72,7 @@
 
 	go r.read()
 
-	beat := time.NewTicker(x.agent.Settings.HeartbeatEvery)
+	beat := time.NewTicker(x.agent.Settings.HeartbeatInterval)
 	defer beat.Stop()
 
 	gone := entry.Done()
@@ -80,7 +80,7 @@
 	for {
 		select {
 		case p := <-r.pieces:
-			beat.Reset(x.agent.Settings.HeartbeatEvery)
+			beat.Reset(x.agent.Settings.HeartbeatInterval)
 
 			// The last piece and the loss of the entry may be there at once: the answer is
 			// then to be kept for who asks for it.
--- a/internal/agent/frames.go
+++ b/internal/agent/frames.go
@@ -10,9 +10,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// FramesType is the content type of an answer stream: wire.Frame messages, each
+// FramesContentType is the content type of an answer stream: wire.Frame messages, each
 // behind its length as a varint.
-const FramesType = "application/x-parsleygate-frames"
+const FramesContentType = "application/x-parsleygate-frames"
 
 // frameWriter writes frames to an entry. It is used by one goroutine at a time.
 type frameWriter struct {
@@ -41,7 +41,7 @@
 func (f *frameWriter) add(frame *wire.Frame) error {
 	if !f.begun {
 		f.begun = true
-		f.w.Header().Set("Content-Type", FramesType)
+		f.w.Header().Set("Content-Type", FramesContentType)
 		f.w.WriteHeader(http.StatusOK)
 	}
 
--- a/internal/agent/order_test.go
+++ b/internal/agent/order_test.go
@@ -61,9 +61,9 @@
 
 	return newRig(t, httpTarget(t, e.serve), func(a *Agent) {
 		a.HighestOrder = func() (uint64, bool) { return 4, true }
-		a.Settings.OrderSettle = time.Nanosecond
+		a.Settings.UnsettledOrderTimeout = time.Nanosecond
 		a.Settings.OrderTimeout = time.Second
-		a.Settings.TickEvery = time.Millisecond
+		a.Settings.TickInterval = time.Millisecond
 	})
 }
 
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -50,7 +50,7 @@
 func (r *relay) read() {
 	// A target that takes the request and then stays silent holds its caller until
 	// the deadline; the watch ends that earlier, without calling it "not run".
-	watch := time.AfterFunc(r.x.agent.Settings.TargetSilence, func() {
+	watch := time.AfterFunc(r.x.agent.Settings.TargetIdleTimeout, func() {
 		r.abort(&verdict.Error{Cause: verdict.CauseSilent})
 	})
 	defer watch.Stop()
@@ -91,7 +91,7 @@
 	half := 0
 
 	for {
-		watch.Reset(r.x.agent.Settings.TargetSilence)
+		watch.Reset(r.x.agent.Settings.TargetIdleTimeout)
 
 		b := buf[half*pieceBytes : (half+1)*pieceBytes]
 		n, err := body.Read(b)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -25,7 +25,7 @@
 
 // serveRequest takes one request of an entry and answers with frames.
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request) {
-	out := newFrameWriter(w, a.Settings.WriteStall)
+	out := newFrameWriter(w, a.Settings.WriteTimeout)
 
 	size := a.maxMessage()
 	if r.ContentLength >= 0 {
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -24,45 +24,45 @@
 	AckTimeout time.Duration
 	// MaxPendingBytes bounds the requests that are read or in flight, in bytes.
 	MaxPendingBytes int
-	// WriteStall is how long an entry may take nothing of an answer.
-	WriteStall time.Duration
+	// WriteTimeout is how long an entry may take nothing of an answer.
+	WriteTimeout time.Duration
 	// DialTimeout bounds a connect to the target.
 	DialTimeout time.Duration
-	// TargetSilence is how long the target may send nothing of an answer.
-	TargetSilence time.Duration
-	// MaxRunning bounds a request, whatever its deadline.
-	MaxRunning time.Duration
-	// HeartbeatEvery is how often the entry hears of a request while there is nothing to relay.
-	HeartbeatEvery time.Duration
-	// TickEvery is how often the core looks at the time.
-	TickEvery time.Duration
+	// TargetIdleTimeout is how long the target may send nothing of an answer.
+	TargetIdleTimeout time.Duration
+	// MaxRequestDuration bounds a request, whatever its deadline.
+	MaxRequestDuration time.Duration
+	// HeartbeatInterval is how often the entry hears of a request while there is nothing to relay.
+	HeartbeatInterval time.Duration
+	// TickInterval is how often the core looks at the time.
+	TickInterval time.Duration
 	// OrderTimeout bounds one order to the engine; OrderSettle is how long an order
 	// without an answer bars the next one at an engine that ignores fencing numbers.
-	OrderTimeout time.Duration
-	OrderSettle  time.Duration
-	// AskWait is how long a leaving agent waits to be asked for an answer that didn't
+	OrderTimeout          time.Duration
+	UnsettledOrderTimeout time.Duration
+	// AttemptQueryWait is how long a leaving agent waits to be asked for an answer that didn't
 	// reach its entry.
-	AskWait time.Duration
+	AttemptQueryWait time.Duration
 }
 
 // The defaults of Settings.
 const (
-	DefaultMaxBodyBytes   = 16 << 20
-	DefaultMaxHeaderBytes = 64 << 10
-	DefaultMaxAnswerBytes = 256 << 10
-	DefaultReadTimeout    = 10 * time.Second
-	DefaultIdleTimeout    = 90 * time.Second
-	DefaultAckTimeout     = 10 * time.Second
-	DefaultPendingBytes   = 64 << 20
-	DefaultWriteStall     = 30 * time.Second
-	DefaultDialTimeout    = time.Second
-	DefaultTargetSilence  = time.Minute
-	DefaultMaxRunning     = 10 * time.Minute
-	DefaultHeartbeatEvery = time.Second
-	DefaultTickEvery      = 100 * time.Millisecond
-	DefaultOrderTimeout   = 5 * time.Minute
-	DefaultOrderSettle    = orders.DefaultUnsettledTimeout
-	DefaultAskWait        = 5 * time.Second
+	DefaultMaxBodyBytes          = 16 << 20
+	DefaultMaxHeaderBytes        = 64 << 10
+	DefaultMaxAnswerBytes        = 256 << 10
+	DefaultReadTimeout           = 10 * time.Second
+	DefaultIdleTimeout           = 90 * time.Second
+	DefaultAckTimeout            = 10 * time.Second
+	DefaultMaxPendingBytes       = 64 << 20
+	DefaultWriteTimeout          = 30 * time.Second
+	DefaultDialTimeout           = time.Second
+	DefaultTargetIdleTimeout     = time.Minute
+	DefaultMaxRequestDuration    = 10 * time.Minute
+	DefaultHeartbeatInterval     = time.Second
+	DefaultTickInterval          = 100 * time.Millisecond
+	DefaultOrderTimeout          = 5 * time.Minute
+	DefaultUnsettledOrderTimeout = orders.DefaultUnsettledTimeout
+	DefaultAttemptQueryWait      = 5 * time.Second
 )
 
 // fill puts the defaults into zero fields.
@@ -73,14 +73,14 @@
 	s.ReadTimeout = cmp.Or(s.ReadTimeout, DefaultReadTimeout)
 	s.IdleTimeout = cmp.Or(s.IdleTimeout, DefaultIdleTimeout)
 	s.AckTimeout = cmp.Or(s.AckTimeout, DefaultAckTimeout)
-	s.MaxPendingBytes = cmp.Or(s.MaxPendingBytes, DefaultPendingBytes)
-	s.WriteStall = cmp.Or(s.WriteStall, DefaultWriteStall)
+	s.MaxPendingBytes = cmp.Or(s.MaxPendingBytes, DefaultMaxPendingBytes)
+	s.WriteTimeout = cmp.Or(s.WriteTimeout, DefaultWriteTimeout)
 	s.DialTimeout = cmp.Or(s.DialTimeout, DefaultDialTimeout)
-	s.TargetSilence = cmp.Or(s.TargetSilence, DefaultTargetSilence)
-	s.MaxRunning = cmp.Or(s.MaxRunning, DefaultMaxRunning)
-	s.HeartbeatEvery = cmp.Or(s.HeartbeatEvery, DefaultHeartbeatEvery)
-	s.TickEvery = cmp.Or(s.TickEvery, DefaultTickEvery)
+	s.TargetIdleTimeout = cmp.Or(s.TargetIdleTimeout, DefaultTargetIdleTimeout)
+	s.MaxRequestDuration = cmp.Or(s.MaxRequestDuration, DefaultMaxRequestDuration)
+	s.HeartbeatInterval = cmp.Or(s.HeartbeatInterval, DefaultHeartbeatInterval)
+	s.TickInterval = cmp.Or(s.TickInterval, DefaultTickInterval)
 	s.OrderTimeout = cmp.Or(s.OrderTimeout, DefaultOrderTimeout)
-	s.OrderSettle = cmp.Or(s.OrderSettle, DefaultOrderSettle)
-	s.AskWait = cmp.Or(s.AskWait, DefaultAskWait)
+	s.UnsettledOrderTimeout = cmp.Or(s.UnsettledOrderTimeout, DefaultUnsettledOrderTimeout)
+	s.AttemptQueryWait = cmp.Or(s.AttemptQueryWait, DefaultAttemptQueryWait)
 }
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -88,7 +88,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", RequestIDHeader, id)
 		hang(c, id)
 	}
-	silence := func(a *Agent) { a.Settings.TargetSilence = time.Second }
+	silence := func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second }
 
 	cases := []struct {
 		name   string
@@ -101,7 +101,7 @@
 		{"silent after half an answer", half, silence, 20_000, "ConnectionSilent"},
 		{"past the deadline", hang, nil, 1000, "DeadlinePassed"},
 		{"past the deadline with half an answer", half, nil, 1000, "DeadlinePassed"},
-		{"deadline too far away", hang, func(a *Agent) { a.Settings.MaxRunning = time.Second }, 1 << 62, "DeadlinePassed"},
+		{"deadline too far away", hang, func(a *Agent) { a.Settings.MaxRequestDuration = time.Second }, 1 << 62, "DeadlinePassed"},
 	}
 
 	for _, tc := range cases {
@@ -148,7 +148,7 @@
 
 	body := strings.Repeat("0123456789abcdef", 1<<19)
 	target := httpTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
-	r := newRig(t, target, func(a *Agent) { a.Settings.TargetSilence = time.Second })
+	r := newRig(t, target, func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second })
 	resp, frames := r.open(context.Background(), r.request("/draft", "x"))
 
 	defer resp.Body.Close()
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -18,26 +18,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Node is the agent of one rank.
-type Node struct {
+// RankAgent is the agent of one rank.
+type RankAgent struct {
 	Rank    int
 	Address netip.AddrPort
 }
 
 // Settings are the intervals and costs of all groups.
 type Settings struct {
-	// PlanEvery is how often the ranks' reports are gathered and a new map is weighed.
-	PlanEvery time.Duration
-	// TickEvery is how often switches are moved on.
-	TickEvery time.Duration
+	// PlanInterval is how often the ranks' reports are gathered and a new map is weighed.
+	PlanInterval time.Duration
+	// TickInterval is how often switches are moved on.
+	TickInterval time.Duration
 	// CallTimeout bounds one call to a rank or to the log.
 	CallTimeout time.Duration
-	// StageFor, PrepareFor and ResendEvery are the coordinator's.
-	StageFor    time.Duration
-	PrepareFor  time.Duration
-	ResendEvery time.Duration
-	// Margin is how many steps ahead a switch is named.
-	Margin expertmap.Step
+	// StageTimeout, PrepareFor and ResendEvery are the coordinator's.
+	StageTimeout   time.Duration
+	PrepareTimeout time.Duration
+	ResendInterval time.Duration
+	// SwitchLead is how many steps ahead a switch is named.
+	SwitchLead expertmap.Step
 	// Planner holds the costs of a change.
 	Planner placement.Planner
 }
@@ -45,8 +45,8 @@
 // DefaultSettings returns the settings for the size that parsleygate is designed for.
 func DefaultSettings() Settings {
 	return Settings{
-		PlanEvery: 30 * time.Second, TickEvery: 50 * time.Millisecond, CallTimeout: time.Second,
-		StageFor: 5 * time.Minute, PrepareFor: 10 * time.Second, ResendEvery: 200 * time.Millisecond, Margin: 50,
+		PlanInterval: 30 * time.Second, TickInterval: 50 * time.Millisecond, CallTimeout: time.Second,
+		StageTimeout: 5 * time.Minute, PrepareTimeout: 10 * time.Second, ResendInterval: 200 * time.Millisecond, SwitchLead: 50,
 		Planner: placement.Planner{
 			ExpertBytes: 20 << 20, StoreRate: 512 << 20, RankRate: 256 << 20,
 			Slowdown: 0.05, SwitchPause: 50 * time.Millisecond, ExpertFraction: 0.6,
@@ -57,20 +57,20 @@
 // Director keeps the maps of all groups while its VM leads. Its exported fields
 // are set before Run.
 type Director struct {
-	// Leads reports whether this VM leads the log. Barrier returns once all entries
+	// IsLeader reports whether this VM leads the log. Barrier returns once all entries
 	// that earlier leaders committed have been passed to Applied.
-	Leads   func() bool
-	Barrier func(ctx context.Context) error
+	IsLeader func() bool
+	Barrier  func(ctx context.Context) error
 	// Propose appends an entry; it may be lost, and is then proposed again.
 	Propose func(ctx context.Context, e *wire.GroupEntry) error
 	// Groups returns the groups that the operators declare, Ranks the agents of one.
-	Groups func() []*wire.Group
-	Ranks  func(group string) []Node
-	// Order and Report call a rank's agent.
-	Order    func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error)
-	Report   func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error)
-	Settings Settings
-	Logger   *slog.Logger
+	Groups     func() []*wire.Group
+	RankAgents func(group string) []RankAgent
+	// SendOrder and Report call a rank's agent.
+	SendOrder   func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error)
+	FetchReport func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error)
+	Settings    Settings
+	Logger      *slog.Logger
 
 	events chan func(now time.Time)
 	// latest are the newest states, as the log's goroutine gave them. lost is set
@@ -94,12 +94,12 @@
 	d.states = make(map[string]*wire.GroupState)
 }
 
-// Switches returns how many switches this VM has led to their commit.
-func (d *Director) Switches() int64 { return d.switches.Load() }
+// CommittedSwitches returns how many switches this VM has led to their commit.
+func (d *Director) CommittedSwitches() int64 { return d.switches.Load() }
 
-// Applied takes in an entry of the log, or with a nil one a restored snapshot.
+// OnApplied takes in an entry of the log, or with a nil one a restored snapshot.
 // The goroutine of the log calls it, and it does not wait.
-func (d *Director) Applied(index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
+func (d *Director) OnApplied(index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
 	d.latest.Store(&states)
 
 	select {
@@ -155,7 +155,7 @@
 
 // Run directs until ctx ends.
 func (d *Director) Run(ctx context.Context) error {
-	tick := time.NewTicker(d.Settings.TickEvery)
+	tick := time.NewTicker(d.Settings.TickInterval)
 	defer tick.Stop()
 
 	for {
@@ -173,7 +173,7 @@
 }
 
 func (d *Director) tick(ctx context.Context, now time.Time) {
-	switch leads := d.Leads(); {
+	switch leads := d.IsLeader(); {
 	case !leads && d.leading:
 		d.follow()
 	case leads && !d.leading && !d.asking:
@@ -208,7 +208,7 @@
 
 		d.post(ctx, func(time.Time) {
 			d.asking = false
-			d.leading = err == nil && d.Leads()
+			d.leading = err == nil && d.IsLeader()
 		})
 	}()
 }
--- a/internal/expertgroup/resync_test.go
+++ b/internal/expertgroup/resync_test.go
@@ -28,20 +28,20 @@
 		told := make(chan *wire.RankOrder, 1)
 
 		d := &expertgroup.Director{
-			Leads:   func() bool { return true },
-			Barrier: func(context.Context) error { return nil },
-			Groups:  func() []*wire.Group { return []*wire.Group{{Name: groupName, Ranks: 1, Experts: 2, Layers: 1}} },
-			Ranks: func(string) []expertgroup.Node {
-				return []expertgroup.Node{{Address: netip.AddrPortFrom(netip.IPv6Loopback(), 1)}}
+			IsLeader: func() bool { return true },
+			Barrier:  func(context.Context) error { return nil },
+			Groups:   func() []*wire.Group { return []*wire.Group{{Name: groupName, Ranks: 1, Experts: 2, Layers: 1}} },
+			RankAgents: func(string) []expertgroup.RankAgent {
+				return []expertgroup.RankAgent{{Address: netip.AddrPortFrom(netip.IPv6Loopback(), 1)}}
 			},
-			Order: func(_ context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
+			SendOrder: func(_ context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 				if o.GetKind() == wire.RankOrderKind_RankOrderConfirm {
 					told <- o
 				}
 
 				return asked, nil
 			},
-			Report: func(context.Context, netip.AddrPort, *wire.RankQuestion) (*wire.RankReport, error) {
+			FetchReport: func(context.Context, netip.AddrPort, *wire.RankQuestion) (*wire.RankReport, error) {
 				return nil, errLost
 			},
 			Settings: expertgroup.DefaultSettings(),
@@ -63,13 +63,13 @@
 			last++
 			state := at(last)
 			state[0].Record.RulingVersion = entries
-			d.Applied(last, e, state)
+			d.OnApplied(last, e, state)
 
 			return nil
 		}
 
 		for i := uint64(1); i <= entries; i++ {
-			d.Applied(i, &wire.GroupEntry{Group: groupName}, at(i))
+			d.OnApplied(i, &wire.GroupEntry{Group: groupName}, at(i))
 		}
 
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/expertgroup/unit.go
+++ b/internal/expertgroup/unit.go
@@ -57,7 +57,7 @@
 	return &unit{
 		ctx: ctx, director: d, name: g.GetName(), shape: shape, busy: make(map[int]bool),
 		coordinator: &expertmap.Coordinator{
-			Ranks: shape.Ranks, Margin: s.Margin, StageFor: s.StageFor, PrepareFor: s.PrepareFor, ResendEvery: s.ResendEvery,
+			Ranks: shape.Ranks, Margin: s.SwitchLead, StageFor: s.StageTimeout, PrepareFor: s.PrepareTimeout, ResendEvery: s.ResendInterval,
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
@@ -76,12 +76,12 @@
 	}
 
 	if u.planAt.IsZero() {
-		u.planAt = now.Add(u.director.Settings.PlanEvery)
+		u.planAt = now.Add(u.director.Settings.PlanInterval)
 
 		return
 	}
 
-	u.planAt = now.Add(u.director.Settings.PlanEvery)
+	u.planAt = now.Add(u.director.Settings.PlanInterval)
 	u.gather()
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 
-	for _, n := range u.director.Ranks(u.name) {
+	for _, n := range u.director.RankAgents(u.name) {
 		if n.Rank == o.Rank {
 			u.busy[o.Rank] = true
 
@@ -147,7 +147,7 @@
 	}
 }
 
-func (u *unit) send(n Node, o expertmap.Order, maps []*wire.GroupMap) {
+func (u *unit) send(n RankAgent, o expertmap.Order, maps []*wire.GroupMap) {
 	ctx, cancel := context.WithTimeout(u.ctx, u.director.Settings.CallTimeout)
 	defer cancel()
 
@@ -157,7 +157,7 @@
 		order.Maps = maps
 	}
 
-	status, err := u.director.Order(ctx, n.Address, order)
+	status, err := u.director.SendOrder(ctx, n.Address, order)
 
 	u.director.post(u.ctx, func(now time.Time) {
 		u.busy[o.Rank] = false
@@ -192,7 +192,7 @@
 // gather asks every rank for its counts, and weighs a new map once all have
 // answered or failed to.
 func (u *unit) gather() {
-	nodes := u.director.Ranks(u.name)
+	nodes := u.director.RankAgents(u.name)
 	reports := make(chan *wire.RankReport, len(nodes))
 
 	for _, n := range nodes {
@@ -200,7 +200,7 @@
 			ctx, cancel := context.WithTimeout(u.ctx, u.director.Settings.CallTimeout)
 			defer cancel()
 
-			r, err := u.director.Report(ctx, n.Address, &wire.RankQuestion{
+			r, err := u.director.FetchReport(ctx, n.Address, &wire.RankQuestion{
 				Group: u.name, Rank: uint32(n.Rank), Tokens: u.countsFor(n.Rank),
 			})
 			if err != nil {
@@ -307,5 +307,5 @@
 		}
 	}
 
-	return nil, &MapError{Group: u.name, Version: version}
+	return nil, &MissingMapError{Group: u.name, Version: version}
 }
--- a/internal/expertgroup/world_test.go
+++ b/internal/expertgroup/world_test.go
@@ -128,34 +128,34 @@
 func (w *world) newNode(i int) *node {
 	n := &node{ledger: ledger.New(ledger.DefaultLimits())}
 	s := expertgroup.DefaultSettings()
-	s.PlanEvery, s.StageFor, s.PrepareFor, s.Margin = time.Second, 5*time.Second, 2*time.Second, 20
+	s.PlanInterval, s.StageTimeout, s.PrepareTimeout, s.SwitchLead = time.Second, 5*time.Second, 2*time.Second, 20
 	s.Planner = placement.Planner{ExpertBytes: 1, StoreRate: 1 << 30, RankRate: 1 << 30, ExpertFraction: 1}
 	n.director = &expertgroup.Director{
-		Leads:   func() bool { return w.leads(i) },
-		Barrier: func(ctx context.Context) error { return w.barrier(ctx, i) },
-		Propose: func(ctx context.Context, e *wire.GroupEntry) error { return w.propose(ctx, i, e) },
+		IsLeader: func() bool { return w.leads(i) },
+		Barrier:  func(ctx context.Context) error { return w.barrier(ctx, i) },
+		Propose:  func(ctx context.Context, e *wire.GroupEntry) error { return w.propose(ctx, i, e) },
 		Groups: func() []*wire.Group {
 			return []*wire.Group{{
 				Name: groupName, Ranks: ranks, Experts: uint32(w.shape.Experts),
 				Layers: uint32(w.shape.Layers), Slots: uint32(w.shape.SlotsPerRank),
 			}}
 		},
-		Ranks:    func(string) []expertgroup.Node { return w.places() },
-		Order:    w.order,
-		Report:   w.report,
-		Settings: s,
-		Logger:   slog.New(slog.NewTextHandler(w.t.Output(), nil)),
+		RankAgents:  func(string) []expertgroup.RankAgent { return w.places() },
+		SendOrder:   w.order,
+		FetchReport: w.report,
+		Settings:    s,
+		Logger:      slog.New(slog.NewTextHandler(w.t.Output(), nil)),
 	}
 	n.director.Init()
-	n.ledger.OnGroup = func(index uint64, e *wire.GroupEntry) { n.director.Applied(index, e, n.ledger.Groups()) }
+	n.ledger.OnGroup = func(index uint64, e *wire.GroupEntry) { n.director.OnApplied(index, e, n.ledger.Groups()) }
 
 	return n
 }
 
-func (w *world) places() []expertgroup.Node {
-	var out []expertgroup.Node
+func (w *world) places() []expertgroup.RankAgent {
+	var out []expertgroup.RankAgent
 	for r := range ranks {
-		out = append(out, expertgroup.Node{Rank: r, Address: netip.AddrPortFrom(netip.IPv6Loopback(), uint16(r+1))})
+		out = append(out, expertgroup.RankAgent{Rank: r, Address: netip.AddrPortFrom(netip.IPv6Loopback(), uint16(r+1))})
 	}
 
 	return out
--- a/internal/local/groups.go
+++ b/internal/local/groups.go
@@ -24,7 +24,7 @@
 // so that a short exercise shows some switches.
 func localExperts() expertgroup.Settings {
 	s := expertgroup.DefaultSettings()
-	s.PlanEvery = time.Second
+	s.PlanInterval = time.Second
 	s.Planner.ExpertBytes = 1 << 20
 	s.Planner.SwitchPause = groupStep
 
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -89,7 +89,7 @@
 
 	r.shell = &agent.Agent{
 		ID: r.ID, Zone: r.Zone, Incarnation: r.Incarnation,
-		Listener: identity.MaybeAccept(r.Identity, r.Listener), Announce: r.Announce, Guard: guardAgent,
+		Listener: identity.MaybeAccept(r.Identity, r.Listener), AnnounceListener: r.Announce, Authorize: guardAgent,
 		Mount: func(routes chi.Router) { routes.Mount(wire.RankPathPrefix, wire.NewRankServer(&rankService{role: r})) },
 		View:  r.view, Logger: r.Logs.Logger("agent"), Metrics: r.Dump.Metrics, Settings: r.Settings,
 	}
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -116,7 +116,7 @@
 	}
 
 	r.director = r.newDirector()
-	r.server.OnGroup = r.director.Applied
+	r.server.OnGroup = r.director.OnApplied
 	r.server.Init()
 	r.replica.Apply = r.server.Apply
 	r.replica.Snapshot = r.server.Snapshot
--- a/internal/role/director.go
+++ b/internal/role/director.go
@@ -14,14 +14,14 @@
 func (r *Control) Director() *expertgroup.Director { return r.director }
 
 func (r *Control) newDirector() *expertgroup.Director {
-	if r.Experts.TickEvery == 0 {
+	if r.Experts.TickInterval == 0 {
 		r.Experts = expertgroup.DefaultSettings()
 	}
 
 	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDial}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.Dial, IdleConnTimeout: agentIdle}}
 	d := &expertgroup.Director{
-		Leads: r.leads,
+		IsLeader: r.leads,
 		Barrier: func(ctx context.Context) error {
 			_, _, err := r.replica.Read(ctx)
 
@@ -29,11 +29,11 @@
 		},
 		// The server is made after the director, which it tells of applied entries.
 		Propose: func(ctx context.Context, e *wire.GroupEntry) error { return r.server.ProposeGroup(ctx, e) },
-		Groups:  r.groups, Ranks: r.ranks, Settings: r.Experts, Logger: r.Logs.Logger("experts"),
-		Order: func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
+		Groups:  r.groups, RankAgents: r.ranks, Settings: r.Experts, Logger: r.Logs.Logger("experts"),
+		SendOrder: func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Order(ctx, o)
 		},
-		Report: func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error) {
+		FetchReport: func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Report(ctx, q)
 		},
 	}
@@ -48,7 +48,7 @@
 	version uint64
 	known   bool
 	groups  []*wire.Group
-	ranks   map[string][]expertgroup.Node
+	ranks   map[string][]expertgroup.RankAgent
 }
 
 func (r *Control) groups() []*wire.Group {
@@ -57,7 +57,7 @@
 	return r.view.groups
 }
 
-func (r *Control) ranks(group string) []expertgroup.Node {
+func (r *Control) ranks(group string) []expertgroup.RankAgent {
 	r.readGroups()
 
 	return r.view.ranks[group]
@@ -69,7 +69,7 @@
 		return
 	}
 
-	r.view = groupView{version: version, known: true, ranks: make(map[string][]expertgroup.Node)}
+	r.view = groupView{version: version, known: true, ranks: make(map[string][]expertgroup.RankAgent)}
 
 	for _, record := range r.server.Configuration() {
 		if g := record.GetGroup(); g != nil {
@@ -82,7 +82,7 @@
 		}
 
 		if a, err := netip.ParseAddrPort(n.GetAddress()); err == nil {
-			node := expertgroup.Node{Rank: int(n.GetRank()), Address: a}
+			node := expertgroup.RankAgent{Rank: int(n.GetRank()), Address: a}
 			r.view.ranks[n.GetGroup()] = append(r.view.ranks[n.GetGroup()], node)
 		}
 	}
--- a/internal/slopes/director_test.go
+++ b/internal/slopes/director_test.go
@@ -80,15 +80,15 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: groups * groupRanks}
 	client := wire.NewRankProtobufClient("http://"+to.String(), &http.Client{Transport: transport})
 	d := &expertgroup.Director{
-		Leads:   func() bool { return true },
-		Barrier: func(context.Context) error { return nil },
-		Propose: func(context.Context, *wire.GroupEntry) error { return nil },
-		Groups:  func() []*wire.Group { return declared(groups) },
-		Ranks:   func(string) []expertgroup.Node { return nodes(to) },
-		Order: func(ctx context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
+		IsLeader:   func() bool { return true },
+		Barrier:    func(context.Context) error { return nil },
+		Propose:    func(context.Context, *wire.GroupEntry) error { return nil },
+		Groups:     func() []*wire.Group { return declared(groups) },
+		RankAgents: func(string) []expertgroup.RankAgent { return nodes(to) },
+		SendOrder: func(ctx context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return client.Order(ctx, o)
 		},
-		Report: func(ctx context.Context, _ netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error) {
+		FetchReport: func(ctx context.Context, _ netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error) {
 			return client.Report(ctx, q)
 		},
 		Settings: expertgroup.DefaultSettings(), Logger: logs.Discard(),
@@ -98,7 +98,7 @@
 	before := heap()
 
 	if kept {
-		d.Applied(1, nil, states(b, groups))
+		d.OnApplied(1, nil, states(b, groups))
 	}
 
 	ctx, cancel := context.WithCancel(b.Context())
@@ -136,10 +136,10 @@
 	return out
 }
 
-func nodes(to netip.AddrPort) []expertgroup.Node {
-	var out []expertgroup.Node
+func nodes(to netip.AddrPort) []expertgroup.RankAgent {
+	var out []expertgroup.RankAgent
 	for r := range groupRanks {
-		out = append(out, expertgroup.Node{Rank: r, Address: to})
+		out = append(out, expertgroup.RankAgent{Rank: r, Address: to})
 	}
 
 	return out
