--- a/internal/journal/disk_test.go
+++ b/internal/journal/disk_test.go
@@ -11,74 +11,74 @@
 
 var errCrash = errors.New("crash")
 
-// tail says what is left of unsynced bytes after a power cut.
-type tail int
+// unsyncedTail says what is left of unsynced bytes after a power cut.
+type unsyncedTail int
 
 const (
-	tailGone  tail = iota // nothing
-	tailHalf              // the first half
-	tailZeros             // the length, but not the bytes
-	tailWhole             // all
+	tailLost  unsyncedTail = iota // nothing
+	tailHalf                      // the first half
+	tailZeros                     // the length, but not the bytes
+	tailKept                      // all
 )
 
 // inode is one file's content.
 type inode struct {
-	bytes  []byte
+	data   []byte
 	synced int
 }
 
 // disk is a data folder that survives power cuts as far as it was synced.
 type disk struct {
-	files   map[string]*inode
-	durable map[string]*inode // as of the last sync of the folder
-	ops     int               // so far
-	crashAt int               // 0: never
-	tail    tail
-	// keepNames says whether unsynced renames survive.
-	keepNames bool
-	failSync  bool
-	shortBy   int
+	files     map[string]*inode
+	durable   map[string]*inode // as of the last sync of the folder
+	opCount   int               // so far
+	crashAtOp int               // 0: never
+	tail      unsyncedTail
+	// keepRenames says whether unsynced renames survive.
+	keepRenames  bool
+	failSync     bool
+	shortWriteBy int
 }
 
 func newDisk() *disk {
 	return &disk{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// crashes counts one operation and reports whether the power is gone.
-func (d *disk) crashes() bool {
-	d.ops++
+// countOp counts one operation and reports whether the power is gone.
+func (d *disk) countOp() bool {
+	d.opCount++
 
-	return d.crashAt > 0 && d.ops >= d.crashAt
+	return d.crashAtOp > 0 && d.opCount >= d.crashAtOp
 }
 
-// restart is what a power cut leaves.
-func (d *disk) restart() {
-	if !d.keepNames {
+// powerCycle is what a power cut leaves.
+func (d *disk) powerCycle() {
+	if !d.keepRenames {
 		d.files = maps.Clone(d.durable)
 	}
 
 	for _, f := range d.files {
-		n := len(f.bytes) - f.synced
+		n := len(f.data) - f.synced
 		switch d.tail {
-		case tailGone:
-			f.bytes = f.bytes[:f.synced]
+		case tailLost:
+			f.data = f.data[:f.synced]
 		case tailHalf:
-			f.bytes = f.bytes[:f.synced+n/2]
+			f.data = f.data[:f.synced+n/2]
 		case tailZeros:
-			clear(f.bytes[f.synced:])
-		case tailWhole:
+			clear(f.data[f.synced:])
+		case tailKept:
 		}
 
-		f.synced = len(f.bytes)
+		f.synced = len(f.data)
 	}
 
 	d.durable = maps.Clone(d.files)
-	d.crashAt = 0
+	d.crashAtOp = 0
 	d.failSync = false
-	d.shortBy = 0
+	d.shortWriteBy = 0
 }
 
-func (d *disk) operations() journal.Files {
+func (d *disk) fileOps() journal.Files {
 	return journal.Files{
 		MakeDir: func(string) error { return nil },
 		Lock:    func(string) (func() error, error) { return func() error { return nil }, nil },
@@ -88,10 +88,10 @@
 				return nil, fs.ErrNotExist
 			}
 
-			return append([]byte(nil), f.bytes...), nil
+			return append([]byte(nil), f.data...), nil
 		},
 		Create: func(name string) (*journal.File, error) {
-			if d.crashes() {
+			if d.countOp() {
 				return nil, errCrash
 			}
 
@@ -101,16 +101,16 @@
 			return d.open(f), nil
 		},
 		Rename: func(from, to string) error {
-			dead := d.crashAt > 0 && d.ops >= d.crashAt
-			if d.crashes(); !dead {
+			crashed := d.crashAtOp > 0 && d.opCount >= d.crashAtOp
+			if d.countOp(); !crashed {
 				d.files[filepath.Base(to)] = d.files[filepath.Base(from)]
 				delete(d.files, filepath.Base(from))
 			}
 
-			return d.dead()
+			return d.crashError()
 		},
 		SyncDir: func(string) error {
-			if d.crashes() {
+			if d.countOp() {
 				return errCrash
 			}
 
@@ -121,9 +121,9 @@
 	}
 }
 
-// dead returns errCrash once the power is gone.
-func (d *disk) dead() error {
-	if d.crashAt > 0 && d.ops >= d.crashAt {
+// crashError returns errCrash once the power is gone.
+func (d *disk) crashError() error {
+	if d.crashAtOp > 0 && d.opCount >= d.crashAtOp {
 		return errCrash
 	}
 
@@ -133,20 +133,20 @@
 func (d *disk) open(f *inode) *journal.File {
 	return &journal.File{
 		Write: func(p []byte) (int, error) {
-			dead := d.dead() != nil
-			d.crashes()
+			crashed := d.crashError() != nil
+			d.countOp()
 
-			if dead {
+			if crashed {
 				return 0, errCrash
 			}
 
-			p = p[:len(p)-min(d.shortBy, len(p))]
-			f.bytes = append(f.bytes, p...)
+			p = p[:len(p)-min(d.shortWriteBy, len(p))]
+			f.data = append(f.data, p...)
 
-			return len(p), d.dead()
+			return len(p), d.crashError()
 		},
 		Sync: func() error {
-			if d.crashes() {
+			if d.countOp() {
 				return errCrash
 			}
 
@@ -154,7 +154,7 @@
 				return errors.New("input/output error")
 			}
 
-			f.synced = len(f.bytes)
+			f.synced = len(f.data)
 
 			return nil
 		},
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -16,34 +16,34 @@
 //
 // Only one frame is ever unsynced: the next one is written after it is synced.
 const (
-	frameMagic    uint32 = 0x50474a31
-	frameHeadSize int    = 24
-	frameTailSize int    = 9
-	fileHeadSize  int    = 24
+	frameMagic       uint32 = 0x50474a31
+	frameHeaderSize  int    = 24
+	frameTrailerSize int    = 9
+	fileHeaderSize   int    = 24
 	// endMark is never zero, so that a frame whose last block was never written
 	// can be told from one that was written and then damaged.
 	endMark byte = 0xe5
 )
 
-// kind says what a file holds.
-type kind uint64
+// fileKind says what a file holds.
+type fileKind uint64
 
 const (
-	kindIdentity kind = 0x5047_4944_0000_0001
-	kindLog      kind = 0x5047_4c4f_0000_0001
-	kindSnapshot kind = 0x5047_534e_0000_0001
+	kindIdentity fileKind = 0x5047_4944_0000_0001
+	kindLog      fileKind = 0x5047_4c4f_0000_0001
+	kindSnapshot fileKind = 0x5047_534e_0000_0001
 )
 
-func fileHead(k kind, birth uint64) []byte {
+func fileHeader(k fileKind, creationID uint64) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, uint64(k))
-	b = binary.LittleEndian.AppendUint64(b, birth)
+	b = binary.LittleEndian.AppendUint64(b, creationID)
 
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// readFileHead returns the birth in the head of a file.
-func readFileHead(name string, k kind, b []byte) (uint64, error) {
-	if len(b) < fileHeadSize || binary.LittleEndian.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
+// parseFileHeader returns the birth in the head of a file.
+func parseFileHeader(name string, k fileKind, b []byte) (uint64, error) {
+	if len(b) < fileHeaderSize || binary.LittleEndian.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
 		return 0, &CorruptionError{File: name, Detail: "head of file"}
 	}
 
@@ -61,55 +61,55 @@
 	b = binary.LittleEndian.AppendUint64(b, seq)
 	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b[start:]))
 	b = append(b, payload...)
-	b = binary.LittleEndian.AppendUint64(b, payloadSum(seq, payload))
+	b = binary.LittleEndian.AppendUint64(b, payloadChecksum(seq, payload))
 
 	return append(b, endMark)
 }
 
-func payloadSum(seq uint64, payload []byte) uint64 {
+func payloadChecksum(seq uint64, payload []byte) uint64 {
 	d := xxhash.NewWithSeed(seq)
 	_, _ = d.Write(payload)
 
 	return d.Sum64()
 }
 
-// frames returns the payloads in b, which begins at offset in the file name. A
+// parseFrames returns the payloads in b, which begins at offset in the file name. A
 // torn last frame is left out only where its sync cannot have returned: the
 // file ends within it, or its last bytes were never written. Any other fault
 // may hide what this replica has acknowledged, and is an error.
-func frames(name string, offset int, b []byte) ([][]byte, error) {
+func parseFrames(name string, offset int, b []byte) ([][]byte, error) {
 	var out [][]byte
 
 	for seq := uint64(1); len(b) > 0; seq++ {
-		damage := &CorruptionError{File: name, Offset: offset, Detail: "frame"}
+		corruption := &CorruptionError{File: name, Offset: offset, Detail: "frame"}
 
-		if !isFrameHead(b) {
-			if len(bytes.TrimRight(b, "\x00")) < frameHeadSize {
+		if !isFrameHeader(b) {
+			if len(bytes.TrimRight(b, "\x00")) < frameHeaderSize {
 				return out, nil
 			}
 
-			return nil, damage
+			return nil, corruption
 		}
 
 		n := int(binary.LittleEndian.Uint32(b[4:]))
-		end := frameHeadSize + n + frameTailSize
+		end := frameHeaderSize + n + frameTrailerSize
 
 		if binary.LittleEndian.Uint64(b[8:]) != seq {
-			return nil, damage
+			return nil, corruption
 		}
 
 		if end > len(b) {
 			return out, nil
 		}
 
-		payload := b[frameHeadSize : frameHeadSize+n]
+		payload := b[frameHeaderSize : frameHeaderSize+n]
 
-		if b[end-1] != endMark || binary.LittleEndian.Uint64(b[frameHeadSize+n:]) != payloadSum(seq, payload) {
+		if b[end-1] != endMark || binary.LittleEndian.Uint64(b[frameHeaderSize+n:]) != payloadChecksum(seq, payload) {
 			if end == len(b) && b[end-1] == 0 {
 				return out, nil
 			}
 
-			return nil, damage
+			return nil, corruption
 		}
 
 		out = append(out, payload)
@@ -120,8 +120,8 @@
 	return out, nil
 }
 
-func isFrameHead(b []byte) bool {
-	return len(b) >= frameHeadSize &&
+func isFrameHeader(b []byte) bool {
+	return len(b) >= frameHeaderSize &&
 		binary.LittleEndian.Uint32(b) == frameMagic &&
 		binary.LittleEndian.Uint64(b[16:]) == xxhash.Sum64(b[:16])
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -37,13 +37,13 @@
 	// Files are the file operations; the zero value stands for OSFiles.
 	Files Files
 
-	birth   uint64
-	hard    quorum.HardState
-	log     *File
-	seq     uint64
-	failed  error
-	release func() error
-	stats   Stats
+	creationID uint64
+	hardState  quorum.HardState
+	logFile    *File
+	seq        uint64
+	writeErr   error
+	unlock     func() error
+	stats      Stats
 }
 
 // Open reads the data folder, or fills an empty one. The log is written anew
@@ -58,16 +58,16 @@
 		return quorum.StoredState{}, &WriteError{Op: "make data folder", Err: err}
 	}
 
-	release, err := j.Files.Lock(j.path(lockName))
+	unlock, err := j.Files.Lock(j.path(lockName))
 	if err != nil {
 		return quorum.StoredState{}, &WriteError{Op: "lock data folder", Err: err}
 	}
 
-	j.release = release
+	j.unlock = unlock
 
 	stored, err := j.load()
 	if err == nil {
-		j.hard = stored.State
+		j.hardState = stored.State
 		err = j.rewriteLog(stored.Entries)
 	}
 
@@ -83,7 +83,7 @@
 }
 
 // CreationID returns the random number made with the data folder. It is known after Open.
-func (j *Journal) CreationID() uint64 { return j.birth }
+func (j *Journal) CreationID() uint64 { return j.creationID }
 
 // Stats returns what was made durable since Open.
 func (j *Journal) Stats() Stats { return j.stats }
@@ -92,14 +92,14 @@
 func (j *Journal) Close() error {
 	var errs []error
 
-	if j.log != nil {
-		errs = append(errs, j.log.Close())
-		j.log = nil
+	if j.logFile != nil {
+		errs = append(errs, j.logFile.Close())
+		j.logFile = nil
 	}
 
-	if j.release != nil {
-		errs = append(errs, j.release())
-		j.release = nil
+	if j.unlock != nil {
+		errs = append(errs, j.unlock())
+		j.unlock = nil
 	}
 
 	return errors.Join(errs...)
@@ -107,8 +107,8 @@
 
 // Write makes p durable. After an error the journal refuses all further writes.
 func (j *Journal) Write(p quorum.Persist) error {
-	if j.failed != nil {
-		return j.failed
+	if j.writeErr != nil {
+		return j.writeErr
 	}
 
 	if p.Empty() {
@@ -116,38 +116,38 @@
 	}
 
 	if p.State != nil {
-		j.hard = *p.State
+		j.hardState = *p.State
 	}
 
 	if p.Snapshot == nil {
-		j.failed = j.appendLog(p.Entries)
+		j.writeErr = j.appendLog(p.Entries)
 
-		return j.failed
+		return j.writeErr
 	}
 
-	j.failed = j.writeSnapshot(*p.Snapshot)
-	if j.failed == nil {
-		j.failed = j.rewriteLog(p.Entries)
+	j.writeErr = j.writeSnapshot(*p.Snapshot)
+	if j.writeErr == nil {
+		j.writeErr = j.rewriteLog(p.Entries)
 	}
 
-	return j.failed
+	return j.writeErr
 }
 
 func (j *Journal) appendLog(entries []quorum.Entry) error {
-	b, err := j.batch(nil, entries)
+	b, err := j.appendBatch(nil, entries)
 	if err != nil {
 		return err
 	}
 
-	return j.writeSynced(j.log, b)
+	return j.writeAndSync(j.logFile, b)
 }
 
-// batch appends to b the next frame of the log.
-func (j *Journal) batch(b []byte, entries []quorum.Entry) ([]byte, error) {
+// appendBatch appends to b the next frame of the log.
+func (j *Journal) appendBatch(b []byte, entries []quorum.Entry) ([]byte, error) {
 	j.seq++
 
 	payload, err := proto.Marshal(&wire.JournalBatch{
-		Term: j.hard.Term, Vote: j.hard.Vote, VoteBirth: j.hard.VoteCreationID, Entries: quorum.EntriesToWire(entries),
+		Term: j.hardState.Term, Vote: j.hardState.Vote, VoteBirth: j.hardState.VoteCreationID, Entries: quorum.EntriesToWire(entries),
 	})
 	if err != nil {
 		return nil, &WriteError{Op: "encode batch", Err: err}
@@ -160,7 +160,7 @@
 func (j *Journal) rewriteLog(entries []quorum.Entry) error {
 	j.seq = 0
 
-	b, err := j.batch(fileHead(kindLog, j.birth), entries)
+	b, err := j.appendBatch(fileHeader(kindLog, j.creationID), entries)
 	if err != nil {
 		return err
 	}
@@ -170,8 +170,8 @@
 		return err
 	}
 
-	old := j.log
-	j.log = f
+	old := j.logFile
+	j.logFile = f
 
 	if old == nil {
 		return nil
@@ -192,7 +192,7 @@
 		return &WriteError{Op: "encode snapshot", Err: err}
 	}
 
-	return j.replaceClosed(snapshotName, appendFrame(fileHead(kindSnapshot, j.birth), 1, payload))
+	return j.replaceAndClose(snapshotName, appendFrame(fileHeader(kindSnapshot, j.creationID), 1, payload))
 }
 
 // writeIdentity comes last for an empty data folder, so that a folder with an
@@ -202,12 +202,12 @@
 		return nil
 	}
 
-	payload, err := proto.Marshal(&wire.JournalIdentity{Cluster: j.Cluster, ID: j.ID, Birth: j.birth})
+	payload, err := proto.Marshal(&wire.JournalIdentity{Cluster: j.Cluster, ID: j.ID, Birth: j.creationID})
 	if err != nil {
 		return &WriteError{Op: "encode identity", Err: err}
 	}
 
-	return j.replaceClosed(identityName, appendFrame(fileHead(kindIdentity, j.birth), 1, payload))
+	return j.replaceAndClose(identityName, appendFrame(fileHeader(kindIdentity, j.creationID), 1, payload))
 }
 
 // replace puts a file that holds b under name, in one step and durably, and
@@ -218,7 +218,7 @@
 		return nil, &WriteError{Op: "create " + name, Err: err}
 	}
 
-	err = j.writeSynced(f, b)
+	err = j.writeAndSync(f, b)
 	if err == nil {
 		err = j.Files.Rename(j.path(name+tmpSuffix), j.path(name))
 	}
@@ -234,7 +234,7 @@
 	return f, nil
 }
 
-func (j *Journal) replaceClosed(name string, b []byte) error {
+func (j *Journal) replaceAndClose(name string, b []byte) error {
 	f, err := j.replace(name, b)
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func (j *Journal) writeSynced(f *File, b []byte) error {
+func (j *Journal) writeAndSync(f *File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
 		err = errShortWrite
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -14,7 +14,7 @@
 
 func open(d *disk) (*journal.Journal, quorum.StoredState, error) {
 	j := &journal.Journal{
-		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 7 }, Files: d.operations(),
+		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 7 }, Files: d.fileOps(),
 	}
 	stored, err := j.Open()
 
@@ -25,9 +25,9 @@
 	return quorum.Entry{Index: i, Term: term, Command: []byte(command)}
 }
 
-// writes is what a replica's life consists of: votes, entries, entries that
+// testWrites is what a replica's life consists of: votes, entries, entries that
 // replace others, a snapshot of its own and one of its leader's.
-func writes() []quorum.Persist {
+func testWrites() []quorum.Persist {
 	return []quorum.Persist{
 		{State: &quorum.HardState{Term: 1, Vote: "vm0"}, Snapshot: &quorum.Snapshot{Members: quorum.Members{{ID: "vm0", Birth: 7}}}},
 		{Entries: []quorum.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}},
@@ -45,12 +45,12 @@
 	}
 }
 
-// after returns what must be found after the first n writes. Entries up to the
+// stateAfter returns what must be found after the first n writes. Entries up to the
 // snapshot do not matter.
-func after(n int) quorum.StoredState {
+func stateAfter(n int) quorum.StoredState {
 	var s quorum.StoredState
 
-	for _, p := range writes()[:n] {
+	for _, p := range testWrites()[:n] {
 		if p.State != nil {
 			s.State = *p.State
 		}
@@ -67,7 +67,7 @@
 	return s
 }
 
-func show(s quorum.StoredState) string {
+func formatState(s quorum.StoredState) string {
 	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e quorum.Entry) bool { return e.Index <= s.Snapshot.Index })
 
 	return fmt.Sprintf("%v %v %q %v", s.State, s.Snapshot.Index, s.Snapshot.Data, s.Entries)
@@ -79,47 +79,47 @@
 func TestPowerCutAtEveryOperation(t *testing.T) {
 	t.Parallel()
 
-	for _, mode := range []tail{tailGone, tailHalf, tailZeros, tailWhole} {
-		for _, keepNames := range []bool{false, true} {
-			for at := 1; powerCut(t, mode, keepNames, at); at++ {
+	for _, mode := range []unsyncedTail{tailLost, tailHalf, tailZeros, tailKept} {
+		for _, keepRenames := range []bool{false, true} {
+			for at := 1; runWithPowerCut(t, mode, keepRenames, at); at++ {
 			}
 		}
 	}
 }
 
-// powerCut reports whether the power was cut before all writes were done.
-func powerCut(t *testing.T, mode tail, keepNames bool, at int) bool {
+// runWithPowerCut reports whether the power was cut before all writes were done.
+func runWithPowerCut(t *testing.T, mode unsyncedTail, keepRenames bool, at int) bool {
 	d := newDisk()
-	d.tail, d.keepNames, d.crashAt = mode, keepNames, at
+	d.tail, d.keepRenames, d.crashAtOp = mode, keepRenames, at
 	acked := 0
 
 	j, _, err := open(d)
-	for err == nil && acked < len(writes()) {
-		if err = j.Write(writes()[acked]); err == nil {
+	for err == nil && acked < len(testWrites()) {
+		if err = j.Write(testWrites()[acked]); err == nil {
 			acked++
 		}
 	}
 
 	cut := err != nil
 
-	d.restart()
+	d.powerCycle()
 
 	_, stored, err := open(d)
-	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepNames)
+	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
 
 	_, err = quorum.New(quorum.Config{ID: "vm0", CreationID: 7, Rand: func(int64) int64 { return 0 }}, stored, time.Time{})
-	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepNames)
+	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
 
-	got, want := show(stored), []string{show(after(acked))}
-	if acked < len(writes()) {
-		want = append(want, show(after(acked+1)))
+	got, want := formatState(stored), []string{formatState(stateAfter(acked))}
+	if acked < len(testWrites()) {
+		want = append(want, formatState(stateAfter(acked+1)))
 		// Between the two files of a snapshot the new one is there, with the old term.
-		half := after(acked + 1)
-		half.State = after(acked).State
-		want = append(want, show(half))
+		half := stateAfter(acked + 1)
+		half.State = stateAfter(acked).State
+		want = append(want, formatState(half))
 	}
 
-	require.Contains(t, want, got, "cut at operation %d, tail %d, names %v", at, mode, keepNames)
+	require.Contains(t, want, got, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
 
 	return cut
 }
@@ -127,27 +127,27 @@
 // A disk block goes bad, or a file was restored from somewhere. Going on with
 // what is left could forget an acknowledged entry or a vote: every changed byte
 // must be noticed, and the replica must not take part.
-func TestDamageIsNoticed(t *testing.T) {
+func TestCorruptionIsDetected(t *testing.T) {
 	t.Parallel()
 
 	d := newDisk()
 	j, _, err := open(d)
 	require.NoError(t, err)
 
-	for _, p := range writes() {
+	for _, p := range testWrites() {
 		require.NoError(t, j.Write(p))
 	}
 
 	for name, f := range d.files {
-		for i := range f.bytes {
-			f.bytes[i] ^= 0x40
+		for i := range f.data {
+			f.data[i] ^= 0x40
 			_, _, err := open(&disk{files: d.files, durable: d.durable})
 
-			var damage *journal.CorruptionError
+			var corruption *journal.CorruptionError
 
-			require.ErrorAs(t, err, &damage, "%s byte %d", name, i)
+			require.ErrorAs(t, err, &corruption, "%s byte %d", name, i)
 
-			f.bytes[i] ^= 0x40
+			f.data[i] ^= 0x40
 		}
 	}
 
@@ -162,15 +162,15 @@
 
 	for name, fault := range map[string]func(*disk){
 		"sync fails":       func(d *disk) { d.failSync = true },
-		"write is short":   func(d *disk) { d.shortBy = 3 },
-		"nothing is taken": func(d *disk) { d.shortBy = 1 << 20 },
+		"write is short":   func(d *disk) { d.shortWriteBy = 3 },
+		"nothing is taken": func(d *disk) { d.shortWriteBy = 1 << 20 },
 	} {
-		for n := range writes() {
+		for n := range testWrites() {
 			d := newDisk()
 			j, _, err := open(d)
 			require.NoError(t, err)
 
-			for _, p := range writes()[:n] {
+			for _, p := range testWrites()[:n] {
 				require.NoError(t, j.Write(p))
 			}
 
@@ -178,24 +178,24 @@
 
 			var fail *journal.WriteError
 
-			require.ErrorAs(t, j.Write(writes()[n]), &fail, name)
+			require.ErrorAs(t, j.Write(testWrites()[n]), &fail, name)
 
-			d.failSync, d.shortBy = false, 0
+			d.failSync, d.shortWriteBy = false, 0
 
-			require.ErrorAs(t, j.Write(writes()[n]), &fail, name)
+			require.ErrorAs(t, j.Write(testWrites()[n]), &fail, name)
 
-			d.tail = tailWhole
-			d.restart()
+			d.tail = tailKept
+			d.powerCycle()
 
 			_, stored, err := open(d)
 			require.NoError(t, err, name)
-			require.Contains(t, []string{show(after(n)), show(after(n + 1))}, show(stored), name)
+			require.Contains(t, []string{formatState(stateAfter(n)), formatState(stateAfter(n + 1))}, formatState(stored), name)
 		}
 	}
 }
 
 // Someone mounts the wrong disk, or clears a part of it.
-func TestForeignOrIncompleteFolderIsRefused(t *testing.T) {
+func TestForeignOrIncompleteFolderIsRejected(t *testing.T) {
 	t.Parallel()
 
 	for name, change := range map[string]func(*disk, *journal.Journal){
@@ -205,23 +205,23 @@
 		"identity is gone":   func(d *disk, _ *journal.Journal) { delete(d.files, "identity") },
 		"snapshot is gone":   func(d *disk, _ *journal.Journal) { delete(d.files, "snapshot") },
 		"only the log stays": func(d *disk, _ *journal.Journal) { delete(d.files, "identity"); delete(d.files, "snapshot") },
-		"log is empty":       func(d *disk, _ *journal.Journal) { d.files["log"].bytes = nil },
-		"log of another one": func(d *disk, _ *journal.Journal) { d.files["log"].bytes = foreignLog(t) },
+		"log is empty":       func(d *disk, _ *journal.Journal) { d.files["log"].data = nil },
+		"log of another one": func(d *disk, _ *journal.Journal) { d.files["log"].data = foreignLog(t) },
 	} {
 		d := newDisk()
 		j, _, err := open(d)
 		require.NoError(t, err)
 
-		for _, p := range writes() {
+		for _, p := range testWrites() {
 			require.NoError(t, j.Write(p))
 		}
 
-		again := &journal.Journal{
-			Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 8 }, Files: d.operations(),
+		reopened := &journal.Journal{
+			Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 8 }, Files: d.fileOps(),
 		}
-		change(d, again)
+		change(d, reopened)
 
-		_, err = again.Open()
+		_, err = reopened.Open()
 		require.Error(t, err, name)
 	}
 }
@@ -229,17 +229,17 @@
 func foreignLog(t *testing.T) []byte {
 	d := newDisk()
 	j := &journal.Journal{
-		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 99 }, Files: d.operations(),
+		Dir: "data", Cluster: "test", ID: "vm0", NewCreationID: func() uint64 { return 99 }, Files: d.fileOps(),
 	}
 	_, err := j.Open()
 	require.NoError(t, err)
 
-	return d.files["log"].bytes
+	return d.files["log"].data
 }
 
 // A process is started twice on one data folder. Two replicas under one
 // identity could vote twice.
-func TestFolderHasOneOwner(t *testing.T) {
+func TestDataFolderHasOneOwner(t *testing.T) {
 	t.Parallel()
 
 	dir := t.TempDir()
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -14,9 +14,9 @@
 
 // load reads the data folder, and makes a birth for an empty one.
 func (j *Journal) load() (quorum.StoredState, error) {
-	identity, err := j.readOne(identityName, kindIdentity)
+	identity, err := j.readSingleFrame(identityName, kindIdentity)
 	if errors.Is(err, fs.ErrNotExist) {
-		return j.loadEmpty()
+		return j.loadWithoutIdentity()
 	}
 
 	if err != nil {
@@ -34,7 +34,7 @@
 		}
 	}
 
-	j.birth = id.GetBirth()
+	j.creationID = id.GetBirth()
 
 	stored, err := j.loadSnapshot()
 	if err != nil {
@@ -46,14 +46,14 @@
 	return stored, err
 }
 
-// loadEmpty accepts a folder that never got as far as an identity. Nothing was
+// loadWithoutIdentity accepts a folder that never got as far as an identity. Nothing was
 // promised from it, so there can be no more than an empty log.
-func (j *Journal) loadEmpty() (quorum.StoredState, error) {
+func (j *Journal) loadWithoutIdentity() (quorum.StoredState, error) {
 	if _, err := j.Files.Read(j.path(snapshotName)); !errors.Is(err, fs.ErrNotExist) {
 		return quorum.StoredState{}, &MissingFileError{File: identityName}
 	}
 
-	payloads, err := j.read(logName, kindLog)
+	payloads, err := j.readFrames(logName, kindLog)
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
@@ -66,7 +66,7 @@
 		return quorum.StoredState{}, &MissingFileError{File: identityName}
 	}
 
-	j.birth = j.NewCreationID()
+	j.creationID = j.NewCreationID()
 
 	return quorum.StoredState{}, nil
 }
@@ -74,7 +74,7 @@
 func (j *Journal) loadSnapshot() (quorum.StoredState, error) {
 	var stored quorum.StoredState
 
-	payload, err := j.readOne(snapshotName, kindSnapshot)
+	payload, err := j.readSingleFrame(snapshotName, kindSnapshot)
 	if errors.Is(err, fs.ErrNotExist) {
 		return stored, nil
 	}
@@ -101,7 +101,7 @@
 }
 
 func (j *Journal) loadLog(stored *quorum.StoredState) error {
-	payloads, err := j.read(logName, kindLog)
+	payloads, err := j.readFrames(logName, kindLog)
 	if errors.Is(err, fs.ErrNotExist) {
 		return &MissingFileError{File: logName}
 	}
@@ -112,7 +112,7 @@
 
 	// The log is only ever put in place with its first frame in it.
 	if len(payloads) == 0 {
-		return &CorruptionError{File: logName, Offset: fileHeadSize, Detail: "first frame"}
+		return &CorruptionError{File: logName, Offset: fileHeaderSize, Detail: "first frame"}
 	}
 
 	for _, payload := range payloads {
@@ -125,7 +125,7 @@
 		return &CorruptionError{File: snapshotName, Detail: "gap between snapshot and log"}
 	}
 
-	stored.Entries = usable(stored.Entries, stored.Snapshot)
+	stored.Entries = entriesMatchingSnapshot(stored.Entries, stored.Snapshot)
 
 	return nil
 }
@@ -164,10 +164,10 @@
 	return nil
 }
 
-// usable returns the entries that go with the snapshot. After a crash between
+// entriesMatchingSnapshot returns the entries that go with the snapshot. After a crash between
 // the two renames the snapshot is the newer one; a log that does not reach it,
 // or contradicts it, is what the snapshot replaced.
-func usable(entries []quorum.Entry, s quorum.Snapshot) []quorum.Entry {
+func entriesMatchingSnapshot(entries []quorum.Entry, s quorum.Snapshot) []quorum.Entry {
 	if len(entries) == 0 || s.Index == 0 || entries[0].Index == s.Index+1 {
 		return entries
 	}
@@ -182,35 +182,35 @@
 	return entries
 }
 
-// readOne reads a file that holds one frame.
-func (j *Journal) readOne(name string, k kind) ([]byte, error) {
-	payloads, err := j.read(name, k)
+// readSingleFrame reads a file that holds one frame.
+func (j *Journal) readSingleFrame(name string, k fileKind) ([]byte, error) {
+	payloads, err := j.readFrames(name, k)
 	if err != nil {
 		return nil, err
 	}
 
 	if len(payloads) != 1 {
-		return nil, &CorruptionError{File: name, Offset: fileHeadSize, Detail: "frame"}
+		return nil, &CorruptionError{File: name, Offset: fileHeaderSize, Detail: "frame"}
 	}
 
 	return payloads[0], nil
 }
 
-// read reads a file and checks that it belongs to this data folder.
-func (j *Journal) read(name string, k kind) ([][]byte, error) {
+// readFrames reads a file and checks that it belongs to this data folder.
+func (j *Journal) readFrames(name string, k fileKind) ([][]byte, error) {
 	b, err := j.Files.Read(j.path(name))
 	if err != nil {
 		return nil, err //nolint:wrapcheck // callers look for fs.ErrNotExist
 	}
 
-	birth, err := readFileHead(name, k, b)
+	creationID, err := parseFileHeader(name, k, b)
 	if err != nil {
 		return nil, err
 	}
 
-	if j.birth != 0 && birth != j.birth {
+	if j.creationID != 0 && creationID != j.creationID {
 		return nil, &CorruptionError{File: name, Detail: "it belongs to another data folder"}
 	}
 
-	return frames(name, fileHeadSize, b[fileHeadSize:])
+	return parseFrames(name, fileHeaderSize, b[fileHeaderSize:])
 }
--- a/internal/journal/memory.go
+++ b/internal/journal/memory.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// memory is a folder that is gone with its process.
-type memory struct {
+// memoryDir is a folder that is gone with its process.
+type memoryDir struct {
 	mu    sync.Mutex
 	files map[string]*memoryFile
 }
@@ -17,7 +17,7 @@
 // MemoryFiles returns an empty folder in memory, for a replica that has no disk and
 // therefore no vote: it is filled anew by the others at each start.
 func MemoryFiles() Files {
-	m := &memory{files: map[string]*memoryFile{}}
+	m := &memoryDir{files: map[string]*memoryFile{}}
 
 	return Files{
 		MakeDir: func(string) error { return nil },
@@ -29,7 +29,7 @@
 	}
 }
 
-func (m *memory) read(name string) ([]byte, error) {
+func (m *memoryDir) read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -41,7 +41,7 @@
 	return slices.Clone(f.data), nil
 }
 
-func (m *memory) create(name string) (*File, error) {
+func (m *memoryDir) create(name string) (*File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
@@ -56,12 +56,12 @@
 
 		return len(p), nil
 	}
-	nothing := func() error { return nil }
+	noop := func() error { return nil }
 
-	return &File{Write: write, Sync: nothing, Close: nothing}, nil
+	return &File{Write: write, Sync: noop, Close: noop}, nil
 }
 
-func (m *memory) rename(from, to string) error {
+func (m *memoryDir) rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
--- a/internal/journal/memory_test.go
+++ b/internal/journal/memory_test.go
@@ -30,11 +30,11 @@
 	require.NoError(t, j.Write(quorum.Persist{State: &quorum.HardState{Term: 1}, Entries: []quorum.Entry{entry}}))
 	require.NoError(t, j.Close())
 
-	again, stored := open(files)
+	reopened, stored := open(files)
 	require.Equal(t, []quorum.Entry{entry}, stored.Entries)
 	require.EqualValues(t, 1, stored.State.Term)
-	require.EqualValues(t, 7, again.CreationID())
-	require.NoError(t, again.Close())
+	require.EqualValues(t, 7, reopened.CreationID())
+	require.NoError(t, reopened.Close())
 
 	_, stored = open(journal.MemoryFiles())
 	require.Empty(t, stored.Entries)
--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -16,7 +16,7 @@
 				var gaps []time.Duration
 
 				for b.Loop() {
-					gaps = append(gaps, withoutLeader(uint64(len(gaps)), n, how == "lost"))
+					gaps = append(gaps, leaderlessTime(uint64(len(gaps)), n, how == "lost"))
 				}
 
 				slices.Sort(gaps)
@@ -28,8 +28,8 @@
 	}
 }
 
-func withoutLeader(seed uint64, n int, lost bool) time.Duration {
-	w := newWorld(seed, n)
+func leaderlessTime(seed uint64, n int, lost bool) time.Duration {
+	w := newSimulation(seed, n)
 	for w.leader() == nil {
 		w.run(time.Second)
 	}
@@ -50,7 +50,7 @@
 			o := w.propose(l, fmt.Sprint("probe", i))
 			w.run(4 * time.Millisecond)
 
-			if o.ret != 0 {
+			if o.returnTime != 0 {
 				return w.now.Sub(from)
 			}
 		}
@@ -63,7 +63,7 @@
 func BenchmarkIdleMessages(b *testing.B) {
 	for _, n := range []int{3, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
-			w := newWorld(1, n)
+			w := newSimulation(1, n)
 			w.run(10 * time.Second)
 
 			before, from := w.messages, w.now
--- a/internal/quorum/cases_test.go
+++ b/internal/quorum/cases_test.go
@@ -17,29 +17,29 @@
 func TestCases(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata/cases", func(t *testing.T, path string) {
-		c := &script{ops: map[string]*op{}}
+		c := &caseRunner{ops: map[string]*op{}}
 
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			return c.line(t, d)
+			return c.runLines(t, d)
 		})
-		require.NotNil(t, c.w)
-		require.Empty(t, c.w.broken)
-		require.Equal(t, porcupine.Ok, c.w.history())
+		require.NotNil(t, c.sim)
+		require.Empty(t, c.sim.violations)
+		require.Equal(t, porcupine.Ok, c.sim.checkHistory())
 	})
 }
 
-// script is one case under way.
-type script struct {
-	w   *world
+// caseRunner is one case under way.
+type caseRunner struct {
+	sim *simulation
 	ops map[string]*op
 }
 
-func (c *script) line(t *testing.T, d *datadriven.TestData) string {
+func (c *caseRunner) runLines(t *testing.T, d *datadriven.TestData) string {
 	if d.Cmd == "group" {
 		var n int
 
 		d.ScanArgs(t, "n", &n)
-		c.w = newWorld(1, n)
+		c.sim = newSimulation(1, n)
 
 		return ""
 	}
@@ -47,7 +47,7 @@
 	var out []string
 	for _, line := range append([]string{strings.TrimSpace(d.Cmd + " " + argsOf(d))}, strings.Split(d.Input, "\n")...) {
 		if f := strings.Fields(line); len(f) > 0 && f[0] != "do" {
-			if s := c.do(t, f[0], f[1:]); s != "" {
+			if s := c.runCommand(t, f[0], f[1:]); s != "" {
 				out = append(out, s)
 			}
 		}
@@ -65,14 +65,14 @@
 	return strings.Join(out, " ")
 }
 
-// named finds a host, also by "leader" or "follower", which then keeps that name's meaning.
-func (c *script) named(t *testing.T, id string) *host {
-	h := c.w.host(id)
+// findHost finds a host, also by "leader" or "follower", which then keeps that name's meaning.
+func (c *caseRunner) findHost(t *testing.T, id string) *host {
+	h := c.sim.host(id)
 
-	if l := c.w.leader(); h == nil && l != nil {
+	if l := c.sim.leader(); h == nil && l != nil {
 		h = l
 
-		for _, f := range c.w.hosts {
+		for _, f := range c.sim.hosts {
 			if id == "follower" && f != l {
 				h = f
 			}
@@ -84,8 +84,8 @@
 	return h
 }
 
-func (c *script) do(t *testing.T, cmd string, args []string) string {
-	w := c.w
+func (c *caseRunner) runCommand(t *testing.T, cmd string, args []string) string {
+	w := c.sim
 
 	switch cmd {
 	case "run":
@@ -93,11 +93,11 @@
 		require.NoError(t, err)
 		w.run(d)
 	case "new":
-		w.add(args[0], nil)
+		w.addHost(args[0], nil)
 	case "heal":
 		w.heal()
 	case "net":
-		_, err := fmt.Sscan(args[0]+" "+args[1], &w.drop, &w.dup)
+		_, err := fmt.Sscan(args[0]+" "+args[1], &w.dropRate, &w.duplicateRate)
 		require.NoError(t, err)
 	case "outcome":
 		return c.outcome(args[0])
@@ -110,20 +110,20 @@
 
 		return c.outcome(cmd + args[0])
 	default:
-		return c.doHost(t, cmd, c.named(t, args[0]), args[1:])
+		return c.runHostCommand(t, cmd, c.findHost(t, args[0]), args[1:])
 	}
 
 	return ""
 }
 
-func (c *script) doHost(t *testing.T, cmd string, h *host, args []string) string {
-	w := c.w
+func (c *caseRunner) runHostCommand(t *testing.T, cmd string, h *host, args []string) string {
+	w := c.sim
 
 	switch cmd {
 	case "kill":
 		w.kill(h)
 	case "crash":
-		h.crash = map[string]crashPoint{"before-sync": crashBeforeSync, "after-sync": crashAfterSync}[args[0]]
+		h.crashPoint = map[string]crashPoint{"before-sync": crashBeforeSync, "after-sync": crashAfterSync}[args[0]]
 	case "start":
 		w.restart(h)
 	case "wipe":
@@ -132,11 +132,11 @@
 		w.isolate(h.id, true)
 	case "deafen":
 		for _, o := range w.hosts {
-			w.cut[[2]string{o.id, h.id}] = true
+			w.cutLinks[[2]string{o.id, h.id}] = true
 		}
 	case "mute":
 		for _, o := range w.hosts {
-			w.cut[[2]string{h.id, o.id}] = true
+			w.cutLinks[[2]string{h.id, o.id}] = true
 		}
 	case "join":
 		w.isolate(h.id, false)
@@ -144,7 +144,7 @@
 		d, err := time.ParseDuration(args[0])
 		require.NoError(t, err)
 
-		h.stalled = w.now.Add(d)
+		h.stalledUntil = w.now.Add(d)
 	case "compact":
 		w.compact(h)
 	case "transfer":
@@ -170,13 +170,13 @@
 }
 
 // outcome prints what the caller of an operation knows.
-func (c *script) outcome(name string) string {
+func (c *caseRunner) outcome(name string) string {
 	o := c.ops[name]
 
 	switch {
-	case o.ret != 0 && o.command == "":
+	case o.returnTime != 0 && o.command == "":
 		return fmt.Sprintf("%s: read %q", name, o.value)
-	case o.ret != 0:
+	case o.returnTime != 0:
 		return name + ": Ran"
 	case o.notRun:
 		return name + ": NotRun"
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *script) show(h *host) string {
+func (c *caseRunner) show(h *host) string {
 	if h.core == nil {
 		return h.id + ": down"
 	}
--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -52,10 +52,10 @@
 	DefaultChunkBytes        = 256 << 10
 	DefaultAppendBytes       = 512 << 10
 	DefaultCatchUpEntries    = 1024
-	keepBytes                = 8 << 20
+	maxCatchUpBytes          = 8 << 20
 	MaxCommandBytes          = 4 << 20
 	maxAppendEntries         = 512
-	maxInFlight              = 2048
-	maxPending               = 8192
-	maxWaitingReads          = 8192
+	maxInFlightEntries       = 2048
+	maxPendingProposals      = 8192
+	maxPendingReads          = 8192
 )
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -28,23 +28,23 @@
 	cfg Config
 	now time.Time
 
-	hard    HardState
-	log     entryLog
-	members []membersAt // oldest first; the last one rules, committed or not
-	snap    Snapshot
-	commit  uint64
-	stable  uint64 // entries up to here are synced
-
-	state       state
-	leader      string
-	leaderUntil time.Time // before this, a leader was heard from too lately to vote for another
-	electAt     time.Time
-	votes       map[string]bool
-
-	forming  *forming
-	lead     *leadership
-	incoming *incoming
-	asking   asking
+	hardState HardState
+	log       entryLog
+	members   []membersAt // oldest first; the last one rules, committed or not
+	snap      Snapshot
+	commit    uint64
+	stable    uint64 // entries up to here are synced
+
+	state            state
+	leaderID         string
+	leaderLeaseUntil time.Time // before this, a leader was heard from too lately to vote for another
+	electionDeadline time.Time
+	votes            map[string]bool
+
+	bootstrap        *bootstrap
+	leaderState      *leaderState
+	incomingSnapshot *incomingSnapshot
+	localReads       localReads
 
 	hardDirty bool
 	snapDirty bool
@@ -60,19 +60,19 @@
 		return nil, errors.New("quorum: ID, Birth and Rand must be set")
 	}
 
-	c := &Core{cfg: cfg, now: now, hard: stored.State, snap: stored.Snapshot}
+	c := &Core{cfg: cfg, now: now, hardState: stored.State, snap: stored.Snapshot}
 	if err := c.load(stored); err != nil {
 		return nil, err
 	}
 
-	c.asking.last = uint64(cfg.Rand(1 << 62))
-	c.firstElection()
+	c.localReads.lastSeq = uint64(cfg.Rand(1 << 62))
+	c.resetInitialElectionDeadline()
 
 	switch {
-	case c.ruling().isVoter(cfg.ID, cfg.CreationID) && c.ruling().Voters() == 1:
-		c.electAt = now
-	case len(c.ruling()) == 0 && len(cfg.Founders) > 0:
-		c.startForming()
+	case c.currentMembers().isVoter(cfg.ID, cfg.CreationID) && c.currentMembers().Voters() == 1:
+		c.electionDeadline = now
+	case len(c.currentMembers()) == 0 && len(cfg.Founders) > 0:
+		c.startBootstrap()
 	}
 
 	return c, nil
@@ -121,7 +121,7 @@
 	}
 
 	if c.fault != nil {
-		c.refuse(ev)
+		c.rejectEvent(ev)
 
 		return
 	}
@@ -132,27 +132,27 @@
 	case Received:
 		c.receive(ev.Message)
 	case Proposed:
-		c.propose(ev)
+		c.handleProposed(ev)
 	case ChangeRequested:
-		c.change(ev)
+		c.handleChangeRequested(ev)
 	case TransferRequested:
-		c.transfer(ev)
+		c.handleTransferRequested(ev)
 	case ReadRequested:
-		c.readAsked(ev)
+		c.handleReadRequested(ev)
 	case SnapshotTaken:
-		c.compacted(ev)
+		c.handleSnapshotTaken(ev)
 	}
 }
 
-// refuse answers the events of callers once this replica has stopped taking part.
-func (c *Core) refuse(ev Event) {
+// rejectEvent answers the events of callers once this replica has stopped taking part.
+func (c *Core) rejectEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Proposed:
-		c.notRun(ev.ID, ReasonFaulty)
+		c.answerNotRun(ev.ID, ReasonFaulty)
 	case ChangeRequested:
-		c.notRun(ev.ID, ReasonFaulty)
+		c.answerNotRun(ev.ID, ReasonFaulty)
 	case TransferRequested:
-		c.notRun(ev.ID, ReasonFaulty)
+		c.answerNotRun(ev.ID, ReasonFaulty)
 	case ReadRequested:
 		c.out.Reads = append(c.out.Reads, ReadDone{ID: ev.ID, Failed: true})
 	}
@@ -160,16 +160,16 @@
 
 // Take returns what the events since the last Take led to.
 func (c *Core) Take() Batch {
-	c.flush()
-	c.flushReads()
-	c.startRound()
-	c.releaseReads()
+	c.sendNewEntries()
+	c.requestPendingReads()
+	c.startReadRound()
+	c.completeReads()
 
 	b := c.out
 	c.out = Batch{}
 
 	if c.hardDirty || c.snapDirty {
-		hard := c.hard
+		hard := c.hardState
 		b.Persist.State = &hard
 	}
 
@@ -180,7 +180,7 @@
 	}
 
 	if c.stable < c.log.last() {
-		b.Persist.Entries = c.log.from(c.stable+1, int(c.log.last()), 1<<62)
+		b.Persist.Entries = c.log.entriesFrom(c.stable+1, int(c.log.last()), 1<<62)
 	}
 
 	return b
@@ -195,7 +195,7 @@
 	switch {
 	case c.state == leader:
 		c.advanceCommit()
-	case c.state == candidate && c.wins():
+	case c.state == candidate && c.hasVoteMajority():
 		c.becomeLeader()
 	}
 }
@@ -207,17 +207,17 @@
 
 // Deadline returns when a Tick is due.
 func (c *Core) Deadline() time.Time {
-	at := c.electAt
+	at := c.electionDeadline
 
 	switch {
-	case c.forming != nil:
-		at = c.forming.helloAt
+	case c.bootstrap != nil:
+		at = c.bootstrap.helloAt
 	case c.state == leader:
-		at = c.lead.heartbeatAt
+		at = c.leaderState.heartbeatAt
 	}
 
-	if !c.asking.againAt.IsZero() && c.asking.againAt.Before(at) {
-		return c.asking.againAt
+	if !c.localReads.retryAt.IsZero() && c.localReads.retryAt.Before(at) {
+		return c.localReads.retryAt
 	}
 
 	return at
@@ -227,49 +227,49 @@
 	c.tickReads()
 
 	switch {
-	case c.forming != nil:
-		c.tickForming()
+	case c.bootstrap != nil:
+		c.tickBootstrap()
 	case c.state == leader:
 		c.tickLeader()
-	case !c.now.Before(c.electAt):
-		c.resetElection()
+	case !c.now.Before(c.electionDeadline):
+		c.resetElectionDeadline()
 
-		if c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID) {
+		if c.currentMembers().isVoter(c.cfg.ID, c.cfg.CreationID) {
 			c.campaign(true, false)
-		} else if !c.now.Before(c.leaderUntil) {
-			c.leader = ""
+		} else if !c.now.Before(c.leaderLeaseUntil) {
+			c.leaderID = ""
 		}
 	}
 }
 
-// ruling returns the members that rule now: the latest in the log, committed or not.
-func (c *Core) ruling() Members {
+// currentMembers returns the members that rule now: the latest in the log, committed or not.
+func (c *Core) currentMembers() Members {
 	return c.members[len(c.members)-1].Members
 }
 
-// send addresses body to the member or stranger named to.
-func (c *Core) send(to string, birth, term uint64, body Body) Message {
-	return Message{From: c.cfg.ID, FromCreationID: c.cfg.CreationID, To: to, ToCreationID: birth, Term: term, Body: body}
+// newMessage addresses body to the member or stranger named to.
+func (c *Core) newMessage(to string, creationID, term uint64, body Body) Message {
+	return Message{From: c.cfg.ID, FromCreationID: c.cfg.CreationID, To: to, ToCreationID: creationID, Term: term, Body: body}
 }
 
 // reply answers m, after what it depends on is synced.
 func (c *Core) reply(m Message, term uint64, body Body) {
-	c.out.Send = append(c.out.Send, c.send(m.From, m.FromCreationID, term, body))
+	c.out.Send = append(c.out.Send, c.newMessage(m.From, m.FromCreationID, term, body))
 }
 
-// firstElection lets a replica that has just started stand sooner than one that
+// resetInitialElectionDeadline lets a replica that has just started stand sooner than one that
 // lost its leader: where all started anew, nobody leads, and waiting for a leader
 // in vain would only lengthen the outage. Where somebody leads, its heartbeat comes
 // first, and the others refuse the vote.
-func (c *Core) firstElection() {
-	least := c.cfg.ElectionTimeout / firstElectionPart
-	c.electAt = c.now.Add(least + time.Duration(c.cfg.Rand(int64(2*least))))
+func (c *Core) resetInitialElectionDeadline() {
+	minTimeout := c.cfg.ElectionTimeout / initialElectionDivisor
+	c.electionDeadline = c.now.Add(minTimeout + time.Duration(c.cfg.Rand(int64(2*minTimeout))))
 }
 
-// firstElectionPart divides Election for the first one. The least of it is still
+// initialElectionDivisor divides Election for the first one. The least of it is still
 // above a heartbeat and its way.
-const firstElectionPart = 5
+const initialElectionDivisor = 5
 
-func (c *Core) resetElection() {
-	c.electAt = c.now.Add(c.cfg.ElectionTimeout + time.Duration(c.cfg.Rand(int64(c.cfg.ElectionTimeout))))
+func (c *Core) resetElectionDeadline() {
+	c.electionDeadline = c.now.Add(c.cfg.ElectionTimeout + time.Duration(c.cfg.Rand(int64(c.cfg.ElectionTimeout))))
 }
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -3,52 +3,52 @@
 // campaign stands for election. With pre it only asks whether it would be
 // elected: a replica that was cut off for long would else come back with a
 // higher term and unseat a leader that serves everybody else.
-func (c *Core) campaign(pre, transfer bool) {
-	if !pre {
-		c.hard = HardState{Term: c.hard.Term + 1, Vote: c.cfg.ID, VoteCreationID: c.cfg.CreationID}
+func (c *Core) campaign(preVote, transfer bool) {
+	if !preVote {
+		c.hardState = HardState{Term: c.hardState.Term + 1, Vote: c.cfg.ID, VoteCreationID: c.cfg.CreationID}
 		c.hardDirty = true
 	}
 
 	c.state = candidate
-	if pre {
+	if preVote {
 		c.state = preCandidate
 	}
 
-	c.leader = ""
+	c.leaderID = ""
 	c.votes = map[string]bool{c.cfg.ID: true}
-	c.resetElection()
+	c.resetElectionDeadline()
 
-	if pre && c.wins() {
+	if preVote && c.hasVoteMajority() {
 		c.campaign(false, transfer)
 
 		return
 	}
 
-	term := c.hard.Term
-	if pre {
+	term := c.hardState.Term
+	if preVote {
 		term++
 	}
 
-	ask := Vote{Pre: pre, Transfer: transfer, LastIndex: c.log.last(), LastTerm: c.log.lastTerm()}
+	request := Vote{Pre: preVote, Transfer: transfer, LastIndex: c.log.last(), LastTerm: c.log.lastTerm()}
 
-	for _, m := range c.ruling() {
+	for _, m := range c.currentMembers() {
 		if m.ID != c.cfg.ID && m.Role == Voter {
-			c.out.Send = append(c.out.Send, c.send(m.ID, m.Birth, term, ask))
+			c.out.Send = append(c.out.Send, c.newMessage(m.ID, m.Birth, term, request))
 		}
 	}
 }
 
-// vote answers a candidate.
-func (c *Core) vote(m Message, body Vote) {
-	granted := c.isCurrent(body) && (body.Transfer || !c.hearsLeader())
+// handleVote answers a candidate.
+func (c *Core) handleVote(m Message, body Vote) {
+	granted := c.isCandidateUpToDate(body) && (body.Transfer || !c.hasLeaderLease())
 
 	if body.Pre {
-		if c.tellRemoved(m) {
+		if c.notifyRemoved(m) {
 			return
 		}
 
-		granted = granted && m.Term > c.hard.Term
-		term := c.hard.Term
+		granted = granted && m.Term > c.hardState.Term
+		term := c.hardState.Term
 
 		if granted {
 			term = m.Term
@@ -59,21 +59,21 @@
 		return
 	}
 
-	vote := HardState{Term: c.hard.Term, Vote: m.From, VoteCreationID: m.FromCreationID}
-	granted = granted && (c.hard.Vote == "" || c.hard == vote)
+	vote := HardState{Term: c.hardState.Term, Vote: m.From, VoteCreationID: m.FromCreationID}
+	granted = granted && (c.hardState.Vote == "" || c.hardState == vote)
 
 	if granted {
-		c.hard = vote
+		c.hardState = vote
 		c.hardDirty = true
-		c.resetElection()
+		c.resetElectionDeadline()
 	}
 
-	c.reply(m, c.hard.Term, VoteAnswer{Granted: granted})
+	c.reply(m, c.hardState.Term, VoteAnswer{Granted: granted})
 }
 
-// isCurrent reports whether a candidate's log holds all that this one may have
+// isCandidateUpToDate reports whether a candidate's log holds all that this one may have
 // acknowledged.
-func (c *Core) isCurrent(body Vote) bool {
+func (c *Core) isCandidateUpToDate(body Vote) bool {
 	if body.LastTerm != c.log.lastTerm() {
 		return body.LastTerm > c.log.lastTerm()
 	}
@@ -81,11 +81,11 @@
 	return body.LastIndex >= c.log.last()
 }
 
-func (c *Core) voteAnswer(m Message, body VoteAnswer) {
+func (c *Core) handleVoteAnswer(m Message, body VoteAnswer) {
 	switch {
 	case !body.Granted:
 		return
-	case body.Pre && (c.state != preCandidate || m.Term != c.hard.Term+1):
+	case body.Pre && (c.state != preCandidate || m.Term != c.hardState.Term+1):
 		return
 	case !body.Pre && c.state != candidate:
 		return
@@ -94,7 +94,7 @@
 	c.votes[m.From] = true
 
 	switch {
-	case !c.wins():
+	case !c.hasVoteMajority():
 	case body.Pre:
 		c.campaign(false, false)
 	default:
@@ -102,27 +102,27 @@
 	}
 }
 
-// wins reports whether a majority of the voters has granted its vote.
-func (c *Core) wins() bool {
+// hasVoteMajority reports whether a majority of the voters has granted its vote.
+func (c *Core) hasVoteMajority() bool {
 	n := 0
 
-	for _, m := range c.ruling() {
+	for _, m := range c.currentMembers() {
 		if m.Role == Voter && c.votes[m.ID] {
 			n++
 		}
 	}
 
-	return n >= c.ruling().Quorum()
+	return n >= c.currentMembers().Quorum()
 }
 
 // becomeLeader opens the term with an entry that repeats the members. Only once
 // it is committed are older entries, reads and changes of the members.
 func (c *Core) becomeLeader() {
 	c.state = leader
-	c.leader = c.cfg.ID
+	c.leaderID = c.cfg.ID
 	c.votes = nil
-	c.lead = newLeadership(c)
+	c.leaderState = newLeaderState(c)
 	c.setPeers()
-	c.addEntry(Entry{Kind: EntryMembers, Members: c.ruling()})
+	c.addEntry(Entry{Kind: EntryMembers, Members: c.currentMembers()})
 	c.beginRound()
 }
--- a/internal/quorum/log.go
+++ b/internal/quorum/log.go
@@ -30,8 +30,8 @@
 	return l.entries[i-l.base-1].Term, true
 }
 
-// from returns the entries from index on, within limits but at least one.
-func (l *entryLog) from(index uint64, maxEntries, maxBytes int) []Entry {
+// entriesFrom returns the entries from index on, within limits but at least one.
+func (l *entryLog) entriesFrom(index uint64, maxEntries, maxBytes int) []Entry {
 	if index <= l.base || index > l.last() {
 		return nil
 	}
@@ -71,8 +71,8 @@
 	l.baseTerm = t
 }
 
-// tail returns the index after which the entries up to last hold maxBytes at most.
-func (l *entryLog) tail(last uint64, maxBytes int) uint64 {
+// tailStart returns the index after which the entries up to last hold maxBytes at most.
+func (l *entryLog) tailStart(last uint64, maxBytes int) uint64 {
 	for i := last; i > l.base; i-- {
 		if maxBytes -= len(l.entries[i-l.base-1].Command); maxBytes < 0 {
 			return i
--- a/internal/quorum/member.go
+++ b/internal/quorum/member.go
@@ -94,10 +94,10 @@
 // isVoter reports whether the replica with this data folder is a voter. The ID
 // alone is not enough: a replica that lost its disk would find itself in the
 // older parts of the log and count its vote a second time.
-func (ms Members) isVoter(id string, birth uint64) bool {
+func (ms Members) isVoter(id string, creationID uint64) bool {
 	m, ok := ms.Find(id)
 
-	return ok && m.Role == Voter && m.Birth == birth
+	return ok && m.Role == Voter && m.Birth == creationID
 }
 
 // membersAt is the member set that rules from Index on.
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -7,83 +7,83 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// checking is a change that waits until enough members have shown, since it was
+// pendingChange is a change that waits until enough members have shown, since it was
 // asked for, that the group can go on after it.
-type checking struct {
-	ev    ChangeRequested
-	next  Members
-	round uint64
-	until time.Time
+type pendingChange struct {
+	request  ChangeRequested
+	next     Members
+	round    uint64
+	deadline time.Time
 }
 
-// change takes in one change of the members. They change one at a time, through
+// handleChangeRequested takes in one change of the members. They change one at a time, through
 // the log, so that any two majorities share a voter.
-func (c *Core) change(ev ChangeRequested) {
-	next, reason := c.changed(ev)
+func (c *Core) handleChangeRequested(ev ChangeRequested) {
+	next, reason := c.membersAfter(ev)
 	if reason != ReasonNone {
-		c.notRun(ev.ID, reason)
+		c.answerNotRun(ev.ID, reason)
 
 		return
 	}
 
 	if ev.Kind == AddLearner {
-		c.changeTo(ev.ID, next)
+		c.proposeMembers(ev.ID, next)
 
 		return
 	}
 
 	c.beginRound()
-	c.lead.checking = &checking{
-		ev: ev, next: next, round: c.lead.present(), until: c.now.Add(c.cfg.ElectionTimeout / 2),
+	c.leaderState.pendingChange = &pendingChange{
+		request: ev, next: next, round: c.leaderState.currentRound(), deadline: c.now.Add(c.cfg.ElectionTimeout / 2),
 	}
-	c.check()
+	c.checkPendingChange()
 }
 
-func (c *Core) changeTo(id uint64, next Members) {
+func (c *Core) proposeMembers(id uint64, next Members) {
 	c.addEntry(Entry{Kind: EntryMembers, Members: next})
-	c.lead.pending = append(c.lead.pending, proposal{index: c.log.last(), id: id})
+	c.leaderState.pendingProposals = append(c.leaderState.pendingProposals, proposal{index: c.log.last(), id: id})
 }
 
-// check carries out the change that waits once a majority of the voters after it
+// checkPendingChange carries out the change that waits once a majority of the voters after it
 // has answered a round begun after it was asked for. Without this, a voter lost
 // a second ago would count, and taking out another one would leave the group
 // unable to decide anything, for good. A promoted learner has to hold the whole
 // log by then: as a voter without it, it would count for majorities that hold
 // committed entries in fewer places than it seems.
-func (c *Core) check() {
-	if c.lead == nil || c.lead.checking == nil {
+func (c *Core) checkPendingChange() {
+	if c.leaderState == nil || c.leaderState.pendingChange == nil {
 		return
 	}
 
-	k := c.lead.checking
-	ready := c.countAnswered(k) >= k.next.Quorum()
+	pending := c.leaderState.pendingChange
+	ready := c.countCaughtUp(pending) >= pending.next.Quorum()
 	reason := ReasonTooFewCurrentVoters
 
-	if k.ev.Kind == Promote && !c.hasAnswered(c.lead.peers[k.ev.Member.ID], k.round) {
+	if pending.request.Kind == Promote && !c.hasCaughtUp(c.leaderState.peers[pending.request.Member.ID], pending.round) {
 		ready, reason = false, ReasonMemberBehind
 	}
 
 	switch {
-	case ready && k.ev.Kind == CheckStop:
-		c.lead.checking = nil
-		c.out.Answers = append(c.out.Answers, Answer{ID: k.ev.ID, Verdict: verdict.Ran})
+	case ready && pending.request.Kind == CheckStop:
+		c.leaderState.pendingChange = nil
+		c.out.Answers = append(c.out.Answers, Answer{ID: pending.request.ID, Verdict: verdict.Ran})
 	case ready:
-		c.lead.checking = nil
-		c.changeTo(k.ev.ID, c.withBirth(k))
-	case !c.now.Before(k.until):
-		c.lead.checking = nil
-		c.notRun(k.ev.ID, reason)
+		c.leaderState.pendingChange = nil
+		c.proposeMembers(pending.request.ID, c.withCreationID(pending))
+	case !c.now.Before(pending.deadline):
+		c.leaderState.pendingChange = nil
+		c.answerNotRun(pending.request.ID, reason)
 	}
 }
 
-// countAnswered counts the voters that have shown, since k was asked for, that
+// countCaughtUp counts the voters that have shown, since k was asked for, that
 // they hold what is committed.
-func (c *Core) countAnswered(k *checking) int {
+func (c *Core) countCaughtUp(pending *pendingChange) int {
 	n := 0
 
-	for _, m := range k.next {
-		stopping := k.ev.Kind == CheckStop && m.ID == k.ev.Member.ID
-		if m.Role == Voter && !stopping && (m.ID == c.cfg.ID || c.hasAnswered(c.lead.peers[m.ID], k.round)) {
+	for _, m := range pending.next {
+		stopping := pending.request.Kind == CheckStop && m.ID == pending.request.Member.ID
+		if m.Role == Voter && !stopping && (m.ID == c.cfg.ID || c.hasCaughtUp(c.leaderState.peers[m.ID], pending.round)) {
 			n++
 		}
 	}
@@ -91,41 +91,41 @@
 	return n
 }
 
-// withBirth returns the members after k. A promoted learner is from then on
+// withCreationID returns the members after k. A promoted learner is from then on
 // known by the data folder that holds the log.
-func (c *Core) withBirth(k *checking) Members {
-	if k.ev.Kind != Promote {
-		return k.next
+func (c *Core) withCreationID(pending *pendingChange) Members {
+	if pending.request.Kind != Promote {
+		return pending.next
 	}
 
-	m, _ := k.next.Find(k.ev.Member.ID)
-	m.Birth = c.lead.peers[m.ID].birth
+	m, _ := pending.next.Find(pending.request.Member.ID)
+	m.Birth = c.leaderState.peers[m.ID].creationID
 
-	return k.next.With(m)
+	return pending.next.With(m)
 }
 
-// hasAnswered reports whether p answered the round n, or a later one, and holds
+// hasCaughtUp reports whether p answered the round n, or a later one, and holds
 // all that was committed when that began.
-func (c *Core) hasAnswered(p *progress, n uint64) bool {
-	return p.round >= n && p.match >= c.lead.commitAt(n)
+func (c *Core) hasCaughtUp(p *progress, roundNumber uint64) bool {
+	return p.round >= roundNumber && p.match >= c.leaderState.roundCommit(roundNumber)
 }
 
-func (c *Core) changed(ev ChangeRequested) (Members, Reason) {
+func (c *Core) membersAfter(ev ChangeRequested) (Members, Reason) {
 	if c.state != leader {
 		return nil, ReasonNotLeader
 	}
 
-	if c.lead.handover != nil {
+	if c.leaderState.transfer != nil {
 		return nil, ReasonTransferring
 	}
 
 	// The entry that opened the term must be committed too: else two leaders
 	// could each have changed the members by one, and so by two between them.
-	if c.members[len(c.members)-1].Index > c.commit || c.commit < c.lead.first || c.lead.checking != nil {
+	if c.members[len(c.members)-1].Index > c.commit || c.commit < c.leaderState.firstIndex || c.leaderState.pendingChange != nil {
 		return nil, ReasonMembersChanging
 	}
 
-	m, ok := c.ruling().Find(ev.Member.ID)
+	m, ok := c.currentMembers().Find(ev.Member.ID)
 
 	switch {
 	case ev.Kind == AddLearner:
@@ -133,22 +133,22 @@
 	case !ok:
 		return nil, ReasonMemberUnknown
 	case ev.Kind == CheckStop:
-		return c.ruling(), ReasonNone
+		return c.currentMembers(), ReasonNone
 	case ev.Kind == Remove && m.ID == c.cfg.ID:
 		return nil, ReasonLeaderMustTransferFirst
 	case ev.Kind == Remove:
-		return c.ruling().Without(m.ID), ReasonNone
+		return c.currentMembers().Without(m.ID), ReasonNone
 	case m.Role == Voter:
 		return nil, ReasonMemberExists
 	}
 
 	m.Role = Voter
 
-	return c.ruling().With(m), ReasonNone
+	return c.currentMembers().With(m), ReasonNone
 }
 
 func (c *Core) addLearner(m Member) (Members, Reason) {
-	if _, ok := c.ruling().Find(m.ID); ok || m.ID == "" {
+	if _, ok := c.currentMembers().Find(m.ID); ok || m.ID == "" {
 		return nil, ReasonMemberExists
 	}
 
@@ -156,23 +156,23 @@
 		return nil, ReasonBadAddress
 	}
 
-	return c.ruling().With(Member{ID: m.ID, Addr: m.Addr, Role: Learner}), ReasonNone
+	return c.currentMembers().With(Member{ID: m.ID, Addr: m.Addr, Role: Learner}), ReasonNone
 }
 
 // isUpToDate reports whether p lately held all that was committed when it was asked.
 func (c *Core) isUpToDate(p *progress) bool {
-	return c.now.Before(p.currentUntil)
+	return c.now.Before(p.upToDateUntil)
 }
 
-// transfer starts to hand over leadership.
-func (c *Core) transfer(ev TransferRequested) {
+// handleTransferRequested starts to hand over leadership.
+func (c *Core) handleTransferRequested(ev TransferRequested) {
 	switch {
 	case c.state != leader:
-		c.notRun(ev.ID, ReasonNotLeader)
+		c.answerNotRun(ev.ID, ReasonNotLeader)
 
 		return
-	case c.lead.handover != nil:
-		c.notRun(ev.ID, ReasonTransferring)
+	case c.leaderState.transfer != nil:
+		c.answerNotRun(ev.ID, ReasonTransferring)
 
 		return
 	}
@@ -182,15 +182,15 @@
 		to = c.successor()
 	}
 
-	p := c.lead.peers[to]
+	p := c.leaderState.peers[to]
 
 	switch {
 	case p == nil:
-		c.notRun(ev.ID, ReasonMemberUnknown)
+		c.answerNotRun(ev.ID, ReasonMemberUnknown)
 	case p.member.Role != Voter || !c.isUpToDate(p):
-		c.notRun(ev.ID, ReasonMemberBehind)
+		c.answerNotRun(ev.ID, ReasonMemberBehind)
 	default:
-		c.lead.handover = &handover{id: ev.ID, to: to, until: c.now.Add(c.cfg.ElectionTimeout)}
+		c.leaderState.transfer = &leaderTransfer{id: ev.ID, to: to, deadline: c.now.Add(c.cfg.ElectionTimeout)}
 		c.sendTimeoutNow()
 	}
 }
@@ -210,11 +210,11 @@
 // sendTimeoutNow tells the successor to stand for election, once it holds the
 // whole log. New proposals are refused meanwhile.
 func (c *Core) sendTimeoutNow() {
-	if c.lead == nil || c.lead.handover == nil {
+	if c.leaderState == nil || c.leaderState.transfer == nil {
 		return
 	}
 
-	if p := c.lead.peers[c.lead.handover.to]; p != nil && p.match == c.log.last() {
+	if p := c.leaderState.peers[c.leaderState.transfer.to]; p != nil && p.match == c.log.last() {
 		c.sendNow(p, TimeoutNow{})
 	}
 }
--- a/internal/quorum/network_test.go
+++ b/internal/quorum/network_test.go
@@ -7,7 +7,7 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-func (w *world) post(ms []quorum.Message) {
+func (w *simulation) enqueue(ms []quorum.Message) {
 	for _, m := range ms {
 		w.messages++
 
@@ -16,11 +16,11 @@
 		}
 
 		for range 2 {
-			if w.rng.Float64() >= w.drop {
-				w.net = append(w.net, parcel{at: w.now.Add(1 + time.Duration(w.rng.Int64N(int64(w.delay)))), m: m})
+			if w.rng.Float64() >= w.dropRate {
+				w.inFlight = append(w.inFlight, packet{deliverAt: w.now.Add(1 + time.Duration(w.rng.Int64N(int64(w.maxDelay)))), message: m})
 			}
 
-			if w.rng.Float64() >= w.dup {
+			if w.rng.Float64() >= w.duplicateRate {
 				break
 			}
 		}
@@ -28,11 +28,11 @@
 }
 
 // run lets time pass, with deliveries and ticks in their order.
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	until := w.now.Add(d)
 
-	for len(w.broken) == 0 {
-		at, event := w.next()
+	for len(w.violations) == 0 {
+		at, event := w.nextEvent()
 		if event == nil || at.After(until) {
 			break
 		}
@@ -47,19 +47,19 @@
 	w.now = until
 }
 
-// next returns what happens next, and when.
-func (w *world) next() (time.Time, func()) {
+// nextEvent returns what happens next, and when.
+func (w *simulation) nextEvent() (time.Time, func()) {
 	var (
 		at    time.Time
 		event func()
 	)
 
-	for i, p := range w.net {
-		h := w.host(p.m.To)
-		due := p.at
+	for i, p := range w.inFlight {
+		h := w.host(p.message.To)
+		due := p.deliverAt
 
-		if h != nil && h.stalled.After(due) {
-			due = h.stalled
+		if h != nil && h.stalledUntil.After(due) {
+			due = h.stalledUntil
 		}
 
 		if event == nil || due.Before(at) {
@@ -72,9 +72,9 @@
 			continue
 		}
 
-		due := h.core.Deadline().Add(-h.skew)
-		if h.stalled.After(due) {
-			due = h.stalled
+		due := h.core.Deadline().Add(-h.clockSkew)
+		if h.stalledUntil.After(due) {
+			due = h.stalledUntil
 		}
 
 		if event == nil || due.Before(at) {
@@ -85,28 +85,28 @@
 	return at, event
 }
 
-func (w *world) deliver(i int) {
-	m := w.net[i].m
-	w.net = slices.Delete(w.net, i, i+1)
+func (w *simulation) deliver(i int) {
+	m := w.inFlight[i].message
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 
-	if h := w.host(m.To); h != nil && !w.cut[[2]string{m.From, m.To}] {
+	if h := w.host(m.To); h != nil && !w.cutLinks[[2]string{m.From, m.To}] {
 		w.step(h, quorum.Received{Message: m})
 	}
 }
 
-func (w *world) isolate(id string, cut bool) {
+func (w *simulation) isolate(id string, cut bool) {
 	for _, h := range w.hosts {
-		w.cut[[2]string{h.id, id}] = cut
-		w.cut[[2]string{id, h.id}] = cut
+		w.cutLinks[[2]string{h.id, id}] = cut
+		w.cutLinks[[2]string{id, h.id}] = cut
 	}
 }
 
-func (w *world) heal() {
-	clear(w.cut)
-	w.drop, w.dup, w.delay = 0, 0, time.Millisecond
+func (w *simulation) heal() {
+	clear(w.cutLinks)
+	w.dropRate, w.duplicateRate, w.maxDelay = 0, 0, time.Millisecond
 
 	for _, h := range w.hosts {
-		h.stalled, h.crash = time.Time{}, noCrash
+		h.stalledUntil, h.crashPoint = time.Time{}, noCrash
 
 		if h.core == nil {
 			w.restart(h)
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -2,87 +2,87 @@
 
 import "time"
 
-// asking holds the reads of this replica's own callers.
-type asking struct {
-	last    uint64 // number of the latest ask; starts at random, so that answers to a former run match none
-	reads   []localRead
-	againAt time.Time // zero if there are no reads
+// localReads holds the reads of this replica's own callers.
+type localReads struct {
+	lastSeq uint64 // number of the latest ask; starts at random, so that answers to a former run match none
+	pending []localRead
+	retryAt time.Time // zero if there are no reads
 }
 
 // localRead is one caller's read. The answer to an ask numbered ask or higher
 // was confirmed after the caller asked, however late it comes.
 type localRead struct {
 	id       uint64
-	until    time.Time
-	ask      uint64 // 0 if not asked yet
+	deadline time.Time
+	seq      uint64 // 0 if not asked yet
 	answered bool
 	index    uint64
 }
 
 // leaderRead is an ask that a leader has to answer.
 type leaderRead struct {
-	ask   uint64
-	asker Message // whom to answer; From is empty for this replica itself
-	index uint64
+	seq       uint64
+	requester Message // whom to answer; From is empty for this replica itself
+	index     uint64
 }
 
-func (c *Core) readAsked(ev ReadRequested) {
-	if len(c.asking.reads) >= maxWaitingReads {
+func (c *Core) handleReadRequested(ev ReadRequested) {
+	if len(c.localReads.pending) >= maxPendingReads {
 		c.out.Reads = append(c.out.Reads, ReadDone{ID: ev.ID, Failed: true})
 
 		return
 	}
 
-	c.asking.reads = append(c.asking.reads, localRead{id: ev.ID, until: ev.Deadline})
+	c.localReads.pending = append(c.localReads.pending, localRead{id: ev.ID, deadline: ev.Deadline})
 }
 
-// flushReads asks for the reads that came since the last ask was answered, and
+// requestPendingReads asks for the reads that came since the last ask was answered, and
 // hands out those that are ready. One ask is under way at a time.
-func (c *Core) flushReads() {
-	pending, unasked := false, false
+func (c *Core) requestPendingReads() {
+	inFlight, unsent := false, false
 
-	for _, r := range c.asking.reads {
-		pending = pending || (r.ask != 0 && !r.answered)
-		unasked = unasked || r.ask == 0
+	for _, r := range c.localReads.pending {
+		inFlight = inFlight || (r.seq != 0 && !r.answered)
+		unsent = unsent || r.seq == 0
 	}
 
-	if unasked && !pending {
-		c.askLeader()
+	if unsent && !inFlight {
+		c.requestReadIndex()
 	}
 }
 
-// askLeader asks the leader, which may be this replica, for all reads that wait.
-func (c *Core) askLeader() {
-	c.asking.againAt = c.now.Add(2 * c.cfg.HeartbeatInterval)
+// requestReadIndex asks the leader, which may be this replica, for all reads that wait.
+func (c *Core) requestReadIndex() {
+	c.localReads.retryAt = c.now.Add(2 * c.cfg.HeartbeatInterval)
 
-	if c.leader == "" {
+	if c.leaderID == "" {
 		return
 	}
 
-	c.asking.last++
+	c.localReads.lastSeq++
 
-	for i := range c.asking.reads {
-		if r := &c.asking.reads[i]; r.ask == 0 {
-			r.ask = c.asking.last
+	for i := range c.localReads.pending {
+		if r := &c.localReads.pending[i]; r.seq == 0 {
+			r.seq = c.localReads.lastSeq
 		}
 	}
 
 	if c.state == leader {
-		c.lead.waiting = append(c.lead.waiting, leaderRead{ask: c.asking.last})
+		c.leaderState.waitingReads = append(c.leaderState.waitingReads, leaderRead{seq: c.localReads.lastSeq})
 
 		return
 	}
 
-	m, _ := c.ruling().Find(c.leader)
-	c.out.SendNow = append(c.out.SendNow, c.send(c.leader, m.Birth, c.hard.Term, ReadIndex{Seq: c.asking.last}))
+	m, _ := c.currentMembers().Find(c.leaderID)
+	c.out.SendNow = append(c.out.SendNow, c.newMessage(c.leaderID, m.Birth, c.hardState.Term, ReadIndex{Seq: c.localReads.lastSeq}))
 }
 
 // tickReads gives up reads whose callers have, and asks again for the others.
 func (c *Core) tickReads() {
-	kept := c.asking.reads[:0]
+	kept := c.localReads.pending[:0]
 
-	for _, r := range c.asking.reads {
-		if !r.until.IsZero() && c.now.After(r.until) {
+	for _, r := range c.localReads.pending {
+		if !r.deadline.IsZero() && c.now.After(r.deadline) {
 			c.out.Reads = append(c.out.Reads, ReadDone{ID: r.id, Failed: true})
 
 			continue
@@ -91,103 +91,103 @@
 		kept = append(kept, r)
 	}
 
-	c.asking.reads = kept
+	c.localReads.pending = kept
 
 	switch {
 	case len(kept) == 0:
-		c.asking.againAt = time.Time{}
-	case !c.now.Before(c.asking.againAt):
-		c.askLeader()
+		c.localReads.retryAt = time.Time{}
+	case !c.now.Before(c.localReads.retryAt):
+		c.requestReadIndex()
 	}
 }
 
-// read takes in the ask of another replica.
-func (c *Core) read(m Message, body ReadIndex) {
+// handleReadIndex takes in the ask of another replica.
+func (c *Core) handleReadIndex(m Message, body ReadIndex) {
 	if c.state != leader {
 		return
 	}
 
-	for i := range c.lead.waiting {
-		if w := &c.lead.waiting[i]; w.asker.From == m.From {
-			w.ask = max(w.ask, body.Seq)
+	for i := range c.leaderState.waitingReads {
+		if w := &c.leaderState.waitingReads[i]; w.requester.From == m.From {
+			w.seq = max(w.seq, body.Seq)
 
 			return
 		}
 	}
 
-	c.lead.waiting = append(c.lead.waiting, leaderRead{ask: body.Seq, asker: Message{From: m.From, FromCreationID: m.FromCreationID}})
+	c.leaderState.waitingReads = append(c.leaderState.waitingReads, leaderRead{seq: body.Seq, requester: Message{From: m.From, FromCreationID: m.FromCreationID}})
 }
 
-// startRound begins a quorum round for waiting reads, unless one is under way.
+// startReadRound begins a quorum round for waiting reads, unless one is under way.
 // A leader that was replaced without noticing gets no majority for a round that
 // began after the ask, so it can never pass off old state as current.
-func (c *Core) startRound() {
-	if c.lead != nil && len(c.lead.waiting) > 0 && len(c.lead.inRound) == 0 && c.commit >= c.lead.first {
+func (c *Core) startReadRound() {
+	if c.leaderState != nil && len(c.leaderState.waitingReads) > 0 && len(c.leaderState.readsInRound) == 0 && c.commit >= c.leaderState.firstIndex {
 		c.beginRound()
 	}
 }
 
-// roundReads puts the waiting reads into the round that begins.
-func (c *Core) roundReads() {
-	l := c.lead
-	if c.commit < l.first || len(l.inRound) > 0 {
+// addReadsToRound puts the waiting reads into the round that begins.
+func (c *Core) addReadsToRound() {
+	l := c.leaderState
+	if c.commit < l.firstIndex || len(l.readsInRound) > 0 {
 		return
 	}
 
-	for _, r := range l.waiting {
+	for _, r := range l.waitingReads {
 		r.index = c.commit
-		l.inRound = append(l.inRound, r)
+		l.readsInRound = append(l.readsInRound, r)
 	}
 
-	l.waiting = nil
-	l.confirming = l.present()
+	l.waitingReads = nil
+	l.readRound = l.currentRound()
 }
 
 // confirmReads answers the reads in the round once a majority has answered it.
 func (c *Core) confirmReads() {
-	l := c.lead
-	if l == nil || len(l.inRound) == 0 {
+	l := c.leaderState
+	if l == nil || len(l.readsInRound) == 0 {
 		return
 	}
 
-	if c.countVoters(func(p *progress) bool { return p.round >= l.confirming }) < c.ruling().Quorum() {
+	if c.countVoters(func(p *progress) bool { return p.round >= l.readRound }) < c.currentMembers().Quorum() {
 		return
 	}
 
-	done := l.inRound
-	l.inRound = nil
+	confirmed := l.readsInRound
+	l.readsInRound = nil
 
-	for _, r := range done {
-		answer := ReadIndexAnswer{Seq: r.ask, Index: r.index}
-		if r.asker.From == "" {
-			c.readAnswer(answer)
+	for _, r := range confirmed {
+		answer := ReadIndexAnswer{Seq: r.seq, Index: r.index}
+		if r.requester.From == "" {
+			c.handleReadIndexAnswer(answer)
 
 			continue
 		}
 
-		c.out.SendNow = append(c.out.SendNow, c.send(r.asker.From, r.asker.FromCreationID, c.hard.Term, answer))
+		c.out.SendNow = append(c.out.SendNow, c.newMessage(r.requester.From, r.requester.FromCreationID, c.hardState.Term, answer))
 	}
 }
 
-func (c *Core) readAnswer(body ReadIndexAnswer) {
-	if body.Seq > c.asking.last {
+func (c *Core) handleReadIndexAnswer(body ReadIndexAnswer) {
+	if body.Seq > c.localReads.lastSeq {
 		return
 	}
 
-	for i := range c.asking.reads {
-		r := &c.asking.reads[i]
-		if r.ask != 0 && r.ask <= body.Seq && !r.answered {
+	for i := range c.localReads.pending {
+		r := &c.localReads.pending[i]
+		if r.seq != 0 && r.seq <= body.Seq && !r.answered {
 			r.answered = true
 			r.index = body.Index
 		}
 	}
 }
 
-// releaseReads hands out the reads whose index is committed here.
-func (c *Core) releaseReads() {
-	kept := c.asking.reads[:0]
+// completeReads hands out the reads whose index is committed here.
+func (c *Core) completeReads() {
+	kept := c.localReads.pending[:0]
 
-	for _, r := range c.asking.reads {
+	for _, r := range c.localReads.pending {
 		if r.answered && r.index <= c.commit {
 			c.out.Reads = append(c.out.Reads, ReadDone{ID: r.id, Index: r.index})
 
@@ -197,9 +197,9 @@
 		kept = append(kept, r)
 	}
 
-	c.asking.reads = kept
+	c.localReads.pending = kept
 
 	if len(kept) == 0 {
-		c.asking.againAt = time.Time{}
+		c.localReads.retryAt = time.Time{}
 	}
 }
--- a/internal/quorum/receive.go
+++ b/internal/quorum/receive.go
@@ -8,16 +8,16 @@
 
 	switch body := m.Body.(type) {
 	case Hello:
-		c.hello(m)
+		c.handleHello(m)
 	case HelloAnswer:
-		c.helloAnswer(m, body)
+		c.handleHelloAnswer(m, body)
 	case ReadIndex:
-		c.read(m, body)
+		c.handleReadIndex(m, body)
 	case ReadIndexAnswer:
-		c.readAnswer(body)
+		c.handleReadIndexAnswer(body)
 	default:
-		if c.forming == nil || isFromLeader(m) {
-			c.receiveTermed(m)
+		if c.bootstrap == nil || isFromLeader(m) {
+			c.receiveInTerm(m)
 		}
 	}
 }
@@ -29,14 +29,14 @@
 // the name only, and its own log made it a voter with the birth that it has.
 func (c *Core) accepts(m Message) bool {
 	if m.ToCreationID != 0 && m.ToCreationID != c.cfg.CreationID {
-		c.misaddressed()
+		c.handleMisaddressed()
 
 		return false
 	}
 
 	switch m.Body.(type) {
 	case VoteAnswer, AppendAnswer, ChunkAnswer:
-		known, ok := c.ruling().Find(m.From)
+		known, ok := c.currentMembers().Find(m.From)
 
 		return ok && (known.Birth == 0 || known.Birth == m.FromCreationID)
 	default:
@@ -53,36 +53,36 @@
 	}
 }
 
-// receiveTermed takes in a message that belongs to a term.
-func (c *Core) receiveTermed(m Message) {
+// receiveInTerm takes in a message that belongs to a term.
+func (c *Core) receiveInTerm(m Message) {
 	switch {
-	case m.Term > c.hard.Term:
+	case m.Term > c.hardState.Term:
 		if !c.enterTerm(m) {
 			return
 		}
-	case m.Term < c.hard.Term:
-		c.outdated(m)
+	case m.Term < c.hardState.Term:
+		c.replyToStaleMessage(m)
 
 		return
 	}
 
 	switch body := m.Body.(type) {
 	case Vote:
-		c.vote(m, body)
+		c.handleVote(m, body)
 	case VoteAnswer:
-		c.voteAnswer(m, body)
+		c.handleVoteAnswer(m, body)
 	case Append:
 		c.followLeader(m)
-		c.append(m, body)
+		c.handleAppend(m, body)
 	case AppendAnswer:
-		c.appendAnswer(m, body)
+		c.handleAppendAnswer(m, body)
 	case Chunk:
 		c.followLeader(m)
-		c.chunk(m, body)
+		c.handleChunk(m, body)
 	case ChunkAnswer:
-		c.chunkAnswer(m, body)
+		c.handleChunkAnswer(m, body)
 	case TimeoutNow:
-		if c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID) && m.From == c.leader {
+		if c.currentMembers().isVoter(c.cfg.ID, c.cfg.CreationID) && m.From == c.leaderID {
 			c.campaign(false, true)
 		}
 	}
@@ -98,7 +98,7 @@
 
 		// A voter that cannot hear the leader must not unseat it while this
 		// replica hears it well.
-		if !body.Transfer && c.hearsLeader() {
+		if !body.Transfer && c.hasLeaderLease() {
 			return false
 		}
 	case VoteAnswer:
@@ -112,15 +112,15 @@
 	return true
 }
 
-// outdated answers a message of an earlier term, so that its sender learns the
+// replyToStaleMessage answers a message of an earlier term, so that its sender learns the
 // present one. Otherwise a leader that was replaced while it could not hear
 // would go on for ever.
-func (c *Core) outdated(m Message) {
+func (c *Core) replyToStaleMessage(m Message) {
 	switch body := m.Body.(type) {
 	case Vote:
-		c.reply(m, c.hard.Term, VoteAnswer{Pre: body.Pre})
+		c.reply(m, c.hardState.Term, VoteAnswer{Pre: body.Pre})
 	case Append, Chunk:
-		c.reply(m, c.hard.Term, AppendAnswer{Rejected: true, Index: c.commit})
+		c.reply(m, c.hardState.Term, AppendAnswer{Rejected: true, Index: c.commit})
 	}
 }
 
@@ -130,31 +130,31 @@
 		c.becomeFollower(m.Term)
 	}
 
-	c.forming = nil
-	c.leader = m.From
-	c.leaderUntil = c.now.Add(c.cfg.ElectionTimeout)
-	c.resetElection()
+	c.bootstrap = nil
+	c.leaderID = m.From
+	c.leaderLeaseUntil = c.now.Add(c.cfg.ElectionTimeout)
+	c.resetElectionDeadline()
 }
 
 // becomeFollower gives up any office and enters term.
 func (c *Core) becomeFollower(term uint64) {
-	if c.lead != nil {
-		c.loseLeadership()
+	if c.leaderState != nil {
+		c.endLeadership()
 	}
 
 	c.state = follower
-	c.leader = ""
+	c.leaderID = ""
 	c.votes = nil
 
-	if term > c.hard.Term {
-		c.hard = HardState{Term: term}
+	if term > c.hardState.Term {
+		c.hardState = HardState{Term: term}
 		c.hardDirty = true
 	}
 
-	c.resetElection()
+	c.resetElectionDeadline()
 }
 
-// hearsLeader reports whether a leader was heard from lately, or is this replica.
-func (c *Core) hearsLeader() bool {
-	return c.state == leader || (c.leader != "" && c.now.Before(c.leaderUntil))
+// hasLeaderLease reports whether a leader was heard from lately, or is this replica.
+func (c *Core) hasLeaderLease() bool {
+	return c.state == leader || (c.leaderID != "" && c.now.Before(c.leaderLeaseUntil))
 }
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -1,12 +1,12 @@
 package quorum
 
-// flush sends what was added since the last Take, as one Append to each member.
-func (c *Core) flush() {
-	if c.lead == nil || !c.lead.unsent {
+// sendNewEntries sends what was added since the last Take, as one Append to each member.
+func (c *Core) sendNewEntries() {
+	if c.leaderState == nil || !c.leaderState.hasUnsentEntries {
 		return
 	}
 
-	c.lead.unsent = false
+	c.leaderState.hasUnsentEntries = false
 
 	for _, p := range c.sortedPeers() {
 		c.sendAppend(p, false)
@@ -16,15 +16,15 @@
 // sendAppend sends p what it lacks, within limits. Without anything to send it
 // sends nothing, unless it is a heartbeat.
 func (c *Core) sendAppend(p *progress, heartbeat bool) {
-	if p.outgoing != nil || p.next <= c.log.base {
+	if p.outgoingSnapshot != nil || p.next <= c.log.base {
 		c.sendSnapshot(p, heartbeat)
 
 		return
 	}
 
 	var entries []Entry
-	if !p.waiting && (p.probing || p.next-p.match <= maxInFlight) && c.now.Before(p.activeUntil) {
-		entries = c.log.from(p.next, maxAppendEntries, c.cfg.AppendBytes)
+	if !p.probeInFlight && (p.probing || p.next-p.match <= maxInFlightEntries) && c.now.Before(p.activeUntil) {
+		entries = c.log.entriesFrom(p.next, maxAppendEntries, c.cfg.AppendBytes)
 	}
 
 	if len(entries) == 0 && !heartbeat {
@@ -34,24 +34,24 @@
 	prev := p.next - 1
 	prevTerm, _ := c.log.term(prev)
 	if p.probing {
-		p.waiting = len(entries) > 0
+		p.probeInFlight = len(entries) > 0
 	} else {
 		p.next += uint64(len(entries))
 	}
 
 	c.sendNow(p, Append{
-		PrevIndex: prev, PrevTerm: prevTerm, Commit: c.commit, Round: c.lead.present(), Entries: entries,
+		PrevIndex: prev, PrevTerm: prevTerm, Commit: c.commit, Round: c.leaderState.currentRound(), Entries: entries,
 	})
 }
 
 func (c *Core) sendNow(p *progress, body Body) {
-	c.out.SendNow = append(c.out.SendNow, c.send(p.member.ID, p.member.Birth, c.hard.Term, body))
+	c.out.SendNow = append(c.out.SendNow, c.newMessage(p.member.ID, p.member.Birth, c.hardState.Term, body))
 }
 
-// append takes in entries of the leader. It stops this replica where the leader
+// handleAppend takes in entries of the leader. It stops this replica where the leader
 // contradicts a committed entry: then some replica has forgotten what it had
 // acknowledged, and going on could only spread the damage.
-func (c *Core) append(m Message, body Append) {
+func (c *Core) handleAppend(m Message, body Append) {
 	for i, e := range body.Entries {
 		if e.Index != body.PrevIndex+1+uint64(i) {
 			return
@@ -72,8 +72,8 @@
 			return
 		}
 
-		c.reply(m, c.hard.Term, AppendAnswer{
-			Rejected: true, Index: c.hint(body), PrevIndex: body.PrevIndex, Round: body.Round,
+		c.reply(m, c.hardState.Term, AppendAnswer{
+			Rejected: true, Index: c.conflictHint(body), PrevIndex: body.PrevIndex, Round: body.Round,
 		})
 
 		return
@@ -89,7 +89,7 @@
 			c.truncate(e.Index)
 		}
 
-		c.adopt(body.Entries[i:])
+		c.appendFromLeader(body.Entries[i:])
 
 		break
 	}
@@ -102,13 +102,13 @@
 	c.acknowledge(m, last, body.Round)
 }
 
-func (c *Core) acknowledge(m Message, index, n uint64) {
-	c.incoming = nil
-	c.reply(m, c.hard.Term, AppendAnswer{Index: index, Round: n})
+func (c *Core) acknowledge(m Message, index, roundNumber uint64) {
+	c.incomingSnapshot = nil
+	c.reply(m, c.hardState.Term, AppendAnswer{Index: index, Round: roundNumber})
 }
 
-// adopt adds entries of the leader to this log.
-func (c *Core) adopt(entries []Entry) {
+// appendFromLeader adds entries of the leader to this log.
+func (c *Core) appendFromLeader(entries []Entry) {
 	c.log.add(entries...)
 
 	for _, e := range entries {
@@ -128,9 +128,9 @@
 	}
 }
 
-// hint returns where the logs may still agree: the last entry before PrevIndex
+// conflictHint returns where the logs may still agree: the last entry before PrevIndex
 // of no later term than the leader's.
-func (c *Core) hint(body Append) uint64 {
+func (c *Core) conflictHint(body Append) uint64 {
 	i := min(body.PrevIndex-1, c.log.last())
 
 	for i > c.commit {
@@ -143,19 +143,19 @@
 	return max(i, c.commit)
 }
 
-func (c *Core) appendAnswer(m Message, body AppendAnswer) {
+func (c *Core) handleAppendAnswer(m Message, body AppendAnswer) {
 	if c.state != leader {
 		return
 	}
 
-	p := c.peerOf(m)
+	p := c.progressOf(m)
 	if p == nil || body.Index > c.log.last() {
 		return
 	}
 
 	if body.Rejected {
-		c.answered(p, body.Round)
-		c.retry(p, body)
+		c.recordRoundAnswer(p, body.Round)
+		c.retryAppend(p, body)
 		c.confirmReads()
 
 		return
@@ -164,30 +164,30 @@
 	p.match = max(p.match, body.Index)
 	p.next = max(p.next, p.match+1)
 	p.probing = false
-	p.waiting = false
+	p.probeInFlight = false
 
-	if p.outgoing != nil && p.match >= p.outgoing.snap.Index {
-		p.outgoing = nil
+	if p.outgoingSnapshot != nil && p.match >= p.outgoingSnapshot.snap.Index {
+		p.outgoingSnapshot = nil
 	}
 
-	c.answered(p, body.Round)
+	c.recordRoundAnswer(p, body.Round)
 	c.advanceCommit()
 	c.confirmReads()
-	c.check()
+	c.checkPendingChange()
 	c.sendAppend(p, false)
 	c.sendTimeoutNow()
 }
 
-// retry goes back to the entry after which p says that the logs may agree.
+// retryAppend goes back to the entry after which p says that the logs may agree.
 // Several Appends may have been under way, and answers may be late or doubled:
 // only the one that answers the latest probe leads to another one.
-func (c *Core) retry(p *progress, body AppendAnswer) {
+func (c *Core) retryAppend(p *progress, body AppendAnswer) {
 	if body.PrevIndex <= p.match || (p.probing && body.PrevIndex != p.next-1) {
 		return
 	}
 
 	p.next = min(max(p.match, body.Index)+1, p.next)
 	p.probing = true
-	p.waiting = false
+	p.probeInFlight = false
 	c.sendAppend(p, false)
 }
--- a/internal/quorum/round.go
+++ b/internal/quorum/round.go
@@ -14,33 +14,33 @@
 
 // beginRound asks all members whether this replica still leads.
 func (c *Core) beginRound() {
-	l := c.lead
+	l := c.leaderState
 	l.heartbeatAt = c.now.Add(c.cfg.HeartbeatInterval)
-	l.rounds = append(l.rounds, round{number: l.present() + 1, sent: c.now, commit: c.commit})
+	l.rounds = append(l.rounds, round{number: l.currentRound() + 1, sent: c.now, commit: c.commit})
 
 	for len(l.rounds) > 2 && c.now.Sub(l.rounds[0].sent) > c.cfg.ElectionTimeout {
 		l.rounds = l.rounds[1:]
 	}
 
-	c.roundReads()
+	c.addReadsToRound()
 
 	for _, p := range c.sortedPeers() {
-		p.waiting = false
+		p.probeInFlight = false
 		c.sendAppend(p, true)
 	}
 
 	c.confirmReads()
 }
 
-func (l *leadership) present() uint64 {
+func (l *leaderState) currentRound() uint64 {
 	return l.rounds[len(l.rounds)-1].number
 }
 
-// answered notes that p answered the round n.
-func (c *Core) answered(p *progress, n uint64) {
-	p.round = max(p.round, n)
+// recordRoundAnswer notes that p answered the round n.
+func (c *Core) recordRoundAnswer(p *progress, roundNumber uint64) {
+	p.round = max(p.round, roundNumber)
 
-	r, ok := c.lead.roundOf(n)
+	r, ok := c.leaderState.findRound(roundNumber)
 	if !ok {
 		return
 	}
@@ -51,24 +51,24 @@
 		p.activeUntil = until
 	}
 
-	if p.match >= r.commit && until.After(p.currentUntil) {
-		p.currentUntil = until
+	if p.match >= r.commit && until.After(p.upToDateUntil) {
+		p.upToDateUntil = until
 	}
 }
 
-// roundOf returns the round n, unless it was long ago.
-func (l *leadership) roundOf(n uint64) (round, bool) {
+// findRound returns the round n, unless it was long ago.
+func (l *leaderState) findRound(number uint64) (round, bool) {
 	first := l.rounds[0].number
-	if n < first || n > l.present() {
+	if number < first || number > l.currentRound() {
 		return round{}, false
 	}
 
-	return l.rounds[n-first], true
+	return l.rounds[number-first], true
 }
 
-// commitAt returns what was committed when the round n began.
-func (l *leadership) commitAt(n uint64) uint64 {
-	r, ok := l.roundOf(n)
+// roundCommit returns what was committed when the round n began.
+func (l *leaderState) roundCommit(number uint64) uint64 {
+	r, ok := l.findRound(number)
 	if !ok {
 		return math.MaxUint64
 	}
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -28,79 +28,79 @@
 
 // schedule does one random thing after another to the world.
 type schedule struct {
-	*world
-	t *rapid.T
-	n int
-	// stuck says that the group may have lost its majority; see changing.
-	stuck bool
+	*simulation
+	t        *rapid.T
+	commands int
+	// mayLackQuorum says that the group may have lost its majority; see changing.
+	mayLackQuorum bool
 }
 
-func (s *schedule) pick() *host {
+func (s *schedule) randomHost() *host {
 	return s.hosts[rapid.IntRange(0, len(s.hosts)-1).Draw(s.t, "host")]
 }
 
-func (s *schedule) command() string {
-	s.n++
+func (s *schedule) newCommand() string {
+	s.commands++
 
-	return fmt.Sprint("c", s.n)
+	return fmt.Sprint("c", s.commands)
 }
 
-// act is one line of a fault schedule.
-func (s *schedule) act() {
+// randomAction is one line of a fault schedule.
+func (s *schedule) randomAction() {
 	switch rapid.IntRange(0, 17).Draw(s.t, "act") {
 	case 0, 1, 2:
 		s.run(time.Duration(rapid.IntRange(1, 4000).Draw(s.t, "ms")) * time.Millisecond)
 	case 3, 4:
 		if h := s.leader(); h != nil {
 			for range rapid.IntRange(1, 30).Draw(s.t, "burst") {
-				s.propose(h, s.command())
+				s.propose(h, s.newCommand())
 			}
 		}
 	case 5:
-		s.propose(s.pick(), s.command())
+		s.propose(s.randomHost(), s.newCommand())
 	case 6, 7:
-		s.read(s.pick())
+		s.read(s.randomHost())
 	case 8:
-		s.kill(s.pick())
+		s.kill(s.randomHost())
 	case 9:
-		s.pick().crash = crashPoint(rapid.IntRange(1, 2).Draw(s.t, "point"))
+		s.randomHost().crashPoint = crashPoint(rapid.IntRange(1, 2).Draw(s.t, "point"))
 	case 10:
-		if h := s.pick(); h.core == nil {
+		if h := s.randomHost(); h.core == nil {
 			s.restart(h)
 		}
 	case 11:
-		s.cut[[2]string{s.pick().id, s.pick().id}] = true
+		s.cutLinks[[2]string{s.randomHost().id, s.randomHost().id}] = true
 	case 12:
-		s.isolate(s.pick().id, true)
+		s.isolate(s.randomHost().id, true)
 	case 13:
-		s.drop = rapid.Float64Range(0, 0.4).Draw(s.t, "drop")
-		s.dup = rapid.Float64Range(0, 0.4).Draw(s.t, "dup")
-		s.delay = time.Duration(rapid.IntRange(1, 3000).Draw(s.t, "delay")) * time.Millisecond
+		s.dropRate = rapid.Float64Range(0, 0.4).Draw(s.t, "drop")
+		s.duplicateRate = rapid.Float64Range(0, 0.4).Draw(s.t, "dup")
+		s.maxDelay = time.Duration(rapid.IntRange(1, 3000).Draw(s.t, "delay")) * time.Millisecond
 	case 14:
 		s.heal()
 		s.run(2 * time.Second)
 	case 15:
-		s.compact(s.pick())
+		s.compact(s.randomHost())
 	case 16:
-		h := s.pick()
-		h.stalled = s.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(s.t, "stall")) * time.Millisecond)
+		h := s.randomHost()
+		h.stalledUntil = s.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(s.t, "stall")) * time.Millisecond)
 	case 17:
-		s.operate()
+		s.operatorAction()
 	}
 }
 
-// operate is what operators do: replace a VM, or hand leadership over.
-func (s *schedule) operate() {
-	h := s.pick()
+// operatorAction is what operators do: replace a VM, or hand leadership over.
+func (s *schedule) operatorAction() {
+	h := s.randomHost()
 
 	switch rapid.IntRange(0, 7).Draw(s.t, "operate") {
 	case 0:
-		if s.mayLose() {
-			if len(h.found) == 1 {
-				h.found = nil // as the operators' page asks for once a group of one has grown
+		if s.isSafeToLose() {
+			if len(h.founders) == 1 {
+				h.founders = nil // as the operators' page asks for once a group of one has grown
 			}
 
-			s.stuck = s.stuck || s.changing()
+			s.mayLackQuorum = s.mayLackQuorum || s.isChangeInProgress()
 			s.wipe(h)
 			s.restart(h)
 		}
@@ -112,8 +112,8 @@
 		s.change(quorum.Promote, h.id)
 	case 4:
 		if len(s.hosts) < 6 {
-			h = s.add(fmt.Sprint("vm", len(s.hosts)), nil)
-			s.grow(h)
+			h = s.addHost(fmt.Sprint("vm", len(s.hosts)), nil)
+			s.addVoter(h)
 		}
 	case 5:
 		if l := s.leader(); l != nil {
@@ -123,28 +123,28 @@
 	case 6:
 		s.change(quorum.Remove, h.id)
 		s.run(time.Second)
-		s.grow(h)
+		s.addVoter(h)
 	case 7:
 		s.change(quorum.CheckStop, h.id)
 	}
 }
 
-func (s *schedule) grow(h *host) {
+func (s *schedule) addVoter(h *host) {
 	s.change(quorum.AddLearner, h.id)
 	s.run(time.Duration(rapid.IntRange(1, 3000).Draw(s.t, "ms")) * time.Millisecond)
 	s.change(quorum.Promote, h.id)
 }
 
-// mayLose says that another VM may be lost for good: the leader says that it is
+// isSafeToLose says that another VM may be lost for good: the leader says that it is
 // safe, and no voter is lost that is not yet replaced.
-func (s *schedule) mayLose() bool {
+func (s *schedule) isSafeToLose() bool {
 	l := s.leader()
 	if l == nil || !l.core.Status().SafeToStop {
 		return false
 	}
 
 	for _, m := range l.core.Members() {
-		if m.Role == quorum.Voter && m.Birth != s.host(m.ID).birth {
+		if m.Role == quorum.Voter && m.Birth != s.host(m.ID).creationID {
 			return false
 		}
 	}
@@ -152,12 +152,12 @@
 	return true
 }
 
-// changing says that a change of the members is under way. A voter lost in the
+// isChangeInProgress says that a change of the members is under way. A voter lost in the
 // very moment in which three become two leaves one of two. No order of steps
 // could save such a group: it may end up without a leader, but nothing else.
-func (s *schedule) changing() bool {
+func (s *schedule) isChangeInProgress() bool {
 	for _, o := range s.ops {
-		if o.command == "members" && o.ret == 0 && !o.notRun && s.now.Sub(o.at) < quorum.DefaultElectionTimeout {
+		if o.command == "members" && o.returnTime == 0 && !o.notRun && s.now.Sub(o.startedAt) < quorum.DefaultElectionTimeout {
 			return true
 		}
 	}
@@ -165,18 +165,18 @@
 	return false
 }
 
-// finish heals everything and checks that the group goes on as one.
-func (s *schedule) finish() {
+// healAndCheck heals everything and checks that the group goes on as one.
+func (s *schedule) healAndCheck() {
 	s.heal()
 	s.run(20 * time.Second)
 
 	l := s.leader()
-	if l == nil && s.stuck {
+	if l == nil && s.mayLackQuorum {
 		return
 	}
 
 	if l == nil {
-		s.fail("no leader after healing")
+		s.recordViolation("no leader after healing")
 
 		return
 	}
@@ -184,19 +184,19 @@
 	last := s.propose(l, "last")
 	s.run(5 * time.Second)
 
-	if last.ret == 0 && s.stuck {
+	if last.returnTime == 0 && s.mayLackQuorum {
 		return
 	}
 
-	if last.ret == 0 {
-		s.fail("no commit after healing")
+	if last.returnTime == 0 {
+		s.recordViolation("no commit after healing")
 
 		return
 	}
 
 	for _, m := range l.core.Members() {
 		h := s.host(m.ID)
-		if m.Birth != 0 && m.Birth != h.birth {
+		if m.Birth != 0 && m.Birth != h.creationID {
 			continue // its disk is lost and nobody has replaced it yet
 		}
 
@@ -204,7 +204,7 @@
 		s.run(2 * time.Second)
 
 		if fmt.Sprint(h.state) != fmt.Sprint(l.state) {
-			s.fail("%s ends with other state than %s: %+v, %+v", h.id, l.id, h.core.Status(), l.core.Status())
+			s.recordViolation("%s ends with other state than %s: %+v, %+v", h.id, l.id, h.core.Status(), l.core.Status())
 		}
 	}
 }
@@ -212,17 +212,17 @@
 // checkRefusals checks that nothing ran that was refused as not run.
 func (s *schedule) checkRefusals() {
 	for id, o := range s.ops {
-		if index := s.seen[o.command]; o.notRun && index != 0 && o.command != "members" {
-			s.fail("operation %d was refused as not run and ran at %d", id, index)
+		if index := s.appliedAt[o.command]; o.notRun && index != 0 && o.command != "members" {
+			s.recordViolation("operation %d was refused as not run and ran at %d", id, index)
 		}
 	}
 }
 
-// play runs one random schedule on a world that tune may have broken, and
+// runSchedule runs one random schedule on a world that tune may have broken, and
 // returns what did not hold.
-func play(t *rapid.T, tune func(*host)) []string {
+func runSchedule(t *rapid.T, tune func(*host)) []string {
 	founders := rapid.SampledFrom([]int{1, 3, 3, 5}).Draw(t, "founders")
-	s := &schedule{t: t, world: newWorld(rapid.Uint64().Draw(t, "seed"), founders)}
+	s := &schedule{t: t, simulation: newSimulation(rapid.Uint64().Draw(t, "seed"), founders)}
 
 	// With small messages an older entry can reach others before the leader's own.
 	s.appendBytes = rapid.SampledFrom([]int{0, 1}).Draw(t, "appendBytes")
@@ -236,20 +236,20 @@
 	s.run(5 * time.Second)
 
 	for range rapid.IntRange(10, 60).Draw(t, "acts") {
-		s.act()
+		s.randomAction()
 	}
 
-	if len(s.broken) == 0 {
-		s.finish()
+	if len(s.violations) == 0 {
+		s.healAndCheck()
 	}
 
 	s.checkRefusals()
 
-	if r := s.history(); r != porcupine.Ok {
-		s.fail("history of the clients: %v", r)
+	if r := s.checkHistory(); r != porcupine.Ok {
+		s.recordViolation("history of the clients: %v", r)
 	}
 
-	return s.broken
+	return s.violations
 }
 
 // Whatever happens to messages, processes and disks, in whatever order: one
@@ -258,27 +258,27 @@
 func TestFaultSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		require.Empty(t, play(t, func(*host) {}))
+		require.Empty(t, runSchedule(t, func(*host) {}))
 	})
 }
 
 // The schedules are worth something only if they catch a replica that breaks
 // its promises: each of these is one that a careless shell or disk would break.
-func TestBrokenPromisesAreCaught(t *testing.T) {
+func TestDurabilityViolationsAreDetected(t *testing.T) {
 	t.Parallel()
 
 	for name, tune := range map[string]func(*host){
-		"sync of entries is skipped": func(h *host) { h.loseSyncs = true },
+		"sync of entries is skipped": func(h *host) { h.loseEntries = true },
 		"term and vote are not kept": func(h *host) { h.loseVotes = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			caught := rapid.Custom(func(t *rapid.T) []string { return play(t, tune) })
+			violations := rapid.Custom(func(t *rapid.T) []string { return runSchedule(t, tune) })
 
 			for seed := range maxSeeds {
-				if broken := caught.Example(seed); len(broken) > 0 {
-					t.Logf("seed %d: %s", seed, broken[0])
+				if found := violations.Example(seed); len(found) > 0 {
+					t.Logf("seed %d: %s", seed, found[0])
 
 					return
 				}
@@ -291,55 +291,55 @@
 
 // A VM's disk is lost and its process starts again as the voter that it was:
 // what the case lost_disk_votes_not would come to without births.
-func TestOldIdentityWouldLoseABooking(t *testing.T) {
+func TestReusedCreationIDLosesCommittedEntry(t *testing.T) {
 	t.Parallel()
 
-	w := newWorld(1, 3)
+	w := newSimulation(1, 3)
 	w.run(5 * time.Second)
 	w.isolate("vm2", true)
 
 	booked := w.propose(w.leader(), "booked")
 	w.run(time.Second)
-	require.NotZero(t, booked.ret)
+	require.NotZero(t, booked.returnTime)
 
-	forgetful := w.host("vm1")
-	forgetful.keepBirth = true
+	wiped := w.host("vm1")
+	wiped.keepCreationID = true
 	members := quorum.Snapshot{Members: w.leader().core.Members()}
-	w.wipe(forgetful)
-	forgetful.disk.Snapshot = members
-	w.restart(forgetful)
+	w.wipe(wiped)
+	wiped.disk.Snapshot = members
+	w.restart(wiped)
 	w.kill(w.leader())
 	w.isolate("vm2", false)
 	w.run(time.Minute)
-	require.NotEmpty(t, w.broken)
+	require.NotEmpty(t, w.violations)
 }
 
 // A caller has its answer, and the leader dies before the others hear that the
 // entry is committed. The next leader holds it without knowing so. A read that
 // it answers before its own term has committed something would miss it.
-func TestReadWaitsForTheTerm(t *testing.T) {
+func TestReadWaitsForCommitInCurrentTerm(t *testing.T) {
 	t.Parallel()
 
 	for seed := range uint64(maxSeeds / 4) {
-		w := newWorld(seed, 3)
+		w := newSimulation(seed, 3)
 		w.run(5 * time.Second)
 
 		old := w.leader()
-		for answered := w.propose(old, "answered"); answered.ret == 0; {
+		for answered := w.propose(old, "answered"); answered.returnTime == 0; {
 			w.run(100 * time.Microsecond)
 		}
 
 		w.kill(old)
 
-		w.net = nil
+		w.inFlight = nil
 		for w.leader() == nil {
 			w.run(100 * time.Microsecond)
 		}
 
-		w.delay = 800 * time.Millisecond
+		w.maxDelay = 800 * time.Millisecond
 		read := w.read(w.leader())
 		w.run(20 * time.Second)
-		require.Empty(t, w.broken)
+		require.Empty(t, w.violations)
 		require.Equal(t, "answered", read.value)
 	}
 }
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -33,15 +33,15 @@
 // Status returns the state for dumps. Only a leader can say that a stop is safe.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hard.Term, Leader: c.leader,
+		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hardState.Term, Leader: c.leaderID,
 		Commit: c.commit, Last: c.log.last(), Snapshot: c.snap.Index,
 	}
 
-	for _, m := range c.ruling() {
+	for _, m := range c.currentMembers() {
 		s.Members = append(s.Members, c.memberStatus(m))
 	}
 
-	s.Reason = c.unsafeReason()
+	s.Reason = c.stopUnsafeReason()
 	s.SafeToStop = s.Reason == ""
 
 	return s
@@ -53,8 +53,8 @@
 	switch {
 	case m.ID == c.cfg.ID:
 		s.Match, s.Active, s.UpToDate = c.stable, true, true
-	case c.lead != nil:
-		p := c.lead.peers[m.ID]
+	case c.leaderState != nil:
+		p := c.leaderState.peers[m.ID]
 		s.Match, s.Active, s.UpToDate = p.match, c.now.Before(p.activeUntil), c.isUpToDate(p)
 	}
 
@@ -65,24 +65,24 @@
 	return s
 }
 
-// unsafeReason says why another voter must not be stopped now, or nothing.
-func (c *Core) unsafeReason() string {
+// stopUnsafeReason says why another voter must not be stopped now, or nothing.
+func (c *Core) stopUnsafeReason() string {
 	switch {
 	case c.fault != nil:
 		return c.fault.Error()
-	case c.forming != nil && c.forming.lost:
+	case c.bootstrap != nil && c.bootstrap.diskLost:
 		return "this replica lost its disk: remove it and add it again"
-	case c.forming != nil:
+	case c.bootstrap != nil:
 		return "waiting for all founders"
 	case c.state != leader:
 		return "only the leader can tell"
-	case c.commit < c.lead.first:
+	case c.commit < c.leaderState.firstIndex:
 		return "the term has committed nothing yet"
 	}
 
 	current := c.countVoters(c.isUpToDate)
-	if need := c.ruling().Quorum(); current-1 < need {
-		return fmt.Sprintf("%d of %d voters are up to date, and %d must remain", current, c.ruling().Voters(), need)
+	if need := c.currentMembers().Quorum(); current-1 < need {
+		return fmt.Sprintf("%d of %d voters are up to date, and %d must remain", current, c.currentMembers().Voters(), need)
 	}
 
 	return ""
@@ -90,10 +90,10 @@
 
 // Members returns the members that rule now. They must not be changed.
 func (c *Core) Members() Members {
-	return c.ruling()
+	return c.currentMembers()
 }
 
 // Leading reports whether this replica leads, and in which term.
 func (c *Core) Leading() (term uint64, ok bool) {
-	return c.hard.Term, c.state == leader
+	return c.hardState.Term, c.state == leader
 }
