--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -10,8 +10,8 @@
 
 const commandSize = 200
 
-// BenchmarkWrite measures commits a second and bytes a commit by how many
-// commits share one sync. One a sync is the baseline.
+// BenchmarkWrite measures commits per second and bytes per commit, by the number of
+// commits that share one sync. One commit per sync is the baseline.
 func BenchmarkWrite(b *testing.B) {
 	for _, group := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprintf("group=%d", group), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkSnapshot measures the replacement of a snapshot and of the log behind
-// it, and opening both, by the size of the state.
+// BenchmarkSnapshot measures the replacement of the snapshot and the log, and the time to
+// open both, by the size of the state.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, mib := range []int{1, 8, 64} {
 		data := make([]byte, mib<<20)
--- a/internal/journal/disk_test.go
+++ b/internal/journal/disk_test.go
@@ -11,30 +11,30 @@
 
 var errCrash = errors.New("crash")
 
-// unsyncedTail says what is left of unsynced bytes after a power cut.
+// unsyncedTail determines what remains of unsynced bytes after a power cut.
 type unsyncedTail int
 
 const (
-	tailLost  unsyncedTail = iota // nothing
-	tailHalf                      // the first half
-	tailZeros                     // the length, but not the bytes
-	tailKept                      // all
+	tailLost  unsyncedTail = iota // nothing remains
+	tailHalf                      // the first half remains
+	tailZeros                     // the length remains, the bytes read as zero
+	tailKept                      // all bytes remain
 )
 
-// inode is one file's content.
+// inode is the content of one file.
 type inode struct {
 	data   []byte
 	synced int
 }
 
-// disk is a data folder that survives power cuts as far as it was synced.
+// disk simulates a data folder in which only synced state is sure to survive a power cut.
 type disk struct {
 	files     map[string]*inode
 	durable   map[string]*inode // as of the last sync of the folder
-	opCount   int               // so far
-	crashAtOp int               // 0: never
+	opCount   int               // operations so far
+	crashAtOp int               // number of the operation at which the power fails, 0 for never
 	tail      unsyncedTail
-	// keepRenames says whether unsynced renames survive.
+	// keepRenames determines whether unsynced renames survive.
 	keepRenames  bool
 	failSync     bool
 	shortWriteBy int
@@ -44,14 +44,14 @@
 	return &disk{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// countOp counts one operation and reports whether the power is gone.
+// countOp counts one operation and reports whether the power has failed.
 func (d *disk) countOp() bool {
 	d.opCount++
 
 	return d.crashAtOp > 0 && d.opCount >= d.crashAtOp
 }
 
-// powerCycle is what a power cut leaves.
+// powerCycle replaces the content by what remains after a power cut.
 func (d *disk) powerCycle() {
 	if !d.keepRenames {
 		d.files = maps.Clone(d.durable)
@@ -121,7 +121,7 @@
 	}
 }
 
-// crashError returns errCrash once the power is gone.
+// crashError returns errCrash once the power has failed.
 func (d *disk) crashError() error {
 	if d.crashAtOp > 0 && d.opCount >= d.crashAtOp {
 		return errCrash
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// CorruptionError says that a file holds something else than what was written. The
-// replica must not take part: it may have forgotten what it acknowledged.
+// CorruptionError reports that a file does not hold what was written. The replica must not
+// take part in the group, because entries or votes that it acknowledged may be lost.
 type CorruptionError struct {
 	File   string
 	Offset int
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("journal: %s is damaged at byte %d: %s", e.File, e.Offset, e.Detail)
 }
 
-// MissingFileError says that a part of the data folder is gone.
+// MissingFileError reports that a file of the data folder is missing.
 type MissingFileError struct {
 	File string
 }
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("journal: %s is missing from the data folder", e.File)
 }
 
-// IdentityError says that the data folder belongs to another replica.
+// IdentityError reports that the data folder belongs to another replica.
 type IdentityError struct {
 	Cluster, ID         string
 	WantCluster, WantID string
@@ -37,8 +37,8 @@
 		e.ID, e.Cluster, e.WantID, e.WantCluster)
 }
 
-// WriteError says that a write or sync failed. Nobody can tell what the disk
-// holds now, so the journal takes no further writes until it is opened again.
+// WriteError reports that a write or sync failed. The content of the disk is unknown after
+// that, so the journal rejects all further writes until it is opened again.
 type WriteError struct {
 	Op  string
 	Err error
@@ -49,5 +49,5 @@
 	return fmt.Sprintf("journal: %s failed: %v", e.Op, e.Err)
 }
 
-// Unwrap returns the fault below.
+// Unwrap returns the underlying error.
 func (e *WriteError) Unwrap() error { return e.Err }
--- a/internal/journal/files.go
+++ b/internal/journal/files.go
@@ -10,28 +10,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// File is an open file. Its fields may be replaced to inject faults.
+// File is an open file. Tests replace its fields to inject faults.
 type File struct {
 	Write func(p []byte) (int, error)
 	Sync  func() error
 	Close func() error
 }
 
-// Files are the file operations that a Journal needs, by path. They may be
-// replaced to inject failed syncs, short writes and crashes.
+// Files are the file operations that a Journal uses, by path. Tests replace them to inject
+// failed syncs, short writes and crashes.
 type Files struct {
 	MakeDir func(dir string) error
-	// Lock keeps other processes out of the folder until release is called.
+	// Lock locks the folder against other processes until release is called.
 	Lock func(name string) (release func() error, err error)
-	// Read returns a whole file, or an error that is fs.ErrNotExist.
+	// Read returns the content of a file, or an error that matches fs.ErrNotExist.
 	Read func(name string) ([]byte, error)
-	// Create opens an empty file for writing, over any former one.
+	// Create creates an empty file for writing and replaces any existing file.
 	Create  func(name string) (*File, error)
 	Rename  func(from, to string) error
 	SyncDir func(dir string) error
 }
 
-// OSFiles returns the operating system's files.
+// OSFiles returns the file operations of the operating system.
 func OSFiles() Files {
 	return Files{
 		MakeDir: func(dir string) error { return eris.Wrap(os.MkdirAll(dir, dirMode), "make data folder") },
@@ -68,7 +68,8 @@
 	return eris.Wrap(errors.Join(d.Sync(), d.Close()), "sync data folder")
 }
 
-// lock takes an advisory lock, which ends with the process at the latest.
+// lock takes an advisory lock. The operating system releases it at the latest when the
+// process ends.
 func lock(name string) (func() error, error) {
 	f, err := os.OpenFile(filepath.Clean(name), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -7,25 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A file is a head and frames. The head holds the kind of file and the birth of
-// its owner. A frame holds one payload:
+// A file consists of a file header and frames. The file header holds the kind of the file
+// and the creation ID of its owner. A frame holds one payload:
 //
-//	magic u32, length u32, sequence u64, xxhash64 of these   (head of the frame)
+//	magic u32, length u32, sequence u64, xxhash64 of these   (frame header)
 //	payload
-//	xxhash64 of sequence and payload, end mark               (tail of the frame)
+//	xxhash64 of sequence and payload, end mark               (frame trailer)
 //
-// Only one frame is ever unsynced: the next one is written after it is synced.
+// At most the last frame is unsynced: the next frame is only written after it is synced.
 const (
 	frameMagic       uint32 = 0x50474a31
 	frameHeaderSize  int    = 24
 	frameTrailerSize int    = 9
 	fileHeaderSize   int    = 24
-	// endMark is never zero, so that a frame whose last block was never written
-	// can be told from one that was written and then damaged.
+	// endMark is not zero. A frame whose last block was never written can therefore be
+	// distinguished from one that was written and then corrupted.
 	endMark byte = 0xe5
 )
 
-// fileKind says what a file holds.
+// fileKind is the kind of content of a file.
 type fileKind uint64
 
 const (
@@ -41,7 +41,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// parseFileHeader returns the birth in the head of a file.
+// parseFileHeader returns the creation ID in the header of a file.
 func parseFileHeader(name string, k fileKind, b []byte) (uint64, error) {
 	if len(b) < fileHeaderSize || binary.LittleEndian.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
 		return 0, &CorruptionError{File: name, Detail: "head of file"}
@@ -73,10 +73,10 @@
 	return d.Sum64()
 }
 
-// parseFrames returns the payloads in b, which begins at offset in the file name. A
-// torn last frame is left out only where its sync cannot have returned: the
-// file ends within it, or its last bytes were never written. Any other fault
-// may hide what this replica has acknowledged, and is an error.
+// parseFrames returns the payloads in b, which begins at the given offset of the file
+// name. An incomplete last frame is only ignored if its sync can't have returned: the file
+// ends within the frame, or its last bytes were never written. Any other fault may hide
+// entries that this replica has acknowledged, and gives an error.
 func parseFrames(name string, offset int, b []byte) ([][]byte, error) {
 	var out [][]byte
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Names within the data folder.
+// Names of the files in the data folder.
 const (
 	lockName     = "lock"
 	identityName = "identity"
@@ -21,20 +21,21 @@
 	tmpSuffix    = ".tmp"
 )
 
-// Stats count what was made durable since Open.
+// Stats counts what was made durable since Open.
 type Stats struct {
 	Syncs uint64
 	Bytes uint64
 }
 
-// Journal is one replica's data folder. Its methods are not safe for concurrent use.
+// Journal is the data folder of one replica. Its methods are not safe for concurrent use.
 type Journal struct {
 	Dir     string
 	Cluster string
 	ID      string
-	// NewCreationID returns a random number other than 0, for an empty data folder.
+	// NewCreationID returns a random number other than 0. It is called for a new data
+	// folder.
 	NewCreationID func() uint64
-	// Files are the file operations; the zero value stands for OSFiles.
+	// Files are the file operations. The zero value stands for OSFiles.
 	Files Files
 
 	creationID uint64
@@ -46,9 +47,9 @@
 	stats      Stats
 }
 
-// Open reads the data folder, or fills an empty one. The log is written anew
-// and synced: after a failed sync the operating system may show what the disk
-// does not hold, and a replica that restarts must not vouch for that.
+// Open reads the data folder, or initializes a new one. It rewrites and syncs the log:
+// after a failed sync the operating system may return data from its cache that the disk
+// does not hold, and a restarted replica must not acknowledge such data.
 func (j *Journal) Open() (quorum.StoredState, error) {
 	if j.Files.Read == nil {
 		j.Files = OSFiles()
@@ -82,13 +83,14 @@
 	return stored, nil
 }
 
-// CreationID returns the random number made with the data folder. It is known after Open.
+// CreationID returns the random number that was generated when the data folder was
+// created. It is valid after Open.
 func (j *Journal) CreationID() uint64 { return j.creationID }
 
-// Stats returns what was made durable since Open.
+// Stats returns the counters since Open.
 func (j *Journal) Stats() Stats { return j.stats }
 
-// Close releases the data folder. It makes nothing durable.
+// Close releases the data folder. It does not make anything durable.
 func (j *Journal) Close() error {
 	var errs []error
 
@@ -105,7 +107,7 @@
 	return errors.Join(errs...)
 }
 
-// Write makes p durable. After an error the journal refuses all further writes.
+// Write makes p durable. After an error the journal rejects all further writes.
 func (j *Journal) Write(p quorum.Persist) error {
 	if j.writeErr != nil {
 		return j.writeErr
@@ -142,7 +144,7 @@
 	return j.writeAndSync(j.logFile, b)
 }
 
-// appendBatch appends to b the next frame of the log.
+// appendBatch appends the next frame of the log to b.
 func (j *Journal) appendBatch(b []byte, entries []quorum.Entry) ([]byte, error) {
 	j.seq++
 
@@ -156,7 +158,7 @@
 	return appendFrame(b, j.seq, payload), nil
 }
 
-// rewriteLog replaces the log by one that holds just entries.
+// rewriteLog replaces the log by one that only holds the given entries.
 func (j *Journal) rewriteLog(entries []quorum.Entry) error {
 	j.seq = 0
 
@@ -195,8 +197,8 @@
 	return j.replaceAndClose(snapshotName, appendFrame(fileHeader(kindSnapshot, j.creationID), 1, payload))
 }
 
-// writeIdentity comes last for an empty data folder, so that a folder with an
-// identity and without a log has lost it.
+// writeIdentity writes the identity file if there is none. In a new data folder it is
+// written last: a folder with an identity and without a log has lost its log.
 func (j *Journal) writeIdentity() error {
 	if _, err := j.Files.Read(j.path(identityName)); !errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -210,8 +212,8 @@
 	return j.replaceAndClose(identityName, appendFrame(fileHeader(kindIdentity, j.creationID), 1, payload))
 }
 
-// replace puts a file that holds b under name, in one step and durably, and
-// returns it open for appending.
+// replace atomically and durably replaces the named file by one that holds b. It returns
+// the new file, open for appending.
 func (j *Journal) replace(name string, b []byte) (*File, error) {
 	f, err := j.Files.Create(j.path(name + tmpSuffix))
 	if err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -25,8 +25,8 @@
 	return quorum.Entry{Index: i, Term: term, Command: []byte(command)}
 }
 
-// testWrites is what a replica's life consists of: votes, entries, entries that
-// replace others, a snapshot of its own and one of its leader's.
+// testWrites returns the kinds of writes that a replica makes: votes, entries, entries
+// that replace others, a snapshot of its own state and one received from the leader.
 func testWrites() []quorum.Persist {
 	return []quorum.Persist{
 		{State: &quorum.HardState{Term: 1, Vote: "vm0"}, Snapshot: &quorum.Snapshot{Members: quorum.Members{{ID: "vm0", Birth: 7}}}},
@@ -45,8 +45,8 @@
 	}
 }
 
-// stateAfter returns what must be found after the first n writes. Entries up to the
-// snapshot do not matter.
+// stateAfter returns the state to be recovered after the first n writes. Entries up to the
+// snapshot are not compared.
 func stateAfter(n int) quorum.StoredState {
 	var s quorum.StoredState
 
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("%v %v %q %v", s.State, s.Snapshot.Index, s.Snapshot.Data, s.Entries)
 }
 
-// The power fails at some file operation, and unsynced bytes and names survive
-// or not. What was acknowledged must be there afterwards, and nothing but it
-// and the write under way.
+// The power fails at each file operation in turn, and unsynced bytes and renames survive
+// or not. Everything acknowledged must be recovered, and nothing else except the write in
+// progress.
 func TestPowerCutAtEveryOperation(t *testing.T) {
 	t.Parallel()
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// runWithPowerCut reports whether the power was cut before all writes were done.
+// runWithPowerCut reports whether the power failed before all writes were done.
 func runWithPowerCut(t *testing.T, mode unsyncedTail, keepRenames bool, at int) bool {
 	d := newDisk()
 	d.tail, d.keepRenames, d.crashAtOp = mode, keepRenames, at
@@ -113,7 +113,8 @@
 	got, want := formatState(stored), []string{formatState(stateAfter(acked))}
 	if acked < len(testWrites()) {
 		want = append(want, formatState(stateAfter(acked+1)))
-		// Between the two files of a snapshot the new one is there, with the old term.
+		// After a power cut between the replacements of snapshot and log, the new snapshot
+		// is there with the old term.
 		half := stateAfter(acked + 1)
 		half.State = stateAfter(acked).State
 		want = append(want, formatState(half))
@@ -124,9 +125,9 @@
 	return cut
 }
 
-// A disk block goes bad, or a file was restored from somewhere. Going on with
-// what is left could forget an acknowledged entry or a vote: every changed byte
-// must be noticed, and the replica must not take part.
+// A disk block goes bad, or a file was restored from elsewhere. Continuing with the rest
+// could lose an acknowledged entry or a vote. Every changed byte must be detected, and the
+// replica must not take part in the group.
 func TestCorruptionIsDetected(t *testing.T) {
 	t.Parallel()
 
@@ -155,8 +156,8 @@
 	require.NoError(t, err)
 }
 
-// The disk reports an error once and then seems to work. Nobody can tell what
-// it holds, so nothing more may be acknowledged from this journal.
+// The disk returns an error once and then seems to work. Its content is unknown, so this
+// journal must not acknowledge any further write.
 func TestFailedWriteStopsTheJournal(t *testing.T) {
 	t.Parallel()
 
@@ -194,7 +195,7 @@
 	}
 }
 
-// Someone mounts the wrong disk, or clears a part of it.
+// The wrong disk is mounted, or a part of the data folder was deleted.
 func TestForeignOrIncompleteFolderIsRejected(t *testing.T) {
 	t.Parallel()
 
@@ -237,8 +238,8 @@
 	return d.files["log"].data
 }
 
-// A process is started twice on one data folder. Two replicas under one
-// identity could vote twice.
+// A process is started twice on one data folder. Two replicas with one identity could vote
+// twice in a term.
 func TestDataFolderHasOneOwner(t *testing.T) {
 	t.Parallel()
 
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -12,7 +12,7 @@
 
 var errShortWrite = errors.New("short write")
 
-// load reads the data folder, and makes a birth for an empty one.
+// load reads the data folder, and generates a creation ID for a new one.
 func (j *Journal) load() (quorum.StoredState, error) {
 	identity, err := j.readSingleFrame(identityName, kindIdentity)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -46,8 +46,9 @@
 	return stored, err
 }
 
-// loadWithoutIdentity accepts a folder that never got as far as an identity. Nothing was
-// promised from it, so there can be no more than an empty log.
+// loadWithoutIdentity accepts a folder whose initialization did not get as far as the
+// identity file. Nothing was acknowledged from it, so it may hold no more than an empty
+// log.
 func (j *Journal) loadWithoutIdentity() (quorum.StoredState, error) {
 	if _, err := j.Files.Read(j.path(snapshotName)); !errors.Is(err, fs.ErrNotExist) {
 		return quorum.StoredState{}, &MissingFileError{File: identityName}
@@ -110,7 +111,7 @@
 		return err
 	}
 
-	// The log is only ever put in place with its first frame in it.
+	// The log file is only put in place with its first frame.
 	if len(payloads) == 0 {
 		return &CorruptionError{File: logName, Offset: fileHeaderSize, Detail: "first frame"}
 	}
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// replay adds one batch to what is known.
+// replay adds one batch of the log to the stored state.
 func replay(stored *quorum.StoredState, payload []byte) error {
 	var b wire.JournalBatch
 	if err := proto.Unmarshal(payload, &b); err != nil {
@@ -164,9 +165,10 @@
 	return nil
 }
 
-// entriesMatchingSnapshot returns the entries that go with the snapshot. After a crash between
-// the two renames the snapshot is the newer one; a log that does not reach it,
-// or contradicts it, is what the snapshot replaced.
+// entriesMatchingSnapshot returns the entries that continue the snapshot. After a crash
+// between the replacements of snapshot and log, the snapshot is newer than the log. A log
+// that ends before the snapshot, or conflicts with it, was replaced by the snapshot and is
+// dropped.
 func entriesMatchingSnapshot(entries []quorum.Entry, s quorum.Snapshot) []quorum.Entry {
 	if len(entries) == 0 || s.Index == 0 || entries[0].Index == s.Index+1 {
 		return entries
@@ -182,7 +184,7 @@
 	return entries
 }
 
-// readSingleFrame reads a file that holds one frame.
+// readSingleFrame returns the payload of a file that holds exactly one frame.
 func (j *Journal) readSingleFrame(name string, k fileKind) ([]byte, error) {
 	payloads, err := j.readFrames(name, k)
 	if err != nil {
@@ -196,7 +198,8 @@
 	return payloads[0], nil
 }
 
-// readFrames reads a file and checks that it belongs to this data folder.
+// readFrames returns the payloads of a file and checks that the file belongs to this data
+// folder.
 func (j *Journal) readFrames(name string, k fileKind) ([][]byte, error) {
 	b, err := j.Files.Read(j.path(name))
 	if err != nil {
--- a/internal/journal/memory.go
+++ b/internal/journal/memory.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// memoryDir is a folder that is gone with its process.
+// memoryDir is a folder in memory, which is lost when the process ends.
 type memoryDir struct {
 	mu    sync.Mutex
 	files map[string]*memoryFile
@@ -15,7 +15,7 @@
 type memoryFile struct{ data []byte }
 
 // MemoryFiles returns an empty folder in memory, for a replica that has no disk and
-// therefore no vote: it is filled anew by the others at each start.
+// therefore no vote. The other replicas send it the complete state after each start.
 func MemoryFiles() Files {
 	m := &memoryDir{files: map[string]*memoryFile{}}
 
--- a/internal/journal/memory_test.go
+++ b/internal/journal/memory_test.go
@@ -9,8 +9,8 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// A VM without a disk may not be allowed to write files at all. Its journal in
-// memory holds what was written as long as the process lives, and nothing after it.
+// A VM without a disk may not be permitted to write any files. Its journal in memory keeps
+// what was written for the lifetime of the process only.
 func TestMemoryJournal(t *testing.T) {
 	t.Parallel()
 
--- a/internal/quorum/batch.go
+++ b/internal/quorum/batch.go
@@ -2,21 +2,22 @@
 
 import "github.com/parsleygate/parsleygate/pkg/verdict"
 
-// HardState is what a replica must never forget: its term, and whom it voted for in it.
+// HardState is the Raft state that must survive a restart: the current term and the vote
+// cast in it.
 type HardState struct {
 	Term uint64
-	// Vote and VoteBirth name the candidate; Vote is empty if there is none.
+	// Vote and VoteCreationID identify the candidate. Vote is empty if no vote was cast.
 	Vote           string
 	VoteCreationID uint64
 }
 
-// EntryKind tells commands from changes of the members.
+// EntryKind distinguishes commands from membership changes.
 type EntryKind uint8
 
 const (
 	// EntryCommand holds a command for the state machine.
 	EntryCommand EntryKind = iota
-	// EntryMembers holds the members from this entry on.
+	// EntryMembers holds the members that are in effect from this entry on.
 	EntryMembers
 )
 
@@ -29,31 +30,32 @@
 	Members Members
 }
 
-// Snapshot is the state after the entry Index.
+// Snapshot is the state of the state machine after it has applied the entry Index.
 type Snapshot struct {
 	Index uint64
 	Term  uint64
-	// MembersIndex is the entry that set Members.
+	// MembersIndex is the index of the entry that set Members.
 	MembersIndex uint64
 	Members      Members
 	Data         []byte
 }
 
-// StoredState is what a replica found in its data folder.
+// StoredState is the state that a replica recovers from its data folder.
 type StoredState struct {
 	State    HardState
 	Snapshot Snapshot
 	Entries  []Entry
 }
 
-// Persist is what must be written and synced.
+// Persist is the state that must be written and synced.
 type Persist struct {
-	// State is nil if it has not changed. It is always set with Snapshot.
+	// State is nil if the hard state has not changed. It is always set together with
+	// Snapshot.
 	State *HardState
-	// Entries replace all stored entries from the first one's index on; with
-	// Snapshot they are the whole log.
+	// Entries replace all stored entries from the index of the first one on. Together with
+	// Snapshot they are the entire log.
 	Entries []Entry
-	// Snapshot replaces the stored one, before Entries are written.
+	// Snapshot replaces the stored snapshot before Entries are written.
 	Snapshot *Snapshot
 }
 
@@ -62,25 +64,25 @@
 	return p.State == nil && len(p.Entries) == 0 && p.Snapshot == nil
 }
 
-// Committed is an entry that may be applied.
+// Committed is a committed entry that the state machine may apply.
 type Committed struct {
 	Entry Entry
-	// ProposalID is set if the entry was proposed here.
+	// ProposalID is set if the entry was proposed on this replica.
 	ProposalID uint64
 }
 
-// Answer ends a proposal, change or transfer without a committed entry, or
-// with Verdict Ran a transfer that has succeeded.
+// Answer completes a proposal, membership change or leadership transfer that did not end
+// with a committed entry. A successful transfer has the verdict Ran.
 type Answer struct {
 	ID      uint64
 	Verdict verdict.Verdict
 	Reason  Reason
 }
 
-// Reason says why an event was refused.
+// Reason is the cause of a rejected request.
 type Reason string
 
-// The reasons of refusals.
+// Reasons of rejections.
 const (
 	ReasonNone                    Reason = ""
 	ReasonNotLeader               Reason = "NotLeader"
@@ -99,24 +101,26 @@
 	ReasonFaulty                  Reason = "Faulty"
 )
 
-// ReadDone answers a ReadAsked: state applied up to Index, which the same
-// batch completes, was current when it was asked. Failed if it could not be shown in time.
+// ReadDone answers a ReadRequested. The state applied up to Index, which the same batch
+// completes, includes everything that was committed when the read was requested. Failed is
+// set if the read index could not be confirmed in time.
 type ReadDone struct {
 	ID     uint64
 	Index  uint64
 	Failed bool
 }
 
-// Batch is what a series of events led to. The shell does its parts in this
-// order, and calls Core.Synced after Persist, before it steps the next event.
+// Batch holds the actions that result from a series of events. The caller carries them out
+// in the order of the fields and calls Core.Synced after Persist, before it passes on the
+// next event.
 type Batch struct {
-	// SendNow may leave before Persist: entries of a leader, whose own copy does
-	// not count before it is synced.
+	// SendNow may be sent before Persist is synced. It includes the leader's new entries:
+	// the leader counts its own copy only after the sync.
 	SendNow []Message
 	Persist Persist
-	// Send depends on Persist and must not leave before it is synced.
+	// Send depends on Persist and must not be sent before Persist is synced.
 	Send []Message
-	// Restore replaces the state machine's state, before Apply.
+	// Restore replaces the state of the state machine, before Apply.
 	Restore *Snapshot
 	Apply   []Committed
 	Answers []Answer
--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkWithoutLeader measures, in simulated time, how long a group of n has
-// no leader that commits after its leader was lost, and after it handed over.
+// BenchmarkWithoutLeader measures, in simulated time, how long a group of n replicas has
+// no leader that commits, after its leader failed and after a leadership transfer.
 func BenchmarkWithoutLeader(b *testing.B) {
 	for _, n := range []int{3, 7} {
 		for _, how := range []string{"lost", "handed over"} {
--- a/internal/quorum/bootstrap.go
+++ b/internal/quorum/bootstrap.go
@@ -4,12 +4,13 @@
 	"time"
 )
 
-// bootstrapListenHeartbeats is for how many heartbeats a lone founder listens at first.
+// bootstrapListenHeartbeats is how many heartbeat intervals a sole founder waits for
+// messages before it bootstraps.
 const bootstrapListenHeartbeats = 2
 
-// bootstrap is the state of a founder whose data folder is empty. It cannot tell a
-// group that was never formed from one that it belonged to before it lost its
-// disk, so it asks all other founders and takes no part until it can.
+// bootstrap is the state of a founder with an empty data folder. The replica group may be
+// new, or the founder may have been a member whose disk was lost. The founder asks all
+// other founders and does not take part in the group until it can tell these cases apart.
 type bootstrap struct {
 	helloAt     time.Time
 	creationIDs map[string]uint64
@@ -19,9 +20,10 @@
 func (c *Core) startBootstrap() {
 	c.bootstrap = &bootstrap{helloAt: c.now, creationIDs: map[string]uint64{c.cfg.ID: c.cfg.CreationID}}
 
-	// A lone founder has nobody to ask. If its group has grown since, and its disk
-	// was lost, the others still send to the replica that it was: it listens for
-	// that before it forms a second group under the same name.
+	// A sole founder has no other founder to ask. If its group has grown since and its
+	// disk was lost, the other members still send messages to its previous creation ID.
+	// The founder waits for such messages before it bootstraps, to avoid a second group of
+	// the same name.
 	if len(c.cfg.Founders) == 1 {
 		c.bootstrap.helloAt = c.now.Add(bootstrapListenHeartbeats * c.cfg.HeartbeatInterval)
 	}
@@ -43,9 +45,10 @@
 	c.tryBootstrap()
 }
 
-// handleMisaddressed takes note of a message to a replica of this name with another
-// data folder: there was one, and its disk is lost. A replica that has formed a
-// group of its own meanwhile must stop before it passes that off as the group.
+// handleMisaddressed handles a message that names this replica's ID with another creation
+// ID: a replica with this ID existed and its disk was lost. A replica that has
+// bootstrapped a group of one in the meantime stops, so that callers don't take its state
+// for that of the original group.
 func (c *Core) handleMisaddressed() {
 	switch {
 	case c.bootstrap != nil:
@@ -59,9 +62,9 @@
 	c.reply(m, 0, HelloAnswer{Members: c.currentMembers()})
 }
 
-// handleHelloAnswer takes in another founder's answer. A formed group that knows this
-// ID with another birth means that this replica's disk was lost: it must not
-// vote, and waits to be removed and added again as a learner.
+// handleHelloAnswer handles the answer of another founder. If the answering member's group
+// lists this ID with another creation ID, this replica's disk was lost: it must not vote
+// until it has been removed and added again as a learner.
 func (c *Core) handleHelloAnswer(m Message, body HelloAnswer) {
 	if c.bootstrap == nil {
 		c.stopIfRemoved(body)
@@ -86,9 +89,9 @@
 	c.finishBootstrap(body.Members)
 }
 
-// tryBootstrap forms the group once each founder has been heard, with an empty data
-// folder as well. All must be heard: a majority might consist of one that never
-// ran and one that lost its disk, while the rest hold committed entries.
+// tryBootstrap creates the replica group once every founder has answered and none has a
+// log. A majority of answers isn't enough: it may consist of a founder that never ran and
+// one that lost its disk, while the others hold committed entries.
 func (c *Core) tryBootstrap() {
 	var ms Members
 
@@ -118,8 +121,9 @@
 	}
 }
 
-// notifyRemoved tells a candidate that it was taken out while it could not hear.
-// It would else ask for votes for ever, and nobody could see why.
+// notifyRemoved informs a candidate that it was removed from the group while it was
+// disconnected. Otherwise it would request votes indefinitely and operators could not see
+// the cause.
 func (c *Core) notifyRemoved(m Message) bool {
 	last := c.members[len(c.members)-1]
 	if _, ok := last.Members.Find(m.From); ok || len(last.Members) == 0 || last.Index > c.commit {
@@ -131,7 +135,7 @@
 	return true
 }
 
-// stopIfRemoved stops this replica if later members than it knows of do not include it.
+// stopIfRemoved stops this replica if a membership newer than its own does not include it.
 func (c *Core) stopIfRemoved(body HelloAnswer) {
 	_, ok := body.Members.Find(c.cfg.ID)
 	if ok || len(body.Members) == 0 || body.MembersIndex <= c.members[len(c.members)-1].Index {
--- a/internal/quorum/cases_test.go
+++ b/internal/quorum/cases_test.go
@@ -13,7 +13,8 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// TestCases runs the named cases in testdata/cases. Each file opens with its story.
+// TestCases runs the cases in testdata/cases. A comment at the head of each file describes
+// the failure that the case guards against.
 func TestCases(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata/cases", func(t *testing.T, path string) {
@@ -28,7 +29,7 @@
 	})
 }
 
-// caseRunner is one case under way.
+// caseRunner runs the commands of one case.
 type caseRunner struct {
 	sim *simulation
 	ops map[string]*op
@@ -65,7 +66,8 @@
 	return strings.Join(out, " ")
 }
 
-// findHost finds a host, also by "leader" or "follower", which then keeps that name's meaning.
+// findHost returns the host with the given ID. "leader" stands for the current leader and
+// "follower" for the last host that does not lead.
 func (c *caseRunner) findHost(t *testing.T, id string) *host {
 	h := c.sim.host(id)
 
@@ -169,7 +171,7 @@
 	return ""
 }
 
-// outcome prints what the caller of an operation knows.
+// outcome returns the outcome of an operation as its caller sees it.
 func (c *caseRunner) outcome(name string) string {
 	o := c.ops[name]
 
--- a/internal/quorum/codec.go
+++ b/internal/quorum/codec.go
@@ -8,7 +8,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// MemberToWire returns m as it travels.
+// MemberToWire returns the wire form of m.
 func MemberToWire(m Member) *wire.QuorumMember {
 	return &wire.QuorumMember{ID: m.ID, Birth: m.Birth, Address: addrString(m.Addr), Learner: m.Role == Learner}
 }
@@ -21,7 +21,7 @@
 	return a.String()
 }
 
-// MemberFromWire reads a member.
+// MemberFromWire returns the member that w describes.
 func MemberFromWire(w *wire.QuorumMember) (Member, error) {
 	m := Member{ID: w.GetID(), Birth: w.GetBirth()}
 	if w.GetLearner() {
@@ -42,7 +42,7 @@
 	return m, nil
 }
 
-// MembersToWire returns ms as they travel.
+// MembersToWire returns the wire form of ms.
 func MembersToWire(ms Members) []*wire.QuorumMember {
 	var out []*wire.QuorumMember
 	for _, m := range ms {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// MembersFromWire reads members.
+// MembersFromWire returns the members that ws describe.
 func MembersFromWire(ws []*wire.QuorumMember) (Members, error) {
 	var out Members
 
@@ -68,7 +68,7 @@
 	return out, nil
 }
 
-// EntriesToWire returns es as they travel and as they are stored.
+// EntriesToWire returns the form in which es are sent and stored.
 func EntriesToWire(es []Entry) []*wire.QuorumEntry {
 	out := make([]*wire.QuorumEntry, 0, len(es))
 	for _, e := range es {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// EntriesFromWire reads entries.
+// EntriesFromWire returns the entries that ws describe.
 func EntriesFromWire(ws []*wire.QuorumEntry) ([]Entry, error) {
 	out := make([]Entry, 0, len(ws))
 
@@ -98,7 +98,7 @@
 	return out, nil
 }
 
-// ToWire returns m as it travels.
+// ToWire returns the wire form of m.
 func (m Message) ToWire() *wire.QuorumMessage {
 	w := &wire.QuorumMessage{From: m.From, FromBirth: m.FromCreationID, To: m.To, ToBirth: m.ToCreationID, Term: m.Term}
 
@@ -143,8 +143,8 @@
 	return w
 }
 
-// MessageFromWire reads a message. One of an unknown kind, from a later
-// release, is an error and is to be ignored.
+// MessageFromWire returns the message that w describes. A message of an unknown kind, as a
+// later release may send, gives an error; the caller ignores such a message.
 func MessageFromWire(w *wire.QuorumMessage) (Message, error) {
 	m := Message{From: w.GetFrom(), FromCreationID: w.GetFromBirth(), To: w.GetTo(), ToCreationID: w.GetToBirth(), Term: w.GetTerm()}
 
--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// Config is what a Core needs to know.
+// Config holds the settings of a Core.
 type Config struct {
 	ID         string
 	CreationID uint64
-	// Founders are the members of a group that has yet to be formed. A replica
-	// that joins a formed group has none.
+	// Founders are the initial members of a new replica group. The list is empty on a
+	// replica that joins an existing group.
 	Founders []Member
-	// HeartbeatInterval is how often a leader is heard from; Election is after how long a
-	// silent leader is given up, at the earliest, and twice that at the latest.
+	// HeartbeatInterval is the interval of a leader's heartbeats. A replica that receives
+	// nothing from a leader starts an election after a random time between ElectionTimeout
+	// and twice ElectionTimeout.
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
-	// ChunkBytes bounds one piece of a snapshot, AppendBytes the commands of one Append.
+	// ChunkBytes limits the data of one snapshot chunk, AppendBytes the commands of one
+	// Append.
 	ChunkBytes  int
 	AppendBytes int
-	// CatchUpEntries is how many entries stay in the log behind a snapshot, for followers
-	// that are only a little behind.
-	CatchUpEntries uint64 // and at most 8 MiB of commands
+	// CatchUpEntries is the number of entries kept in the log behind a snapshot, for
+	// followers that are only slightly behind.
+	CatchUpEntries uint64 // limited to 8 MiB of commands
 	// Rand returns a random number in [0, n).
 	Rand func(n int64) int64
 }
@@ -45,7 +47,7 @@
 	}
 }
 
-// Defaults of Config.
+// Defaults and limits.
 const (
 	DefaultHeartbeatInterval = 250 * time.Millisecond
 	DefaultElectionTimeout   = 1500 * time.Millisecond
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -1,6 +1,7 @@
-// Package quorum is the consensus core of the replicated log: elections,
-// replication, snapshots, membership and reads. It has no goroutine, reads no
-// clock, file or socket: events and the time go in, a Batch of actions comes out.
+// Package quorum is the consensus core of the replicated log, an implementation of Raft:
+// elections, replication, snapshots, membership changes and linearizable reads. It starts
+// no goroutine and reads no clock, file or socket. The caller passes in events and the
+// current time, and receives a Batch of actions.
 package quorum
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// state is what the core is doing.
+// state is the role of a replica in the current term.
 type state uint8
 
 const (
@@ -18,26 +19,26 @@
 	leader
 )
 
-// String returns the name of s, as dumps show it.
+// String returns the name of s as status dumps show it.
 func (s state) String() string {
 	return [...]string{"Follower", "PreCandidate", "Candidate", "Leader"}[s]
 }
 
-// Core is one replica's part in the agreement.
+// Core is the consensus state machine of one replica.
 type Core struct {
 	cfg Config
 	now time.Time
 
 	hardState HardState
 	log       entryLog
-	members   []membersAt // oldest first; the last one rules, committed or not
+	members   []membersAt // oldest first; the last one is in effect, committed or not
 	snap      Snapshot
 	commit    uint64
-	stable    uint64 // entries up to here are synced
+	stable    uint64 // entries up to this index are synced
 
 	state            state
 	leaderID         string
-	leaderLeaseUntil time.Time // before this, a leader was heard from too lately to vote for another
+	leaderLeaseUntil time.Time // until then, votes for other candidates are refused
 	electionDeadline time.Time
 	votes            map[string]bool
 
@@ -52,7 +53,7 @@
 	out       Batch
 }
 
-// New returns a core that continues from stored.
+// New returns a core that continues from the stored state.
 func New(cfg Config, stored StoredState, now time.Time) (*Core, error) {
 	setDefaults(&cfg)
 
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// Step takes in one event. What it leads to is fetched with Take.
+// Step processes one event. Take returns the resulting actions.
 func (c *Core) Step(now time.Time, ev Event) {
 	if now.After(c.now) {
 		c.now = now
@@ -144,7 +145,7 @@
 	}
 }
 
-// rejectEvent answers the events of callers once this replica has stopped taking part.
+// rejectEvent rejects the requests of callers after a fault has stopped this replica.
 func (c *Core) rejectEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Proposed:
@@ -158,7 +159,7 @@
 	}
 }
 
-// Take returns what the events since the last Take led to.
+// Take returns the actions that result from the events since the previous Take.
 func (c *Core) Take() Batch {
 	c.sendNewEntries()
 	c.requestPendingReads()
@@ -186,7 +187,8 @@
 	return b
 }
 
-// Synced says that Persist of the last batch is synced. It may lead to a next batch.
+// Synced reports that Persist of the previous batch is synced. It may produce further
+// actions, which Take returns.
 func (c *Core) Synced() {
 	c.hardDirty = false
 	c.snapDirty = false
@@ -200,12 +202,12 @@
 	}
 }
 
-// Err returns why this replica has stopped taking part, or nil.
+// Err returns the fault that stopped this replica, or nil.
 func (c *Core) Err() error {
 	return c.fault
 }
 
-// Deadline returns when a Tick is due.
+// Deadline returns the time at which the next Tick is due.
 func (c *Core) Deadline() time.Time {
 	at := c.electionDeadline
 
@@ -242,32 +244,33 @@
 	}
 }
 
-// currentMembers returns the members that rule now: the latest in the log, committed or not.
+// currentMembers returns the members in effect: the latest in the log, committed or not.
 func (c *Core) currentMembers() Members {
 	return c.members[len(c.members)-1].Members
 }
 
-// newMessage addresses body to the member or stranger named to.
+// newMessage returns a message to the replica with the ID to, which need not be a member.
 func (c *Core) newMessage(to string, creationID, term uint64, body Body) Message {
 	return Message{From: c.cfg.ID, FromCreationID: c.cfg.CreationID, To: to, ToCreationID: creationID, Term: term, Body: body}
 }
 
-// reply answers m, after what it depends on is synced.
+// reply answers m after Persist is synced.
 func (c *Core) reply(m Message, term uint64, body Body) {
 	c.out.Send = append(c.out.Send, c.newMessage(m.From, m.FromCreationID, term, body))
 }
 
-// resetInitialElectionDeadline lets a replica that has just started stand sooner than one that
-// lost its leader: where all started anew, nobody leads, and waiting for a leader
-// in vain would only lengthen the outage. Where somebody leads, its heartbeat comes
-// first, and the others refuse the vote.
+// resetInitialElectionDeadline sets a shorter election timeout for a replica that has just
+// started. If all replicas have restarted there is no leader, and waiting for one only
+// prolongs the outage. If there is a leader, its heartbeat arrives first and the other
+// replicas refuse their votes.
 func (c *Core) resetInitialElectionDeadline() {
 	minTimeout := c.cfg.ElectionTimeout / initialElectionDivisor
 	c.electionDeadline = c.now.Add(minTimeout + time.Duration(c.cfg.Rand(int64(2*minTimeout))))
 }
 
-// initialElectionDivisor divides Election for the first one. The least of it is still
-// above a heartbeat and its way.
+// initialElectionDivisor divides ElectionTimeout for the initial election. With the
+// default settings the shortest initial timeout is 300 ms, which is more than a heartbeat
+// interval and the network latency.
 const initialElectionDivisor = 5
 
 func (c *Core) resetElectionDeadline() {
--- a/internal/quorum/core_test.go
+++ b/internal/quorum/core_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// coreHarness is one core whose peers are played by the test.
+// coreHarness runs one core. The test sends the messages of its peers.
 type coreHarness struct {
 	*quorum.Core
 	now  time.Time
@@ -29,7 +29,7 @@
 	}
 }
 
-// becomeLeader makes the core leader of term.
+// becomeLeader makes the core the leader of the given term.
 func (s *coreHarness) becomeLeader(t *testing.T, term uint64) {
 	s.now = s.Deadline()
 	s.step(quorum.Tick{})
@@ -48,7 +48,8 @@
 
 func minRand(int64) int64 { return 0 }
 
-// newCoreHarness returns a core named a, with two more voters, that continues from stored.
+// newCoreHarness returns a core with the ID a and two more voters, b and c, that continues
+// from the stored state.
 func newCoreHarness(t *testing.T, stored quorum.StoredState, random func(int64) int64) *coreHarness {
 	for _, id := range []string{"b", "c"} {
 		stored.Snapshot.Members = stored.Snapshot.Members.With(quorum.Member{ID: id, Birth: 2})
@@ -62,9 +63,9 @@
 	return &coreHarness{Core: c, now: now}
 }
 
-// A leader sends an entry of a former term to a majority and dies. A replica
-// with an entry of a term between may be elected next and replace it, so that
-// a caller's answer would have been a lie.
+// A leader replicates an entry of an earlier term to a majority and fails. A replica with
+// an entry of a term in between may be elected next and replace it. The entry must not be
+// reported as committed before an entry of the leader's own term is.
 func TestEntriesOfEarlierTermsCommitOnlyWithCurrentTerm(t *testing.T) {
 	t.Parallel()
 
@@ -81,8 +82,8 @@
 	require.Equal(t, uint64(3), s.Status().Commit)
 }
 
-// Two leaders, or one in a hurry, could each change the members by one. Two
-// majorities of sets that differ by two need not share a voter.
+// Two leaders, or one leader that does not wait for the commit, each change the members by
+// one. Majorities of member sets that differ by two members need not share a voter.
 func TestMembersChangeOneAtATime(t *testing.T) {
 	t.Parallel()
 
@@ -106,8 +107,8 @@
 	require.Empty(t, add("e"))
 }
 
-// A VM was replaced under its old name, and a vote or an acknowledgement of the
-// lost one arrives late. The replacement has not given it.
+// A VM was replaced under the same ID, and a vote or acknowledgement of the previous
+// replica arrives late. It must not count for the replacement.
 func TestAnswersWithOtherCreationIDAreIgnored(t *testing.T) {
 	t.Parallel()
 
@@ -125,8 +126,8 @@
 	require.Zero(t, s.Status().Commit)
 }
 
-// One VM cannot hear the leader and still gets enough pre-votes, late ones
-// among them. Each election that it starts would stop claims for seconds.
+// One VM can't receive messages from the leader and still gets enough pre-votes, for
+// example delayed ones. Each election that it starts would block claims for seconds.
 func TestVotesAreRejectedWithinLeaderLease(t *testing.T) {
 	t.Parallel()
 
@@ -139,8 +140,8 @@
 	require.Equal(t, uint64(7), s.Status().Term)
 }
 
-// A leader was replaced while it could not hear. Unless it is told, it keeps
-// its callers waiting until a majority's silence deposes it.
+// A leader was replaced while it received no messages. Unless it is sent the current term,
+// its callers wait until it steps down for lack of answers from a majority.
 func TestDeposedLeaderIsSentCurrentTerm(t *testing.T) {
 	t.Parallel()
 
@@ -150,8 +151,8 @@
 	require.Equal(t, uint64(5), s.sent[0].Term)
 }
 
-// A leader is deposed before its change of the members is committed. Whoever
-// received the change must go back to the members before it.
+// A leader is deposed before its membership change is committed. Replicas that received
+// the change must return to the previous members.
 func TestTruncatedMembershipChangeIsReverted(t *testing.T) {
 	t.Parallel()
 
@@ -164,8 +165,8 @@
 	require.Len(t, s.Members(), 3)
 }
 
-// A learner loses its disk before it is promoted. What its former disk held
-// must not make an empty one a voter.
+// A learner loses its disk before its promotion. Entries on the lost disk must not count,
+// or a replica with an empty disk becomes a voter.
 func TestLearnerThatLostItsDiskIsNotPromoted(t *testing.T) {
 	t.Parallel()
 
@@ -177,7 +178,7 @@
 	s.receiveFromReplica(5, "d", 2, quorum.AppendAnswer{Index: 2})
 	s.step(quorum.ChangeRequested{ID: 2, Kind: quorum.Promote, Member: quorum.Member{ID: "d"}})
 
-	const rounds = 9 // no round is later in this test
+	const rounds = 9 // more rounds than the leader begins in this test
 
 	for n := range uint64(rounds) {
 		s.receiveFrom("b", 2, quorum.AppendAnswer{Index: 2, Round: n})
@@ -188,8 +189,9 @@
 	require.Equal(t, quorum.Learner, d.Role)
 }
 
-// A leader contradicts what this replica knows as committed: some replica has
-// forgotten what it acknowledged. Going on could only spread the damage.
+// A leader's log conflicts with an entry that this replica knows to be committed: some
+// replica has lost entries that it had acknowledged. This replica must stop, because
+// continuing could only spread the damage.
 func TestConflictWithCommittedEntryStopsReplica(t *testing.T) {
 	t.Parallel()
 
@@ -209,8 +211,9 @@
 	require.Equal(t, []quorum.Answer{{ID: 1, Verdict: verdict.NotRun, Reason: quorum.ReasonFaulty}}, s.Take().Answers)
 }
 
-// A replica asks for a read, dies and starts again, and the answer to its former
-// self arrives late. It was confirmed before the new read was asked.
+// A replica requests a read index and restarts, and the answer to the request of its
+// previous run arrives late. That answer was confirmed before the new read was requested.
+// The sequence numbers of two runs must therefore differ.
 func TestReadSequenceNumbersDifferBetweenRuns(t *testing.T) {
 	t.Parallel()
 
@@ -233,8 +236,9 @@
 	require.Len(t, seqs, 2)
 }
 
-// A VM is taken out while it is cut off. When it is back it would ask for votes
-// for ever without an answer, and operators would see a replica without leader.
+// A VM is removed from the group while it is disconnected. Unless it is notified of its
+// removal, it requests votes indefinitely after it reconnects, and operators see a replica
+// without a leader.
 func TestRemovedReplicaIsNotified(t *testing.T) {
 	t.Parallel()
 
@@ -252,7 +256,8 @@
 	require.Empty(t, w.violations)
 }
 
-// Large commands fill the memory of a control VM if only their number is bounded.
+// Large commands exhaust the memory of a control VM if only the number of kept entries is
+// limited.
 func TestCatchUpEntriesAreBoundedByBytes(t *testing.T) {
 	t.Parallel()
 
@@ -269,7 +274,7 @@
 	require.Len(t, s.Take().Persist.Entries, 8)
 }
 
-// The log on disk lacks an entry in the middle.
+// An entry in the middle of the log on disk is missing.
 func TestGapInStoredLogIsRejected(t *testing.T) {
 	t.Parallel()
 
@@ -281,7 +286,7 @@
 	require.ErrorAs(t, err, &gap)
 }
 
-// A newcomer's first group: one founder decides at once.
+// A new group with a single founder, which commits without other replicas.
 func ExampleCore() {
 	now := time.Unix(1e9, 0)
 	c, err := quorum.New(quorum.Config{
@@ -293,13 +298,13 @@
 		return
 	}
 
-	// It first listens whether a group of this name is there already.
+	// The founder first waits for messages of an existing group of this name.
 	now = c.Deadline()
 	c.Step(now, quorum.Tick{})
 	c.Step(now, quorum.Tick{})
 
 	for b := c.Take(); !b.Empty(); b = c.Take() {
-		c.Synced() // after b.Persist was written and synced
+		c.Synced() // call after b.Persist has been written and synced
 	}
 
 	c.Step(now, quorum.Proposed{ID: 1, Command: []byte("take zone muscat-a out")})
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -1,8 +1,8 @@
 package quorum
 
-// campaign stands for election. With pre it only asks whether it would be
-// elected: a replica that was cut off for long would else come back with a
-// higher term and unseat a leader that serves everybody else.
+// campaign starts an election. With preVote it only asks whether the other voters would
+// grant their votes. Otherwise a replica that was disconnected for a long time would
+// return with a higher term and depose a leader that the other replicas can reach.
 func (c *Core) campaign(preVote, transfer bool) {
 	if !preVote {
 		c.hardState = HardState{Term: c.hardState.Term + 1, Vote: c.cfg.ID, VoteCreationID: c.cfg.CreationID}
@@ -38,7 +38,7 @@
 	}
 }
 
-// handleVote answers a candidate.
+// handleVote answers the vote request of a candidate.
 func (c *Core) handleVote(m Message, body Vote) {
 	granted := c.isCandidateUpToDate(body) && (body.Transfer || !c.hasLeaderLease())
 
@@ -71,8 +71,8 @@
 	c.reply(m, c.hardState.Term, VoteAnswer{Granted: granted})
 }
 
-// isCandidateUpToDate reports whether a candidate's log holds all that this one may have
-// acknowledged.
+// isCandidateUpToDate reports whether the candidate's log holds all entries that this
+// replica may have acknowledged.
 func (c *Core) isCandidateUpToDate(body Vote) bool {
 	if body.LastTerm != c.log.lastTerm() {
 		return body.LastTerm > c.log.lastTerm()
@@ -115,8 +115,8 @@
 	return n >= c.currentMembers().Quorum()
 }
 
-// becomeLeader opens the term with an entry that repeats the members. Only once
-// it is committed are older entries, reads and changes of the members.
+// becomeLeader starts the term with an entry that repeats the current members. Older
+// entries, reads and membership changes have to wait until this entry is committed.
 func (c *Core) becomeLeader() {
 	c.state = leader
 	c.leaderID = c.cfg.ID
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// GapError says that stored entries do not follow each other.
+// GapError reports stored entries whose indexes are not consecutive.
 type GapError struct {
 	After uint64
 	Index uint64
@@ -13,8 +13,8 @@
 	return fmt.Sprintf("stored log: entry %d follows entry %d", e.Index, e.After)
 }
 
-// ConflictError says that the leader's log contradicts a committed entry. It
-// cannot happen unless some replica forgot what it had synced.
+// ConflictError reports that the leader's log conflicts with a committed entry. It only
+// occurs if some replica has lost entries that it had synced.
 type ConflictError struct {
 	Index uint64
 }
@@ -24,9 +24,9 @@
 	return fmt.Sprintf("entry %d contradicts a committed one", e.Index)
 }
 
-// LostDiskError says that this replica formed a group of its own although it
-// belonged to one before its disk was lost. Its data folder is to be cleared,
-// and the replica to be removed from the group and added again.
+// LostDiskError reports that this replica bootstrapped a group of one although it was a
+// member of another group before its disk was lost. An operator must clear its data
+// folder, remove the replica from the group and add it again.
 type LostDiskError struct {
 	ID string
 }
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("replica %s lost its disk: clear its data folder, remove it from its group and add it again", e.ID)
 }
 
-// RemovedError says that this replica was taken out of its group.
+// RemovedError reports that this replica was removed from its group.
 type RemovedError struct {
 	ID string
 }
--- a/internal/quorum/event.go
+++ b/internal/quorum/event.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// Event is what happened outside of the core: one of the types below.
+// Event is an input of the core: one of the types below.
 type Event interface{ event() }
 
-// Tick lets deadlines take effect. It is due at Core.Deadline.
+// Tick processes expired timeouts. It is due at Core.Deadline.
 type Tick struct{}
 
-// Received is a message from another replica.
+// Received holds a message from another replica.
 type Received struct{ Message Message }
 
-// Proposed asks for a command to be committed. Its answer carries ID.
+// Proposed requests that a command be committed. The answer carries ID.
 type Proposed struct {
 	ID      uint64
 	Command []byte
 }
 
-// ChangeKind names a change of the members.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// The changes of the members.
+// Kinds of membership changes.
 const (
 	AddLearner ChangeKind = iota
 	Promote
 	Remove
-	// CheckStop changes nothing. It is answered with verdict Ran if the group can
-	// go on without the member, by answers to a round begun after it was asked.
+	// CheckStop changes nothing. The answer has the verdict Ran if the group keeps a
+	// quorum without the member, as confirmed by a round that began after the request.
 	CheckStop
 )
 
-// ChangeRequested asks for one change of the members. Its answer carries ID.
+// ChangeRequested requests one membership change. The answer carries ID.
 type ChangeRequested struct {
 	ID   uint64
 	Kind ChangeKind
-	// Member needs an Addr for AddLearner; else only its ID is read.
+	// Member needs an Addr for AddLearner. For the other kinds only its ID is used.
 	Member Member
 }
 
-// TransferRequested asks the leader to hand over to the voter To, or to the most
-// up to date one if To is empty. Its answer carries ID.
+// TransferRequested requests that the leader transfer its leadership to the voter To, or
+// to the most up-to-date voter if To is empty. The answer carries ID.
 type TransferRequested struct {
 	ID uint64
 	To string
 }
 
-// ReadRequested asks for an index that is current as of now. Its answer carries ID.
+// ReadRequested requests a read index for a linearizable read. The answer carries ID.
 type ReadRequested struct {
 	ID uint64
-	// Deadline is when the asker gives up.
+	// Deadline is the time until which the caller waits.
 	Deadline time.Time
 }
 
-// SnapshotTaken hands in the state machine's state after the entry Index.
+// SnapshotTaken passes in the state of the state machine after the entry Index. The core
+// replaces its snapshot and compacts the log.
 type SnapshotTaken struct {
 	Index uint64
 	Data  []byte
--- a/internal/quorum/history_test.go
+++ b/internal/quorum/history_test.go
@@ -6,8 +6,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkHistory checks that what clients saw is what one copy would have shown them.
-// A command without an answer counts if it was ever applied, at its place then.
+// checkHistory checks that the results of the clients' operations are linearizable. A
+// command without an answer counts if it was ever applied, at the position at which it was
+// applied.
 func (w *simulation) checkHistory() porcupine.CheckResult {
 	var ops []porcupine.Operation
 
@@ -25,7 +26,8 @@
 	return porcupine.CheckOperationsTimeout(listModel(), ops, 2*time.Second)
 }
 
-// listState is one copy of the state: the number of commands, and the last one.
+// listState is the state of the linearizability model: the number of commands and the last
+// command.
 type listState struct {
 	n    int
 	last string
--- a/internal/quorum/leader.go
+++ b/internal/quorum/leader.go
@@ -7,44 +7,44 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// leaderState is what a leader knows, for one term only.
+// leaderState is the state of a leader. It is discarded at the end of the leader's term.
 type leaderState struct {
-	firstIndex       uint64 // the entry that opened the term
+	firstIndex       uint64 // index of the entry that started the term
 	heartbeatAt      time.Time
 	peers            map[string]*progress
-	rounds           []round // the last one is the present one; numbers follow each other
+	rounds           []round // consecutive numbers; the last one is the current round
 	pendingProposals []proposal
-	waitingReads     []leaderRead // asked, in no round yet
+	waitingReads     []leaderRead // not assigned to a round yet
 	readsInRound     []leaderRead
-	readRound        uint64 // the round of inRound
+	readRound        uint64 // number of the round that confirms readsInRound
 	transfer         *leaderTransfer
 	pendingChange    *pendingChange
-	hasUnsentEntries bool // entries were added since the last Take
+	hasUnsentEntries bool // entries were added since the previous Take
 }
 
-// progress is what a leader knows of another member.
+// progress is the replication state of another member, as known to the leader.
 type progress struct {
 	member        Member
-	creationID    uint64 // as last heard
+	creationID    uint64 // of the member's data folder, from its latest answer
 	match         uint64
 	next          uint64
 	round         uint64
-	probing       bool // one Append at a time until one is accepted
+	probing       bool // at most one Append with entries is in flight until one is accepted
 	probeInFlight bool
-	// activeUntil and currentUntil are counted from when the round was sent that
-	// the member answered, so that answers that were under way for long do not count.
+	// activeUntil and upToDateUntil count from the start of the round that the member
+	// answered. Answers that were delayed for long therefore don't extend them.
 	activeUntil      time.Time
 	upToDateUntil    time.Time
 	outgoingSnapshot *outgoingSnapshot
 }
 
-// proposal is an entry that someone here waits for.
+// proposal is an entry whose outcome a caller on this replica waits for.
 type proposal struct {
 	index uint64
 	id    uint64
 }
 
-// leaderTransfer is a leadership transfer under way.
+// leaderTransfer is a leadership transfer in progress.
 type leaderTransfer struct {
 	id       uint64
 	to       string
@@ -58,7 +58,7 @@
 	return l
 }
 
-// setPeers follows a change of the members.
+// setPeers updates the peers to the current members.
 func (c *Core) setPeers() {
 	old := c.leaderState.peers
 	c.leaderState.peers = map[string]*progress{}
@@ -78,7 +78,8 @@
 	}
 }
 
-// sortedPeers returns the peers in the order of their IDs, so that runs repeat.
+// sortedPeers returns the peers sorted by ID. The fixed order makes simulations
+// repeatable.
 func (c *Core) sortedPeers() []*progress {
 	var out []*progress
 
@@ -103,9 +104,10 @@
 		return
 	}
 
-	// A leader that no majority answers gives up: it cannot commit anything, and
-	// while it stands, its followers on the near side of a partition, or behind a
-	// link that carries only its own heartbeats, would not look for another.
+	// A leader that receives no answers from a majority steps down because it can't commit
+	// anything. If it remained leader, its heartbeats would keep reachable followers from
+	// starting an election. This also holds for a link that only works in the direction
+	// from the leader.
 	if c.countVoters(func(p *progress) bool { return c.now.Before(p.activeUntil) }) < c.currentMembers().Quorum() {
 		c.becomeFollower(c.hardState.Term)
 
@@ -116,7 +118,7 @@
 	c.sendTimeoutNow()
 }
 
-// countVoters counts this replica and the other voters for which ok holds.
+// countVoters counts this replica and the other voters for which ok returns true.
 func (c *Core) countVoters(ok func(*progress) bool) int {
 	n := 0
 
@@ -129,9 +131,9 @@
 	return n
 }
 
-// progressOf returns the progress of the sender of m. A learner that lost its disk
-// before it was promoted answers with another birth: what the former one held
-// must not count for it.
+// progressOf returns the progress of the sender of m. A learner that lost its disk before
+// its promotion answers with another creation ID. Its progress starts again, because the
+// entries on the lost disk must not count.
 func (c *Core) progressOf(m Message) *progress {
 	p := c.leaderState.peers[m.From]
 	if p == nil {
@@ -147,7 +149,7 @@
 	return p
 }
 
-// handleProposed takes in a command.
+// handleProposed appends a proposed command to the leader's log.
 func (c *Core) handleProposed(ev Proposed) {
 	switch {
 	case c.state != leader:
@@ -164,7 +166,7 @@
 	}
 }
 
-// addEntry adds e to the leader's log. Take sends it.
+// addEntry appends e to the leader's log. The next Take sends it.
 func (c *Core) addEntry(e Entry) {
 	e.Index = c.log.last() + 1
 	e.Term = c.hardState.Term
@@ -178,9 +180,9 @@
 	c.leaderState.hasUnsentEntries = true
 }
 
-// advanceCommit commits what a majority has synced. Entries of earlier terms
-// are committed only through one of this term: a majority may hold such an
-// entry and a later leader still replace it.
+// advanceCommit commits the entries that a majority has synced. Entries of earlier terms
+// are only committed together with an entry of the current term: a later leader may still
+// replace an entry of an earlier term that a majority holds.
 func (c *Core) advanceCommit() {
 	var matches []uint64
 
@@ -210,7 +212,7 @@
 	}
 }
 
-// commitTo hands out the entries up to n to be applied.
+// commitTo commits the entries up to n and passes them on to be applied.
 func (c *Core) commitTo(n uint64) {
 	for _, e := range c.log.entriesFrom(c.commit+1, int(n-c.commit), 1<<62) {
 		if e.Index > n {
@@ -230,8 +232,9 @@
 	c.commit = max(c.commit, n)
 }
 
-// endLeadership answers all who wait for this leader. Their entries may still
-// be committed by the next one, so nobody may say that they did not run.
+// endLeadership answers the requests that are pending on this leader. The next leader may
+// still commit their entries, so pending proposals get the verdict MayHaveRun and not
+// NotRun.
 func (c *Core) endLeadership() {
 	for _, p := range c.leaderState.pendingProposals {
 		c.out.Answers = append(c.out.Answers, Answer{ID: p.id, Verdict: verdict.MayHaveRun, Reason: ReasonLeadershipLost})
--- a/internal/quorum/log.go
+++ b/internal/quorum/log.go
@@ -1,6 +1,6 @@
 package quorum
 
-// entryLog holds the entries after base in memory.
+// entryLog holds the entries after the index base in memory.
 type entryLog struct {
 	base     uint64
 	baseTerm uint64
@@ -17,7 +17,7 @@
 	return t
 }
 
-// term returns the term of the entry i, if it is still known.
+// term returns the term of the entry i. It returns false if the log does not hold entry i.
 func (l *entryLog) term(i uint64) (uint64, bool) {
 	if i < l.base || i > l.last() {
 		return 0, false
@@ -30,7 +30,8 @@
 	return l.entries[i-l.base-1].Term, true
 }
 
-// entriesFrom returns the entries from index on, within limits but at least one.
+// entriesFrom returns the entries from index on, up to the limits. It returns at least one
+// entry if there is any.
 func (l *entryLog) entriesFrom(index uint64, maxEntries, maxBytes int) []Entry {
 	if index <= l.base || index > l.last() {
 		return nil
@@ -49,7 +50,7 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// truncate drops the entries from index on. Slices handed out stay intact.
+// truncate drops the entries from index on. Slices that entriesFrom returned stay valid.
 func (l *entryLog) truncate(index uint64) {
 	n := index - l.base - 1
 	l.entries = l.entries[:n:n]
@@ -59,7 +60,7 @@
 	l.entries = append(l.entries, es...)
 }
 
-// compact forgets the entries up to index.
+// compact drops the entries up to and including index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.base {
 		return
@@ -71,7 +72,8 @@
 	l.baseTerm = t
 }
 
-// tailStart returns the index after which the entries up to last hold maxBytes at most.
+// tailStart returns the lowest index for which the entries after it, up to last, hold at
+// most maxBytes of commands.
 func (l *entryLog) tailStart(last uint64, maxBytes int) uint64 {
 	for i := last; i > l.base; i-- {
 		if maxBytes -= len(l.entries[i-l.base-1].Command); maxBytes < 0 {
@@ -82,7 +84,7 @@
 	return l.base
 }
 
-// reset forgets everything and continues after the entry index.
+// reset drops all entries. The next entry has the index after the given one.
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{base: index, baseTerm: term}
 }
--- a/internal/quorum/member.go
+++ b/internal/quorum/member.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Role says whether a member counts in elections and commits.
+// Role determines whether a member counts in elections and commits.
 type Role uint8
 
 const (
 	// Voter counts in elections and commits.
 	Voter Role = iota
-	// Learner receives the log and counts in neither.
+	// Learner receives the log and does not count in elections or commits.
 	Learner
 )
 
@@ -25,24 +25,23 @@
 	return "Voter"
 }
 
-// Member is one replica of the group.
+// Member is one replica of a replica group.
 type Member struct {
 	// ID is chosen by the operators.
 	ID string
-	// Birth is a random number made with the replica's data folder. It tells a
-	// replica that lost its disk from the one that voted under the same ID. It
-	// is 0 for a learner until it is promoted.
+	// Birth is the creation ID of the replica: a random number generated when its data
+	// folder was created. It distinguishes a replica that lost its disk from the one that
+	// voted under the same ID. It is 0 for a learner until its promotion.
 	Birth uint64
-	// Addr is where its Peer service listens.
+	// Addr is the address of the replica's Peer service.
 	Addr netip.AddrPort
-	// Role is Voter or Learner.
 	Role Role
 }
 
-// Members is the set of members, sorted by ID. It is never changed in place.
+// Members is a set of members, sorted by ID. It is never modified in place.
 type Members []Member
 
-// Find returns the member named id.
+// Find returns the member with the given ID.
 func (ms Members) Find(id string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(ms, id, func(m Member, id string) int { return strings.Compare(m.ID, id) })
 	if !ok {
@@ -52,7 +51,7 @@
 	return ms[i], true
 }
 
-// Voters counts the voters.
+// Voters returns the number of voters.
 func (ms Members) Voters() int {
 	n := 0
 
@@ -65,12 +64,12 @@
 	return n
 }
 
-// Quorum returns how many voters are a majority.
+// Quorum returns the number of voters that form a majority.
 func (ms Members) Quorum() int {
 	return ms.Voters()/2 + 1
 }
 
-// With returns a copy of ms in which m stands under its ID.
+// With returns a copy of ms in which m is added or replaces the member with the same ID.
 func (ms Members) With(m Member) Members {
 	out := append(ms.Without(m.ID), m)
 	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
@@ -78,7 +77,7 @@
 	return out
 }
 
-// Without returns a copy of ms that has no member named id.
+// Without returns a copy of ms without the member with the given ID.
 func (ms Members) Without(id string) Members {
 	out := make(Members, 0, len(ms)+1)
 
@@ -91,16 +90,16 @@
 	return out
 }
 
-// isVoter reports whether the replica with this data folder is a voter. The ID
-// alone is not enough: a replica that lost its disk would find itself in the
-// older parts of the log and count its vote a second time.
+// isVoter reports whether the replica with this ID and creation ID is a voter. Comparing
+// the ID alone is not enough: a replica that lost its disk would find its ID in older
+// parts of the log and vote a second time.
 func (ms Members) isVoter(id string, creationID uint64) bool {
 	m, ok := ms.Find(id)
 
 	return ok && m.Role == Voter && m.Birth == creationID
 }
 
-// membersAt is the member set that rules from Index on.
+// membersAt holds the members that are in effect from the entry Index on.
 type membersAt struct {
 	Index   uint64
 	Members Members
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -7,8 +7,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// pendingChange is a change that waits until enough members have shown, since it was
-// asked for, that the group can go on after it.
+// pendingChange is a membership change that waits until enough members have confirmed,
+// after the request, that the group keeps a quorum after the change.
 type pendingChange struct {
 	request  ChangeRequested
 	next     Members
@@ -16,8 +16,8 @@
 	deadline time.Time
 }
 
-// handleChangeRequested takes in one change of the members. They change one at a time, through
-// the log, so that any two majorities share a voter.
+// handleChangeRequested starts a membership change. Changes go through the log one at a
+// time, so that the majorities before and after each change share a voter.
 func (c *Core) handleChangeRequested(ev ChangeRequested) {
 	next, reason := c.membersAfter(ev)
 	if reason != ReasonNone {
@@ -44,12 +44,12 @@
 	c.leaderState.pendingProposals = append(c.leaderState.pendingProposals, proposal{index: c.log.last(), id: id})
 }
 
-// checkPendingChange carries out the change that waits once a majority of the voters after it
-// has answered a round begun after it was asked for. Without this, a voter lost
-// a second ago would count, and taking out another one would leave the group
-// unable to decide anything, for good. A promoted learner has to hold the whole
-// log by then: as a voter without it, it would count for majorities that hold
-// committed entries in fewer places than it seems.
+// checkPendingChange carries out the pending change once a majority of the new voters has
+// answered a round that began after the request. Without this check, a voter that has just
+// failed would still count, and removing another voter could leave the group without a
+// quorum permanently. A learner to be promoted must have caught up with the entries
+// committed when the round began. A voter without them would count towards a majority
+// without holding the committed entries.
 func (c *Core) checkPendingChange() {
 	if c.leaderState == nil || c.leaderState.pendingChange == nil {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// countCaughtUp counts the voters that have shown, since k was asked for, that
-// they hold what is committed.
+// countCaughtUp counts the voters that have confirmed, after the change was requested,
+// that they hold all committed entries.
 func (c *Core) countCaughtUp(pending *pendingChange) int {
 	n := 0
 
@@ -91,8 +91,8 @@
 	return n
 }
 
-// withCreationID returns the members after k. A promoted learner is from then on
-// known by the data folder that holds the log.
+// withCreationID returns the members after the change. A promoted learner is recorded with
+// the creation ID of the data folder that holds the log.
 func (c *Core) withCreationID(pending *pendingChange) Members {
 	if pending.request.Kind != Promote {
 		return pending.next
@@ -104,8 +104,8 @@
 	return pending.next.With(m)
 }
 
-// hasCaughtUp reports whether p answered the round n, or a later one, and holds
-// all that was committed when that began.
+// hasCaughtUp reports whether p has answered the given round, or a later one, and holds
+// all entries that were committed when that round began.
 func (c *Core) hasCaughtUp(p *progress, roundNumber uint64) bool {
 	return p.round >= roundNumber && p.match >= c.leaderState.roundCommit(roundNumber)
 }
@@ -119,8 +119,9 @@
 		return nil, ReasonTransferring
 	}
 
-	// The entry that opened the term must be committed too: else two leaders
-	// could each have changed the members by one, and so by two between them.
+	// The entry that started the term must be committed too. Otherwise two leaders could
+	// each change one member, and the two resulting memberships could have majorities
+	// without a common voter.
 	if c.members[len(c.members)-1].Index > c.commit || c.commit < c.leaderState.firstIndex || c.leaderState.pendingChange != nil {
 		return nil, ReasonMembersChanging
 	}
@@ -159,12 +160,13 @@
 	return c.currentMembers().With(Member{ID: m.ID, Addr: m.Addr, Role: Learner}), ReasonNone
 }
 
-// isUpToDate reports whether p lately held all that was committed when it was asked.
+// isUpToDate reports whether p recently answered a round and held all entries that were
+// committed when that round began.
 func (c *Core) isUpToDate(p *progress) bool {
 	return c.now.Before(p.upToDateUntil)
 }
 
-// handleTransferRequested starts to hand over leadership.
+// handleTransferRequested starts a leadership transfer.
 func (c *Core) handleTransferRequested(ev TransferRequested) {
 	switch {
 	case c.state != leader:
@@ -195,7 +197,8 @@
 	}
 }
 
-// successor returns the most up to date voter besides this one.
+// successor returns the ID of the most up-to-date voter besides this replica, or an empty
+// string.
 func (c *Core) successor() string {
 	peers := slices.DeleteFunc(c.sortedPeers(), func(p *progress) bool {
 		return p.member.Role != Voter || !c.isUpToDate(p)
@@ -207,8 +210,8 @@
 	return slices.MaxFunc(peers, func(a, b *progress) int { return int(a.match) - int(b.match) }).member.ID
 }
 
-// sendTimeoutNow tells the successor to stand for election, once it holds the
-// whole log. New proposals are refused meanwhile.
+// sendTimeoutNow asks the successor to start an election once it holds the complete log.
+// New proposals are rejected during the transfer.
 func (c *Core) sendTimeoutNow() {
 	if c.leaderState == nil || c.leaderState.transfer == nil {
 		return
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -1,35 +1,36 @@
 package quorum
 
-// Message goes from one replica to another. Any message may be lost, late,
-// doubled or reordered.
+// Message is sent from one replica to another. The network may lose, delay, duplicate and
+// reorder messages.
 type Message struct {
 	From           string
 	FromCreationID uint64
 	To             string
-	// ToCreationID is what the sender knows of the receiver's data folder; 0 if nothing.
+	// ToCreationID is the creation ID of the receiver as known to the sender, or 0 if
+	// unknown.
 	ToCreationID uint64
 	Term         uint64
 	Body         Body
 }
 
-// Body is what a Message says: one of the types in this file.
+// Body is the content of a Message: one of the types in this file.
 type Body interface{ body() }
 
 // Hello is sent by a founder with an empty data folder to the other founders.
 type Hello struct{}
 
-// HelloAnswer holds the members if the sender belongs to a formed group.
+// HelloAnswer holds the members if the sender belongs to an existing group.
 type HelloAnswer struct {
 	Members Members
-	// MembersIndex is the entry that set Members. It is committed unless the
-	// receiver is one of them.
+	// MembersIndex is the index of the entry that set Members. That entry is committed
+	// unless Members include the receiver.
 	MembersIndex uint64
 }
 
-// Vote asks for a vote, or with Pre for the word that a vote would be given.
+// Vote requests a vote. With Pre it only asks whether the vote would be granted.
 type Vote struct {
 	Pre bool
-	// Transfer says that the leader itself asked for this election.
+	// Transfer is set if the leader requested this election for a leadership transfer.
 	Transfer  bool
 	LastIndex uint64
 	LastTerm  uint64
@@ -41,12 +42,12 @@
 	Granted bool
 }
 
-// Append carries entries after PrevIndex; without entries it is a heartbeat.
+// Append carries the entries after PrevIndex. Without entries it is a heartbeat.
 type Append struct {
 	PrevIndex uint64
 	PrevTerm  uint64
 	Commit    uint64
-	// Round is the leader's latest quorum round; the answer repeats it.
+	// Round is the leader's latest round. The answer repeats it.
 	Round   uint64
 	Entries []Entry
 }
@@ -54,21 +55,21 @@
 // AppendAnswer answers an Append.
 type AppendAnswer struct {
 	Rejected bool
-	// Index is the last entry that matches the leader's, or with Rejected the
-	// entry after which the leader should try next.
+	// Index is the last entry that matches the leader's log. If Rejected is set, it is the
+	// entry after which the leader should retry.
 	Index uint64
-	// PrevIndex repeats that of a rejected Append.
+	// PrevIndex repeats the PrevIndex of a rejected Append.
 	PrevIndex uint64
 	Round     uint64
 }
 
-// Chunk is a piece of a snapshot. Without Data it asks how far the receiver is.
+// Chunk is a chunk of a snapshot. Without Data it asks for the receiver's offset.
 type Chunk struct {
 	Index        uint64
 	Term         uint64
 	MembersIndex uint64
 	Members      Members
-	// Size and Digest (xxhash64) are of the whole snapshot.
+	// Size and Digest (xxhash64) refer to the complete snapshot.
 	Size   uint64
 	Digest uint64
 	Offset uint64
@@ -76,25 +77,25 @@
 	Round  uint64
 }
 
-// ChunkAnswer says up to which Offset the snapshot at Index has been received.
+// ChunkAnswer reports the Offset up to which the snapshot at Index has been received.
 type ChunkAnswer struct {
 	Index  uint64
 	Offset uint64
 	Round  uint64
 }
 
-// ReadIndex asks the leader for an index that was current after the ask.
+// ReadIndex asks the leader for a read index that is confirmed after this request.
 type ReadIndex struct {
 	Seq uint64
 }
 
-// ReadIndexAnswer answers a Read.
+// ReadIndexAnswer answers a ReadIndex.
 type ReadIndexAnswer struct {
 	Seq   uint64
 	Index uint64
 }
 
-// TimeoutNow tells a voter that holds the whole log to stand for election at once.
+// TimeoutNow asks a voter that holds the complete log to start an election immediately.
 type TimeoutNow struct{}
 
 func (Hello) body()           {}
--- a/internal/quorum/network_test.go
+++ b/internal/quorum/network_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// run lets time pass, with deliveries and ticks in their order.
+// run advances the time by d and runs the deliveries and ticks that are due, in order.
 func (w *simulation) run(d time.Duration) {
 	until := w.now.Add(d)
 
@@ -47,7 +47,7 @@
 	w.now = until
 }
 
-// nextEvent returns what happens next, and when.
+// nextEvent returns the next event and its time.
 func (w *simulation) nextEvent() (time.Time, func()) {
 	var (
 		at    time.Time
--- a/internal/quorum/read.go
+++ b/internal/quorum/read.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// localReads holds the reads of this replica's own callers.
+// localReads holds the reads requested on this replica.
 type localReads struct {
-	lastSeq uint64 // number of the latest ask; starts at random, so that answers to a former run match none
+	lastSeq uint64 // starts at a random number, so that answers to requests of a previous run don't match
 	pending []localRead
 	retryAt time.Time // zero if there are no reads
 }
 
-// localRead is one caller's read. The answer to an ask numbered ask or higher
-// was confirmed after the caller asked, however late it comes.
+// localRead is a read of one caller. An answer with a sequence number of at least seq was
+// confirmed after the caller's request, however late the answer arrives.
 type localRead struct {
 	id       uint64
 	deadline time.Time
-	seq      uint64 // 0 if not asked yet
+	seq      uint64 // 0 if not sent to the leader yet
 	answered bool
 	index    uint64
 }
 
-// leaderRead is an ask that a leader has to answer.
+// leaderRead is a read index request that the leader has to answer.
 type leaderRead struct {
 	seq       uint64
-	requester Message // whom to answer; From is empty for this replica itself
+	requester Message // From is empty if the request comes from this replica
 	index     uint64
 }
 
@@ -36,8 +36,8 @@
 	c.localReads.pending = append(c.localReads.pending, localRead{id: ev.ID, deadline: ev.Deadline})
 }
 
-// requestPendingReads asks for the reads that came since the last ask was answered, and
-// hands out those that are ready. One ask is under way at a time.
+// requestPendingReads sends a request for the reads that arrived since the previous one,
+// unless that one is still unanswered. At most one request is in flight.
 func (c *Core) requestPendingReads() {
 	inFlight, unsent := false, false
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// requestReadIndex asks the leader, which may be this replica, for all reads that wait.
+// requestReadIndex asks the leader, which may be this replica, for a read index for all
+// unsent reads.
 func (c *Core) requestReadIndex() {
 	c.localReads.retryAt = c.now.Add(2 * c.cfg.HeartbeatInterval)
 
@@ -77,7 +78,8 @@
 	c.out.SendNow = append(c.out.SendNow, c.newMessage(c.leaderID, m.Birth, c.hardState.Term, ReadIndex{Seq: c.localReads.lastSeq}))
 }
 
-// tickReads gives up reads whose callers have, and asks again for the others.
+// tickReads fails the reads whose deadline has passed and repeats the request for the
+// others.
 func (c *Core) tickReads() {
 	kept := c.localReads.pending[:0]
 
@@ -101,7 +103,7 @@
 	}
 }
 
-// handleReadIndex takes in the ask of another replica.
+// handleReadIndex queues the read index request of another replica.
 func (c *Core) handleReadIndex(m Message, body ReadIndex) {
 	if c.state != leader {
 		return
@@ -118,16 +120,16 @@
 	c.leaderState.waitingReads = append(c.leaderState.waitingReads, leaderRead{seq: body.Seq, requester: Message{From: m.From, FromCreationID: m.FromCreationID}})
 }
 
-// startReadRound begins a quorum round for waiting reads, unless one is under way.
-// A leader that was replaced without noticing gets no majority for a round that
-// began after the ask, so it can never pass off old state as current.
+// startReadRound begins a round for waiting reads, unless one is in progress. A leader
+// that was replaced without noticing can't get a majority of answers to a round that began
+// after the request, so it never returns stale state.
 func (c *Core) startReadRound() {
 	if c.leaderState != nil && len(c.leaderState.waitingReads) > 0 && len(c.leaderState.readsInRound) == 0 && c.commit >= c.leaderState.firstIndex {
 		c.beginRound()
 	}
 }
 
-// addReadsToRound puts the waiting reads into the round that begins.
+// addReadsToRound assigns the waiting reads to the round that begins.
 func (c *Core) addReadsToRound() {
 	l := c.leaderState
 	if c.commit < l.firstIndex || len(l.readsInRound) > 0 {
@@ -143,7 +145,7 @@
 	l.readRound = l.currentRound()
 }
 
-// confirmReads answers the reads in the round once a majority has answered it.
+// confirmReads answers the reads of the round once a majority has answered the round.
 func (c *Core) confirmReads() {
 	l := c.leaderState
 	if l == nil || len(l.readsInRound) == 0 {
@@ -183,7 +185,7 @@
 	}
 }
 
-// completeReads hands out the reads whose index is committed here.
+// completeReads returns the reads whose read index is committed on this replica.
 func (c *Core) completeReads() {
 	kept := c.localReads.pending[:0]
 
--- a/internal/quorum/receive.go
+++ b/internal/quorum/receive.go
@@ -1,6 +1,6 @@
 package quorum
 
-// receive takes in one message.
+// receive processes one message.
 func (c *Core) receive(m Message) {
 	if !c.accepts(m) {
 		return
@@ -22,11 +22,11 @@
 	}
 }
 
-// accepts guards against replicas that lost their disk and, with it, their
-// votes: they answer under the same ID with another birth. Counting such a
-// replica as the voter it was could elect a leader without committed entries.
-// Who asks or leads is not compared: a member that lags behind may know it by
-// the name only, and its own log made it a voter with the birth that it has.
+// accepts rejects answers of replicas that lost their disk and with it their votes. Such a
+// replica answers under the same ID with another creation ID. Counting it as the previous
+// voter could elect a leader that lacks committed entries. The creation IDs of candidates
+// and leaders are not compared: a member that lags behind may only know the ID of such a
+// replica, whose own log made it a voter with its current creation ID.
 func (c *Core) accepts(m Message) bool {
 	if m.ToCreationID != 0 && m.ToCreationID != c.cfg.CreationID {
 		c.handleMisaddressed()
@@ -53,7 +53,7 @@
 	}
 }
 
-// receiveInTerm takes in a message that belongs to a term.
+// receiveInTerm processes a message that carries a term.
 func (c *Core) receiveInTerm(m Message) {
 	switch {
 	case m.Term > c.hardState.Term:
@@ -88,7 +88,7 @@
 	}
 }
 
-// enterTerm takes over the higher term of m, and reports whether m still counts.
+// enterTerm adopts the higher term of m. It reports whether m is to be processed.
 func (c *Core) enterTerm(m Message) bool {
 	switch body := m.Body.(type) {
 	case Vote:
@@ -96,8 +96,8 @@
 			return true
 		}
 
-		// A voter that cannot hear the leader must not unseat it while this
-		// replica hears it well.
+		// A voter that can't receive from the leader must not depose it while this replica
+		// still receives its messages.
 		if !body.Transfer && c.hasLeaderLease() {
 			return false
 		}
@@ -112,9 +112,9 @@
 	return true
 }
 
-// replyToStaleMessage answers a message of an earlier term, so that its sender learns the
-// present one. Otherwise a leader that was replaced while it could not hear
-// would go on for ever.
+// replyToStaleMessage answers a message of an earlier term, so that its sender receives
+// the current term. Otherwise a leader that was replaced while it received no messages
+// would continue indefinitely.
 func (c *Core) replyToStaleMessage(m Message) {
 	switch body := m.Body.(type) {
 	case Vote:
@@ -124,7 +124,7 @@
 	}
 }
 
-// followLeader notes that the leader of this term was heard from.
+// followLeader records that the leader of this term sent a message.
 func (c *Core) followLeader(m Message) {
 	if c.state != follower {
 		c.becomeFollower(m.Term)
@@ -136,7 +136,7 @@
 	c.resetElectionDeadline()
 }
 
-// becomeFollower gives up any office and enters term.
+// becomeFollower ends a candidacy or leadership and enters the given term.
 func (c *Core) becomeFollower(term uint64) {
 	if c.leaderState != nil {
 		c.endLeadership()
@@ -154,7 +154,8 @@
 	c.resetElectionDeadline()
 }
 
-// hasLeaderLease reports whether a leader was heard from lately, or is this replica.
+// hasLeaderLease reports whether this replica is the leader or recently received a message
+// from the leader.
 func (c *Core) hasLeaderLease() bool {
 	return c.state == leader || (c.leaderID != "" && c.now.Before(c.leaderLeaseUntil))
 }
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -1,6 +1,7 @@
 package quorum
 
-// sendNewEntries sends what was added since the last Take, as one Append to each member.
+// sendNewEntries sends the entries that were added since the previous Take, in one Append
+// to each member.
 func (c *Core) sendNewEntries() {
 	if c.leaderState == nil || !c.leaderState.hasUnsentEntries {
 		return
@@ -13,8 +14,8 @@
 	}
 }
 
-// sendAppend sends p what it lacks, within limits. Without anything to send it
-// sends nothing, unless it is a heartbeat.
+// sendAppend sends p the entries that it lacks, up to the limits. If there are none, it
+// sends nothing, or an Append without entries if heartbeat is set.
 func (c *Core) sendAppend(p *progress, heartbeat bool) {
 	if p.outgoingSnapshot != nil || p.next <= c.log.base {
 		c.sendSnapshot(p, heartbeat)
@@ -48,9 +49,9 @@
 	c.out.SendNow = append(c.out.SendNow, c.newMessage(p.member.ID, p.member.Birth, c.hardState.Term, body))
 }
 
-// handleAppend takes in entries of the leader. It stops this replica where the leader
-// contradicts a committed entry: then some replica has forgotten what it had
-// acknowledged, and going on could only spread the damage.
+// handleAppend applies entries of the leader. If the leader's log conflicts with a
+// committed entry, some replica has lost entries that it had acknowledged. This replica
+// stops then, because continuing could only spread the damage.
 func (c *Core) handleAppend(m Message, body Append) {
 	for i, e := range body.Entries {
 		if e.Index != body.PrevIndex+1+uint64(i) {
@@ -59,7 +60,8 @@
 	}
 
 	if body.PrevIndex < c.commit {
-		// A late or doubled message: all that it holds up to commit is here.
+		// The message was delayed or duplicated. All its entries up to commit are already
+		// in the log.
 		c.acknowledge(m, c.commit, body.Round)
 
 		return
@@ -107,7 +109,7 @@
 	c.reply(m, c.hardState.Term, AppendAnswer{Index: index, Round: roundNumber})
 }
 
-// appendFromLeader adds entries of the leader to this log.
+// appendFromLeader appends entries of the leader to the log.
 func (c *Core) appendFromLeader(entries []Entry) {
 	c.log.add(entries...)
 
@@ -118,7 +120,7 @@
 	}
 }
 
-// truncate drops the entries from index on, with the members that they set.
+// truncate drops the entries from index on and the members that they set.
 func (c *Core) truncate(index uint64) {
 	c.log.truncate(index)
 	c.stable = min(c.stable, index-1)
@@ -128,8 +130,8 @@
 	}
 }
 
-// conflictHint returns where the logs may still agree: the last entry before PrevIndex
-// of no later term than the leader's.
+// conflictHint returns the index after which the leader should retry: the last entry
+// before PrevIndex whose term is not later than PrevTerm.
 func (c *Core) conflictHint(body Append) uint64 {
 	i := min(body.PrevIndex-1, c.log.last())
 
@@ -178,9 +180,9 @@
 	c.sendTimeoutNow()
 }
 
-// retryAppend goes back to the entry after which p says that the logs may agree.
-// Several Appends may have been under way, and answers may be late or doubled:
-// only the one that answers the latest probe leads to another one.
+// retryAppend goes back to the entry after which the logs may agree according to p.
+// Several Appends may be in flight, and answers may be late or duplicated, so only the
+// answer to the latest probe causes another probe.
 func (c *Core) retryAppend(p *progress, body AppendAnswer) {
 	if body.PrevIndex <= p.match || (p.probing && body.PrevIndex != p.next-1) {
 		return
--- a/internal/quorum/round.go
+++ b/internal/quorum/round.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// round is one question to all members whether this replica still leads.
+// round is one heartbeat to all members, by which the leader confirms its leadership.
 type round struct {
 	number uint64
 	sent   time.Time
 	commit uint64
 }
 
-// beginRound asks all members whether this replica still leads.
+// beginRound starts a round by sending a heartbeat to all members.
 func (c *Core) beginRound() {
 	l := c.leaderState
 	l.heartbeatAt = c.now.Add(c.cfg.HeartbeatInterval)
@@ -36,7 +36,7 @@
 	return l.rounds[len(l.rounds)-1].number
 }
 
-// recordRoundAnswer notes that p answered the round n.
+// recordRoundAnswer records that p answered the given round.
 func (c *Core) recordRoundAnswer(p *progress, roundNumber uint64) {
 	p.round = max(p.round, roundNumber)
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// findRound returns the round n, unless it was long ago.
+// findRound returns the round with the given number, unless it has expired.
 func (l *leaderState) findRound(number uint64) (round, bool) {
 	first := l.rounds[0].number
 	if number < first || number > l.currentRound() {
@@ -66,7 +66,7 @@
 	return l.rounds[number-first], true
 }
 
-// roundCommit returns what was committed when the round n began.
+// roundCommit returns the commit index at the start of the given round.
 func (l *leaderState) roundCommit(number uint64) uint64 {
 	r, ok := l.findRound(number)
 	if !ok {
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -14,7 +14,8 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// TestMain fixes the seed and a number of schedules that a CI run can bear. More: go test -rapid.seed=N -rapid.checks=N.
+// TestMain fixes the seed and limits the number of schedules to what a CI run has time
+// for. For more schedules: go test -rapid.seed=N -rapid.checks=N.
 func TestMain(m *testing.M) {
 	flag.Parse()
 
@@ -26,12 +27,13 @@
 	os.Exit(m.Run())
 }
 
-// schedule does one random thing after another to the world.
+// schedule applies random faults and operations to a simulation.
 type schedule struct {
 	*simulation
 	t        *rapid.T
 	commands int
-	// mayLackQuorum says that the group may have lost its majority; see changing.
+	// mayLackQuorum is set if the group may have lost its majority. See
+	// isChangeInProgress.
 	mayLackQuorum bool
 }
 
@@ -45,7 +47,7 @@
 	return fmt.Sprint("c", s.commands)
 }
 
-// randomAction is one line of a fault schedule.
+// randomAction applies one random fault or operation.
 func (s *schedule) randomAction() {
 	switch rapid.IntRange(0, 17).Draw(s.t, "act") {
 	case 0, 1, 2:
@@ -89,7 +91,8 @@
 	}
 }
 
-// operatorAction is what operators do: replace a VM, or hand leadership over.
+// operatorAction applies a random action of an operator: replace a VM, change the members,
+// transfer the leadership or ask whether a VM may be stopped.
 func (s *schedule) operatorAction() {
 	h := s.randomHost()
 
@@ -97,7 +100,7 @@
 	case 0:
 		if s.isSafeToLose() {
 			if len(h.founders) == 1 {
-				h.founders = nil // as the operators' page asks for once a group of one has grown
+				h.founders = nil // the operators' manual requires this once a group of one has grown
 			}
 
 			s.mayLackQuorum = s.mayLackQuorum || s.isChangeInProgress()
@@ -135,8 +138,8 @@
 	s.change(quorum.Promote, h.id)
 }
 
-// isSafeToLose says that another VM may be lost for good: the leader says that it is
-// safe, and no voter is lost that is not yet replaced.
+// isSafeToLose reports whether another VM may lose its disk: the leader reports that a
+// stop is safe, and every voter that lost its disk has been replaced.
 func (s *schedule) isSafeToLose() bool {
 	l := s.leader()
 	if l == nil || !l.core.Status().SafeToStop {
@@ -152,9 +155,10 @@
 	return true
 }
 
-// isChangeInProgress says that a change of the members is under way. A voter lost in the
-// very moment in which three become two leaves one of two. No order of steps
-// could save such a group: it may end up without a leader, but nothing else.
+// isChangeInProgress reports whether a membership change is in progress. If a voter is
+// lost during the change from three voters to two, only one of two voters remains. No
+// protocol can prevent this: the group may end up without a leader, but no other check may
+// fail.
 func (s *schedule) isChangeInProgress() bool {
 	for _, o := range s.ops {
 		if o.command == "members" && o.returnTime == 0 && !o.notRun && s.now.Sub(o.startedAt) < quorum.DefaultElectionTimeout {
@@ -165,7 +169,8 @@
 	return false
 }
 
-// healAndCheck heals everything and checks that the group goes on as one.
+// healAndCheck ends all faults and checks that the group commits again and that all
+// members have the same state.
 func (s *schedule) healAndCheck() {
 	s.heal()
 	s.run(20 * time.Second)
@@ -197,7 +202,7 @@
 	for _, m := range l.core.Members() {
 		h := s.host(m.ID)
 		if m.Birth != 0 && m.Birth != h.creationID {
-			continue // its disk is lost and nobody has replaced it yet
+			continue // lost its disk and has not been replaced yet
 		}
 
 		s.read(h)
@@ -209,7 +214,7 @@
 	}
 }
 
-// checkRefusals checks that nothing ran that was refused as not run.
+// checkRefusals checks that no operation with the verdict NotRun was applied.
 func (s *schedule) checkRefusals() {
 	for id, o := range s.ops {
 		if index := s.appliedAt[o.command]; o.notRun && index != 0 && o.command != "members" {
@@ -218,13 +223,14 @@
 	}
 }
 
-// runSchedule runs one random schedule on a world that tune may have broken, and
-// returns what did not hold.
+// runSchedule runs one random schedule on a simulation and returns the violations that it
+// found. The function tune may make hosts faulty.
 func runSchedule(t *rapid.T, tune func(*host)) []string {
 	founders := rapid.SampledFrom([]int{1, 3, 3, 5}).Draw(t, "founders")
 	s := &schedule{t: t, simulation: newSimulation(rapid.Uint64().Draw(t, "seed"), founders)}
 
-	// With small messages an older entry can reach others before the leader's own.
+	// With small messages an older entry can be synced on other replicas before it is
+	// synced on the leader.
 	s.appendBytes = rapid.SampledFrom([]int{0, 1}).Draw(t, "appendBytes")
 
 	for _, h := range s.hosts {
@@ -252,9 +258,9 @@
 	return s.violations
 }
 
-// Whatever happens to messages, processes and disks, in whatever order: one
-// leader a term, one log, one state, nothing acknowledged is lost, nothing
-// refused runs, no read is stale, and clients see one copy.
+// Messages, processes and disks fail in any order. The invariants: at most one leader per
+// term, the same log and state on all replicas, no acknowledged entry is lost, no rejected
+// operation is applied, no read is stale, and the history of the clients is linearizable.
 func TestFaultSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -262,8 +268,9 @@
 	})
 }
 
-// The schedules are worth something only if they catch a replica that breaks
-// its promises: each of these is one that a careless shell or disk would break.
+// The fault schedules are only useful if they detect a replica that violates its
+// durability guarantees. Each case is a violation that a faulty caller of the core or a
+// faulty disk would cause.
 func TestDurabilityViolationsAreDetected(t *testing.T) {
 	t.Parallel()
 
@@ -289,8 +296,9 @@
 	}
 }
 
-// A VM's disk is lost and its process starts again as the voter that it was:
-// what the case lost_disk_votes_not would come to without births.
+// A VM loses its disk and restarts as the same voter, with the previous creation ID. This
+// shows that the case lost_disk_gets_no_vote would lose a committed entry without creation
+// IDs.
 func TestReusedCreationIDLosesCommittedEntry(t *testing.T) {
 	t.Parallel()
 
@@ -314,9 +322,10 @@
 	require.NotEmpty(t, w.violations)
 }
 
-// A caller has its answer, and the leader dies before the others hear that the
-// entry is committed. The next leader holds it without knowing so. A read that
-// it answers before its own term has committed something would miss it.
+// A caller has received its answer and the leader fails before the other replicas are
+// informed of the commit. The next leader holds the entry without knowing that it is
+// committed. A read must not be answered before an entry of the new term is committed, or
+// it misses the entry.
 func TestReadWaitsForCommitInCurrentTerm(t *testing.T) {
 	t.Parallel()
 
@@ -344,5 +353,5 @@
 	}
 }
 
-// maxSeeds is how many schedules may be needed to catch a broken promise.
+// maxSeeds is the maximum number of schedules tried to detect a durability violation.
 const maxSeeds = 60
--- a/internal/quorum/simulation_test.go
+++ b/internal/quorum/simulation_test.go
@@ -13,7 +13,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// crashPoint says where a host dies while it carries out a batch.
+// crashPoint is the point in the execution of a batch at which a host crashes.
 type crashPoint int
 
 const (
@@ -22,19 +22,20 @@
 	crashAfterSync
 )
 
-// host is one core with the disk, state machine and clock that a shell would give it.
+// host is one core with a simulated disk, state machine and clock.
 type host struct {
 	id           string
 	creationID   uint64
 	founders     []quorum.Member
-	core         *quorum.Core // nil while down
+	core         *quorum.Core // nil while the host is down
 	disk         quorum.StoredState
 	state        []string // applied commands
 	applied      uint64
 	clockSkew    time.Duration
 	stalledUntil time.Time
 	crashPoint   crashPoint
-	// loseEntries, loseVotes and keepBirth break the promises that a disk makes; see mutation_test.go.
+	// loseEntries, loseVotes and keepCreationID simulate violated durability guarantees.
+	// See TestDurabilityViolationsAreDetected and TestReusedCreationIDLosesCommittedEntry.
 	loseEntries, loseVotes, keepCreationID bool
 }
 
@@ -43,21 +44,21 @@
 	message   quorum.Message
 }
 
-// op is one call of a client, for the linearizability check.
+// op is one operation of a client, for the linearizability check.
 type op struct {
 	command    string // empty for a read
 	callTime   int64
-	returnTime int64  // 0 while open
+	returnTime int64  // 0 while the operation is open
 	value      string // for a read: the last command
-	position   int    // for a read and an answered command: how many were applied
+	position   int    // for a read or an answered command: number of commands applied by then
 	notRun     bool
 	answer     verdict.Verdict
 	host       string
 	startedAt  time.Time
-	minIndex   uint64 // for a read: highest index acknowledged to anyone when it was asked
+	minIndex   uint64 // for a read: highest index acknowledged to any client before the request
 }
 
-// simulation runs cores against faults and checks what must always hold.
+// simulation runs cores under faults and checks the invariants.
 type simulation struct {
 	start, now              time.Time
 	rng                     *rand.Rand
@@ -71,11 +72,11 @@
 	ackedIndex              uint64
 	committed               map[uint64]string
 	appliedAt               map[string]uint64 // index at which each command was applied
-	positions               map[string]int    // and as the how manieth
+	positions               map[string]int    // position of each command in the applied commands, from 1
 	leaderOfTerm            map[uint64]string
 	violations              []string
 	messages, chunks        int
-	removedCount            int // how often a host learnt that it was removed
+	removedCount            int // how often a host was notified of its removal
 	appendBytes             int
 }
 
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// restart starts h on what its disk holds.
+// restart starts h with the state on its disk.
 func (w *simulation) restart(h *host) {
 	c, err := quorum.New(quorum.Config{
 		ID: h.id, CreationID: h.creationID, Founders: h.founders, CatchUpEntries: 20, ChunkBytes: 64, AppendBytes: w.appendBytes, Rand: w.rng.Int64N,
@@ -135,7 +136,7 @@
 
 func (w *simulation) kill(h *host) { h.core = nil }
 
-// wipe loses h's disk. The next start makes a new birth under the same ID.
+// wipe stops h and clears its disk. Its next start has the same ID and a new creation ID.
 func (w *simulation) wipe(h *host) {
 	w.kill(h)
 	h.disk = quorum.StoredState{}
@@ -263,7 +264,7 @@
 	h.disk.Entries = append(slices.Clone(kept), p.Entries...)
 }
 
-// apply checks that all hosts apply the same commands, each of them once.
+// apply checks that all hosts apply the same entries, each command once.
 func (w *simulation) apply(h *host, c quorum.Committed) {
 	what := fmt.Sprint(c.Entry.Term, c.Entry.Kind, string(c.Entry.Command), c.Entry.Members)
 	if was, ok := w.committed[c.Entry.Index]; ok && was != what {
@@ -353,7 +354,7 @@
 	return best
 }
 
-// change gives the leader an operator's change of the members.
+// change requests a membership change from the leader.
 func (w *simulation) change(kind quorum.ChangeKind, id string) *op {
 	h := w.leader()
 	if h == nil {
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -8,12 +8,12 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// outgoingSnapshot is a snapshot on its way to a member. It stays the same one when the
-// leader takes a later snapshot meanwhile.
+// outgoingSnapshot is a snapshot that is being sent to a member. A newer snapshot of the
+// leader does not replace it.
 type outgoingSnapshot struct {
 	snap       Snapshot
 	digest     uint64
-	sentOffset uint64 // offset of the piece under way
+	sentOffset uint64 // offset of the chunk in flight
 	resendAt   time.Time
 }
 
@@ -25,8 +25,8 @@
 	data   []byte
 }
 
-// sendSnapshot asks p how far it has come. Data follow only on its answer, so
-// that no pieces are sent towards a member that is gone.
+// sendSnapshot asks p for its offset. Data are only sent after its answer, so that no
+// chunks are sent to an unreachable member.
 func (c *Core) sendSnapshot(p *progress, heartbeat bool) {
 	if p.outgoingSnapshot == nil {
 		p.outgoingSnapshot = &outgoingSnapshot{snap: c.snap, digest: xxhash.Sum64(c.snap.Data)}
@@ -64,7 +64,7 @@
 		return
 	}
 
-	// Heartbeats ask too. Their answers must not send the same piece twice.
+	// Heartbeats ask for the offset too. Their answers must not send the same chunk twice.
 	if o.sentOffset == body.Offset && c.now.Before(o.resendAt) {
 		return
 	}
@@ -75,7 +75,7 @@
 	c.sendChunk(p, body.Offset, o.snap.Data[body.Offset:end])
 }
 
-// handleChunk takes in a piece of a snapshot.
+// handleChunk stores a chunk of a snapshot.
 func (c *Core) handleChunk(m Message, body Chunk) {
 	if body.Index <= c.commit {
 		c.acknowledge(m, c.commit, body.Round)
@@ -113,7 +113,7 @@
 	c.acknowledge(m, body.Index, body.Round)
 }
 
-// install replaces the state by the leader's.
+// install replaces the state by the leader's snapshot.
 func (c *Core) install(snap Snapshot) {
 	members := []membersAt{{Index: snap.MembersIndex, Members: snap.Members}}
 
@@ -145,7 +145,7 @@
 	c.out.Restore = &snap
 }
 
-// handleSnapshotTaken takes over the state machine's state and forgets old entries.
+// handleSnapshotTaken stores a new snapshot of the state machine and compacts the log.
 func (c *Core) handleSnapshotTaken(ev SnapshotTaken) {
 	t, ok := c.log.term(ev.Index)
 	if !ok || ev.Index <= c.snap.Index || ev.Index > c.commit {
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -2,19 +2,21 @@
 
 import "fmt"
 
-// MemberStatus is what a leader knows of a member. On a follower only Member is set.
+// MemberStatus is the state of a member as known to the leader. On a follower only Member
+// is set.
 type MemberStatus struct {
 	Member Member
-	// Match is the last entry that it is known to have synced, Lag how many
-	// committed ones it lacks.
+	// Match is the last entry that the member is known to have synced. Lag is the number
+	// of committed entries that it lacks.
 	Match uint64
 	Lag   uint64
-	// Active says that it answered lately, UpToDate that it then lacked nothing.
+	// Active is set if the member answered recently, UpToDate if it also held all
+	// committed entries at that time.
 	Active   bool
 	UpToDate bool
 }
 
-// Status is a core's state for dumps.
+// Status is the state of a core for status dumps.
 type Status struct {
 	ID       string
 	Birth    uint64
@@ -25,12 +27,13 @@
 	Last     uint64
 	Snapshot uint64
 	Members  []MemberStatus
-	// SafeToStop says that any one more voter may be stopped; Reason says why not.
+	// SafeToStop is set if any one more voter may be stopped. Otherwise Reason gives the
+	// cause.
 	SafeToStop bool
 	Reason     string
 }
 
-// Status returns the state for dumps. Only a leader can say that a stop is safe.
+// Status returns the state for status dumps. Only a leader can report that a stop is safe.
 func (c *Core) Status() Status {
 	s := Status{
 		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hardState.Term, Leader: c.leaderID,
@@ -65,7 +68,7 @@
 	return s
 }
 
-// stopUnsafeReason says why another voter must not be stopped now, or nothing.
+// stopUnsafeReason returns why no further voter may be stopped now, or an empty string.
 func (c *Core) stopUnsafeReason() string {
 	switch {
 	case c.fault != nil:
@@ -88,12 +91,12 @@
 	return ""
 }
 
-// Members returns the members that rule now. They must not be changed.
+// Members returns the members in effect. The caller must not modify them.
 func (c *Core) Members() Members {
 	return c.currentMembers()
 }
 
-// Leading reports whether this replica leads, and in which term.
+// Leading reports whether this replica is the leader, and the current term.
 func (c *Core) Leading() (term uint64, ok bool) {
 	return c.hardState.Term, c.state == leader
 }
