--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -12,7 +12,7 @@
 
 // Error implements error.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("journal: %s is damaged at byte %d: %s", e.File, e.Offset, e.Detail)
+	return fmt.Sprintf("journal: %s is corrupted at byte %d: %s", e.File, e.Offset, e.Detail)
 }
 
 // MissingFileError reports that a file of the data folder is missing.
--- a/internal/journal/files.go
+++ b/internal/journal/files.go
@@ -34,7 +34,7 @@
 // OSFiles returns the file operations of the operating system.
 func OSFiles() Files {
 	return Files{
-		MakeDir: func(dir string) error { return eris.Wrap(os.MkdirAll(dir, dirMode), "make data folder") },
+		MakeDir: func(dir string) error { return eris.Wrap(os.MkdirAll(dir, dirMode), "create data folder") },
 		Lock:    lock,
 		Read: func(name string) ([]byte, error) {
 			return os.ReadFile(filepath.Clean(name)) //nolint:wrapcheck // callers look for fs.ErrNotExist
@@ -73,7 +73,7 @@
 func lock(name string) (func() error, error) {
 	f, err := os.OpenFile(filepath.Clean(name), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, eris.Wrap(err, "open lock")
+		return nil, eris.Wrap(err, "open lock file")
 	}
 
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -44,11 +44,11 @@
 // parseFileHeader returns the creation ID in the header of a file.
 func parseFileHeader(name string, k fileKind, b []byte) (uint64, error) {
 	if len(b) < fileHeaderSize || binary.LittleEndian.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
-		return 0, &CorruptionError{File: name, Detail: "head of file"}
+		return 0, &CorruptionError{File: name, Detail: "invalid file header"}
 	}
 
 	if binary.LittleEndian.Uint64(b) != uint64(k) {
-		return 0, &CorruptionError{File: name, Detail: "kind of file"}
+		return 0, &CorruptionError{File: name, Detail: "unexpected kind of file"}
 	}
 
 	return binary.LittleEndian.Uint64(b[8:]), nil
@@ -81,7 +81,7 @@
 	var out [][]byte
 
 	for seq := uint64(1); len(b) > 0; seq++ {
-		corruption := &CorruptionError{File: name, Offset: offset, Detail: "frame"}
+		corruption := &CorruptionError{File: name, Offset: offset, Detail: "invalid frame"}
 
 		if !isFrameHeader(b) {
 			if len(bytes.TrimRight(b, "\x00")) < frameHeaderSize {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -56,7 +56,7 @@
 	}
 
 	if err := j.Files.MakeDir(j.Dir); err != nil {
-		return quorum.StoredState{}, &WriteError{Op: "make data folder", Err: err}
+		return quorum.StoredState{}, &WriteError{Op: "create data folder", Err: err}
 	}
 
 	unlock, err := j.Files.Lock(j.path(lockName))
@@ -180,7 +180,7 @@
 	}
 
 	if err := old.Close(); err != nil {
-		return &WriteError{Op: "close former log", Err: err}
+		return &WriteError{Op: "close previous log", Err: err}
 	}
 
 	return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -105,10 +105,10 @@
 	d.powerCycle()
 
 	_, stored, err := open(d)
-	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
+	require.NoError(t, err, "power cut at operation %d, unsynced bytes: mode %d, renames kept: %v", at, mode, keepRenames)
 
 	_, err = quorum.New(quorum.Config{ID: "vm0", CreationID: 7, Rand: func(int64) int64 { return 0 }}, stored, time.Time{})
-	require.NoError(t, err, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
+	require.NoError(t, err, "power cut at operation %d, unsynced bytes: mode %d, renames kept: %v", at, mode, keepRenames)
 
 	got, want := formatState(stored), []string{formatState(stateAfter(acked))}
 	if acked < len(testWrites()) {
@@ -120,7 +120,7 @@
 		want = append(want, formatState(half))
 	}
 
-	require.Contains(t, want, got, "cut at operation %d, tail %d, names %v", at, mode, keepRenames)
+	require.Contains(t, want, got, "power cut at operation %d, unsynced bytes: mode %d, renames kept: %v", at, mode, keepRenames)
 
 	return cut
 }
@@ -162,9 +162,9 @@
 	t.Parallel()
 
 	for name, fault := range map[string]func(*disk){
-		"sync fails":       func(d *disk) { d.failSync = true },
-		"write is short":   func(d *disk) { d.shortWriteBy = 3 },
-		"nothing is taken": func(d *disk) { d.shortWriteBy = 1 << 20 },
+		"sync fails":         func(d *disk) { d.failSync = true },
+		"write is short":     func(d *disk) { d.shortWriteBy = 3 },
+		"nothing is written": func(d *disk) { d.shortWriteBy = 1 << 20 },
 	} {
 		for n := range testWrites() {
 			d := newDisk()
@@ -200,14 +200,14 @@
 	t.Parallel()
 
 	for name, change := range map[string]func(*disk, *journal.Journal){
-		"another cluster":    func(_ *disk, j *journal.Journal) { j.Cluster = "other" },
-		"another replica":    func(_ *disk, j *journal.Journal) { j.ID = "vm9" },
-		"log is gone":        func(d *disk, _ *journal.Journal) { delete(d.files, "log") },
-		"identity is gone":   func(d *disk, _ *journal.Journal) { delete(d.files, "identity") },
-		"snapshot is gone":   func(d *disk, _ *journal.Journal) { delete(d.files, "snapshot") },
-		"only the log stays": func(d *disk, _ *journal.Journal) { delete(d.files, "identity"); delete(d.files, "snapshot") },
-		"log is empty":       func(d *disk, _ *journal.Journal) { d.files["log"].data = nil },
-		"log of another one": func(d *disk, _ *journal.Journal) { d.files["log"].data = foreignLog(t) },
+		"another cluster":       func(_ *disk, j *journal.Journal) { j.Cluster = "other" },
+		"another replica":       func(_ *disk, j *journal.Journal) { j.ID = "vm9" },
+		"log is missing":        func(d *disk, _ *journal.Journal) { delete(d.files, "log") },
+		"identity is missing":   func(d *disk, _ *journal.Journal) { delete(d.files, "identity") },
+		"snapshot is missing":   func(d *disk, _ *journal.Journal) { delete(d.files, "snapshot") },
+		"only the log is left":  func(d *disk, _ *journal.Journal) { delete(d.files, "identity"); delete(d.files, "snapshot") },
+		"log is empty":          func(d *disk, _ *journal.Journal) { d.files["log"].data = nil },
+		"log of another folder": func(d *disk, _ *journal.Journal) { d.files["log"].data = foreignLog(t) },
 	} {
 		d := newDisk()
 		j, _, err := open(d)
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -113,7 +113,7 @@
 
 	// The log file is only put in place with its first frame.
 	if len(payloads) == 0 {
-		return &CorruptionError{File: logName, Offset: fileHeaderSize, Detail: "first frame"}
+		return &CorruptionError{File: logName, Offset: fileHeaderSize, Detail: "first frame is missing"}
 	}
 
 	for _, payload := range payloads {
@@ -192,7 +192,7 @@
 	}
 
 	if len(payloads) != 1 {
-		return nil, &CorruptionError{File: name, Offset: fileHeaderSize, Detail: "frame"}
+		return nil, &CorruptionError{File: name, Offset: fileHeaderSize, Detail: "file does not hold exactly one frame"}
 	}
 
 	return payloads[0], nil
@@ -212,7 +212,7 @@
 	}
 
 	if j.creationID != 0 && creationID != j.creationID {
-		return nil, &CorruptionError{File: name, Detail: "it belongs to another data folder"}
+		return nil, &CorruptionError{File: name, Detail: "file belongs to another data folder"}
 	}
 
 	return parseFrames(name, fileHeaderSize, b[fileHeaderSize:])
--- a/internal/quorum/cases_test.go
+++ b/internal/quorum/cases_test.go
@@ -98,7 +98,7 @@
 		w.addHost(args[0], nil)
 	case "heal":
 		w.heal()
-	case "net":
+	case "net": // set the rates of lost and duplicated messages
 		_, err := fmt.Sscan(args[0]+" "+args[1], &w.dropRate, &w.duplicateRate)
 		require.NoError(t, err)
 	case "outcome":
@@ -124,7 +124,7 @@
 	switch cmd {
 	case "kill":
 		w.kill(h)
-	case "crash":
+	case "crash": // crash h during its next write
 		h.crashPoint = map[string]crashPoint{"before-sync": crashBeforeSync, "after-sync": crashAfterSync}[args[0]]
 	case "start":
 		w.restart(h)
@@ -132,17 +132,17 @@
 		w.wipe(h)
 	case "isolate":
 		w.isolate(h.id, true)
-	case "deafen":
+	case "deafen": // cut all links towards h
 		for _, o := range w.hosts {
 			w.cutLinks[[2]string{o.id, h.id}] = true
 		}
-	case "mute":
+	case "mute": // cut all links from h
 		for _, o := range w.hosts {
 			w.cutLinks[[2]string{h.id, o.id}] = true
 		}
-	case "join":
+	case "join": // undo isolate
 		w.isolate(h.id, false)
-	case "stall":
+	case "stall": // pause h without stopping its process
 		d, err := time.ParseDuration(args[0])
 		require.NoError(t, err)
 
@@ -156,7 +156,7 @@
 		return fmt.Sprintf("transfer: %v", o.answer)
 	case "propose":
 		c.ops[args[0]] = w.propose(h, args[0])
-	case "flood":
+	case "flood": // propose many commands at once
 		for i := range 300 {
 			w.propose(h, fmt.Sprint(args[0], i))
 		}
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -58,7 +58,7 @@
 	setDefaults(&cfg)
 
 	if cfg.ID == "" || cfg.CreationID == 0 || cfg.Rand == nil {
-		return nil, errors.New("quorum: ID, Birth and Rand must be set")
+		return nil, errors.New("quorum: ID, CreationID and Rand must be set")
 	}
 
 	c := &Core{cfg: cfg, now: now, hardState: stored.State, snap: stored.Snapshot}
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -10,7 +10,7 @@
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("stored log: entry %d follows entry %d", e.Index, e.After)
+	return fmt.Sprintf("stored log has a gap: entry %d follows entry %d", e.Index, e.After)
 }
 
 // ConflictError reports that the leader's log conflicts with a committed entry. It only
@@ -21,7 +21,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("entry %d contradicts a committed one", e.Index)
+	return fmt.Sprintf("leader's log conflicts with committed entry %d", e.Index)
 }
 
 // LostDiskError reports that this replica bootstrapped a group of one although it was a
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -209,7 +209,7 @@
 		s.run(2 * time.Second)
 
 		if fmt.Sprint(h.state) != fmt.Sprint(l.state) {
-			s.recordViolation("%s ends with other state than %s: %+v, %+v", h.id, l.id, h.core.Status(), l.core.Status())
+			s.recordViolation("after healing, state of %s differs from that of %s: %+v, %+v", h.id, l.id, h.core.Status(), l.core.Status())
 		}
 	}
 }
@@ -218,7 +218,7 @@
 func (s *schedule) checkRefusals() {
 	for id, o := range s.ops {
 		if index := s.appliedAt[o.command]; o.notRun && index != 0 && o.command != "members" {
-			s.recordViolation("operation %d was refused as not run and ran at %d", id, index)
+			s.recordViolation("operation %d was rejected as NotRun and applied at index %d", id, index)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	s.checkRefusals()
 
 	if r := s.checkHistory(); r != porcupine.Ok {
-		s.recordViolation("history of the clients: %v", r)
+		s.recordViolation("history of the clients is not linearizable: %v", r)
 	}
 
 	return s.violations
@@ -291,7 +291,7 @@
 				}
 			}
 
-			require.Fail(t, "not caught")
+			require.Fail(t, "no schedule detected the violation")
 		})
 	}
 }
--- a/internal/quorum/simulation_test.go
+++ b/internal/quorum/simulation_test.go
@@ -125,7 +125,7 @@
 		ID: h.id, CreationID: h.creationID, Founders: h.founders, CatchUpEntries: 20, ChunkBytes: 64, AppendBytes: w.appendBytes, Rand: w.rng.Int64N,
 	}, h.disk, w.clock(h))
 	if err != nil {
-		w.recordViolation("%s does not start: %v", h.id, err)
+		w.recordViolation("%s failed to start: %v", h.id, err)
 
 		return
 	}
@@ -268,11 +268,11 @@
 func (w *simulation) apply(h *host, c quorum.Committed) {
 	what := fmt.Sprint(c.Entry.Term, c.Entry.Kind, string(c.Entry.Command), c.Entry.Members)
 	if was, ok := w.committed[c.Entry.Index]; ok && was != what {
-		w.recordViolation("%s applies another entry %d", h.id, c.Entry.Index)
+		w.recordViolation("%s applied a different entry at index %d than another host", h.id, c.Entry.Index)
 	}
 
 	if c.Entry.Index != h.applied+1 {
-		w.recordViolation("%s applies %d after %d", h.id, c.Entry.Index, h.applied)
+		w.recordViolation("%s applied entry %d after entry %d", h.id, c.Entry.Index, h.applied)
 	}
 
 	w.committed[c.Entry.Index] = what
@@ -281,7 +281,7 @@
 	if c.Entry.Kind == quorum.EntryCommand {
 		command := string(c.Entry.Command)
 		if was := w.appliedAt[command]; was != 0 && was != c.Entry.Index {
-			w.recordViolation("%s ran twice", command)
+			w.recordViolation("command %s was applied twice", command)
 		}
 
 		w.appliedAt[command] = c.Entry.Index
@@ -310,7 +310,7 @@
 	}
 
 	if r.Index < o.minIndex || h.applied < r.Index {
-		w.recordViolation("stale read at %s: %d, applied %d, acknowledged before %d", h.id, r.Index, h.applied, o.minIndex)
+		w.recordViolation("stale read at %s: read index %d, applied %d, acknowledged before the request %d", h.id, r.Index, h.applied, o.minIndex)
 	}
 }
 
