--- a/internal/quorum/config.go
+++ b/internal/quorum/config.go
@@ -4,7 +4,9 @@
 
 // Config holds the settings of a Core.
 type Config struct {
-	ID         string
+	ID string
+	// CreationID is the random number generated with the replica's data folder. Other
+	// members record it as Member.Birth.
 	CreationID uint64
 	// Founders are the initial members of a new replica group. The list is empty on a
 	// replica that joins an existing group.
@@ -54,10 +56,10 @@
 	DefaultChunkBytes        = 256 << 10
 	DefaultAppendBytes       = 512 << 10
 	DefaultCatchUpEntries    = 1024
-	maxCatchUpBytes          = 8 << 20
+	maxCatchUpBytes          = 8 << 20 // commands kept in the log behind a snapshot
 	MaxCommandBytes          = 4 << 20
 	maxAppendEntries         = 512
-	maxInFlightEntries       = 2048
-	maxPendingProposals      = 8192
-	maxPendingReads          = 8192
+	maxInFlightEntries       = 2048 // sent to one member and not acknowledged
+	maxPendingProposals      = 8192 // not committed yet, on the leader
+	maxPendingReads          = 8192 // on each replica
 )
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -3,14 +3,14 @@
 // Message is sent from one replica to another. The network may lose, delay, duplicate and
 // reorder messages.
 type Message struct {
-	From           string
+	From string
+	// FromCreationID and ToCreationID are the creation IDs of the sender and the receiver
+	// (see Member.Birth). ToCreationID is 0 if the sender does not know it.
 	FromCreationID uint64
 	To             string
-	// ToCreationID is the creation ID of the receiver as known to the sender, or 0 if
-	// unknown.
-	ToCreationID uint64
-	Term         uint64
-	Body         Body
+	ToCreationID   uint64
+	Term           uint64
+	Body           Body
 }
 
 // Body is the content of a Message: one of the types in this file.
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -30,8 +30,8 @@
 // schedule applies random faults and operations to a simulation.
 type schedule struct {
 	*simulation
-	t        *rapid.T
-	commands int
+	t            *rapid.T
+	commandCount int
 	// mayLackQuorum is set if the group may have lost its majority. See
 	// isChangeInProgress.
 	mayLackQuorum bool
@@ -42,9 +42,9 @@
 }
 
 func (s *schedule) newCommand() string {
-	s.commands++
+	s.commandCount++
 
-	return fmt.Sprint("c", s.commands)
+	return fmt.Sprint("c", s.commandCount)
 }
 
 // randomAction applies one random fault or operation.
@@ -214,8 +214,8 @@
 	}
 }
 
-// checkRefusals checks that no operation with the verdict NotRun was applied.
-func (s *schedule) checkRefusals() {
+// checkRejections checks that no operation with the verdict NotRun was applied.
+func (s *schedule) checkRejections() {
 	for id, o := range s.ops {
 		if index := s.appliedAt[o.command]; o.notRun && index != 0 && o.command != "members" {
 			s.recordViolation("operation %d was rejected as NotRun and applied at index %d", id, index)
@@ -249,7 +249,7 @@
 		s.healAndCheck()
 	}
 
-	s.checkRefusals()
+	s.checkRejections()
 
 	if r := s.checkHistory(); r != porcupine.Ok {
 		s.recordViolation("history of the clients is not linearizable: %v", r)
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -19,7 +19,7 @@
 // Status is the state of a core for status dumps.
 type Status struct {
 	ID       string
-	Birth    uint64
+	Birth    uint64 // creation ID, see Member.Birth
 	State    string
 	Term     uint64
 	Leader   string
