--- a/internal/entry/booking_fault_test.go
+++ b/internal/entry/booking_fault_test.go
@@ -10,14 +10,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-func booked(_ *fakeAgent, s *sender) {
+func answerBooking(_ *fakeAgent, s *answerWriter) {
 	s.head(http.StatusCreated, "application/json")
 	s.data("booked")
 	s.end()
 }
 
-func refusing(v verdict.Verdict, cause verdict.Cause) behaviour {
-	return func(_ *fakeAgent, s *sender) {
+func refuseWith(v verdict.Verdict, cause verdict.Cause) behaviour {
+	return func(_ *fakeAgent, s *answerWriter) {
 		s.frame(&wire.Frame{Kind: &wire.Frame_Refusal{Refusal: &wire.Refusal{
 			AttemptID: s.request.GetAttemptID(), Verdict: wire.Verdict(v), Cause: string(cause),
 		}}})
@@ -25,17 +25,17 @@
 }
 
 var (
-	askRan     = &wire.AskResponse{State: wire.AskState_AskRan, Answer: &wire.Answer{Status: http.StatusCreated, Body: []byte("kept")}}
-	askRanLost = &wire.AskResponse{State: wire.AskState_AskRan}
-	askRunning = &wire.AskResponse{State: wire.AskState_AskRunning}
-	askClosed  = &wire.AskResponse{State: wire.AskState_AskClosed}
-	askUnknown = &wire.AskResponse{State: wire.AskState_AskUnknown}
+	attemptRan              = &wire.AskResponse{State: wire.AskState_AskRan, Answer: &wire.Answer{Status: http.StatusCreated, Body: []byte("kept")}}
+	attemptRanAnswerDropped = &wire.AskResponse{State: wire.AskState_AskRan}
+	attemptRunning          = &wire.AskResponse{State: wire.AskState_AskRunning}
+	attemptClosed           = &wire.AskResponse{State: wire.AskState_AskClosed}
+	attemptUnknown          = &wire.AskResponse{State: wire.AskState_AskUnknown}
 )
 
 // A buyer books a showroom, and the connection between entry and agent fails in
 // every way it can. The buyer must get the one booking, or a truthful word, and
 // a resend under the same key must get the same and never a second booking.
-func TestBookingFaults(t *testing.T) {
+func TestKeyedRequestUnderConnectionFaults(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -44,75 +44,75 @@
 		// change, if set, alters the entry.
 		change func(*Entry)
 		asked  []*wire.AskResponse
-		want   said
+		want   callerResult
 		// sends is how many attempts reach agents, the resend included.
 		sends int
 	}{
 		{
-			name: "whole", script: []behaviour{booked},
-			want: said{status: 201, verdict: "Ran", body: "booked"}, sends: 1,
+			name: "whole", script: []behaviour{answerBooking},
+			want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 1,
 		},
 		{
-			name: "silent before the answer, it ran", change: impatient, script: []behaviour{func(_ *fakeAgent, s *sender) { s.silent() }},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			name: "silent before the answer, it ran", change: withShortReadTimeout, script: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.stall() }},
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "silent within the answer, still running, then it ran", change: impatient,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "silent within the answer, still running, then it ran", change: withShortReadTimeout,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusCreated, "application/json")
 				s.data("boo")
-				s.silent()
+				s.stall()
 			}},
-			asked: []*wire.AskResponse{askRunning, askRunning, askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			asked: []*wire.AskResponse{attemptRunning, attemptRunning, attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "never arrived, and is closed", script: []behaviour{func(_ *fakeAgent, s *sender) { s.cut() }, booked},
-			asked: []*wire.AskResponse{askClosed}, want: said{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
+			name: "never arrived, and is closed", script: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.breakConnection() }, answerBooking},
+			asked: []*wire.AskResponse{attemptClosed}, want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
 		},
 		{
-			name: "cut before the end", script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "cut before the end", script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusCreated, "application/json")
 				s.data("booked")
-				s.cut()
+				s.breakConnection()
 			}},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "crossed: another request's answer", script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "crossed: another request's answer", script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{AttemptID: "other", Status: 201}}})
 				s.data("somebody else's room")
 				s.end()
 			}},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "altered: the digest is not that of the answer", script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "altered: the digest is not that of the answer", script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusCreated, "application/json")
 				s.data("booked")
 				_, _ = s.digest.WriteString("more")
 				s.end()
 			}},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "no frames at all", script: []behaviour{func(_ *fakeAgent, s *sender) { _, _ = s.w.Write([]byte("\xff\xff\xff\xff\xff")) }},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			name: "no frames at all", script: []behaviour{func(_ *fakeAgent, s *answerWriter) { _, _ = s.w.Write([]byte("\xff\xff\xff\xff\xff")) }},
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "the agent restarted", script: []behaviour{func(_ *fakeAgent, s *sender) { s.cut() }},
-			asked: []*wire.AskResponse{askUnknown}, want: said{status: 502, verdict: "MayHaveRun", cause: "AnswerLost"}, sends: 1,
+			name: "the agent restarted", script: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.breakConnection() }},
+			asked: []*wire.AskResponse{attemptUnknown}, want: callerResult{status: 502, verdict: "MayHaveRun", cause: "AnswerLost"}, sends: 1,
 		},
 		{
-			name: "it ran and the agent no longer has the answer", script: []behaviour{func(_ *fakeAgent, s *sender) { s.cut() }},
-			asked: []*wire.AskResponse{askRanLost}, want: said{status: 502, verdict: "Ran", cause: "AnswerLost"}, sends: 1,
+			name: "it ran and the agent no longer has the answer", script: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.breakConnection() }},
+			asked: []*wire.AskResponse{attemptRanAnswerDropped}, want: callerResult{status: 502, verdict: "Ran", cause: "AnswerLost"}, sends: 1,
 		},
 		{
-			name: "refused as not run, then taken", script: []behaviour{refusing(verdict.NotRun, verdict.CauseOverload), booked},
-			want: said{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
+			name: "refused as not run, then taken", script: []behaviour{refuseWith(verdict.NotRun, verdict.CauseOverload), answerBooking},
+			want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
 		},
 		{
-			name: "a duplicate of a running attempt", script: []behaviour{refusing(verdict.MayHaveRun, verdict.CauseDuplicate)},
-			asked: []*wire.AskResponse{askRan}, want: said{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
+			name: "a duplicate of a running attempt", script: []behaviour{refuseWith(verdict.MayHaveRun, verdict.CauseDuplicate)},
+			asked: []*wire.AskResponse{attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 	}
 
@@ -121,40 +121,40 @@
 			t.Parallel()
 
 			// Two agents with one script between them, so that a retry finds a target.
-			shared := newFakeAgent(t, "agent-1", c.script...)
-			shared.asked = c.asked
-			r := newRig(t, bookingService, c.change, shared, shared.sibling(t, "agent-2"))
+			agent := newFakeAgent(t, "agent-1", c.script...)
+			agent.askResponses = c.asked
+			r := newFixture(t, bookingService, c.change, agent, agent.sibling(t, "agent-2"))
 
 			first := r.book("cask-17")
-			require.NotEmpty(t, first.window)
+			require.NotEmpty(t, first.keyWindow)
 
-			first.window = ""
+			first.keyWindow = ""
 			require.Equal(t, c.want, first)
 
-			again := r.book("cask-17")
-			require.Equal(t, c.want.body, again.body)
-			require.NotEqual(t, "NotRun", again.verdict)
-			require.Len(t, shared.got(), c.sends)
+			resent := r.book("cask-17")
+			require.Equal(t, c.want.body, resent.body)
+			require.NotEqual(t, "NotRun", resent.verdict)
+			require.Len(t, agent.received(), c.sends)
 		})
 	}
 }
 
 // A buyer's app gives one key to two bookings by mistake. The second must be
 // refused clearly, and must not be answered with the first one's room.
-func TestKeyWithAnotherBody(t *testing.T) {
+func TestReusedKeyWithAnotherBodyIsRefused(t *testing.T) {
 	t.Parallel()
 
-	a := newFakeAgent(t, "agent-1", booked)
-	r := newRig(t, bookingService, nil, a)
+	a := newFakeAgent(t, "agent-1", answerBooking)
+	r := newFixture(t, bookingService, nil, a)
 
 	first := r.book("cask-17")
 	require.Equal(t, 201, first.status)
-	require.NotEmpty(t, first.window, "callers are told for how long a key is remembered")
+	require.NotEmpty(t, first.keyWindow, "callers are told for how long a key is remembered")
 
 	got := r.post(bookingService+"/v1/bookings", `{"Slot":"kiln-3"}`, HeaderKey, "cask-17")
 	require.Equal(t, 422, got.status)
 	require.Equal(t, "KeyConflict", got.cause)
-	require.Len(t, a.got(), 1)
+	require.Len(t, a.received(), 1)
 }
 
 // A booking without a key: the connection breaks after it was sent, and the
@@ -162,11 +162,11 @@
 func TestBookingWithoutKeyIsSentOnce(t *testing.T) {
 	t.Parallel()
 
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) { s.cut() })
-	a.asked = []*wire.AskResponse{askUnknown}
-	r := newRig(t, bookingService, nil, a)
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) { s.breakConnection() })
+	a.askResponses = []*wire.AskResponse{attemptUnknown}
+	r := newFixture(t, bookingService, nil, a)
 
 	got := r.post(bookingService+"/v1/bookings", `{}`)
 	require.Equal(t, "MayHaveRun", got.verdict)
-	require.Len(t, a.got(), 1)
+	require.Len(t, a.received(), 1)
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -30,9 +30,9 @@
 	HeaderVerdict  = "Parsleygate-Verdict"
 	HeaderCause    = "Parsleygate-Cause"
 	// HeaderKeyWindow is for how long a key is remembered, in seconds from its claim.
-	HeaderKeyWindow = "Parsleygate-Key-Window"
-	headerPrefix    = "Parsleygate-"
-	lastEventID     = "Last-Event-ID"
+	HeaderKeyWindow   = "Parsleygate-Key-Window"
+	headerPrefix      = "Parsleygate-"
+	headerLastEventID = "Last-Event-ID"
 )
 
 // maxIDLength bounds request ids, keys and workspace names, in bytes.
@@ -54,8 +54,8 @@
 	priority   int
 }
 
-// read reads a call from r, or returns why it is refused.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) (*call, *verdict.Error) {
+// readCall reads a call from r, or returns why it is refused.
+func (e *Entry) readCall(w http.ResponseWriter, r *http.Request) (*call, *verdict.Error) {
 	now := time.Now()
 	c := &call{
 		id:        r.Header.Get(HeaderRequestID),
@@ -74,19 +74,19 @@
 		c.path += "?" + r.URL.RawQuery
 	}
 
-	if err := c.readNumbers(r, now, e.Limits); err != nil {
+	if err := c.readTimeoutAndPriority(r, now, e.Limits); err != nil {
 		return c, malformed(err)
 	}
 
-	known := e.View()
+	view := e.View()
 
 	name := chi.URLParam(r, "service")
-	if c.service = known.Service(name); c.service == nil {
+	if c.service = view.Service(name); c.service == nil {
 		return c, &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseUnknownService, Err: eris.Errorf("no service %q", name)}
 	}
 
-	c.idempotent = idempotent(c.service, c.method, "/"+chi.URLParam(r, "*"))
-	c.headers = forwarded(r.Header)
+	c.idempotent = isIdempotent(c.service, c.method, "/"+chi.URLParam(r, "*"))
+	c.headers = forwardedHeaders(r.Header)
 
 	return c, c.readBody(w, r, e.Limits.MaxBodyBytes)
 }
@@ -95,7 +95,7 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, Err: err}
 }
 
-func (c *call) readNumbers(r *http.Request, now time.Time, limits Limits) error {
+func (c *call) readTimeoutAndPriority(r *http.Request, now time.Time, limits Limits) error {
 	if len(c.id) > maxIDLength || len(c.key) > maxIDLength || len(c.workspace) > maxIDLength {
 		return eris.Errorf("request id, key and workspace have at most %d bytes", maxIDLength)
 	}
@@ -128,8 +128,8 @@
 func (c *call) readBody(w http.ResponseWriter, r *http.Request, limit int64) *verdict.Error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return &verdict.Error{
 			Verdict: verdict.NotRun, Cause: verdict.CauseTooLarge,
 			Err: eris.Errorf("a body has at most %d bytes", limit),
@@ -158,16 +158,16 @@
 	return h.Sum(nil)
 }
 
-// idempotent reports whether the service declares the call repeatable. What is
+// isIdempotent reports whether the service declares the call repeatable. What is
 // not declared may not be repeated, whatever its method.
-func idempotent(s *wire.Service, method, p string) bool {
+func isIdempotent(s *wire.Service, method, p string) bool {
 	for _, pattern := range s.GetIdempotentCalls() {
-		m, want, ok := strings.Cut(pattern, " ")
-		if !ok || m != method {
+		patternMethod, patternPath, ok := strings.Cut(pattern, " ")
+		if !ok || patternMethod != method {
 			continue
 		}
 
-		if hit, err := path.Match(want, p); err == nil && hit {
+		if matched, err := path.Match(patternPath, p); err == nil && matched {
 			return true
 		}
 	}
@@ -175,14 +175,14 @@
 	return false
 }
 
-// hopByHop are the headers that concern one connection alone.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that concern one connection alone.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded returns the headers that go on to the target.
-func forwarded(h http.Header) []*wire.Header {
+// forwardedHeaders returns the headers that go on to the target.
+func forwardedHeaders(h http.Header) []*wire.Header {
 	h = h.Clone()
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
@@ -190,7 +190,7 @@
 		}
 	}
 
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 
--- a/internal/entry/caller_test.go
+++ b/internal/entry/call_test.go
@@ -13,7 +13,7 @@
 
 // Callers send what no entry can serve. Each gets a clear refusal that says the
 // request did not run, and nothing reaches an agent.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
 
 	small := func(e *Entry) { e.Limits.MaxBodyBytes = 10 }
@@ -37,20 +37,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			a := newFakeAgent(t, "agent-1", booked)
-			r := newRig(t, bookingService, small, a)
+			a := newFakeAgent(t, "agent-1", answerBooking)
+			r := newFixture(t, bookingService, small, a)
 			got := r.post(c.path, c.body, c.headers...)
 			require.Equal(t, c.status, got.status)
 			require.Equal(t, "NotRun", got.verdict)
 			require.Equal(t, c.cause, got.cause)
-			require.Empty(t, a.got())
+			require.Empty(t, a.received())
 		})
 	}
 }
 
 // A head that is too long, or no HTTP at all, is refused by status, and the
 // entry goes on serving others.
-func TestMalformedHeads(t *testing.T) {
+func TestMalformedRequestHeadsAreRefused(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -67,7 +67,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := newRig(t, bookingService, nil, newFakeAgent(t, "agent-1", booked))
+			r := newFixture(t, bookingService, nil, newFakeAgent(t, "agent-1", answerBooking))
 
 			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", r.entry.Listener.Addr().String())
 			require.NoError(t, err)
@@ -95,7 +95,7 @@
 	h.Set(HeaderWorkspace, "cooperage")
 	h.Set("Accept", "text/plain")
 
-	out := forwarded(h)
+	out := forwardedHeaders(h)
 	require.Len(t, out, 1)
 	require.Equal(t, "Accept", out[0].GetName())
 }
@@ -105,8 +105,8 @@
 	t.Parallel()
 
 	s := testServices[bookingService]
-	require.True(t, idempotent(s, "GET", "/v1/bookings"))
-	require.False(t, idempotent(s, "GET", "/v2/bookings"))
-	require.False(t, idempotent(s, "POST", "/v1/bookings"))
-	require.False(t, idempotent(s, "HEAD", "/v1/bookings"))
+	require.True(t, isIdempotent(s, "GET", "/v1/bookings"))
+	require.False(t, isIdempotent(s, "GET", "/v2/bookings"))
+	require.False(t, isIdempotent(s, "POST", "/v1/bookings"))
+	require.False(t, isIdempotent(s, "HEAD", "/v1/bookings"))
 }
--- a/internal/entry/reuse_test.go
+++ b/internal/entry/connection_test.go
@@ -12,14 +12,14 @@
 // Callers wait for a dial at each request, and agents run out of ports, when an
 // answer that ended whole still costs its connection: the entry had not read
 // past the closing frame.
-func TestWholeAnswersKeepTheirConnection(t *testing.T) {
+func TestCompleteAnswersKeepTheirConnection(t *testing.T) {
 	t.Parallel()
 
-	a := newFakeAgent(t, "agent-1", drafted)
+	a := newFakeAgent(t, "agent-1", answerDraft)
 
 	var opened atomic.Int64
 
-	r := newRig(t, draftService, func(e *Entry) {
+	r := newFixture(t, draftService, func(e *Entry) {
 		e.Agents.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
 
--- a/internal/entry/counters.go
+++ b/internal/entry/counters.go
@@ -10,12 +10,12 @@
 
 // counters are what an entry counts of its callers' requests.
 type counters struct {
-	inFlight atomic.Int64
-	answered atomic.Int64
-	notRun   atomic.Int64
-	unsure   atomic.Int64
-	broken   atomic.Int64
-	tries    atomic.Int64
+	inFlight   atomic.Int64
+	answered   atomic.Int64
+	notRun     atomic.Int64
+	mayHaveRun atomic.Int64
+	broken     atomic.Int64
+	attempts   atomic.Int64
 }
 
 // Counts is the state of an entry's counters.
@@ -34,14 +34,14 @@
 
 func (c *counters) end() { c.inFlight.Add(-1) }
 
-func (c *counters) refused(err *verdict.Error) {
+func (c *counters) countRefusal(err *verdict.Error) {
 	if err.Verdict == verdict.NotRun {
 		c.notRun.Add(1)
 
 		return
 	}
 
-	c.unsure.Add(1)
+	c.mayHaveRun.Add(1)
 }
 
 // Counts returns the counters as of now.
@@ -50,7 +50,7 @@
 
 	return Counts{
 		InFlight: c.inFlight.Load(), Answered: c.answered.Load(), NotRun: c.notRun.Load(),
-		MayHaveRun: c.unsure.Load(), Broken: c.broken.Load(), Tries: c.tries.Load(),
+		MayHaveRun: c.mayHaveRun.Load(), Broken: c.broken.Load(), Tries: c.attempts.Load(),
 	}
 }
 
@@ -58,8 +58,8 @@
 func (e *Entry) Register(r metrics.Registry) error {
 	gauges := map[string]*atomic.Int64{
 		"Entry.InFlight": &e.counters.inFlight, "Entry.Answered": &e.counters.answered,
-		"Entry.NotRun": &e.counters.notRun, "Entry.MayHaveRun": &e.counters.unsure,
-		"Entry.Broken": &e.counters.broken, "Entry.Tries": &e.counters.tries,
+		"Entry.NotRun": &e.counters.notRun, "Entry.MayHaveRun": &e.counters.mayHaveRun,
+		"Entry.Broken": &e.counters.broken, "Entry.Tries": &e.counters.attempts,
 	}
 	for name, n := range gauges {
 		if err := r.Register(name, metrics.NewFunctionalGauge(n.Load)); err != nil {
--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/draft_fault_test.go
@@ -13,87 +13,87 @@
 
 const eventStream = "text/event-stream"
 
-func drafted(_ *fakeAgent, s *sender) {
+func answerDraft(_ *fakeAgent, s *answerWriter) {
 	s.head(http.StatusOK, eventStream)
-	s.data(events(1, 4))
+	s.data(draftEvents(1, 4))
 	s.end()
 }
 
-// resumed goes on after the event that the entry names.
-func resumed(_ *fakeAgent, s *sender) {
+// resumeDraft goes on after the event that the entry names.
+func resumeDraft(_ *fakeAgent, s *answerWriter) {
 	first := 1
 
 	for _, h := range s.request.GetHeaders() {
-		if h.GetName() == lastEventID {
+		if h.GetName() == headerLastEventID {
 			first = int(h.GetValue()[0]-'0') + 1
 		}
 	}
 
 	s.head(http.StatusOK, eventStream)
-	s.data(events(first, 4))
+	s.data(draftEvents(first, 4))
 	s.end()
 }
 
 // A cooper reads a draft as it is written, and the stream fails in every way it
 // can. The cooper must get the whole draft, each word once, or see it break off.
-func TestDraftFaults(t *testing.T) {
+func TestStreamUnderConnectionFaults(t *testing.T) {
 	t.Parallel()
 
-	whole := said{status: 200, verdict: "Ran", body: events(1, 4)}
+	complete := callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}
 	cases := []struct {
 		name   string
 		script []behaviour
 		// change, if set, alters the entry.
 		change func(*Entry)
-		want   said
+		want   callerResult
 	}{
-		{name: "whole", script: []behaviour{drafted}, want: whole},
+		{name: "whole", script: []behaviour{answerDraft}, want: complete},
 		{
-			name: "silent after two words", want: whole, change: impatient,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "silent after two words", want: complete, change: withShortReadTimeout,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
-				s.silent()
-			}, resumed},
+				s.data(draftEvents(1, 2))
+				s.stall()
+			}, resumeDraft},
 		},
 		{
-			name: "cut inside the third word", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "cut inside the third word", want: complete,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2) + "id: 3\ndata: wo")
-				s.cut()
-			}, resumed},
+				s.data(draftEvents(1, 2) + "id: 3\ndata: wo")
+				s.breakConnection()
+			}, resumeDraft},
 		},
 		{
-			name: "crossed after two words: nothing of the other's answer is passed on", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "crossed after two words: nothing of the other's answer is passed on", want: complete,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
+				s.data(draftEvents(1, 2))
 				s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{AttemptID: "other", Status: 200}}})
-			}, resumed},
+			}, resumeDraft},
 		},
 		{
-			name: "cut before the first word", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "cut before the first word", want: complete,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.cut()
-			}, resumed},
+				s.breakConnection()
+			}, resumeDraft},
 		},
 		{
-			name: "ended without the closing frame", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "ended without the closing frame", want: complete,
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 4))
-			}, resumed},
+				s.data(draftEvents(1, 4))
+			}, resumeDraft},
 		},
 		{
 			name: "the next target answers with an error page, not the rest",
-			want: said{status: 200, verdict: "Ran", body: events(1, 2), cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), truncated: true},
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
-				s.cut()
-			}, func(_ *fakeAgent, s *sender) {
+				s.data(draftEvents(1, 2))
+				s.breakConnection()
+			}, func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusInternalServerError, "text/plain")
 				s.data("broken")
 				s.end()
@@ -101,21 +101,21 @@
 		},
 		{
 			name: "no event stream: it cannot be continued",
-			want: said{status: 200, verdict: "Ran", body: "half", cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			want: callerResult{status: 200, verdict: "Ran", body: "half", truncated: true},
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, "application/json")
 				s.data("half")
-				s.cut()
-			}, drafted},
+				s.breakConnection()
+			}, answerDraft},
 		},
 		{
 			name: "events without ids: they cannot be continued",
-			want: said{status: 200, verdict: "Ran", body: "data: one\n\n", cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			want: callerResult{status: 200, verdict: "Ran", body: "data: one\n\n", truncated: true},
+			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data("data: one\n\n")
-				s.cut()
-			}, drafted},
+				s.breakConnection()
+			}, answerDraft},
 		},
 	}
 
@@ -124,7 +124,7 @@
 			t.Parallel()
 
 			a := newFakeAgent(t, "agent-1", c.script...)
-			r := newRig(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+			r := newFixture(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
 			require.Equal(t, c.want, r.draft())
 		})
 	}
@@ -135,19 +135,19 @@
 // cannot know that it is still in use. That is no fault of theirs: the draft goes on at
 // one of them afterwards, while its caller still waits. It was cut once each had
 // refused it.
-func TestDraftOutlivesALostLeader(t *testing.T) {
+func TestStreamResumesAfterAllTargetsRefusedAsStale(t *testing.T) {
 	t.Parallel()
 
-	refused := refusing(verdict.NotRun, verdict.CauseStale)
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	refuseStale := refuseWith(verdict.NotRun, verdict.CauseStale)
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 2))
-		s.cut()
-	}, refused, refused, refused, refused, refused, resumed)
-	r := newRig(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+		s.data(draftEvents(1, 2))
+		s.breakConnection()
+	}, refuseStale, refuseStale, refuseStale, refuseStale, refuseStale, resumeDraft)
+	r := newFixture(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
 
-	require.Equal(t, said{status: 200, verdict: "Ran", body: events(1, 4)}, r.draft())
-	require.Len(t, a.got(), 7)
+	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}, r.draft())
+	require.Len(t, a.received(), 7)
 }
 
 // A trader closes the page while the answer is being written. The engine must
@@ -155,15 +155,15 @@
 func TestCallerDisconnectReachesAgent(t *testing.T) {
 	t.Parallel()
 
-	gone := make(chan struct{})
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	canceled := make(chan struct{})
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 1))
+		s.data(draftEvents(1, 1))
 
 		<-s.r.Context().Done()
-		close(gone)
+		close(canceled)
 	})
-	r := newRig(t, draftService, nil, a)
+	r := newFixture(t, draftService, nil, a)
 
 	resp, err := http.Post(r.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
 	require.NoError(t, err)
@@ -171,7 +171,7 @@
 	_, err = resp.Body.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
-	<-gone
+	<-canceled
 }
 
 // An entry is stopped while a cooper's draft is being written. New requests are
@@ -180,17 +180,17 @@
 	t.Parallel()
 
 	begun := make(chan struct{})
-	goOn := make(chan struct{})
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	resume := make(chan struct{})
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 2))
+		s.data(draftEvents(1, 2))
 		close(begun)
-		<-goOn
-		s.data(events(3, 4))
+		<-resume
+		s.data(draftEvents(3, 4))
 		s.end()
 	})
-	r := newRig(t, draftService, nil, a)
-	answer := make(chan said, 1)
+	r := newFixture(t, draftService, nil, a)
+	answer := make(chan callerResult, 1)
 
 	go func() { answer <- r.draft() }()
 
@@ -200,10 +200,10 @@
 	refused := r.draft()
 	require.Equal(t, "NotRun", refused.verdict)
 	require.Equal(t, "Stopping", refused.cause)
-	require.Equal(t, "1", refused.retry)
+	require.Equal(t, "1", refused.retryAfter)
 
 	r.stop()
-	close(goOn)
-	require.Equal(t, events(1, 4), (<-answer).body)
+	close(resume)
+	require.Equal(t, draftEvents(1, 4), (<-answer).body)
 	require.NoError(t, <-r.done)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -81,14 +81,14 @@
 	mu            sync.Mutex
 	queues        map[string]*queue
 	credits       sync.Map // agent id to the *wire.Credit granted last
-	nextItem      atomic.Uint64
+	nextItemID    atomic.Uint64
 	stopping      atomic.Bool
 	inFlight      sync.WaitGroup
 	counters      counters
 }
 
-// tickEvery is the time between two rounds of housekeeping.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the time between two rounds of housekeeping.
+const tickInterval = 50 * time.Millisecond
 
 // Run serves callers until ctx ends, then stops gracefully: it says that it
 // leaves, refuses new requests as not run, and ends when the last one in flight has.
@@ -105,18 +105,18 @@
 	server.Protocols.SetHTTP2(true)
 	server.Protocols.SetUnencryptedHTTP2(true)
 
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(e.Listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(e.Listener) }()
 
-	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopWork()
+	tickCtx, stopTicker := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTicker()
 
-	go e.keepHouse(work)
+	go e.runTicker(tickCtx)
 
 	e.Logger.Info("callers welcome", "address", e.Listener.Addr().String(), "zone", e.Zone)
 
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return eris.Wrap(err, "serve callers")
 	case <-ctx.Done():
 	}
@@ -143,9 +143,9 @@
 	return eris.Wrap(err, "stop serving")
 }
 
-// keepHouse lets queues see new room and passed deadlines, and renews credits.
-func (e *Entry) keepHouse(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+// runTicker lets queues see new room and passed deadlines, and renews credits.
+func (e *Entry) runTicker(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 
 	for {
@@ -160,43 +160,43 @@
 }
 
 func (e *Entry) renewCredits(ctx context.Context, now time.Time) {
-	for _, ask := range e.Chooser.CreditRequests(now) {
-		go func() { _ = e.credit(ctx, ask) }()
+	for _, req := range e.Chooser.CreditRequests(now) {
+		go func() { _ = e.requestCredit(ctx, req) }()
 	}
 }
 
-// credit asks an agent for a credit and takes in what it says.
-func (e *Entry) credit(ctx context.Context, ask routing.CreditRequest) error {
+// requestCredit asks an agent for a credit and takes in what it says.
+func (e *Entry) requestCredit(ctx context.Context, req routing.CreditRequest) error {
 	sent := time.Now()
 
-	r, err := e.Agents.Grant(ctx, ask.Addr, &wire.GrantRequest{
-		EntryID: e.ID, Wanted: uint32(ask.Wanted), Using: uint32(ask.Using),
+	r, err := e.Agents.Grant(ctx, req.Addr, &wire.GrantRequest{
+		EntryID: e.ID, Wanted: uint32(req.Wanted), Using: uint32(req.Using),
 	})
 	if err != nil {
 		return err
 	}
 
-	var againAt time.Time
+	var retryAt time.Time
 	if after := r.GetRetryAfterMillis(); after > 0 {
-		againAt = sent.Add(time.Duration(after) * time.Millisecond)
+		retryAt = sent.Add(time.Duration(after) * time.Millisecond)
 	}
 
-	e.takeCredit(sent, ask.Service, r.GetCredit(), againAt)
-	e.takeLoad(sent, ask.AgentID, r.GetLoad())
+	e.applyCredit(sent, req.Service, r.GetCredit(), retryAt)
+	e.applyLoad(sent, req.AgentID, r.GetLoad())
 
 	return nil
 }
 
-// takeCredit counts a credit's remaining time from when its ask was sent, so
+// applyCredit counts a credit's remaining time from when its ask was sent, so
 // that delay on the way only shortens it. AgainAt is when the agent wants to be
 // asked again; zero where it did not say.
-func (e *Entry) takeCredit(sent time.Time, service string, c *wire.Credit, againAt time.Time) {
+func (e *Entry) applyCredit(sent time.Time, service string, c *wire.Credit, retryAt time.Time) {
 	if c == nil {
 		return
 	}
 
 	e.Chooser.ApplyCredit(routing.CreditChanged{
-		RetryAt:     againAt,
+		RetryAt:     retryAt,
 		AgentID:     c.GetAgentID(),
 		Incarnation: c.GetIncarnation(),
 		Slots:       int(c.GetSlots()),
@@ -206,17 +206,17 @@
 
 	if c.GetSlots() > 0 {
 		now := time.Now()
-		e.queue(service).changeRoom(now, e.Chooser.Capacity(now, service))
+		e.queue(service).setCapacity(now, e.Chooser.Capacity(now, service))
 	}
 }
 
-func (e *Entry) takeLoad(taken time.Time, agentID string, l *wire.Load) {
+func (e *Entry) applyLoad(takenAt time.Time, agentID string, l *wire.Load) {
 	if l == nil {
 		return
 	}
 
 	e.Chooser.ApplyReport(routing.ReportReceived{
-		AgentID: agentID, Incarnation: l.GetCredit().GetIncarnation(), TakenAt: taken,
+		AgentID: agentID, Incarnation: l.GetCredit().GetIncarnation(), TakenAt: takenAt,
 		InFlight: int(l.GetInFlight()), Limit: int(l.GetLimit()), Queued: int(l.GetQueued()),
 		Cold: l.GetCold(), Leaving: l.GetLeaving(),
 	})
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -31,36 +31,36 @@
 // testSilence is how long a fake agent may send nothing in tests of just that,
 // testPatience in all others: a busy machine's pause must not pass for the agent's.
 const (
-	testSilence  = time.Second
-	testPatience = time.Minute
+	shortReadTimeout = time.Second
+	longReadTimeout  = time.Minute
 )
 
-// impatient makes an entry wait for a silent agent no longer than testSilence.
-func impatient(e *Entry) { e.Agents.ReadTimeout = testSilence }
+// withShortReadTimeout makes an entry wait for a silent agent no longer than testSilence.
+func withShortReadTimeout(e *Entry) { e.Agents.ReadTimeout = shortReadTimeout }
 
 // fakeAgent answers requests by a script: one behaviour for each request that it
 // or one of its siblings gets.
 type fakeAgent struct {
 	id     string
 	server *httptest.Server
-	*scripted
+	*agentScript
 }
 
-// scripted is what siblings share.
-type scripted struct {
-	mu       sync.Mutex
-	script   []behaviour
-	requests []*wire.Request
-	// asked is what Ask answers, one for each; the last goes on.
-	asked []*wire.AskResponse
-	asks  int
+// agentScript is what siblings share.
+type agentScript struct {
+	mu         sync.Mutex
+	behaviours []behaviour
+	requests   []*wire.Request
+	// askResponses is what Ask answers, one for each; the last goes on.
+	askResponses []*wire.AskResponse
+	askCount     int
 }
 
 // behaviour is what a fake agent does with one request.
-type behaviour func(a *fakeAgent, s *sender)
+type behaviour func(a *fakeAgent, s *answerWriter)
 
-// sender writes the frames of one answer.
-type sender struct {
+// answerWriter writes the frames of one answer.
+type answerWriter struct {
 	w       http.ResponseWriter
 	r       *http.Request
 	request *wire.Request
@@ -68,19 +68,19 @@
 	length  uint64
 }
 
-func newFakeAgent(t testing.TB, id string, script ...behaviour) *fakeAgent {
+func newFakeAgent(t testing.TB, id string, behaviours ...behaviour) *fakeAgent {
 	t.Helper()
 
-	return (&scripted{script: script}).agent(t, id)
+	return (&agentScript{behaviours: behaviours}).agent(t, id)
 }
 
 // sibling returns another agent with the same script.
 func (a *fakeAgent) sibling(t testing.TB, id string) *fakeAgent { return a.agent(t, id) }
 
-func (x *scripted) agent(t testing.TB, id string) *fakeAgent {
+func (x *agentScript) agent(t testing.TB, id string) *fakeAgent {
 	t.Helper()
 
-	a := &fakeAgent{id: id, scripted: x}
+	a := &fakeAgent{id: id, agentScript: x}
 	mux := http.NewServeMux()
 	mux.HandleFunc(agentclient.RequestPath, a.serve)
 	mux.Handle(wire.AgentPathPrefix, wire.NewAgentServer(a))
@@ -105,13 +105,13 @@
 	a.mu.Lock()
 	n := len(a.requests)
 	a.requests = append(a.requests, req)
-	do := a.script[min(n, len(a.script)-1)]
+	behave := a.behaviours[min(n, len(a.behaviours)-1)]
 	a.mu.Unlock()
 
-	do(a, &sender{w: w, r: r, request: req, digest: xxhash.New()})
+	behave(a, &answerWriter{w: w, r: r, request: req, digest: xxhash.New()})
 }
 
-func (a *fakeAgent) got() []*wire.Request {
+func (a *fakeAgent) received() []*wire.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -130,8 +130,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	r := a.asked[min(a.asks, len(a.asked)-1)]
-	a.asks++
+	r := a.askResponses[min(a.askCount, len(a.askResponses)-1)]
+	a.askCount++
 
 	return r, nil
 }
@@ -141,38 +141,38 @@
 	return &wire.OrderResponse{Cause: "no engine"}, nil
 }
 
-func (s *sender) frame(f *wire.Frame) {
+func (s *answerWriter) frame(f *wire.Frame) {
 	_, _ = protodelim.MarshalTo(s.w, f)
 	_ = http.NewResponseController(s.w).Flush()
 }
 
-func (s *sender) head(status int32, contentType string) {
+func (s *answerWriter) head(status int32, contentType string) {
 	s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{
 		AttemptID: s.request.GetAttemptID(), Status: status,
 		Headers: []*wire.Header{{Name: "Content-Type", Value: contentType}},
 	}}})
 }
 
-func (s *sender) data(text string) {
+func (s *answerWriter) data(text string) {
 	_, _ = s.digest.WriteString(text)
 	s.length += uint64(len(text))
 	s.frame(&wire.Frame{Kind: &wire.Frame_Data{Data: []byte(text)}})
 }
 
-func (s *sender) end() {
+func (s *answerWriter) end() {
 	s.frame(&wire.Frame{Kind: &wire.Frame_End{End: &wire.End{
 		AttemptID: s.request.GetAttemptID(), Length: s.length, Digest: s.digest.Sum64(),
 	}}})
 }
 
-// silent sends nothing more until the entry gives the connection up.
-func (s *sender) silent() { <-s.r.Context().Done() }
+// stall sends nothing more until the entry gives the connection up.
+func (s *answerWriter) stall() { <-s.r.Context().Done() }
 
-// cut breaks the connection.
-func (s *sender) cut() { panic(http.ErrAbortHandler) }
+// breakConnection breaks the connection.
+func (s *answerWriter) breakConnection() { panic(http.ErrAbortHandler) }
 
-// rig is an entry before fake agents, with control's claims in memory.
-type rig struct {
+// fixture is an entry before fake agents, with control's claims in memory.
+type fixture struct {
 	t     testing.TB
 	entry *Entry
 	base  string
@@ -190,8 +190,8 @@
 	bookingService: {Name: bookingService, IdempotentCalls: []string{"GET /v1/*"}},
 }
 
-// newRig starts an entry whose targets are agents, each carrying service.
-func newRig(t testing.TB, service string, change func(*Entry), agents ...*fakeAgent) *rig {
+// newFixture starts an entry whose targets are agents, each carrying service.
+func newFixture(t testing.TB, service string, change func(*Entry), agents ...*fakeAgent) *fixture {
 	t.Helper()
 
 	var lc net.ListenConfig
@@ -203,7 +203,7 @@
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(1, 1))}
 	e := &Entry{
 		ID: "entry-1", Zone: "muscat-a", Listener: listener, Seed: 1,
-		Agents:  &agentclient.Client{ReadTimeout: testPatience, DialTimeout: time.Second, IdleConnTimeout: time.Second},
+		Agents:  &agentclient.Client{ReadTimeout: longReadTimeout, DialTimeout: time.Second, IdleConnTimeout: time.Second},
 		Chooser: chooser, Budget: &retries.Budget{Rand: rand.New(rand.NewPCG(1, 2))},
 		Claim: claims.Claim, Settle: claims.Settle, Limits: DefaultLimits(), Logger: logs.Discard(),
 		View: func() View {
@@ -223,7 +223,7 @@
 	chooser.ChangeTargets(targetsOf(service, agents))
 
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &fixture{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
 
 	go func() { r.done <- e.Run(ctx) }()
 
@@ -253,19 +253,19 @@
 	return ev
 }
 
-// said is what a caller got.
-type said struct {
-	status  int
-	verdict string
-	cause   string
-	retry   string
-	body    string
-	window  string
-	// cut says that the answer broke off.
-	cut bool
+// callerResult is what a caller got.
+type callerResult struct {
+	status     int
+	verdict    string
+	cause      string
+	retryAfter string
+	body       string
+	keyWindow  string
+	// truncated says that the answer broke off.
+	truncated bool
 }
 
-func (r *rig) post(path, body string, headers ...string) said {
+func (r *fixture) post(path, body string, headers ...string) callerResult {
 	r.t.Helper()
 
 	q, err := http.NewRequest(http.MethodPost, r.base+"/"+path, strings.NewReader(body))
@@ -289,27 +289,27 @@
 		text = nil
 	}
 
-	return said{
-		window: resp.Header.Get(HeaderKeyWindow),
-		status: resp.StatusCode, verdict: resp.Header.Get(HeaderVerdict), cause: resp.Header.Get(HeaderCause),
-		retry: resp.Header.Get("Retry-After"), body: string(text), cut: err != nil,
+	return callerResult{
+		keyWindow: resp.Header.Get(HeaderKeyWindow),
+		status:    resp.StatusCode, verdict: resp.Header.Get(HeaderVerdict), cause: resp.Header.Get(HeaderCause),
+		retryAfter: resp.Header.Get("Retry-After"), body: string(text), truncated: err != nil,
 	}
 }
 
-func (r *rig) book(key string) said {
+func (r *fixture) book(key string) callerResult {
 	r.t.Helper()
 
 	return r.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
 }
 
-func (r *rig) draft() said {
+func (r *fixture) draft() callerResult {
 	r.t.Helper()
 
 	return r.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
 }
 
-// events returns the events from first to last of a test stream.
-func events(first, last int) string {
+// draftEvents returns the events from first to last of a test stream.
+func draftEvents(first, last int) string {
 	var b strings.Builder
 	for n := first; n <= last; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: word%d\n\n", n, n)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -9,8 +9,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// stoppingRetry is when a caller refused by a leaving entry may try another.
-const stoppingRetry = time.Second
+// stoppingRetryAfter is when a caller refused by a leaving entry may try another.
+const stoppingRetryAfter = time.Second
 
 func (e *Entry) handler() http.Handler {
 	r := chi.NewRouter()
@@ -40,24 +40,24 @@
 	e.counters.begin()
 	defer e.counters.end()
 
-	c, refused := e.read(w, r)
-	if refused == nil && e.stopping.Load() {
-		refused = e.refuseStopping(w)
+	c, refusal := e.readCall(w, r)
+	if refusal == nil && e.stopping.Load() {
+		refusal = e.refuseWhileStopping(w)
 	}
 
-	if refused != nil {
-		e.counters.refused(refused)
-		writeRefusal(w, c.id, refused)
+	if refusal != nil {
+		e.counters.countRefusal(refusal)
+		writeRefusal(w, c.id, refusal)
 
 		return
 	}
 
 	e.Budget.RecordRequest(time.Now())
-	e.run(w, r, c)
+	e.execute(w, r, c)
 }
 
-func (e *Entry) refuseStopping(w http.ResponseWriter) *verdict.Error {
+func (e *Entry) refuseWhileStopping(w http.ResponseWriter) *verdict.Error {
 	w.Header().Set("Connection", "close")
 
-	return verdict.Refuse(verdict.CauseStopping, time.Now().Add(stoppingRetry))
+	return verdict.Refuse(verdict.CauseStopping, time.Now().Add(stoppingRetryAfter))
 }
--- a/internal/entry/prefix.go
+++ b/internal/entry/prefix.go
@@ -3,16 +3,16 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// prefixBlock is the length of one prompt block, in bytes.
-	prefixBlock = 256
+	// prefixBlockBytes is the length of one prompt block, in bytes.
+	prefixBlockBytes = 256
 	// maxPrefixes bounds how many blocks of a prompt are looked at.
 	maxPrefixes = 16
 )
 
-// prefixes returns the hashes of the body's first blocks, shortest prefix first.
+// prefixHashes returns the hashes of the body's first blocks, shortest prefix first.
 // Engines cache prompts by prefix, so requests that share blocks do well together.
-func (c *call) prefixes() []uint64 {
-	n := min(len(c.body)/prefixBlock, maxPrefixes)
+func (c *call) prefixHashes() []uint64 {
+	n := min(len(c.body)/prefixBlockBytes, maxPrefixes)
 	if n == 0 || !c.idempotent {
 		return nil
 	}
@@ -21,7 +21,7 @@
 	out := make([]uint64, 0, n)
 
 	for i := range n {
-		_, _ = h.Write(c.body[i*prefixBlock : (i+1)*prefixBlock])
+		_, _ = h.Write(c.body[i*prefixBlockBytes : (i+1)*prefixBlockBytes])
 		out = append(out, h.Sum64())
 	}
 
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -42,9 +42,9 @@
 	return q
 }
 
-// changeRoom lets waiting requests start where there is room for them now.
-func (q *queue) changeRoom(now time.Time, r routing.Capacity) {
-	q.deliver(q.core.SetCapacity(now, r.Slots))
+// setCapacity lets waiting requests start where there is room for them now.
+func (q *queue) setCapacity(now time.Time, capacity routing.Capacity) {
+	q.deliver(q.core.SetCapacity(now, capacity.Slots))
 }
 
 func (e *Entry) tickQueues(now time.Time) {
@@ -57,7 +57,7 @@
 			e.Chooser.RecordDemand(now, name)
 		}
 
-		q.changeRoom(now, e.Chooser.Capacity(now, name))
+		q.setCapacity(now, e.Chooser.Capacity(now, name))
 		q.deliver(q.core.Tick(now))
 	}
 }
@@ -81,27 +81,27 @@
 	return out
 }
 
-// enter waits for the turn of an item. It returns the refusal of an item that
+// enqueue waits for the turn of an item. It returns the refusal of an item that
 // the queue gave up, or that its caller did.
-func (q *queue) enter(ctx context.Context, it fairness.Item) *verdict.Error {
+func (q *queue) enqueue(ctx context.Context, it fairness.Item) *verdict.Error {
 	turn := make(chan fairness.Action, 1)
 
 	q.mu.Lock()
 	q.waiting[it.ID] = turn
 	q.mu.Unlock()
 
-	first, others := q.core.Offer(time.Now(), it)
-	if first.Kind != fairness.Wait {
-		others = append(others, first)
+	action, others := q.core.Offer(time.Now(), it)
+	if action.Kind != fairness.Wait {
+		others = append(others, action)
 	}
 
 	q.deliver(others)
 
-	return q.turn(ctx, it.ID, turn)
+	return q.awaitTurn(ctx, it.ID, turn)
 }
 
-// again waits for another turn, where no target had room in this one.
-func (q *queue) again(ctx context.Context, id uint64) *verdict.Error {
+// requeue waits for another turn, where no target had room in this one.
+func (q *queue) requeue(ctx context.Context, id uint64) *verdict.Error {
 	turn := make(chan fairness.Action, 1)
 
 	q.mu.Lock()
@@ -110,25 +110,25 @@
 
 	q.deliver(q.core.Requeue(time.Now(), id))
 
-	return q.turn(ctx, id, turn)
+	return q.awaitTurn(ctx, id, turn)
 }
 
-func (q *queue) turn(ctx context.Context, id uint64, turn chan fairness.Action) *verdict.Error {
+func (q *queue) awaitTurn(ctx context.Context, id uint64, turn chan fairness.Action) *verdict.Error {
 	select {
 	case a := <-turn:
-		return refusalOf(a)
+		return refusalIn(a)
 	case <-ctx.Done():
 	}
 
 	q.mu.Lock()
 	delete(q.waiting, id)
 	q.mu.Unlock()
-	q.leave(id, false)
+	q.release(id, false)
 
 	return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseCancelled, Err: ctx.Err()}
 }
 
-func refusalOf(a fairness.Action) *verdict.Error {
+func refusalIn(a fairness.Action) *verdict.Error {
 	if a.Kind == fairness.Refuse {
 		return a.Refusal()
 	}
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// leave frees the place of an item; ran says that it ran to its end.
-func (q *queue) leave(id uint64, ran bool) {
+// release frees the place of an item; ran says that it ran to its end.
+func (q *queue) release(id uint64, ran bool) {
 	if ran {
 		q.deliver(q.core.Finish(time.Now(), id))
 
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -21,8 +21,8 @@
 	Detail            string `json:",omitempty"`
 }
 
-// statusOf names the HTTP status of each cause.
-func statusOf(err *verdict.Error) int {
+// httpStatus names the HTTP status of each cause.
+func httpStatus(err *verdict.Error) int {
 	switch err.Cause {
 	case verdict.CauseUnknownService:
 		return http.StatusNotFound
@@ -39,11 +39,11 @@
 	case verdict.CauseDeadline:
 		return http.StatusGatewayTimeout
 	default:
-		return statusOfVerdict(err.Verdict)
+		return httpStatusOfVerdict(err.Verdict)
 	}
 }
 
-func statusOfVerdict(v verdict.Verdict) int {
+func httpStatusOfVerdict(v verdict.Verdict) int {
 	if v == verdict.NotRun {
 		return http.StatusServiceUnavailable
 	}
@@ -63,11 +63,11 @@
 	h.Set("Content-Type", "application/json")
 
 	if !err.RetryAt.IsZero() {
-		wait := math.Ceil(time.Until(err.RetryAt).Seconds())
-		body.RetryAfterSeconds = max(1, int(wait))
+		seconds := math.Ceil(time.Until(err.RetryAt).Seconds())
+		body.RetryAfterSeconds = max(1, int(seconds))
 		h.Set("Retry-After", strconv.Itoa(body.RetryAfterSeconds))
 	}
 
-	w.WriteHeader(statusOf(err))
+	w.WriteHeader(httpStatus(err))
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -15,44 +15,44 @@
 
 // reply is the entry's side of one answer to a caller.
 type reply struct {
-	w    http.ResponseWriter
-	ctrl *http.ResponseController
-	slow time.Duration
-
-	headed bool
-	sent   uint64
-	// gone says that the caller no longer takes the answer.
-	gone bool
+	w            http.ResponseWriter
+	ctrl         *http.ResponseController
+	writeTimeout time.Duration
+
+	headSent  bool
+	bytesSent uint64
+	// callerGone says that the caller no longer takes the answer.
+	callerGone bool
 	// events is set for a stream that another target can continue.
 	events *eventBuffer
 }
 
-func newReply(w http.ResponseWriter, slow time.Duration) *reply {
-	return &reply{w: w, ctrl: http.NewResponseController(w), slow: slow}
+func newReply(w http.ResponseWriter, writeTimeout time.Duration) *reply {
+	return &reply{w: w, ctrl: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// relay passes an answer on as it comes. resuming says that the caller has its
+// receiver passes an answer on as it comes. resuming says that the caller has its
 // beginning already.
-func (p *reply) relay(resumable, resuming bool) agentclient.Receiver {
+func (p *reply) receiver(resumable, resuming bool) agentclient.Receiver {
 	return agentclient.Receiver{
 		Head: func(h *wire.Head) error {
 			if resuming {
-				return p.resumeHead(h)
+				return p.checkResumedHead(h)
 			}
 
 			if resumable && isEventStream(h.GetHeaders()) {
 				p.events = &eventBuffer{}
 			}
 
-			return p.head(h.GetStatus(), h.GetHeaders())
+			return p.writeHead(h.GetStatus(), h.GetHeaders())
 		},
-		Data: p.data,
+		Data: p.writeData,
 	}
 }
 
-// resumeHead guards against a target that answers a resumption with something
+// checkResumedHead guards against a target that answers a resumption with something
 // else, an error page say: the caller would take it for the rest of its draft.
-func (p *reply) resumeHead(h *wire.Head) error {
+func (p *reply) checkResumedHead(h *wire.Head) error {
 	if h.GetStatus() == http.StatusOK && isEventStream(h.GetHeaders()) {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	return eris.Errorf("target did not resume: status %d", h.GetStatus())
 }
 
-func (p *reply) head(status int32, headers []*wire.Header) error {
+func (p *reply) writeHead(status int32, headers []*wire.Header) error {
 	id := p.w.Header().Get(HeaderRequestID)
 	for _, h := range headers {
 		if !strings.HasPrefix(h.GetName(), headerPrefix) {
@@ -70,54 +70,54 @@
 
 	p.w.Header().Set(HeaderRequestID, id)
 	p.w.Header().Set(HeaderVerdict, verdict.Ran.String())
-	p.headed = true
+	p.headSent = true
 	p.w.WriteHeader(int(status))
 
 	return p.flush()
 }
 
-func (p *reply) data(b []byte) error {
+func (p *reply) writeData(b []byte) error {
 	if p.events != nil {
-		b = p.events.whole(b)
+		b = p.events.add(b)
 	}
 
 	if len(b) == 0 {
 		return nil
 	}
 
-	_ = p.ctrl.SetWriteDeadline(time.Now().Add(p.slow))
+	_ = p.ctrl.SetWriteDeadline(time.Now().Add(p.writeTimeout))
 
 	if _, err := p.w.Write(b); err != nil {
-		return p.callerGone(err)
+		return p.writeFailed(err)
 	}
 
-	p.sent += uint64(len(b))
+	p.bytesSent += uint64(len(b))
 
 	return p.flush()
 }
 
 func (p *reply) flush() error {
 	if err := p.ctrl.Flush(); err != nil {
-		return p.callerGone(err)
+		return p.writeFailed(err)
 	}
 
 	return nil
 }
 
-func (p *reply) callerGone(err error) error {
-	p.gone = true
+func (p *reply) writeFailed(err error) error {
+	p.callerGone = true
 
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: err}
 }
 
-// deliver gives a whole answer at once.
-func (p *reply) deliver(a *wire.Answer) {
-	if err := p.head(a.GetStatus(), a.GetHeaders()); err != nil {
+// writeAnswer gives a whole answer at once.
+func (p *reply) writeAnswer(a *wire.Answer) {
+	if err := p.writeHead(a.GetStatus(), a.GetHeaders()); err != nil {
 		return
 	}
 
 	p.events = nil
-	_ = p.data(a.GetBody())
+	_ = p.writeData(a.GetBody())
 }
 
 // abort breaks the connection, or resets the HTTP/2 stream, so that the caller
@@ -126,22 +126,22 @@
 	panic(http.ErrAbortHandler)
 }
 
-// end gives what is left of an event stream that ended whole.
-func (p *reply) end() {
+// flushPending gives what is left of an event stream that ended whole.
+func (p *reply) flushPending() {
 	if p.events == nil {
 		return
 	}
 
-	rest := p.events.rest
+	pending := p.events.pending
 	p.events = nil
-	_ = p.data(rest)
+	_ = p.writeData(pending)
 }
 
 // resumable reports whether another target can continue what the caller has: a
 // stream of numbered events, or one of which no event has been passed on. Going
 // on with anything else would give the caller its beginning twice.
 func (p *reply) resumable() bool {
-	return p.events != nil && (p.sent == 0 || p.events.lastID != "")
+	return p.events != nil && (p.bytesSent == 0 || p.events.lastID != "")
 }
 
 func isEventStream(headers []*wire.Header) bool {
@@ -157,28 +157,28 @@
 // eventBuffer holds back the unfinished last event of a stream. A stream that
 // breaks inside an event would otherwise be continued in the middle of it.
 type eventBuffer struct {
-	rest []byte
+	pending []byte
 	// lastID is the id of the last event passed on.
 	lastID string
 }
 
-// whole takes in b and returns the events that are whole now.
-func (v *eventBuffer) whole(b []byte) []byte {
-	v.rest = append(v.rest, b...)
+// add takes in b and returns the events that are whole now.
+func (v *eventBuffer) add(b []byte) []byte {
+	v.pending = append(v.pending, b...)
 
-	end := bytes.LastIndex(v.rest, []byte("\n\n"))
+	end := bytes.LastIndex(v.pending, []byte("\n\n"))
 	if end < 0 {
 		return nil
 	}
 
-	out := bytes.Clone(v.rest[:end+2])
-	v.rest = append(v.rest[:0], v.rest[end+2:]...)
-	v.note(out)
+	out := bytes.Clone(v.pending[:end+2])
+	v.pending = append(v.pending[:0], v.pending[end+2:]...)
+	v.recordLastID(out)
 
 	return out
 }
 
-func (v *eventBuffer) note(events []byte) {
+func (v *eventBuffer) recordLastID(events []byte) {
 	for line := range bytes.Lines(events) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			v.lastID = string(bytes.TrimSpace(id))
@@ -189,9 +189,9 @@
 // collector keeps a whole answer, to be recorded before the caller gets it. One
 // that grows too large to be recorded is relayed from then on.
 type collector struct {
-	answer *wire.Answer
-	most   int
-	spill  *reply
+	answer   *wire.Answer
+	maxBytes int
+	overflow *reply
 }
 
 func (c *collector) receiver() agentclient.Receiver {
@@ -206,18 +206,18 @@
 }
 
 func (c *collector) data(b []byte) error {
-	if c.spill.headed {
-		return c.spill.data(b)
+	if c.overflow.headSent {
+		return c.overflow.writeData(b)
 	}
 
 	c.answer.Body = append(c.answer.Body, b...)
-	if len(c.answer.GetBody()) <= c.most {
+	if len(c.answer.GetBody()) <= c.maxBytes {
 		return nil
 	}
 
-	if err := c.spill.head(c.answer.GetStatus(), c.answer.GetHeaders()); err != nil {
+	if err := c.overflow.writeHead(c.answer.GetStatus(), c.answer.GetHeaders()); err != nil {
 		return err
 	}
 
-	return c.spill.data(c.answer.GetBody())
+	return c.overflow.writeData(c.answer.GetBody())
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -14,71 +14,71 @@
 )
 
 // send sends the chosen attempt and passes its answer on.
-func (k *course) send(ctx context.Context, resume bool) exchange.Action {
-	k.entry.counters.tries.Add(1)
+func (x *exchangeRun) send(ctx context.Context, resume bool) exchange.Action {
+	x.entry.counters.attempts.Add(1)
 
-	var kept *collector
+	var recorded *collector
 
-	receiver := k.reply.relay(k.call.idempotent && k.call.service.GetResumable(), resume)
-	if k.call.keyed() {
-		kept = &collector{most: k.entry.Limits.MaxRecordedBytes, spill: k.reply}
-		receiver = kept.receiver()
+	receiver := x.reply.receiver(x.call.idempotent && x.call.service.GetResumable(), resume)
+	if x.call.keyed() {
+		recorded = &collector{maxBytes: x.entry.Limits.MaxRecordedBytes, overflow: x.reply}
+		receiver = recorded.receiver()
 	}
 
 	start := time.Now()
-	status := k.watch(start, &receiver)
-	res := k.entry.Agents.Send(ctx, k.choice.Addr, k.request(resume), receiver)
-	k.learn(start, res, *status)
+	status := x.observeResponse(start, &receiver)
+	res := x.entry.Agents.Send(ctx, x.choice.Addr, x.wireRequest(resume), receiver)
+	x.recordOutcome(start, res, *status)
 
-	k.ex.Resumable = k.reply.resumable()
+	x.ex.Resumable = x.reply.resumable()
 
-	end := exchange.Outcome{Complete: res.Err == nil, Err: res.Err, Relayed: k.reply.headed, CallerDisconnected: k.reply.gone || callerLeft(ctx)}
-	if kept != nil && end.Complete {
-		end.Answer = kept.answer
+	outcome := exchange.Outcome{Complete: res.Err == nil, Err: res.Err, Relayed: x.reply.headSent, CallerDisconnected: x.reply.callerGone || callerDisconnected(ctx)}
+	if recorded != nil && outcome.Complete {
+		outcome.Answer = recorded.answer
 	}
 
-	return k.ex.Ended(time.Now(), end)
+	return x.ex.Ended(time.Now(), outcome)
 }
 
-// callerLeft tells a caller's disconnect from a deadline that passed.
-func callerLeft(ctx context.Context) bool {
+// callerDisconnected tells a caller's disconnect from a deadline that passed.
+func callerDisconnected(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.Canceled)
 }
 
-func (k *course) request(resume bool) *wire.Request {
-	known := k.entry.View()
+func (x *exchangeRun) wireRequest(resume bool) *wire.Request {
+	view := x.entry.View()
 	now := time.Now()
-	v, _ := k.entry.credits.Load(k.choice.AgentID)
+	v, _ := x.entry.credits.Load(x.choice.AgentID)
 	credit, _ := v.(*wire.Credit)
-	headers := k.call.headers
+	headers := x.call.headers
 
 	if resume {
-		headers = k.resumeHeaders()
+		headers = x.resumeHeaders()
 	}
 
 	return &wire.Request{
-		ID: k.call.id, AttemptID: k.attempt.GetAttemptID(), Credit: credit,
-		Service: k.call.service.GetName(), Workspace: k.call.workspace,
-		Method: k.call.method, Path: k.call.path, Headers: headers,
-		Body: k.call.body, BodyDigest: k.call.bodyDigest, Idempotent: k.call.idempotent,
-		RemainingMillis: uint64(max(0, k.call.deadline.Sub(now).Milliseconds())),
-		ViewVersion:     known.Version, ViewFresh: now.Before(known.ValidUntil),
-		Priority: int32(k.call.priority),
+		ID: x.call.id, AttemptID: x.attempt.GetAttemptID(), Credit: credit,
+		Service: x.call.service.GetName(), Workspace: x.call.workspace,
+		Method: x.call.method, Path: x.call.path, Headers: headers,
+		Body: x.call.body, BodyDigest: x.call.bodyDigest, Idempotent: x.call.idempotent,
+		RemainingMillis: uint64(max(0, x.call.deadline.Sub(now).Milliseconds())),
+		ViewVersion:     view.Version, ViewFresh: now.Before(view.ValidUntil),
+		Priority: int32(x.call.priority),
 	}
 }
 
 // resumeHeaders asks the next target to go on after the last event that the
 // caller has. What the broken attempt left unfinished comes again, whole.
-func (k *course) resumeHeaders() []*wire.Header {
-	k.reply.events.rest = nil
-	if k.reply.events.lastID == "" {
-		return k.call.headers
+func (x *exchangeRun) resumeHeaders() []*wire.Header {
+	x.reply.events.pending = nil
+	if x.reply.events.lastID == "" {
+		return x.call.headers
 	}
 
-	headers := []*wire.Header{{Name: lastEventID, Value: k.reply.events.lastID}}
+	headers := []*wire.Header{{Name: headerLastEventID, Value: x.reply.events.lastID}}
 
-	for _, h := range k.call.headers {
-		if !strings.EqualFold(h.GetName(), lastEventID) {
+	for _, h := range x.call.headers {
+		if !strings.EqualFold(h.GetName(), headerLastEventID) {
 			headers = append(headers, h)
 		}
 	}
@@ -86,24 +86,24 @@
 	return headers
 }
 
-// watch notes the answer's status and the time to its first byte.
-func (k *course) watch(start time.Time, rc *agentclient.Receiver) *int32 {
+// observeResponse notes the answer's status and the time to its first byte.
+func (x *exchangeRun) observeResponse(start time.Time, receiver *agentclient.Receiver) *int32 {
 	var (
-		status int32
-		begun  bool
+		status  int32
+		started bool
 	)
 
-	head, data := rc.Head, rc.Data
-	rc.Head = func(h *wire.Head) error {
+	head, data := receiver.Head, receiver.Data
+	receiver.Head = func(h *wire.Head) error {
 		status = h.GetStatus()
 
 		return head(h)
 	}
-	rc.Data = func(b []byte) error {
-		if !begun {
-			begun = true
-			k.entry.Chooser.RecordFirstByte(routing.FirstByte{
-				AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation, Wait: time.Since(start),
+	receiver.Data = func(b []byte) error {
+		if !started {
+			started = true
+			x.entry.Chooser.RecordFirstByte(routing.FirstByte{
+				AgentID: x.choice.AgentID, Incarnation: x.choice.Incarnation, Wait: time.Since(start),
 			})
 		}
 
@@ -113,35 +113,35 @@
 	return &status
 }
 
-// exclude notes that this request is not to go to its target again.
-func (k *course) exclude(err *verdict.Error) {
+// excludeTarget notes that this request is not to go to its target again.
+func (x *exchangeRun) excludeTarget(err *verdict.Error) {
 	switch {
-	case full(err):
+	case atCapacity(err):
 	case err.Cause == verdict.CauseStale:
-		k.stale = append(k.stale, k.choice.AgentID)
+		x.staleTargets = append(x.staleTargets, x.choice.AgentID)
 	default:
-		k.excluded = append(k.excluded, k.choice.AgentID)
+		x.excluded = append(x.excluded, x.choice.AgentID)
 	}
 }
 
-// learn tells the chooser how the attempt ended.
-func (k *course) learn(start time.Time, res agentclient.Result, status int32) {
+// recordOutcome tells the chooser how the attempt ended.
+func (x *exchangeRun) recordOutcome(start time.Time, res agentclient.Result, status int32) {
 	now := time.Now()
 	ev := routing.Finished{
-		AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation, Verdict: verdict.Ran,
+		AgentID: x.choice.AgentID, Incarnation: x.choice.Incarnation, Verdict: verdict.Ran,
 		Duration: now.Sub(start), ServerError: status >= 500,
 	}
 
 	if res.Err != nil {
 		ev.Verdict, ev.Cause, ev.RetryAt = res.Err.Verdict, res.Err.Cause, res.Err.RetryAt
-		k.exclude(res.Err)
+		x.excludeTarget(res.Err)
 	}
 
 	if ev.Cause == verdict.CauseSilent {
-		k.entry.Chooser.RecordUnresponsive(now, routing.ConnectionUnresponsive{AgentID: k.choice.AgentID, Incarnation: k.choice.Incarnation})
+		x.entry.Chooser.RecordUnresponsive(now, routing.ConnectionUnresponsive{AgentID: x.choice.AgentID, Incarnation: x.choice.Incarnation})
 	}
 
-	k.entry.Chooser.Finish(now, ev)
-	k.entry.takeCredit(now, k.call.service.GetName(), res.Load.GetCredit(), time.Time{})
-	k.entry.takeLoad(now, k.choice.AgentID, res.Load)
+	x.entry.Chooser.Finish(now, ev)
+	x.entry.applyCredit(now, x.call.service.GetName(), res.Load.GetCredit(), time.Time{})
+	x.entry.applyLoad(now, x.choice.AgentID, res.Load)
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// firstAskWait and maxAskWait bound the wait between two asks about one attempt.
-	firstAskWait = 50 * time.Millisecond
-	maxAskWait   = time.Second
-	// maxBreaks bounds how often one answer is resumed, resumePause the rate.
-	maxBreaks   = 3
-	resumePause = 20 * time.Millisecond
-	// maxAsks bounds the asks to an agent that does not answer.
-	maxAsks = 4
-	// busyRetry is when a caller whose key is in use elsewhere may come back.
-	busyRetry = time.Second
+	// minAskInterval and maxAskWait bound the wait between two asks about one attempt.
+	minAskInterval = 50 * time.Millisecond
+	maxAskInterval = time.Second
+	// maxInterruptions bounds how often one answer is resumed, resumePause the rate.
+	maxInterruptions = 3
+	resumeDelay      = 20 * time.Millisecond
+	// maxAskFailures bounds the asks to an agent that does not answer.
+	maxAskFailures = 4
+	// retryAfter is when a caller whose key is in use elsewhere may come back.
+	retryAfter = time.Second
 )
 
 // Exchange is the aggregate of one request. Its fields are set before Start.
@@ -38,20 +38,20 @@
 	Deadline time.Time
 	// Retry asks the entry's retry budget whether the request, after so many tries
 	// of which the last ended with err, may be tried again, and from when on.
-	Retry func(now time.Time, err *verdict.Error, tries int) (at time.Time, ok bool)
-
-	tries   int
-	own     *wire.ClaimHolder
-	asked   *wire.ClaimHolder
-	claimed string
-	granted bool
-	looked  bool
-	relayed bool
-	unsure  bool
-	breaks  int
-	asks    int
-	wait    time.Duration
-	last    *verdict.Error
+	Retry func(now time.Time, err *verdict.Error, attempts int) (at time.Time, ok bool)
+
+	attempts      int
+	ownAttempt    *wire.ClaimHolder
+	askedAttempt  *wire.ClaimHolder
+	claimedID     string
+	granted       bool
+	lookedUp      bool
+	relayed       bool
+	mayHaveRun    bool
+	interruptions int
+	askFailures   int
+	askInterval   time.Duration
+	lastErr       *verdict.Error
 }
 
 // Start returns the first action.
@@ -60,16 +60,16 @@
 }
 
 // Attempts returns how many attempts have been chosen.
-func (e *Exchange) Attempts() int { return e.tries }
+func (e *Exchange) Attempts() int { return e.attempts }
 
 // Chosen reports the attempt that is to be sent, with its target and credit.
 func (e *Exchange) Chosen(holder *wire.ClaimHolder) Action {
-	e.own = holder
-	e.asked = nil
-	e.tries++
+	e.ownAttempt = holder
+	e.askedAttempt = nil
+	e.attempts++
 
 	if e.Keyed && !e.Idempotent {
-		return Action{Kind: Claim, Replaces: e.claimed}
+		return Action{Kind: Claim, Replaces: e.claimedID}
 	}
 
 	return Action{Kind: Send, Resume: e.relayed}
@@ -81,7 +81,7 @@
 	case !e.relayed:
 		return e.refuse(err)
 	case err.RetryAt.IsZero() || !err.RetryAt.Before(e.Deadline) || err.Cause == verdict.CauseCancelled:
-		return e.broken(err)
+		return e.finishBroken(err)
 	default:
 		return Action{Kind: Choose, At: err.RetryAt, Resume: true}
 	}
@@ -91,7 +91,7 @@
 func (e *Exchange) Claimed(now time.Time, r *wire.ClaimResponse) Action {
 	switch r.GetState() {
 	case wire.ClaimState_ClaimGranted:
-		e.claimed = e.own.GetAttemptID()
+		e.claimedID = e.ownAttempt.GetAttemptID()
 		e.granted = true
 
 		return Action{Kind: Send}
@@ -104,7 +104,7 @@
 	case wire.ClaimState_ClaimLost:
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost})
 	case wire.ClaimState_ClaimFull:
-		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(busyRetry)))
+		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(retryAfter)))
 	default:
 		return e.ClaimFailed(now)
 	}
@@ -114,42 +114,42 @@
 // exchange sends nothing, but an earlier send of the same key may have run, so
 // NotRun would be a guess. A resend under the same key stays safe.
 func (e *Exchange) ClaimFailed(now time.Time) Action {
-	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(busyRetry)})
+	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(retryAfter)})
 }
 
 // LookedUp reports what a key stands for that this exchange is about to refuse.
 func (e *Exchange) LookedUp(now time.Time, r *wire.ClaimResponse) Action {
 	if r.GetState() == wire.ClaimState_ClaimFree {
-		return finish(e.last)
+		return finish(e.lastErr)
 	}
 
 	return e.Claimed(now, r)
 }
 
 // Ended reports how the attempt that was sent ended.
-func (e *Exchange) Ended(now time.Time, end Outcome) Action {
-	e.relayed = e.relayed || end.Relayed
+func (e *Exchange) Ended(now time.Time, outcome Outcome) Action {
+	e.relayed = e.relayed || outcome.Relayed
 
 	switch {
-	case end.Complete && e.granted && end.Relayed:
+	case outcome.Complete && e.granted && outcome.Relayed:
 		// The answer was too large to be recorded: resends learn that it is lost.
 		return e.settleThen(verdict.MayHaveRun, Action{Kind: Finish})
-	case end.Complete && e.granted:
-		return e.settleRan(end.Answer)
-	case end.Complete:
+	case outcome.Complete && e.granted:
+		return e.settleRan(outcome.Answer)
+	case outcome.Complete:
 		return Action{Kind: Finish}
-	case end.CallerDisconnected && !e.granted:
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: end.Err})
+	case outcome.CallerDisconnected && !e.granted:
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: outcome.Err})
 	case e.relayed:
-		return e.resume(now, end.Err)
-	case end.Err.Verdict == verdict.NotRun:
-		return e.again(now, end.Err)
+		return e.resume(now, outcome.Err)
+	case outcome.Err.Verdict == verdict.NotRun:
+		return e.retry(now, outcome.Err)
 	case e.Idempotent:
-		e.unsure = true
+		e.mayHaveRun = true
 
-		return e.again(now, end.Err)
+		return e.retry(now, outcome.Err)
 	default:
-		return e.askOwn(now, end.Err)
+		return e.askOwn(now, outcome.Err)
 	}
 }
 
@@ -157,7 +157,7 @@
 func (e *Exchange) Asked(now time.Time, r *wire.AskResponse) Action {
 	switch r.GetState() {
 	case wire.AskState_AskRunning:
-		e.asks = 0
+		e.askFailures = 0
 
 		return e.askAgain(now, verdict.CauseKeyBusy)
 	case wire.AskState_AskRan:
@@ -165,16 +165,16 @@
 	case wire.AskState_AskClosed:
 		return e.askedClosed(now)
 	default:
-		return e.lost()
+		return e.finishUnknown()
 	}
 }
 
 // AskFailed reports that the agent could not be asked. That says nothing of the
 // attempt, so a claim stays open for a later resend to ask again.
 func (e *Exchange) AskFailed(now time.Time) Action {
-	e.asks++
-	if e.asks >= maxAsks {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(busyRetry)})
+	e.askFailures++
+	if e.askFailures >= maxAskFailures {
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryAfter)})
 	}
 
 	return e.askAgain(now, verdict.CauseSilent)
@@ -188,10 +188,10 @@
 	return Action{Kind: Choose, At: now}
 }
 
-// again sends the request once more, if the retry budget leaves room. err is
+// retry sends the request once more, if the retry budget leaves room. err is
 // NotRun, or the call is idempotent.
-func (e *Exchange) again(now time.Time, err *verdict.Error) Action {
-	at, ok := e.Retry(now, err, e.tries)
+func (e *Exchange) retry(now time.Time, err *verdict.Error) Action {
+	at, ok := e.Retry(now, err, e.attempts)
 	if !ok {
 		return e.refuse(err)
 	}
@@ -205,41 +205,41 @@
 // its caller still waits. Only answers that break again and again end it.
 func (e *Exchange) resume(now time.Time, err *verdict.Error) Action {
 	if err.Verdict != verdict.NotRun {
-		e.breaks++
+		e.interruptions++
 	}
 
-	at := now.Add(resumePause)
-	if !e.Resumable || !e.Idempotent || e.breaks > maxBreaks || !at.Before(e.Deadline) {
-		return e.broken(err)
+	at := now.Add(resumeDelay)
+	if !e.Resumable || !e.Idempotent || e.interruptions > maxInterruptions || !at.Before(e.Deadline) {
+		return e.finishBroken(err)
 	}
 
 	return Action{Kind: Choose, At: at, Resume: true}
 }
 
 func (e *Exchange) askOwn(now time.Time, err *verdict.Error) Action {
-	e.last = err
-	e.asked = e.own
-	e.wait = firstAskWait
+	e.lastErr = err
+	e.askedAttempt = e.ownAttempt
+	e.askInterval = minAskInterval
 
-	return Action{Kind: Ask, Holder: e.asked, At: now}
+	return Action{Kind: Ask, Holder: e.askedAttempt, At: now}
 }
 
 func (e *Exchange) askOther(now time.Time, holder *wire.ClaimHolder) Action {
-	e.asked = holder
-	e.wait = firstAskWait
+	e.askedAttempt = holder
+	e.askInterval = minAskInterval
 
 	return Action{Kind: Ask, Holder: holder, At: now}
 }
 
 func (e *Exchange) askAgain(now time.Time, cause verdict.Cause) Action {
-	at := now.Add(e.wait)
-	e.wait = min(2*e.wait, maxAskWait)
+	at := now.Add(e.askInterval)
+	e.askInterval = min(2*e.askInterval, maxAskInterval)
 
 	if at.After(e.Deadline) {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(busyRetry)})
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryAfter)})
 	}
 
-	return Action{Kind: Ask, Holder: e.asked, At: at}
+	return Action{Kind: Ask, Holder: e.askedAttempt, At: at}
 }
 
 func (e *Exchange) askedRan(answer *wire.Answer) Action {
@@ -258,24 +258,24 @@
 
 // askedClosed goes on with a request whose attempt is now known never to run.
 func (e *Exchange) askedClosed(now time.Time) Action {
-	if e.asked != e.own {
+	if e.askedAttempt != e.ownAttempt {
 		// Another entry's attempt is closed: this exchange may take its claim over.
-		e.claimed = e.asked.GetAttemptID()
-		if e.looked {
-			return finish(e.last)
+		e.claimedID = e.askedAttempt.GetAttemptID()
+		if e.lookedUp {
+			return finish(e.lastErr)
 		}
 
 		return e.choose(now)
 	}
 
-	err := *e.last
+	err := *e.lastErr
 	err.Verdict = verdict.NotRun
 
-	return e.again(now, &err)
+	return e.retry(now, &err)
 }
 
-// lost ends an exchange whose agent cannot tell, because its incarnation is gone.
-func (e *Exchange) lost() Action {
+// finishUnknown ends an exchange whose agent cannot tell, because its incarnation is gone.
+func (e *Exchange) finishUnknown() Action {
 	err := &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost}
 
 	return e.settleThen(verdict.MayHaveRun, finish(err))
@@ -283,21 +283,21 @@
 
 // refuse ends an exchange without an answer. A claim that it holds is freed.
 func (e *Exchange) refuse(err *verdict.Error) Action {
-	e.last = err
+	e.lastErr = err
 
 	switch {
 	case err.Verdict != verdict.NotRun:
 		return finish(err)
-	case e.unsure:
+	case e.mayHaveRun:
 		// An earlier attempt of this idempotent request may have run: that the last
 		// one did not is no ground for telling the caller NotRun.
-		return e.broken(err)
+		return e.finishBroken(err)
 	case e.granted:
 		return e.settleThen(verdict.NotRun, finish(err))
-	case e.Keyed && !e.Idempotent && !e.looked:
+	case e.Keyed && !e.Idempotent && !e.lookedUp:
 		// A resend refused here (overload, no target) may be of a key that ran before:
 		// its caller would take NotRun as leave to book under a new key.
-		e.looked = true
+		e.lookedUp = true
 
 		return Action{Kind: LookUp}
 	default:
@@ -305,8 +305,8 @@
 	}
 }
 
-// broken ends an answer of which the caller has some. It is never ended as if whole.
-func (e *Exchange) broken(err *verdict.Error) Action {
+// finishBroken ends an answer of which the caller has some. It is never ended as if whole.
+func (e *Exchange) finishBroken(err *verdict.Error) Action {
 	broken := *err
 	broken.Verdict = verdict.MayHaveRun
 
@@ -326,9 +326,9 @@
 		return then
 	}
 
-	attempt := e.claimed
-	if e.asked != nil {
-		attempt = e.asked.GetAttemptID()
+	attempt := e.claimedID
+	if e.askedAttempt != nil {
+		attempt = e.askedAttempt.GetAttemptID()
 	}
 
 	return Action{Kind: Settle, Verdict: v, Attempt: attempt, Then: &then}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -56,14 +56,14 @@
 		Keyed:      d.HasArg("keyed"),
 		Resumable:  d.HasArg("resumable"),
 		Deadline:   s.start.Add(10 * time.Second),
-		Retry: func(now time.Time, _ *verdict.Error, tries int) (time.Time, bool) {
+		Retry: func(now time.Time, _ *verdict.Error, attempts int) (time.Time, bool) {
 			s.budget--
 
-			return now, s.budget >= 0 && tries < 4 && now.Before(s.start.Add(10*time.Second))
+			return now, s.budget >= 0 && attempts < 4 && now.Before(s.start.Add(10*time.Second))
 		},
 	}
 
-	return s.text(s.e.Start(s.now))
+	return s.actionLine(s.e.Start(s.now))
 }
 
 func (s *script) reports(t *testing.T, input string) string {
@@ -71,24 +71,24 @@
 
 	var out strings.Builder
 	for line := range strings.Lines(input) {
-		out.WriteString(s.text(s.report(t, strings.Fields(line))))
+		out.WriteString(s.actionLine(s.report(t, strings.Fields(line))))
 	}
 
 	return out.String()
 }
 
-func (s *script) report(t *testing.T, f []string) exchange.Action {
+func (s *script) report(t *testing.T, words []string) exchange.Action {
 	t.Helper()
 
 	arg := func(n int) string {
-		if n < len(f) {
-			return f[n]
+		if n < len(words) {
+			return words[n]
 		}
 
 		return ""
 	}
 
-	switch f[0] {
+	switch words[0] {
 	case "after":
 		d, err := time.ParseDuration(arg(1))
 		if err != nil {
@@ -97,25 +97,25 @@
 
 		s.now = s.now.Add(d)
 
-		return s.report(t, f[2:])
+		return s.report(t, words[2:])
 	case "chosen":
 		return s.e.Chosen(&wire.ClaimHolder{AttemptID: arg(1)})
 	case "no-target":
 		return s.e.NoTarget(verdict.Refuse(verdict.CauseNoTarget, s.retryAt(arg(1))))
 	case "claimed":
-		return s.e.Claimed(s.now, claim(arg(1), arg(2)))
+		return s.e.Claimed(s.now, claimResponse(arg(1), arg(2)))
 	case "looked-up":
-		return s.e.LookedUp(s.now, claim(arg(1), arg(2)))
+		return s.e.LookedUp(s.now, claimResponse(arg(1), arg(2)))
 	case "claim-failed":
 		return s.e.ClaimFailed(s.now)
 	case "ended":
-		return s.e.Ended(s.now, end(f[1:]))
+		return s.e.Ended(s.now, attemptOutcome(words[1:]))
 	case "asked":
-		return s.e.Asked(s.now, asked(arg(1), arg(2)))
+		return s.e.Asked(s.now, askResponse(arg(1), arg(2)))
 	case "ask-failed":
 		return s.e.AskFailed(s.now)
 	default:
-		t.Fatalf("unknown report %v", f)
+		t.Fatalf("unknown report %v", words)
 
 		return exchange.Action{}
 	}
@@ -131,7 +131,7 @@
 	return s.now.Add(d)
 }
 
-func claim(state, arg string) *wire.ClaimResponse {
+func claimResponse(state, arg string) *wire.ClaimResponse {
 	r := &wire.ClaimResponse{State: wire.ClaimState(wire.ClaimState_value["Claim"+state])}
 
 	switch r.State {
@@ -145,55 +145,55 @@
 	return r
 }
 
-func asked(state, answer string) *wire.AskResponse {
+func askResponse(state, body string) *wire.AskResponse {
 	r := &wire.AskResponse{State: wire.AskState(wire.AskState_value["Ask"+state])}
-	if answer != "" {
-		r.Answer = &wire.Answer{Body: []byte(answer)}
+	if body != "" {
+		r.Answer = &wire.Answer{Body: []byte(body)}
 	}
 
 	return r
 }
 
-func end(f []string) exchange.Outcome {
-	e := exchange.Outcome{Err: &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent}}
+func attemptOutcome(words []string) exchange.Outcome {
+	outcome := exchange.Outcome{Err: &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent}}
 
-	for _, word := range f {
+	for _, word := range words {
 		switch word {
 		case "whole":
-			e.Complete = true
-			e.Err = nil
-			e.Answer = &wire.Answer{Body: []byte("fresh")}
+			outcome.Complete = true
+			outcome.Err = nil
+			outcome.Answer = &wire.Answer{Body: []byte("fresh")}
 		case "relayed":
-			e.Relayed = true
+			outcome.Relayed = true
 		case "caller-gone":
-			e.CallerDisconnected = true
+			outcome.CallerDisconnected = true
 		case "silent":
 		default:
-			e.Err = verdict.Refuse(verdict.Cause(word), time.Time{})
+			outcome.Err = verdict.Refuse(verdict.Cause(word), time.Time{})
 		}
 	}
 
-	return e
+	return outcome
 }
 
-func (s *script) text(a exchange.Action) string {
-	return s.words(a) + "\n"
+func (s *script) actionLine(a exchange.Action) string {
+	return s.describe(a) + "\n"
 }
 
-func (s *script) words(a exchange.Action) string {
+func (s *script) describe(a exchange.Action) string {
 	switch a.Kind {
 	case exchange.Choose:
-		return fmt.Sprintf("Choose%s%s", when(a.Resume, " to resume"), when(a.At.After(s.now), " at "+a.At.Sub(s.start).String()))
+		return fmt.Sprintf("Choose%s%s", textIf(a.Resume, " to resume"), textIf(a.At.After(s.now), " at "+a.At.Sub(s.start).String()))
 	case exchange.Claim:
 		return fmt.Sprintf("Claim replacing %q", a.Replaces)
 	case exchange.Send:
-		return fmt.Sprintf("Send%s", when(a.Resume, " to resume"))
+		return fmt.Sprintf("Send%s", textIf(a.Resume, " to resume"))
 	case exchange.Ask:
 		return fmt.Sprintf("Ask %s at %s", a.Holder.GetAttemptID(), a.At.Sub(s.start))
 	case exchange.LookUp:
 		return "LookUp"
 	case exchange.Settle:
-		return fmt.Sprintf("Settle %s %s, then %s", a.Attempt, a.Verdict, s.words(*a.Then))
+		return fmt.Sprintf("Settle %s %s, then %s", a.Attempt, a.Verdict, s.describe(*a.Then))
 	case exchange.Deliver:
 		return fmt.Sprintf("Deliver %q", a.Answer.GetBody())
 	case exchange.Finish:
@@ -207,7 +207,7 @@
 	}
 }
 
-func when(b bool, s string) string {
+func textIf(b bool, s string) string {
 	if b {
 		return s
 	}
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -28,7 +28,7 @@
 		services[name] = true
 	}
 
-	places := make(map[place]bool, len(d.Routes))
+	keys := make(map[routeKey]bool, len(d.Routes))
 
 	for i := range d.Routes {
 		r := &d.Routes[i]
@@ -36,14 +36,14 @@
 			return err
 		}
 
-		if places[placeOf(r)] {
+		if keys[keyOf(r)] {
 			return &InvalidError{Subject: r.subject(), Problem: "another route has the same host and prefix"}
 		}
 
-		places[placeOf(r)] = true
+		keys[keyOf(r)] = true
 	}
 
-	return d.checkKeys()
+	return d.checkWorkspaceKeys()
 }
 
 func (r *Route) subject() string { return fmt.Sprintf("route %q", r.Name) }
@@ -71,16 +71,16 @@
 	return nil
 }
 
-func (d *Declaration) checkKeys() error {
-	holders := map[string]string{}
+func (d *Declaration) checkWorkspaceKeys() error {
+	owners := map[string]string{}
 
 	for _, w := range d.Workspaces {
 		for _, key := range w.Keys {
-			if other, ok := holders[key]; ok && other != w.Name {
+			if other, ok := owners[key]; ok && other != w.Name {
 				return &InvalidError{Subject: fmt.Sprintf("workspace %q", w.Name), Problem: fmt.Sprintf("shares a key with workspace %q", other)}
 			}
 
-			holders[key] = w.Name
+			owners[key] = w.Name
 		}
 	}
 
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -58,14 +58,14 @@
 		total += uint64(s.Weight)
 	}
 
-	at := uint64(n * float64(total))
+	offset := uint64(n * float64(total))
 
 	for _, s := range r.Shares {
-		if at < uint64(s.Weight) {
+		if offset < uint64(s.Weight) {
 			return s.Service
 		}
 
-		at -= uint64(s.Weight)
+		offset -= uint64(s.Weight)
 	}
 
 	return ""
@@ -124,14 +124,14 @@
 	Limits     Limits
 }
 
-// place is where a route stands; no two routes share one.
-type place struct{ host, prefix string }
+// routeKey is where a route stands; no two routes share one.
+type routeKey struct{ host, prefix string }
 
 // Table answers questions about a valid declaration. It never changes.
 type Table struct {
 	Declaration
 
-	routes     map[place]*Route
+	routes     map[routeKey]*Route
 	services   map[string]*Service
 	workspaces map[string]*Workspace
 }
@@ -144,13 +144,13 @@
 
 	t := &Table{
 		Declaration: d,
-		routes:      make(map[place]*Route, len(d.Routes)),
+		routes:      make(map[routeKey]*Route, len(d.Routes)),
 		services:    make(map[string]*Service, len(d.Services)),
 		workspaces:  map[string]*Workspace{},
 	}
 
 	for i := range d.Routes {
-		t.routes[placeOf(&d.Routes[i])] = &d.Routes[i]
+		t.routes[keyOf(&d.Routes[i])] = &d.Routes[i]
 	}
 
 	for i := range d.Services {
@@ -166,14 +166,14 @@
 	return t, nil
 }
 
-func placeOf(r *Route) place { return place{host: strings.ToLower(r.Host), prefix: r.Prefix} }
+func keyOf(r *Route) routeKey { return routeKey{host: strings.ToLower(r.Host), prefix: r.Prefix} }
 
 // Find returns the route with the longest prefix that begins path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	host = strings.ToLower(host)
 
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if r := t.routes[place{host: host, prefix: path[:end+1]}]; r != nil {
+		if r := t.routes[routeKey{host: host, prefix: path[:end+1]}]; r != nil {
 			return r
 		}
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/internal/routes"
 )
 
-// declaration returns a right one, changed by edit.
-func declaration(edit func(d *routes.Declaration)) routes.Declaration {
+// validDeclaration returns a right one, changed by edit.
+func validDeclaration(edit func(d *routes.Declaration)) routes.Declaration {
 	d := routes.Declaration{
 		Number: 7,
 		Services: []routes.Service{
@@ -34,7 +34,7 @@
 
 // An operator sends a configuration that cannot be in force. It is refused with
 // what is wrong and where, and the one in force stays.
-func TestInvalidDeclarations(t *testing.T) {
+func TestInvalidDeclarationsAreRejected(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			_, err := routes.NewTable(declaration(c.edit))
+			_, err := routes.NewTable(validDeclaration(c.edit))
 			require.EqualError(t, err, c.want)
 
 			var invalid *routes.InvalidError
@@ -71,7 +71,7 @@
 func TestFind(t *testing.T) {
 	t.Parallel()
 
-	table, err := routes.NewTable(declaration(nil))
+	table, err := routes.NewTable(validDeclaration(nil))
 	require.NoError(t, err)
 
 	cases := []struct{ host, path, want string }{
@@ -105,32 +105,32 @@
 func TestPickFollowsTheWeights(t *testing.T) {
 	t.Parallel()
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 	r := &d.Routes[1]
-	n := map[string]int{}
+	picked := map[string]int{}
 
 	for i := range 1000 {
-		n[r.Pick(float64(i)/1000)]++
+		picked[r.Pick(float64(i)/1000)]++
 	}
 
-	require.Equal(t, map[string]int{"drafts": 900, "desk": 100}, n)
+	require.Equal(t, map[string]int{"drafts": 900, "desk": 100}, picked)
 	// The largest number below 1 must not fall past the last share.
 	require.Equal(t, "desk", r.Pick(0.9999999999999999))
 }
 
 // A declaration goes over the wire to entries. What is lost on the way would be in
 // force nowhere while the operator was told that it is.
-func TestWireKeepsEverything(t *testing.T) {
+func TestWireRoundTripKeepsAllFields(t *testing.T) {
 	t.Parallel()
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 	require.Equal(t, d, routes.FromWire(d.ToWire()))
 }
 
 func FuzzFind(f *testing.F) {
 	f.Add("desk.example", "/kiln/drafts/1")
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 
 	table, err := routes.NewTable(d)
 	require.NoError(f, err)
--- a/internal/streams/plan.go
+++ b/internal/streams/plan.go
@@ -110,15 +110,15 @@
 
 // Plan decides about all streams of a leaving target. Those with most to come
 // are looked at first: they hold the stop up longest, and gain most by leaving.
-func (p Planner) Plan(now time.Time, l DrainingTarget, list []Stream, to []Destination) []Decision {
-	r := &round{Planner: p.withDefaults(), now: now, leaving: l, to: slices.Clone(to), linkFree: now}
+func (p Planner) Plan(now time.Time, target DrainingTarget, list []Stream, destinations []Destination) []Decision {
+	state := &planState{Planner: p.withDefaults(), now: now, target: target, destinations: slices.Clone(destinations), linkFree: now}
 
 	order := slices.Clone(list)
 	slices.SortStableFunc(order, func(a, b Stream) int { return cmp.Compare(b.Remaining, a.Remaining) })
 
 	out := make([]Decision, 0, len(order))
 	for _, s := range order {
-		out = append(out, r.decide(s))
+		out = append(out, state.decide(s))
 	}
 
 	return out
--- a/internal/streams/plan_test.go
+++ b/internal/streams/plan_test.go
@@ -13,10 +13,10 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func leaving(by time.Duration) streams.DrainingTarget {
+func drainingTarget(deadline time.Duration) streams.DrainingTarget {
 	l := streams.DrainingTarget{TokensPerSecond: 20, BytesPerSecond: 1 << 30}
-	if by > 0 {
-		l.Deadline = epoch.Add(by)
+	if deadline > 0 {
+		l.Deadline = epoch.Add(deadline)
 	}
 
 	return l
@@ -30,7 +30,7 @@
 	short := long
 	short.Remaining = 20
 
-	change := func(s streams.Stream, f func(*streams.Stream)) streams.Stream {
+	edited := func(s streams.Stream, f func(*streams.Stream)) streams.Stream {
 		f(&s)
 
 		return s
@@ -46,19 +46,19 @@
 	}{
 		{"nearly done", short, 0, dest, streams.Stay, false},
 		{"long, cache moves faster", long, 0, dest, streams.Move, false},
-		{"long, no export", change(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
-		{"large cache, small text", change(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
-		{"may not run twice and no export", change(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
+		{"long, no export", edited(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
+		{"large cache, small text", edited(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
+		{"may not run twice and no export", edited(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
 		{"no place elsewhere", long, 20 * time.Second, streams.Destination{}, streams.Stay, true},
-		{"a long stall without need", change(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
-		{"a long stall to be gone in time", change(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
+		{"a long stall without need", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
+		{"a long stall to be gone in time", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
 	}
 
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			got := streams.Planner{}.Plan(epoch, leaving(tc.by), []streams.Stream{tc.s}, []streams.Destination{tc.to})
+			got := streams.Planner{}.Plan(epoch, drainingTarget(tc.by), []streams.Stream{tc.s}, []streams.Destination{tc.to})
 			require.Len(t, got, 1)
 			require.Equal(t, tc.want, got[0].Kind)
 			require.Equal(t, tc.overrun, got[0].Overrun)
@@ -69,19 +69,19 @@
 }
 
 // Destinations and the export link are shared by all streams of a plan.
-func TestPlanFillsPlacesOnce(t *testing.T) {
+func TestPlanSharesDestinationsAndExportLink(t *testing.T) {
 	t.Parallel()
 
-	list, to := load(64, 1)
-	taken := map[string]int{}
+	list, to := randomStreams(64, 1)
+	assigned := map[string]int{}
 	linkFree := epoch
 
-	for _, d := range (streams.Planner{}).Plan(epoch, leaving(0), list, to) {
+	for _, d := range (streams.Planner{}).Plan(epoch, drainingTarget(0), list, to) {
 		if d.Kind == streams.Stay {
 			continue
 		}
 
-		taken[d.To]++
+		assigned[d.To]++
 
 		if d.Kind == streams.Move {
 			require.False(t, d.StartAt.Before(linkFree), "two exports at once")
@@ -90,13 +90,13 @@
 	}
 
 	for _, d := range to {
-		require.LessOrEqual(t, taken[d.AgentID], d.Free)
+		require.LessOrEqual(t, assigned[d.AgentID], d.Free)
 	}
 }
 
-// load draws streams: prompts of 500 to 8,000 tokens, 128 KB of cache a token,
+// randomStreams draws streams: prompts of 500 to 8,000 tokens, 128 KB of cache a token,
 // half of them may be computed anew.
-func load(n int, seed uint64) ([]streams.Stream, []streams.Destination) {
+func randomStreams(n int, seed uint64) ([]streams.Stream, []streams.Destination) {
 	r := rand.New(rand.NewPCG(seed, seed))
 	list := make([]streams.Stream, n)
 
@@ -117,7 +117,7 @@
 // BenchmarkPlan measures when a target with 64 streams is empty and what its
 // callers wait for that, against letting all finish and moving all that can.
 func BenchmarkPlan(b *testing.B) {
-	ways := []struct {
+	planners := []struct {
 		name string
 		p    streams.Planner
 	}{
@@ -126,32 +126,32 @@
 		{"Ours", streams.Planner{}},
 	}
 
-	for _, w := range ways {
-		b.Run(w.name, func(b *testing.B) {
+	for _, tc := range planners {
+		b.Run(tc.name, func(b *testing.B) {
 			var got []streams.Decision
 
-			list, to := load(64, 1)
+			list, to := randomStreams(64, 1)
 
 			b.ReportAllocs()
 
 			for b.Loop() {
-				got = w.p.Plan(epoch, leaving(0), list, to)
+				got = tc.p.Plan(epoch, drainingTarget(0), list, to)
 			}
 
-			empty, stall, left := 0.0, 0.0, 0.0
+			empty, stall, moved := 0.0, 0.0, 0.0
 
 			for _, d := range got {
 				empty = max(empty, d.DoneAt.Sub(epoch).Seconds())
 				stall += d.Stall.Seconds()
 
 				if d.Kind != streams.Stay {
-					left++
+					moved++
 				}
 			}
 
 			b.ReportMetric(empty, "empty-after-s")
 			b.ReportMetric(stall/64, "stall-s/stream")
-			b.ReportMetric(left, "left")
+			b.ReportMetric(moved, "left")
 		})
 	}
 }
