--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/draft_fault_test.go
@@ -88,7 +88,7 @@
 		},
 		{
 			name: "the next target answers with an error page, not the rest",
-			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), truncated: true},
+			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), cutOff: true},
 			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 2))
@@ -101,7 +101,7 @@
 		},
 		{
 			name: "no event stream: it cannot be continued",
-			want: callerResult{status: 200, verdict: "Ran", body: "half", truncated: true},
+			want: callerResult{status: 200, verdict: "Ran", body: "half", cutOff: true},
 			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, "application/json")
 				s.data("half")
@@ -110,7 +110,7 @@
 		},
 		{
 			name: "events without ids: they cannot be continued",
-			want: callerResult{status: 200, verdict: "Ran", body: "data: one\n\n", truncated: true},
+			want: callerResult{status: 200, verdict: "Ran", body: "data: one\n\n", cutOff: true},
 			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data("data: one\n\n")
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -261,8 +261,8 @@
 	retryAfter string
 	body       string
 	keyWindow  string
-	// truncated says that the answer broke off.
-	truncated bool
+	// cutOff says that the answer broke off.
+	cutOff bool
 }
 
 func (r *fixture) post(path, body string, headers ...string) callerResult {
@@ -292,7 +292,7 @@
 	return callerResult{
 		keyWindow: resp.Header.Get(HeaderKeyWindow),
 		status:    resp.StatusCode, verdict: resp.Header.Get(HeaderVerdict), cause: resp.Header.Get(HeaderCause),
-		retryAfter: resp.Header.Get("Retry-After"), body: string(text), truncated: err != nil,
+		retryAfter: resp.Header.Get("Retry-After"), body: string(text), cutOff: err != nil,
 	}
 }
 
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -83,21 +83,21 @@
 
 // enqueue waits for the turn of an item. It returns the refusal of an item that
 // the queue gave up, or that its caller did.
-func (q *queue) enqueue(ctx context.Context, it fairness.Item) *verdict.Error {
+func (q *queue) enqueue(ctx context.Context, item fairness.Item) *verdict.Error {
 	turn := make(chan fairness.Action, 1)
 
 	q.mu.Lock()
-	q.waiting[it.ID] = turn
+	q.waiting[item.ID] = turn
 	q.mu.Unlock()
 
-	action, others := q.core.Offer(time.Now(), it)
+	action, others := q.core.Offer(time.Now(), item)
 	if action.Kind != fairness.Wait {
 		others = append(others, action)
 	}
 
 	q.deliver(others)
 
-	return q.awaitTurn(ctx, it.ID, turn)
+	return q.awaitTurn(ctx, item.ID, turn)
 }
 
 // requeue waits for another turn, where no target had room in this one.
@@ -137,8 +137,8 @@
 }
 
 // release frees the place of an item; ran says that it ran to its end.
-func (q *queue) release(id uint64, ran bool) {
-	if ran {
+func (q *queue) release(id uint64, completed bool) {
+	if completed {
 		q.deliver(q.core.Finish(time.Now(), id))
 
 		return
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -7,31 +7,35 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Kind names what the shell does next.
+// Kind is the kind of an Action.
 type Kind uint8
 
 // The kinds of Action.
 const (
-	// Choose picks a target, not before At, and gets a credit from its agent.
+	// Choose chooses a target, not before At, and obtains a credit from its agent.
 	Choose Kind = iota + 1
-	// Claim commits a claim for the chosen attempt, replacing Replaces.
+	// Claim commits a claim of the idempotency key for the chosen attempt. Replaces is
+	// the ID of the attempt whose claim it replaces, if any.
 	Claim
-	// Send sends the chosen attempt.
+	// Send sends the request as the chosen attempt.
 	Send
-	// Ask asks Holder's agent, over a new connection, what became of its attempt,
-	// not before At, and closes it.
+	// Ask asks the agent of Holder, not before At and over a new connection, for the
+	// state of the holder's attempt. An attempt that has not arrived is closed: the
+	// agent will not run it later.
 	Ask
-	// LookUp asks the control VMs what the key stands for, without claiming it.
+	// LookUp asks the control VMs for the claim of the idempotency key without claiming
+	// it.
 	LookUp
-	// Settle records Verdict, and with Ran the Answer, for the claim; Then follows whatever comes of it.
+	// Settle records Verdict for the claim, and Answer if the verdict is Ran. Then
+	// follows whether or not this succeeds.
 	Settle
-	// Deliver gives Answer to the caller, less what has been relayed already.
+	// Deliver writes Answer to the caller.
 	Deliver
-	// Finish ends the exchange: with Err, or whole where Err is nil.
+	// Finish ends the exchange, with Err or, if Err is nil, with a complete answer.
 	Finish
 )
 
-// Action is one step for the shell.
+// Action is what the caller of an Exchange has to do next.
 type Action struct {
 	Kind     Kind
 	Replaces string
@@ -45,16 +49,18 @@
 	Then     *Action
 }
 
-// Outcome tells how an attempt that was sent ended.
+// Outcome describes how an attempt that was sent ended.
 type Outcome struct {
-	// Complete: the answer arrived with its closing frame, length and digest right.
+	// Complete is set if the answer arrived with its closing frame and with the right
+	// length and digest.
 	Complete bool
-	// Answer is the whole answer of a keyed request, which is recorded before it is relayed.
+	// Answer is the complete answer of a keyed request. It is recorded before the
+	// caller receives it.
 	Answer *wire.Answer
-	// Relayed: some of the answer has reached the caller.
+	// Relayed is set if the caller has received a part of the answer.
 	Relayed bool
-	// CallerDisconnected: the caller has disconnected.
+	// CallerDisconnected is set if the caller has disconnected.
 	CallerDisconnected bool
-	// Err is set where Whole is not.
+	// Err is set if Complete is not.
 	Err *verdict.Error
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,8 +1,8 @@
-// Package exchange holds the course of one request at an entry, from choosing a
-// target to the last word to the caller, as a core without I/O. The shell does
-// what an Action says and reports what came of it; each report returns the next
-// Action. Two rules decide everything: only a request that did not run, or an
-// idempotent one, is sent again, and NotRun is said only when it is known.
+// Package exchange is the state machine of one request at an entry, from choosing a
+// target to the final response to the caller. It does no I/O: the entry performs each
+// Action and reports the result by a method, which returns the next Action. Two rules
+// apply throughout: a request is sent again only if it did not run or is idempotent,
+// and the caller gets the verdict NotRun only if it is certain.
 package exchange
 
 import (
@@ -13,31 +13,34 @@
 )
 
 const (
-	// minAskInterval and maxAskWait bound the wait between two asks about one attempt.
+	// minAskInterval and maxAskInterval bound the time between two queries for the
+	// state of an attempt. The interval doubles each time.
 	minAskInterval = 50 * time.Millisecond
 	maxAskInterval = time.Second
-	// maxInterruptions bounds how often one answer is resumed, resumePause the rate.
+	// maxInterruptions bounds how often one answer is resumed. resumeDelay is the time
+	// before each resumption.
 	maxInterruptions = 3
 	resumeDelay      = 20 * time.Millisecond
-	// maxAskFailures bounds the asks to an agent that does not answer.
+	// maxAskFailures bounds the queries to an agent that does not answer.
 	maxAskFailures = 4
-	// retryAfter is when a caller whose key is in use elsewhere may come back.
-	retryAfter = time.Second
+	// retryDelay is the time after which a caller may retry when its key is in use, or
+	// when the outcome or the claim cannot be determined at the moment.
+	retryDelay = time.Second
 )
 
-// Exchange is the aggregate of one request. Its fields are set before Start.
+// Exchange is the state of one request. Its exported fields must be set before Start.
 type Exchange struct {
-	// Idempotent says that the service declares this call repeatable.
+	// Idempotent is set if the service declares this call idempotent.
 	Idempotent bool
-	// Keyed says that the caller gave an idempotency key.
+	// Keyed is set if the caller sent an idempotency key.
 	Keyed bool
-	// Resumable says that another target can continue what was relayed of this
-	// answer; it is set before Ended.
+	// Resumable is set if another target can continue the relayed part of this answer.
+	// Unlike the other fields it is set before each call of Ended.
 	Resumable bool
-	// Deadline is the caller's.
+	// Deadline is the caller's deadline.
 	Deadline time.Time
-	// Retry asks the entry's retry budget whether the request, after so many tries
-	// of which the last ended with err, may be tried again, and from when on.
+	// Retry asks the entry's retry budget whether the request may be sent again after
+	// the given number of attempts, the last of which ended with err, and from when on.
 	Retry func(now time.Time, err *verdict.Error, attempts int) (at time.Time, ok bool)
 
 	attempts      int
@@ -62,7 +65,7 @@
 // Attempts returns how many attempts have been chosen.
 func (e *Exchange) Attempts() int { return e.attempts }
 
-// Chosen reports the attempt that is to be sent, with its target and credit.
+// Chosen reports that a target and credit were chosen for the attempt in holder.
 func (e *Exchange) Chosen(holder *wire.ClaimHolder) Action {
 	e.ownAttempt = holder
 	e.askedAttempt = nil
@@ -81,13 +84,13 @@
 	case !e.relayed:
 		return e.refuse(err)
 	case err.RetryAt.IsZero() || !err.RetryAt.Before(e.Deadline) || err.Cause == verdict.CauseCancelled:
-		return e.finishBroken(err)
+		return e.finishMayHaveRun(err)
 	default:
 		return Action{Kind: Choose, At: err.RetryAt, Resume: true}
 	}
 }
 
-// Claimed reports what the control VMs answered to a claim.
+// Claimed reports the control VMs' response to a claim.
 func (e *Exchange) Claimed(now time.Time, r *wire.ClaimResponse) Action {
 	switch r.GetState() {
 	case wire.ClaimState_ClaimGranted:
@@ -104,20 +107,20 @@
 	case wire.ClaimState_ClaimLost:
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost})
 	case wire.ClaimState_ClaimFull:
-		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(retryAfter)))
+		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(retryDelay)))
 	default:
 		return e.ClaimFailed(now)
 	}
 }
 
-// ClaimFailed reports that no control VM answered a claim or a look-up. This
-// exchange sends nothing, but an earlier send of the same key may have run, so
-// NotRun would be a guess. A resend under the same key stays safe.
+// ClaimFailed reports that no control VM answered a claim or a look-up. This exchange
+// sends nothing, but an earlier request with the same key may have run, so the verdict
+// is not NotRun. The caller can safely resend under the same key.
 func (e *Exchange) ClaimFailed(now time.Time) Action {
-	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(retryAfter)})
+	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(retryDelay)})
 }
 
-// LookedUp reports what a key stands for that this exchange is about to refuse.
+// LookedUp reports the state of the key of a request that is about to be refused.
 func (e *Exchange) LookedUp(now time.Time, r *wire.ClaimResponse) Action {
 	if r.GetState() == wire.ClaimState_ClaimFree {
 		return finish(e.lastErr)
@@ -132,7 +135,7 @@
 
 	switch {
 	case outcome.Complete && e.granted && outcome.Relayed:
-		// The answer was too large to be recorded: resends learn that it is lost.
+		// The answer was too large to be recorded, so resends get AnswerLost.
 		return e.settleThen(verdict.MayHaveRun, Action{Kind: Finish})
 	case outcome.Complete && e.granted:
 		return e.settleRan(outcome.Answer)
@@ -141,7 +144,7 @@
 	case outcome.CallerDisconnected && !e.granted:
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: outcome.Err})
 	case e.relayed:
-		return e.resume(now, outcome.Err)
+		return e.resumeStream(now, outcome.Err)
 	case outcome.Err.Verdict == verdict.NotRun:
 		return e.retry(now, outcome.Err)
 	case e.Idempotent:
@@ -153,7 +156,7 @@
 	}
 }
 
-// Asked reports what an agent said of the attempt that Ask named.
+// Asked reports an agent's response to Ask.
 func (e *Exchange) Asked(now time.Time, r *wire.AskResponse) Action {
 	switch r.GetState() {
 	case wire.AskState_AskRunning:
@@ -165,16 +168,16 @@
 	case wire.AskState_AskClosed:
 		return e.askedClosed(now)
 	default:
-		return e.finishUnknown()
+		return e.finishAnswerLost()
 	}
 }
 
-// AskFailed reports that the agent could not be asked. That says nothing of the
-// attempt, so a claim stays open for a later resend to ask again.
+// AskFailed reports that the agent could not be reached. The state of the attempt
+// remains unknown, so its claim stays open and a later resend can ask again.
 func (e *Exchange) AskFailed(now time.Time) Action {
 	e.askFailures++
 	if e.askFailures >= maxAskFailures {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryAfter)})
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryDelay)})
 	}
 
 	return e.askAgain(now, verdict.CauseSilent)
@@ -188,8 +191,8 @@
 	return Action{Kind: Choose, At: now}
 }
 
-// retry sends the request once more, if the retry budget leaves room. err is
-// NotRun, or the call is idempotent.
+// retry sends the request again if the retry budget permits. err must be NotRun or the
+// call idempotent.
 func (e *Exchange) retry(now time.Time, err *verdict.Error) Action {
 	at, ok := e.Retry(now, err, e.attempts)
 	if !ok {
@@ -199,18 +202,18 @@
 	return Action{Kind: Choose, At: at}
 }
 
-// resume continues a stream of which the caller has some. It asks no retry
-// budget: the broken attempt has freed its place, so going on adds no load, and
-// targets that are full at the moment are no reason to cut an answer off while
-// its caller still waits. Only answers that break again and again end it.
-func (e *Exchange) resume(now time.Time, err *verdict.Error) Action {
+// resumeStream continues a stream of which the caller has received a part. It does not
+// use the retry budget: the interrupted attempt has freed its slot, so a resumption
+// adds no load, and targets that are full at the moment are no reason to cut off an
+// answer while its caller waits. The resumptions are bounded by maxInterruptions.
+func (e *Exchange) resumeStream(now time.Time, err *verdict.Error) Action {
 	if err.Verdict != verdict.NotRun {
 		e.interruptions++
 	}
 
 	at := now.Add(resumeDelay)
 	if !e.Resumable || !e.Idempotent || e.interruptions > maxInterruptions || !at.Before(e.Deadline) {
-		return e.finishBroken(err)
+		return e.finishMayHaveRun(err)
 	}
 
 	return Action{Kind: Choose, At: at, Resume: true}
@@ -236,7 +239,7 @@
 	e.askInterval = min(2*e.askInterval, maxAskInterval)
 
 	if at.After(e.Deadline) {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryAfter)})
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryDelay)})
 	}
 
 	return Action{Kind: Ask, Holder: e.askedAttempt, At: at}
@@ -256,10 +259,10 @@
 	return e.settleThen(verdict.MayHaveRun, finish(err))
 }
 
-// askedClosed goes on with a request whose attempt is now known never to run.
+// askedClosed continues a request whose attempt is closed and can no longer run.
 func (e *Exchange) askedClosed(now time.Time) Action {
 	if e.askedAttempt != e.ownAttempt {
-		// Another entry's attempt is closed: this exchange may take its claim over.
+		// Another entry's attempt is closed, so this exchange may replace its claim.
 		e.claimedID = e.askedAttempt.GetAttemptID()
 		if e.lookedUp {
 			return finish(e.lastErr)
@@ -274,14 +277,15 @@
 	return e.retry(now, &err)
 }
 
-// finishUnknown ends an exchange whose agent cannot tell, because its incarnation is gone.
-func (e *Exchange) finishUnknown() Action {
+// finishAnswerLost ends an exchange whose attempt the agent has no record of, for example
+// because the agent restarted.
+func (e *Exchange) finishAnswerLost() Action {
 	err := &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost}
 
 	return e.settleThen(verdict.MayHaveRun, finish(err))
 }
 
-// refuse ends an exchange without an answer. A claim that it holds is freed.
+// refuse ends an exchange without an answer and releases its claim.
 func (e *Exchange) refuse(err *verdict.Error) Action {
 	e.lastErr = err
 
@@ -289,14 +293,14 @@
 	case err.Verdict != verdict.NotRun:
 		return finish(err)
 	case e.mayHaveRun:
-		// An earlier attempt of this idempotent request may have run: that the last
-		// one did not is no ground for telling the caller NotRun.
-		return e.finishBroken(err)
+		// An earlier attempt of this idempotent request may have run, so the caller
+		// must not get NotRun although the last attempt did not run.
+		return e.finishMayHaveRun(err)
 	case e.granted:
 		return e.settleThen(verdict.NotRun, finish(err))
 	case e.Keyed && !e.Idempotent && !e.lookedUp:
-		// A resend refused here (overload, no target) may be of a key that ran before:
-		// its caller would take NotRun as leave to book under a new key.
+		// The refused request (overload, no target) may be a resend of one that ran. On
+		// NotRun its caller would book again under a new key, so look up the key first.
 		e.lookedUp = true
 
 		return Action{Kind: LookUp}
@@ -305,12 +309,13 @@
 	}
 }
 
-// finishBroken ends an answer of which the caller has some. It is never ended as if whole.
-func (e *Exchange) finishBroken(err *verdict.Error) Action {
-	broken := *err
-	broken.Verdict = verdict.MayHaveRun
+// finishMayHaveRun ends an exchange with err, but with the verdict MayHaveRun, because
+// an attempt ran in part or may have run.
+func (e *Exchange) finishMayHaveRun(err *verdict.Error) Action {
+	final := *err
+	final.Verdict = verdict.MayHaveRun
 
-	return finish(&broken)
+	return finish(&final)
 }
 
 func (e *Exchange) settleRan(answer *wire.Answer) Action {
@@ -320,7 +325,8 @@
 	return a
 }
 
-// settleThen records v for the claim that was asked about or is held, if any.
+// settleThen records v for the attempt that was asked about or, if there is none, for
+// the claim that this exchange holds.
 func (e *Exchange) settleThen(v verdict.Verdict, then Action) Action {
 	if !e.Keyed || e.Idempotent {
 		return then
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// script drives one exchange by the lines of a test file. Each line is one
-// report; its output is the action that follows.
+// script drives one exchange by the lines of a test file. Each line is a report to the
+// exchange. Its output is the action that the exchange returns.
 type script struct {
 	start  time.Time
 	now    time.Time
@@ -121,7 +121,7 @@
 	}
 }
 
-// retryAt reads when a refusal says to come back; "" is never.
+// retryAt returns the time at which a refusal permits a retry, or zero for "".
 func (s *script) retryAt(text string) time.Time {
 	d, err := time.ParseDuration(text)
 	if err != nil {
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// InvalidError says what is wrong with a declaration.
+// InvalidError describes what is wrong with a declaration.
 type InvalidError struct {
-	// Subject names the route, service or workspace.
+	// Subject names the invalid route, service or workspace.
 	Subject string
 	Problem string
 }
@@ -15,7 +15,7 @@
 // Error implements error.
 func (e *InvalidError) Error() string { return e.Subject + ": " + e.Problem }
 
-// Check returns an *InvalidError for a declaration that cannot be in force.
+// Check returns an *InvalidError if the declaration is invalid.
 func (d *Declaration) Check() error {
 	services := make(map[string]bool, len(d.Services))
 
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes is the aggregate of what operators declare about callers'
-// requests: which host and path prefix lead to which services, for how long, how
-// often, and for which workspaces.
+// Package routes holds the routing configuration that operators declare: which host and
+// path prefix lead to which services, with which timeouts and retries, and for which
+// workspaces.
 package routes
 
 import (
@@ -8,50 +8,52 @@
 	"time"
 )
 
-// RetryPolicy says what may be done with a request whose answer was lost.
+// RetryPolicy defines whether a request may be sent again after its answer was lost.
 type RetryPolicy uint8
 
 const (
-	// RetryNever means that the request may run once at most.
+	// RetryNever is for requests that may run at most once.
 	RetryNever RetryPolicy = iota
-	// RetryAlways means that the request may run again from its beginning.
+	// RetryAlways is for requests that may be run again from the beginning.
 	RetryAlways
-	// RetryResume means that the request is an event stream that another target may continue
-	// after the last event that reached the caller.
+	// RetryResume is for event streams. Another target may continue such a stream after
+	// the last event that the caller received.
 	RetryResume
 )
 
-// Share is the part of a route's requests that a service gets.
+// Share is the weight with which a service receives a route's requests.
 type Share struct {
 	Service string
 	Weight  uint32
 }
 
-// Route carries the requests of one host and path prefix to services.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Retry  RetryPolicy
-	// Stream says that answers are event streams.
+	// Stream is set if the answers are event streams.
 	Stream bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds how long a caller waits for an answer.
 	Timeout time.Duration
-	// LatencyTarget is the time within which the answer, or the first event of a stream, is
-	// of full use to the caller. Gap is the same for the pause between two events.
+	// LatencyTarget is the time within which the answer, or the first event of a
+	// stream, is of full use to the caller. EventGapTarget is the same for the time
+	// between two events.
 	LatencyTarget  time.Duration
 	EventGapTarget time.Duration
-	// Priority is the rank of the requests, 0 first.
+	// Priority is the priority of the requests, 0 first.
 	Priority uint32
-	// MaxTargets is how many targets one request may be sent to.
+	// MaxTargets bounds how many targets one request may be sent to.
 	MaxTargets int
-	// Anonymous requests need no key.
+	// Anonymous is set if requests need no workspace key.
 	Anonymous bool
 	Shares    []Share
 }
 
-// Pick returns the service for a request, by n, a random number in [0, 1).
+// Pick returns the service for a request, drawn by weight. n is a random number in [0,
+// 1).
 func (r *Route) Pick(n float64) string {
 	total := uint64(0)
 	for _, s := range r.Shares {
@@ -71,43 +73,44 @@
 	return ""
 }
 
-// ExpertShape is how the experts of a service's groups may be placed.
+// ExpertShape bounds how the experts of a service's groups may be placed on ranks.
 type ExpertShape struct {
 	Sets    int
 	Experts int
 	// Slots is how many experts of a set fit on a rank.
 	Slots int
-	// SpareSlots is how many experts of a set one preparation may bring to a rank.
+	// SpareSlots is how many new experts of a set one preparation may load on a rank.
 	SpareSlots int
-	// CopyTime is how long a rank copies one expert.
+	// CopyTime is how long a rank needs to copy one expert.
 	CopyTime time.Duration
 }
 
-// Service is one service that routes lead to.
+// Service is a service that routes lead to.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections a target takes from all callers together.
+	// MaxConnections bounds the connections to one target from all entries together.
 	MaxConnections int
-	// ColdDuration is how long a target that has started stays cold.
+	// ColdDuration is how long a target stays cold after it has started.
 	ColdDuration time.Duration
-	// ColdPerSecond is how many requests a cold target bears in a second; zero
-	// where no bound is declared.
+	// ColdPerSecond is how many requests per second a cold target can handle, or 0 if
+	// no bound is declared.
 	ColdPerSecond float64
-	// HealthPath answers whether a target is well.
+	// HealthPath is the path of a target's health check.
 	HealthPath string
-	// Slots is how many requests an engine runs at once; zero for a plain service.
+	// Slots is how many requests an engine runs at once, or 0 if the service has no
+	// engines.
 	Slots   int
 	Experts ExpertShape
 }
 
-// Workspace is a customer with the keys that its callers show.
+// Workspace is a customer, identified by the keys that its callers present.
 type Workspace struct {
 	Name     string
 	Keys     []string
 	Priority uint32
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers and the time taken to receive them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -115,7 +118,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Declaration is everything that operators declare under one number.
+// Declaration is one version of the configuration that operators declare.
 type Declaration struct {
 	Number     uint64
 	Routes     []Route
@@ -124,10 +127,10 @@
 	Limits     Limits
 }
 
-// routeKey is where a route stands; no two routes share one.
+// routeKey identifies a route; no two routes may share one.
 type routeKey struct{ host, prefix string }
 
-// Table answers questions about a valid declaration. It never changes.
+// Table indexes a valid declaration for lookups. It is immutable.
 type Table struct {
 	Declaration
 
@@ -168,7 +171,7 @@
 
 func keyOf(r *Route) routeKey { return routeKey{host: strings.ToLower(r.Host), prefix: r.Prefix} }
 
-// Find returns the route with the longest prefix that begins path, or nil.
+// Find returns the route of host with the longest prefix of path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	host = strings.ToLower(host)
 
@@ -187,5 +190,6 @@
 // Workspace returns the workspace that holds key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.workspaces[key] }
 
-// RequiresKey reports whether callers must show a key on routes that are not anonymous.
+// RequiresKey reports whether callers must present a workspace key on routes that are
+// not anonymous.
 func (t *Table) RequiresKey() bool { return len(t.Workspaces) > 0 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/routes"
 )
 
-// validDeclaration returns a right one, changed by edit.
+// validDeclaration returns a valid declaration to which edit, if not nil, is applied.
 func validDeclaration(edit func(d *routes.Declaration)) routes.Declaration {
 	d := routes.Declaration{
 		Number: 7,
@@ -32,8 +32,8 @@
 	return d
 }
 
-// An operator sends a configuration that cannot be in force. It is refused with
-// what is wrong and where, and the one in force stays.
+// An invalid declaration must be rejected with an error that names the invalid part and
+// the problem.
 func TestInvalidDeclarationsAreRejected(t *testing.T) {
 	t.Parallel()
 
@@ -43,12 +43,12 @@
 		want string
 	}{
 		{name: "unknown service", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Service = "gone" }, want: `route "a": service "gone" is not declared`},
-		{name: "no weight", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Weight = 0 }, want: `route "a": the weights add up to 0`},
+		{name: "zero weight", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Weight = 0 }, want: `route "a": the weights add up to 0`},
 		{name: "no share", edit: func(d *routes.Declaration) { d.Routes[0].Shares = nil }, want: `route "a": the weights add up to 0`},
 		{name: "no timeout", edit: func(d *routes.Declaration) { d.Routes[1].Timeout = 0 }, want: `route "b": the timeout is not above 0`},
-		{name: "same place", edit: func(d *routes.Declaration) { d.Routes[1].Prefix = "/kiln/" }, want: `route "b": another route has the same host and prefix`},
-		{name: "open prefix", edit: func(d *routes.Declaration) { d.Routes[0].Prefix = "/kiln" }, want: `route "a": the prefix does not begin and end with a slash`},
-		{name: "doubled service", edit: func(d *routes.Declaration) { d.Services[1].Name = "drafts" }, want: `service "drafts": has no name or is declared twice`},
+		{name: "same host and prefix", edit: func(d *routes.Declaration) { d.Routes[1].Prefix = "/kiln/" }, want: `route "b": another route has the same host and prefix`},
+		{name: "prefix without final slash", edit: func(d *routes.Declaration) { d.Routes[0].Prefix = "/kiln" }, want: `route "a": the prefix does not begin and end with a slash`},
+		{name: "duplicate service", edit: func(d *routes.Declaration) { d.Services[1].Name = "drafts" }, want: `service "drafts": has no name or is declared twice`},
 		{name: "shared key", edit: func(d *routes.Declaration) {
 			d.Workspaces = append(d.Workspaces, routes.Workspace{Name: "makers", Keys: []string{"k2"}})
 		}, want: `workspace "makers": shares a key with workspace "coopers"`},
@@ -114,12 +114,12 @@
 	}
 
 	require.Equal(t, map[string]int{"drafts": 900, "desk": 100}, picked)
-	// The largest number below 1 must not fall past the last share.
+	// The largest number below 1 must not select past the last share.
 	require.Equal(t, "desk", r.Pick(0.9999999999999999))
 }
 
-// A declaration goes over the wire to entries. What is lost on the way would be in
-// force nowhere while the operator was told that it is.
+// Declarations are sent to entries in wire form. A field lost in the conversion would
+// not be in force at any entry, although the operator's declaration was accepted.
 func TestWireRoundTripKeepsAllFields(t *testing.T) {
 	t.Parallel()
 
@@ -152,8 +152,8 @@
 	})
 }
 
-// sameHost compares as Find does. EqualFold would also fold letters that have no
-// lower case of their own.
+// sameHost compares hosts as Find does. strings.EqualFold would also match letters that
+// have no lower case.
 func sameHost(a, b string) bool {
 	a, b = strings.ToLower(a), strings.ToLower(b)
 
--- a/internal/routes/wire.go
+++ b/internal/routes/wire.go
@@ -6,7 +6,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ToWire returns d as it travels.
+// ToWire converts d to its wire form.
 func (d *Declaration) ToWire() *wire.RouteTable {
 	out := &wire.RouteTable{Number: d.Number, Limits: &wire.CallerLimits{
 		HeaderBytes: uint64(d.Limits.HeaderBytes), BodyBytes: uint64(d.Limits.BodyBytes),
@@ -51,7 +51,7 @@
 	return out
 }
 
-// FromWire reads a declaration.
+// FromWire converts a declaration from its wire form.
 func FromWire(w *wire.RouteTable) Declaration {
 	l := w.GetLimits()
 	d := Declaration{Number: w.GetNumber(), Limits: Limits{
--- a/internal/streams/plan.go
+++ b/internal/streams/plan.go
@@ -1,6 +1,6 @@
-// Package streams decides what becomes of the answers still being generated on
-// a target that is leaving: they finish there, or they go on elsewhere, with
-// their KV cache moved or computed anew, where that is cheaper.
+// Package streams plans what happens to the answers that a draining target is still
+// generating. Each one either finishes there or continues on another target, with its
+// KV cache transferred or recomputed, whichever costs less.
 package streams
 
 import (
@@ -9,51 +9,53 @@
 	"time"
 )
 
-// Stream is one answer in flight on the leaving target.
+// Stream is one answer in flight on the draining target.
 type Stream struct {
 	ID string
-	// Tokens are the prompt's and those generated so far, Remaining those expected to come.
+	// Tokens counts the tokens of the prompt and those generated so far. Remaining is
+	// the expected number still to generate.
 	Tokens    int
 	Remaining int
-	// KVBytes is the size of its KV cache.
+	// KVBytes is the size of the stream's KV cache.
 	KVBytes int64
-	// Exportable says that the engine can export its cache and another import it.
+	// Exportable is set if the engine can export the KV cache for import by another.
 	Exportable bool
-	// Resumable says that it may go on elsewhere from its text alone. Only streams
-	// of idempotent requests may: computed anew, the request runs a second time.
+	// Resumable is set if another target may continue the stream from its text alone.
+	// This requires an idempotent request, since recomputing runs it a second time.
 	Resumable bool
 }
 
-// DrainingTarget is the target that the streams are on.
+// DrainingTarget is the target that the streams run on.
 type DrainingTarget struct {
-	// Deadline is when it is to be empty; zero when nothing presses.
+	// Deadline is when the target has to be empty, or zero if there is no deadline.
 	Deadline time.Time
-	// TokensPerSecond is how fast each of its streams generates.
+	// TokensPerSecond is the generation rate of each of its streams.
 	TokensPerSecond float64
-	// BytesPerSecond is the rate at which it may export; exports go one after the other.
+	// BytesPerSecond is the rate at which it may export KV caches, one at a time.
 	BytesPerSecond float64
 }
 
-// Destination is a target that may take streams over.
+// Destination is a target that can accept streams.
 type Destination struct {
 	AgentID string
-	// Free is how many more streams it may take now: at a cold target, its credit.
+	// Free is how many more streams it can accept now. For a cold target this is its
+	// credit.
 	Free int
-	// PrefillPerSecond is how many tokens of a prompt it computes in a second.
+	// PrefillPerSecond is its prefill rate in prompt tokens per second.
 	PrefillPerSecond float64
-	// CanImport says that it can import the leaving target's caches.
+	// CanImport is set if it can import KV caches of the draining target.
 	CanImport bool
 }
 
-// Kind is what becomes of a stream.
+// Kind is the kind of a Decision.
 type Kind uint8
 
 const (
-	// Stay lets the stream finish where it is.
+	// Stay lets the stream finish on the draining target.
 	Stay Kind = iota
-	// Move exports its cache and imports it elsewhere.
+	// Move exports the KV cache and imports it at another target.
 	Move
-	// Recompute resumes it elsewhere from its text.
+	// Recompute resumes the stream at another target from its text.
 	Recompute
 )
 
@@ -69,34 +71,37 @@
 	}
 }
 
-// Decision is what becomes of one stream.
+// Decision is the decision about one stream.
 type Decision struct {
 	StreamID string
 	Kind     Kind
-	// To is the destination's agent; empty with Stay.
+	// To is the agent ID of the destination, or empty for Stay.
 	To string
-	// StartAt is when to begin; with Move, when the export link is free.
+	// StartAt is when to begin. For Move this is when the export link becomes free.
 	StartAt time.Time
-	// Stall is how long the caller waits for the next token meanwhile.
+	// Stall is how long the caller waits for the next token because of the handover.
 	Stall time.Duration
-	// DoneAt is when the stream is expected to have left the target.
+	// DoneAt is when the stream is expected to no longer use the draining target.
 	DoneAt time.Time
-	// Overrun says that GoneAt is after Leaving.By: the stop has to wait for it,
-	// for no planned stop cuts a request off.
+	// Overrun is set if DoneAt is after DrainingTarget.Deadline. The stop then has to
+	// wait for the stream, since a planned stop never cuts off a request.
 	Overrun bool
 }
 
-// Planner weighs the ways. The zero value of each field stands for the default beside it.
+// Planner compares the costs of the options. The zero value of each field selects the
+// default given in parentheses.
 type Planner struct {
-	// DelayCost is what a second of holding up the stop costs in seconds of a
+	// DelayCost is the cost of delaying the stop by one second, in seconds of a
 	// caller's stall (0.02).
 	DelayCost float64
-	// PrefillCost is what a second of computing a prompt anew costs the
-	// destination's other callers, in the same measure (1).
+	// PrefillCost is the cost to the destination's other callers of one second of
+	// recomputing a prompt, in seconds of a caller's stall (1).
 	PrefillCost float64
-	// HandoverTime is the stall of any change of place beside its transfer (50 ms).
+	// HandoverTime is the stall of any handover in addition to the transfer or prefill
+	// (50 ms).
 	HandoverTime time.Duration
-	// MaxStall bounds the stall that a caller is given without need (2 s).
+	// MaxStall bounds the stall of handovers that are not needed to meet the deadline
+	// (2 s).
 	MaxStall time.Duration
 }
 
@@ -108,8 +113,9 @@
 	return p
 }
 
-// Plan decides about all streams of a leaving target. Those with most to come
-// are looked at first: they hold the stop up longest, and gain most by leaving.
+// Plan decides about all streams of a draining target. Streams with the most remaining
+// tokens are decided first, because they delay the stop longest and gain most from a
+// handover.
 func (p Planner) Plan(now time.Time, target DrainingTarget, list []Stream, destinations []Destination) []Decision {
 	state := &planState{Planner: p.withDefaults(), now: now, target: target, destinations: slices.Clone(destinations), linkFree: now}
 
--- a/internal/streams/plan_test.go
+++ b/internal/streams/plan_test.go
@@ -44,14 +44,14 @@
 		want    streams.Kind
 		overrun bool
 	}{
-		{"nearly done", short, 0, dest, streams.Stay, false},
-		{"long, cache moves faster", long, 0, dest, streams.Move, false},
-		{"long, no export", edited(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
-		{"large cache, small text", edited(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
-		{"may not run twice and no export", edited(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
-		{"no place elsewhere", long, 20 * time.Second, streams.Destination{}, streams.Stay, true},
-		{"a long stall without need", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
-		{"a long stall to be gone in time", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
+		{"nearly finished", short, 0, dest, streams.Stay, false},
+		{"long, transfer is faster than prefill", long, 0, dest, streams.Move, false},
+		{"long, cache not exportable", edited(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
+		{"large cache, short text", edited(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
+		{"neither resumable nor exportable", edited(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
+		{"no destination", long, 20 * time.Second, streams.Destination{}, streams.Stay, true},
+		{"stall above MaxStall, no deadline", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
+		{"stall above MaxStall, needed for the deadline", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
 	}
 
 	for _, tc := range tests {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Destinations and the export link are shared by all streams of a plan.
+// All streams of a plan share the capacity of the destinations and the export link.
 func TestPlanSharesDestinationsAndExportLink(t *testing.T) {
 	t.Parallel()
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// randomStreams draws streams: prompts of 500 to 8,000 tokens, 128 KB of cache a token,
-// half of them may be computed anew.
+// randomStreams returns n random streams with prompts of 500 to 8,000 tokens and 128
+// KiB of KV cache per token. Half of them are resumable.
 func randomStreams(n int, seed uint64) ([]streams.Stream, []streams.Destination) {
 	r := rand.New(rand.NewPCG(seed, seed))
 	list := make([]streams.Stream, n)
@@ -114,8 +114,9 @@
 	}
 }
 
-// BenchmarkPlan measures when a target with 64 streams is empty and what its
-// callers wait for that, against letting all finish and moving all that can.
+// BenchmarkPlan reports when a target with 64 streams is empty and how long its callers
+// stall for that, with the default costs and with costs that make nearly all streams
+// stay or move.
 func BenchmarkPlan(b *testing.B) {
 	planners := []struct {
 		name string
@@ -123,7 +124,7 @@
 	}{
 		{"StayAll", streams.Planner{DelayCost: 1e-9}},
 		{"MoveAll", streams.Planner{DelayCost: 1e3, MaxStall: time.Hour}},
-		{"Ours", streams.Planner{}},
+		{"Default", streams.Planner{}},
 	}
 
 	for _, tc := range planners {
--- a/internal/streams/state.go
+++ b/internal/streams/state.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// planState is one plan being made: places and the export link fill up as it goes.
+// planState is a plan in progress. Each decision uses up capacity of the destinations
+// and time of the export link.
 type planState struct {
 	Planner
 
@@ -12,7 +13,8 @@
 	linkFree     time.Time
 }
 
-// option is one way for one stream, with its cost in seconds of stall.
+// option is one possible decision about a stream, with its cost in seconds of stall.
+// destIndex is the index of the destination, or -1 if there is none.
 type option struct {
 	Decision
 
@@ -20,7 +22,7 @@
 	destIndex int
 }
 
-// decide takes the cheapest way, and its place.
+// decide returns the cheapest option and reserves its capacity.
 func (p *planState) decide(s Stream) Decision {
 	best := p.stay(s)
 
@@ -41,8 +43,9 @@
 	return best.Decision
 }
 
-// better reports whether a goes before b: what is gone in time first, then the
-// cheaper one. A long stall is given only to one that would hold the stop up.
+// better reports whether a is preferable to b. Options that meet the deadline come
+// first, then cheaper ones. A stall above MaxStall is acceptable only if b misses the
+// deadline.
 func (p *planState) better(a, b option) bool {
 	if a.Overrun != b.Overrun {
 		return b.Overrun
@@ -72,7 +75,8 @@
 	return p.newOption(s, Stay, p.now, timeFor(float64(s.Remaining), p.target.TokensPerSecond))
 }
 
-// move is the way by export and import, or one without destination.
+// move returns the option of exporting and importing the KV cache. It has no
+// destination if that is impossible.
 func (p *planState) move(s Stream) option {
 	duration := p.HandoverTime + timeFor(float64(s.KVBytes), p.target.BytesPerSecond)
 
@@ -87,7 +91,8 @@
 	return p.assignDestination(o, func(d *Destination) bool { return d.CanImport })
 }
 
-// recompute is the way by the text alone, or one without destination.
+// recompute returns the option of resuming from the text. It has no destination if that
+// is impossible.
 func (p *planState) recompute(s Stream) option {
 	o := p.newOption(s, Recompute, p.now, p.HandoverTime)
 	if !s.Resumable {
@@ -106,12 +111,14 @@
 	return o
 }
 
-// finishedBy reports whether the stream is done before its turn at the link comes.
+// finishedBy reports whether the stream will have finished on the draining target by
+// at, when the export link becomes free for it.
 func (p *planState) finishedBy(s Stream, at time.Time) bool {
 	return !p.now.Add(timeFor(float64(s.Remaining), p.target.TokensPerSecond)).After(at)
 }
 
-// assignDestination gives o the fitting destination with most room.
+// assignDestination sets the destination of o to the one with most free capacity among
+// those that fit, if any.
 func (p *planState) assignDestination(o option, fits func(*Destination) bool) option {
 	for i := range p.destinations {
 		d := &p.destinations[i]
@@ -123,7 +130,8 @@
 	return o
 }
 
-// timeFor is the time for n at a rate; a rate of 0 never ends, as far as plans go.
+// timeFor returns the time to process n at a rate per second. For a rate of 0 it
+// returns 24 hours, longer than any plan.
 func timeFor(n, rate float64) time.Duration {
 	if rate <= 0 {
 		return 24 * time.Hour
