--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// claimTimeout bounds a claim or a settlement, so that a caller is not held by
-	// control VMs that are away.
+	// claimTimeout bounds a claim or a settlement, so that unreachable control VMs do
+	// not keep a caller waiting.
 	claimTimeout = 3 * time.Second
-	// minCapacityWait is the shortest time between two looks for room.
+	// minCapacityWait is the minimum time between two checks for free capacity.
 	minCapacityWait = 10 * time.Millisecond
-	// staleRetryDelay is when targets that refused as stale are asked again for the rest of
-	// an answer. A control set elects a leader within a second or so; a caller accepts
-	// a pause of a tenth.
+	// staleRetryDelay is the time before targets that refused as stale are tried again
+	// to resume an answer. Control VMs elect a leader within about a second; callers
+	// tolerate an additional gap of about 100 ms.
 	staleRetryDelay = 100 * time.Millisecond
 )
 
-// choose waits for the request's turn, then for a target and its credit.
+// choose waits for the request's turn in the queue, and then for a target and its
+// credit.
 func (x *exchangeRun) choose(ctx context.Context, at time.Time) exchange.Action {
 	sleepUntil(ctx, at)
 
@@ -51,8 +52,8 @@
 		}
 
 		if ctx.Err() == nil && x.viewStale() {
-			// Without control VMs agents grant nothing and refuse all new work: to say
-			// that they are full or cold would send operators the wrong way.
+			// Without control VMs, agents grant no credits and refuse all new requests.
+			// Reporting that they are full or cold would mislead operators.
 			refusal.Cause = verdict.CauseStale
 
 			return x.ex.NoTarget(refusal)
@@ -73,8 +74,8 @@
 		}
 
 		if x.reply.headSent {
-			// The caller has half of its answer: it keeps its turn, and no estimate of
-			// the queue's gives it up before its deadline.
+			// The caller has received a part of its answer, so the request keeps its
+			// turn until its deadline, whatever waiting time the queue estimates.
 			sleepUntil(ctx, latest(refusal.RetryAt, time.Now().Add(minCapacityWait)))
 
 			continue
@@ -88,23 +89,24 @@
 	}
 }
 
-// viewStale reports whether the entry's freshness lease has run out.
+// viewStale reports whether the lease of the entry's view has expired.
 func (x *exchangeRun) viewStale() bool { return !time.Now().Before(x.entry.View().ValidUntil) }
 
-// allTargetsFailed reports whether every target has failed this request, or refused it as stale.
+// allTargetsFailed reports whether every target has failed this request or refused it
+// as stale.
 func (x *exchangeRun) allTargetsFailed() bool {
 	n := x.entry.Chooser.Capacity(time.Now(), x.call.service.GetName()).Targets
 
 	return len(x.failedTargets()) >= n
 }
 
-// failedTargets returns the targets that this request is not sent to again for now.
+// failedTargets returns the targets that this request must not be sent to for now.
 func (x *exchangeRun) failedTargets() []string { return slices.Concat(x.excluded, x.staleTargets) }
 
-// retryStaleTargets forgets which targets refused as stale, once all others have failed too
-// and the caller has half of its answer. Without a leader of the control VMs every target
-// refuses so, and the answer was cut though all of them could go on with it a second
-// later. It reports whether there are such targets.
+// retryStaleTargets makes the targets that refused as stale eligible again, and reports
+// whether there are any. It does so only if all other targets have failed and the
+// caller has received a part of its answer: while the control VMs have no leader every
+// target refuses as stale, but can resume the answer about a second later.
 func (x *exchangeRun) retryStaleTargets() bool {
 	if !x.reply.headSent || len(x.staleTargets) == 0 || !x.allTargetsFailed() {
 		return false
@@ -115,8 +117,9 @@
 	return true
 }
 
-// noTargetLeft refuses a request that every target has failed. A stream that waits to
-// be resumed is not told when to come back: no time helps it.
+// noTargetLeft returns the refusal of a request that every target has failed. It has no
+// retry time if the caller has received a part of its answer, because waiting cannot
+// help then.
 func (x *exchangeRun) noTargetLeft(refusal *verdict.Error) *verdict.Error {
 	if x.reply.headSent {
 		return verdict.Refuse(verdict.CauseNoTarget, time.Time{})
@@ -137,7 +140,7 @@
 	return err.Cause == verdict.CauseOverload || err.Cause == verdict.CauseColdLimit
 }
 
-// acquireTarget chooses a target and makes sure of a credit.
+// acquireTarget chooses a target with a valid credit and starts an attempt for it.
 func (x *exchangeRun) acquireTarget(ctx context.Context) *verdict.Error {
 	e := x.entry
 
@@ -157,7 +160,7 @@
 			return nil
 		}
 
-		// A caller that left, or ran out of time, says nothing about the target.
+		// A caller's disconnect or deadline is no failure of the target.
 		cause := verdict.CauseTargetDown
 		if ctx.Err() != nil {
 			cause = verdict.CauseCancelled
@@ -171,7 +174,8 @@
 	}
 }
 
-// ensureCredit returns the credit in force for a choice, asking for one if need be.
+// ensureCredit returns the current credit for a choice, and requests one first if
+// needed.
 func (x *exchangeRun) ensureCredit(ctx context.Context, c routing.Choice) (*wire.Credit, error) {
 	if c.NeedsCredit {
 		req := routing.CreditRequest{Service: x.call.service.GetName(), AgentID: c.AgentID, Addr: c.Addr, Incarnation: c.Incarnation, Wanted: 1}
@@ -214,8 +218,8 @@
 	return x.ex.Claimed(time.Now(), r)
 }
 
-// setKeyWindow tells the caller for how long its key stands for this request: a
-// resend that comes later would run anew.
+// setKeyWindow sets the response header HeaderKeyWindow. A resend after that time would
+// run again.
 func (x *exchangeRun) setKeyWindow(r *wire.ClaimResponse) {
 	if seconds := r.GetWindowMillis() / 1000; seconds > 0 {
 		x.reply.w.Header().Set(HeaderKeyWindow, strconv.FormatUint(seconds, 10))
@@ -241,7 +245,7 @@
 	})
 }
 
-// releaseTarget gives back the place that Choose counted, when nothing was sent.
+// releaseTarget frees the slot that Choose counted, when no request was sent.
 func (x *exchangeRun) releaseTarget(cause verdict.Cause) {
 	x.entry.Chooser.Finish(time.Now(), routing.Finished{
 		AgentID: x.choice.AgentID, Incarnation: x.choice.Incarnation, Verdict: verdict.NotRun, Cause: cause,
@@ -256,8 +260,8 @@
 		return x.ex.AskFailed(time.Now())
 	}
 
-	// The ask outlives the caller's deadline by its own short timeout: a truthful
-	// last word is worth more than a prompt guess.
+	// The query may exceed the caller's deadline, bounded by its own short timeout: a
+	// certain verdict is worth more to the caller than a prompt one.
 	r, err := x.entry.Agents.Ask(context.WithoutCancel(ctx), address, &wire.AskRequest{
 		AttemptID: a.Holder.GetAttemptID(), Incarnation: a.Holder.GetIncarnation(),
 		CreditExpiresAtTick: a.Holder.GetCreditExpiresAtTick(), Close: true,
@@ -269,8 +273,8 @@
 	return x.ex.Asked(time.Now(), r)
 }
 
-// settle records an outcome. If that fails the claim stays open, and a resend
-// asks the agent instead, so the exchange goes on either way.
+// settle records the outcome for a claim. If that fails the claim stays open and a
+// resend asks the agent instead, so the exchange continues in both cases.
 func (x *exchangeRun) settle(ctx context.Context, a exchange.Action) exchange.Action {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
@@ -280,7 +284,7 @@
 		AttemptID: a.Attempt, Verdict: wire.Verdict(a.Verdict), Answer: a.Answer,
 	})
 	if err != nil {
-		x.entry.Logger.Warn("claim not settled", "key", x.call.key, "verdict", a.Verdict.String(), "error", err)
+		x.entry.Logger.Warn("claim not settled; a resend will ask the agent", "key", x.call.key, "verdict", a.Verdict.String(), "error", err)
 	}
 
 	return *a.Then
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -19,26 +19,26 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// The headers that callers and entries exchange.
+// Headers of requests from callers and of responses to them.
 const (
 	HeaderRequestID = "Parsleygate-Request-Id"
 	HeaderWorkspace = "Parsleygate-Workspace"
-	// HeaderTimeout is what the caller waits, in milliseconds from sending.
+	// HeaderTimeout is the caller's timeout in milliseconds, counted from receipt.
 	HeaderTimeout  = "Parsleygate-Timeout-Ms"
 	HeaderPriority = "Parsleygate-Priority"
 	HeaderKey      = "Idempotency-Key"
 	HeaderVerdict  = "Parsleygate-Verdict"
 	HeaderCause    = "Parsleygate-Cause"
-	// HeaderKeyWindow is for how long a key is remembered, in seconds from its claim.
+	// HeaderKeyWindow is how long a key is kept, in seconds from its claim.
 	HeaderKeyWindow   = "Parsleygate-Key-Window"
 	headerPrefix      = "Parsleygate-"
 	headerLastEventID = "Last-Event-ID"
 )
 
-// maxIDLength bounds request ids, keys and workspace names, in bytes.
+// maxIDLength bounds request IDs, keys and workspace names, in bytes.
 const maxIDLength = 128
 
-// call is one caller's request, read whole.
+// call is a request of a caller, including its complete body.
 type call struct {
 	id         string
 	service    *wire.Service
@@ -54,7 +54,7 @@
 	priority   int
 }
 
-// readCall reads a call from r, or returns why it is refused.
+// readCall reads a call from r, or returns the refusal of an invalid one.
 func (e *Entry) readCall(w http.ResponseWriter, r *http.Request) (*call, *verdict.Error) {
 	now := time.Now()
 	c := &call{
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// digest identifies what the call asks for, against use of one key for two things.
+// digest returns a hash of the method, path and body. It detects the use of one key for
+// different requests.
 func (c *call) digest() []byte {
 	h := sha256.New()
 	for _, s := range []string{c.method, c.path} {
@@ -158,8 +159,8 @@
 	return h.Sum(nil)
 }
 
-// isIdempotent reports whether the service declares the call repeatable. What is
-// not declared may not be repeated, whatever its method.
+// isIdempotent reports whether the service declares the call idempotent. A call that is
+// not declared is not idempotent, whatever its method.
 func isIdempotent(s *wire.Service, method, p string) bool {
 	for _, pattern := range s.GetIdempotentCalls() {
 		patternMethod, patternPath, ok := strings.Cut(pattern, " ")
@@ -175,13 +176,13 @@
 	return false
 }
 
-// hopByHopHeaders are the headers that concern one connection alone.
+// hopByHopHeaders are the headers that apply to a single connection.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwardedHeaders returns the headers that go on to the target.
+// forwardedHeaders returns the headers that are forwarded to the target.
 func forwardedHeaders(h http.Header) []*wire.Header {
 	h = h.Clone()
 	for _, line := range h.Values("Connection") {
--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -11,8 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers send what no entry can serve. Each gets a clear refusal that says the
-// request did not run, and nothing reaches an agent.
+// Invalid requests must be refused with the verdict NotRun and must not reach an agent.
 func TestInvalidRequestsAreRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
 
@@ -27,8 +26,8 @@
 	}{
 		{name: "unknown service", path: "nobody/v1/x", status: 404, cause: "UnknownService"},
 		{name: "body too large", path: "desk/v1/bookings", body: strings.Repeat("x", 11), status: 413, cause: "TooLarge"},
-		{name: "timeout no number", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "soon"}, status: 400, cause: "Malformed"},
-		{name: "timeout of nothing", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "0"}, status: 400, cause: "Malformed"},
+		{name: "timeout is not a number", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "soon"}, status: 400, cause: "Malformed"},
+		{name: "timeout is zero", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "0"}, status: 400, cause: "Malformed"},
 		{name: "priority out of range", path: "desk/v1/bookings", headers: []string{HeaderPriority, "9"}, status: 400, cause: "Malformed"},
 		{name: "key too long", path: "desk/v1/bookings", headers: []string{HeaderKey, strings.Repeat("k", 129)}, status: 400, cause: "Malformed"},
 	}
@@ -38,8 +37,8 @@
 			t.Parallel()
 
 			a := newFakeAgent(t, "agent-1", answerBooking)
-			r := newFixture(t, bookingService, small, a)
-			got := r.post(c.path, c.body, c.headers...)
+			f := newFixture(t, bookingService, small, a)
+			got := f.post(c.path, c.body, c.headers...)
 			require.Equal(t, c.status, got.status)
 			require.Equal(t, "NotRun", got.verdict)
 			require.Equal(t, c.cause, got.cause)
@@ -48,8 +47,8 @@
 	}
 }
 
-// A head that is too long, or no HTTP at all, is refused by status, and the
-// entry goes on serving others.
+// Requests whose head is too long or not HTTP must get an error status, and the entry
+// must continue to serve other callers.
 func TestMalformedRequestHeadsAreRefused(t *testing.T) {
 	t.Parallel()
 
@@ -59,17 +58,17 @@
 		status int
 	}{
 		{name: "head too long", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 128<<10) + "\r\n\r\n", status: 431},
-		{name: "no HTTP", text: "hello, is anybody there today?\r\n\r\n", status: 400},
-		{name: "two lengths", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", status: 400},
+		{name: "not HTTP", text: "hello, is anybody there today?\r\n\r\n", status: 400},
+		{name: "two Content-Length headers", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", status: 400},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := newFixture(t, bookingService, nil, newFakeAgent(t, "agent-1", answerBooking))
+			f := newFixture(t, bookingService, nil, newFakeAgent(t, "agent-1", answerBooking))
 
-			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", r.entry.Listener.Addr().String())
+			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.entry.Listener.Addr().String())
 			require.NoError(t, err)
 
 			defer conn.Close()
@@ -79,12 +78,12 @@
 			require.NoError(t, err)
 			require.NoError(t, resp.Body.Close())
 			require.Equal(t, c.status, resp.StatusCode)
-			require.Equal(t, 201, r.book("cask-1").status)
+			require.Equal(t, 201, f.book("cask-1").status)
 		})
 	}
 }
 
-// What concerns one connection alone, or the system, does not go on to targets.
+// Hop-by-hop headers and the headers of this system must not be forwarded to targets.
 func TestForwardedHeaders(t *testing.T) {
 	t.Parallel()
 
@@ -100,7 +99,7 @@
 	require.Equal(t, "Accept", out[0].GetName())
 }
 
-// Only what a service declares is repeatable, whatever the method.
+// Only calls that a service declares are idempotent, whatever the method.
 func TestIdempotentCalls(t *testing.T) {
 	t.Parallel()
 
--- a/internal/entry/connection_test.go
+++ b/internal/entry/connection_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers wait for a dial at each request, and agents run out of ports, when an
-// answer that ended whole still costs its connection: the entry had not read
-// past the closing frame.
+// If the entry does not read past the end frame, the connection to an agent cannot be
+// reused after a complete answer. Each request then waits for a dial, and agents run
+// out of ports.
 func TestCompleteAnswersKeepTheirConnection(t *testing.T) {
 	t.Parallel()
 
@@ -19,7 +19,7 @@
 
 	var opened atomic.Int64
 
-	r := newFixture(t, draftService, func(e *Entry) {
+	f := newFixture(t, draftService, func(e *Entry) {
 		e.Agents.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
 
@@ -28,9 +28,9 @@
 	}, a)
 
 	for range 4 {
-		require.Equal(t, 200, r.draft().status)
+		require.Equal(t, 200, f.draft().status)
 	}
 
-	// One for requests, and one for credits where both were under way at once.
+	// One connection for requests, and one for a credit requested at the same time.
 	require.LessOrEqual(t, opened.Load(), int64(2))
 }
--- a/internal/entry/counters.go
+++ b/internal/entry/counters.go
@@ -8,7 +8,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// counters are what an entry counts of its callers' requests.
+// counters count the requests of an entry's callers.
 type counters struct {
 	inFlight   atomic.Int64
 	answered   atomic.Int64
@@ -18,10 +18,11 @@
 	attempts   atomic.Int64
 }
 
-// Counts is the state of an entry's counters.
+// Counts are the values of an entry's counters.
 type Counts struct {
 	InFlight int64
-	// Answered had a whole answer, NotRun and MayHaveRun a refusal, Broken a cut answer.
+	// Answered counts complete answers, NotRun and MayHaveRun refusals by verdict, and
+	// Broken answers that were cut off.
 	Answered   int64
 	NotRun     int64
 	MayHaveRun int64
@@ -44,7 +45,7 @@
 	c.mayHaveRun.Add(1)
 }
 
-// Counts returns the counters as of now.
+// Counts returns the current values of the counters.
 func (e *Entry) Counts() Counts {
 	c := &e.counters
 
--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/draft_fault_test.go
@@ -19,7 +19,7 @@
 	s.end()
 }
 
-// resumeDraft goes on after the event that the entry names.
+// resumeDraft continues after the event in the Last-Event-ID header.
 func resumeDraft(_ *fakeAgent, s *answerWriter) {
 	first := 1
 
@@ -34,62 +34,62 @@
 	s.end()
 }
 
-// A cooper reads a draft as it is written, and the stream fails in every way it
-// can. The cooper must get the whole draft, each word once, or see it break off.
+// The connection to the agent fails in different ways while an event stream is relayed.
+// The caller must receive every event exactly once, or see that the answer is cut off.
 func TestStreamUnderConnectionFaults(t *testing.T) {
 	t.Parallel()
 
 	complete := callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}
 	cases := []struct {
-		name   string
-		script []behaviour
-		// change, if set, alters the entry.
+		name       string
+		behaviours []behaviour
+		// change, if not nil, is applied to the entry.
 		change func(*Entry)
 		want   callerResult
 	}{
-		{name: "whole", script: []behaviour{answerDraft}, want: complete},
+		{name: "complete answer", behaviours: []behaviour{answerDraft}, want: complete},
 		{
-			name: "silent after two words", want: complete, change: withShortReadTimeout,
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			name: "unresponsive after two events", want: complete, change: withShortReadTimeout,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 2))
 				s.stall()
 			}, resumeDraft},
 		},
 		{
-			name: "cut inside the third word", want: complete,
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			name: "connection broken inside the third event", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 2) + "id: 3\ndata: wo")
 				s.breakConnection()
 			}, resumeDraft},
 		},
 		{
-			name: "crossed after two words: nothing of the other's answer is passed on", want: complete,
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			name: "another request's answer after two events", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 2))
 				s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{AttemptID: "other", Status: 200}}})
 			}, resumeDraft},
 		},
 		{
-			name: "cut before the first word", want: complete,
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			name: "connection broken before the first event", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.breakConnection()
 			}, resumeDraft},
 		},
 		{
-			name: "ended without the closing frame", want: complete,
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			name: "no end frame", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 4))
 			}, resumeDraft},
 		},
 		{
-			name: "the next target answers with an error page, not the rest",
+			name: "next target returns an error instead of resuming",
 			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), cutOff: true},
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data(draftEvents(1, 2))
 				s.breakConnection()
@@ -100,18 +100,18 @@
 			}},
 		},
 		{
-			name: "no event stream: it cannot be continued",
+			name: "not an event stream, cannot be resumed",
 			want: callerResult{status: 200, verdict: "Ran", body: "half", cutOff: true},
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, "application/json")
 				s.data("half")
 				s.breakConnection()
 			}, answerDraft},
 		},
 		{
-			name: "events without ids: they cannot be continued",
+			name: "events without IDs, cannot be resumed",
 			want: callerResult{status: 200, verdict: "Ran", body: "data: one\n\n", cutOff: true},
-			script: []behaviour{func(_ *fakeAgent, s *answerWriter) {
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data("data: one\n\n")
 				s.breakConnection()
@@ -123,18 +123,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			a := newFakeAgent(t, "agent-1", c.script...)
-			r := newFixture(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
-			require.Equal(t, c.want, r.draft())
+			a := newFakeAgent(t, "agent-1", c.behaviours...)
+			f := newFixture(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+			require.Equal(t, c.want, f.draft())
 		})
 	}
 }
 
-// A cooper has half of a draft as a zone loses its power, and the control VMs have no
-// leader for a moment. Until they have one every other agent refuses new work, since it
-// cannot know that it is still in use. That is no fault of theirs: the draft goes on at
-// one of them afterwards, while its caller still waits. It was cut once each had
-// refused it.
+// A stream breaks while the control VMs have no leader, as after a power failure of a
+// zone. The leases of the agents' views have expired, so every other agent refuses new
+// requests until there is a leader. The stream must resume at one of them afterwards.
+// It must not be cut off as soon as each of them has refused it once.
 func TestStreamResumesAfterAllTargetsRefusedAsStale(t *testing.T) {
 	t.Parallel()
 
@@ -144,14 +143,14 @@
 		s.data(draftEvents(1, 2))
 		s.breakConnection()
 	}, refuseStale, refuseStale, refuseStale, refuseStale, refuseStale, resumeDraft)
-	r := newFixture(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+	f := newFixture(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
 
-	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}, r.draft())
+	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}, f.draft())
 	require.Len(t, a.received(), 7)
 }
 
-// A trader closes the page while the answer is being written. The engine must
-// learn of it, or it goes on computing for nobody.
+// A caller disconnects while its answer is generated. The agent must see this, or the
+// engine continues to generate an answer that nobody reads.
 func TestCallerDisconnectReachesAgent(t *testing.T) {
 	t.Parallel()
 
@@ -163,9 +162,9 @@
 		<-s.r.Context().Done()
 		close(canceled)
 	})
-	r := newFixture(t, draftService, nil, a)
+	f := newFixture(t, draftService, nil, a)
 
-	resp, err := http.Post(r.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
+	resp, err := http.Post(f.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
 	require.NoError(t, err)
 
 	_, err = resp.Body.Read(make([]byte, 1))
@@ -174,8 +173,8 @@
 	<-canceled
 }
 
-// An entry is stopped while a cooper's draft is being written. New requests are
-// refused as not run; the draft is written to its end before the entry ends.
+// An entry is stopped while it relays a stream. New requests must be refused as NotRun,
+// and the stream must end completely before the entry does.
 func TestStopFinishesStreams(t *testing.T) {
 	t.Parallel()
 
@@ -189,21 +188,21 @@
 		s.data(draftEvents(3, 4))
 		s.end()
 	})
-	r := newFixture(t, draftService, nil, a)
+	f := newFixture(t, draftService, nil, a)
 	answer := make(chan callerResult, 1)
 
-	go func() { answer <- r.draft() }()
+	go func() { answer <- f.draft() }()
 
 	<-begun
-	r.entry.stopping.Store(true)
+	f.entry.stopping.Store(true)
 
-	refused := r.draft()
+	refused := f.draft()
 	require.Equal(t, "NotRun", refused.verdict)
 	require.Equal(t, "Stopping", refused.cause)
 	require.Equal(t, "1", refused.retryAfter)
 
-	r.stop()
+	f.stop()
 	close(resume)
 	require.Equal(t, draftEvents(1, 4), (<-answer).body)
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-f.done)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the shell of the entry role: it speaks HTTP with callers,
-// runs each request's exchange against agents and control VMs, and answers
-// whole or refuses truthfully. The decisions are in the cores that it calls:
+// Package entry implements the entry role: it accepts HTTP requests of callers, runs
+// the exchange of each request with agents and control VMs, and returns a complete
+// answer or a refusal with a correct verdict. The decisions are made by the packages
 // exchange, routing, fairness and retries.
 package entry
 
@@ -22,32 +22,33 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// View is what the entry reads from the configuration in force.
+// View is what the entry reads from the current configuration.
 type View struct {
 	Version uint64
-	// ValidUntil is when the freshness lease ends.
+	// ValidUntil is when the lease of this view expires.
 	ValidUntil time.Time
 	Service    func(name string) *wire.Service
 	Workspace  func(name string) *wire.Workspace
-	// Agent returns the address at which an agent is reached now.
+	// Agent returns the node of an agent, with its current address.
 	Agent func(id string) *wire.Node
 }
 
-// Limits bound what one caller may ask of an entry.
+// Limits bound the requests of callers.
 type Limits struct {
-	// MaxHeaderBytes and MaxBodyBytes bound a request.
+	// MaxHeaderBytes and MaxBodyBytes bound the size of a request.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// MaxRecordedBytes bounds the answer that is kept for resends of a key.
+	// MaxRecordedBytes bounds an answer that is recorded for resends with the same key.
 	MaxRecordedBytes int
-	// DefaultTimeout is the deadline of a caller that names none, MaxTimeout the longest.
+	// DefaultTimeout applies to callers that send no timeout. MaxTimeout bounds the
+	// timeouts of all callers.
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
-	// WriteTimeout is how long one write to a caller may take.
+	// WriteTimeout bounds one write to a caller.
 	WriteTimeout time.Duration
 }
 
-// DefaultLimits are the limits where the settings say nothing.
+// DefaultLimits returns the limits that apply unless the settings override them.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxHeaderBytes:   64 << 10,
@@ -59,12 +60,12 @@
 	}
 }
 
-// Entry is one entry process. Its exported fields are set before Run.
+// Entry is an entry process. Its exported fields must be set before Run.
 type Entry struct {
 	ID     string
 	Zone   string
 	Region string
-	// Listener is where callers connect.
+	// Listener accepts the connections of callers.
 	Listener net.Listener
 	Agents   *agentclient.Client
 	Chooser  *routing.Chooser
@@ -73,25 +74,26 @@
 	Claim    func(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimResponse, error)
 	Settle   func(ctx context.Context, r *wire.SettleRequest) (*wire.SettleResponse, error)
 	Limits   Limits
-	// ShutdownDelay is how long the entry goes on taking requests after it said on
-	// /ready that it leaves, so that the platform's balancer can notice.
+	// ShutdownDelay is the time from /ready reporting 503 until the listener closes, so
+	// that the platform's balancer can notice. During this time new requests
+	// are refused as Stopping.
 	ShutdownDelay time.Duration
 	Logger        *slog.Logger
 	Seed          uint64
 	mu            sync.Mutex
 	queues        map[string]*queue
-	credits       sync.Map // agent id to the *wire.Credit granted last
+	credits       sync.Map // agent ID to the last granted *wire.Credit
 	nextItemID    atomic.Uint64
 	stopping      atomic.Bool
 	inFlight      sync.WaitGroup
 	counters      counters
 }
 
-// tickInterval is the time between two rounds of housekeeping.
+// tickInterval is the interval at which queues are updated and credits renewed.
 const tickInterval = 50 * time.Millisecond
 
-// Run serves callers until ctx ends, then stops gracefully: it says that it
-// leaves, refuses new requests as not run, and ends when the last one in flight has.
+// Run serves callers until ctx ends. Then it reports not ready, refuses new requests as
+// NotRun and returns when the last request in flight has ended.
 func (e *Entry) Run(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           e.handler(),
@@ -113,7 +115,7 @@
 
 	go e.runTicker(tickCtx)
 
-	e.Logger.Info("callers welcome", "address", e.Listener.Addr().String(), "zone", e.Zone)
+	e.Logger.Info("serving callers", "address", e.Listener.Addr().String(), "zone", e.Zone)
 
 	select {
 	case err := <-serveErr:
@@ -124,26 +126,27 @@
 	return e.drain(server)
 }
 
-// Stopping reports whether the entry refuses new requests.
+// Stopping reports whether the entry is stopping and refuses new requests.
 func (e *Entry) Stopping() bool { return e.stopping.Load() }
 
 func (e *Entry) drain(server *http.Server) error {
 	e.stopping.Store(true)
-	e.Logger.Info("leaving", "inFlight", e.counters.inFlight.Load())
+	e.Logger.Info("stopping; refusing new requests", "inFlight", e.counters.inFlight.Load())
 	time.Sleep(e.ShutdownDelay)
 
-	// Shutdown waits for every answer in flight; no deadline cuts one off, since
-	// each has its own.
+	// Shutdown waits for all answers in flight without a time limit, since each request
+	// has its own deadline.
 	err := server.Shutdown(context.Background())
 
 	e.inFlight.Wait()
 	e.Agents.Close()
-	e.Logger.Info("left")
+	e.Logger.Info("stopped; all requests have ended")
 
 	return eris.Wrap(err, "stop serving")
 }
 
-// runTicker lets queues see new room and passed deadlines, and renews credits.
+// runTicker periodically updates the queues' capacity, expires waiting requests and
+// renews credits.
 func (e *Entry) runTicker(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -165,7 +168,7 @@
 	}
 }
 
-// requestCredit asks an agent for a credit and takes in what it says.
+// requestCredit requests a credit from an agent and applies the response.
 func (e *Entry) requestCredit(ctx context.Context, req routing.CreditRequest) error {
 	sent := time.Now()
 
@@ -187,9 +190,9 @@
 	return nil
 }
 
-// applyCredit counts a credit's remaining time from when its ask was sent, so
-// that delay on the way only shortens it. AgainAt is when the agent wants to be
-// asked again; zero where it did not say.
+// applyCredit records a credit. Its remaining time counts from when the request was
+// sent, so that network delay can only shorten it. retryAt is when the agent advises to
+// request again, or zero if it does not.
 func (e *Entry) applyCredit(sent time.Time, service string, c *wire.Credit, retryAt time.Time) {
 	if c == nil {
 		return
@@ -222,7 +225,8 @@
 	})
 }
 
-// newRand returns a source for one core; seq keeps the sources of one entry apart.
+// newRand returns a random source. Sources of one entry must have different values of
+// seq.
 func (e *Entry) newRand(seq uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(e.Seed, seq))
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -28,35 +28,36 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// testSilence is how long a fake agent may send nothing in tests of just that,
-// testPatience in all others: a busy machine's pause must not pass for the agent's.
+// shortReadTimeout is how long the entry waits for an unresponsive agent in tests of
+// exactly that. All other tests use longReadTimeout, so that a stall of a busy machine
+// is not taken for an unresponsive agent.
 const (
 	shortReadTimeout = time.Second
 	longReadTimeout  = time.Minute
 )
 
-// withShortReadTimeout makes an entry wait for a silent agent no longer than testSilence.
+// withShortReadTimeout sets the entry's read timeout for agents to shortReadTimeout.
 func withShortReadTimeout(e *Entry) { e.Agents.ReadTimeout = shortReadTimeout }
 
-// fakeAgent answers requests by a script: one behaviour for each request that it
-// or one of its siblings gets.
+// fakeAgent answers requests by a script. The script has one behaviour for each
+// request, shared with the sibling agents.
 type fakeAgent struct {
 	id     string
 	server *httptest.Server
 	*agentScript
 }
 
-// agentScript is what siblings share.
+// agentScript is the state that siblings share.
 type agentScript struct {
 	mu         sync.Mutex
 	behaviours []behaviour
 	requests   []*wire.Request
-	// askResponses is what Ask answers, one for each; the last goes on.
+	// askResponses are the successive responses to Ask. The last one is repeated.
 	askResponses []*wire.AskResponse
 	askCount     int
 }
 
-// behaviour is what a fake agent does with one request.
+// behaviour defines how a fake agent handles one request.
 type behaviour func(a *fakeAgent, s *answerWriter)
 
 // answerWriter writes the frames of one answer.
@@ -77,10 +78,10 @@
 // sibling returns another agent with the same script.
 func (a *fakeAgent) sibling(t testing.TB, id string) *fakeAgent { return a.agent(t, id) }
 
-func (x *agentScript) agent(t testing.TB, id string) *fakeAgent {
+func (s *agentScript) agent(t testing.TB, id string) *fakeAgent {
 	t.Helper()
 
-	a := &fakeAgent{id: id, agentScript: x}
+	a := &fakeAgent{id: id, agentScript: s}
 	mux := http.NewServeMux()
 	mux.HandleFunc(agentclient.RequestPath, a.serve)
 	mux.Handle(wire.AgentPathPrefix, wire.NewAgentServer(a))
@@ -118,14 +119,14 @@
 	return a.requests
 }
 
-// Grant gives every entry a credit.
+// Grant grants a credit to every entry.
 func (a *fakeAgent) Grant(_ context.Context, r *wire.GrantRequest) (*wire.GrantResponse, error) {
 	return &wire.GrantResponse{Credit: &wire.Credit{
 		AgentID: a.id, Incarnation: 1, EntryID: r.GetEntryID(), Serial: 1, ExpiresAtTick: 1000, Slots: 64, RemainingMillis: 60_000,
 	}}, nil
 }
 
-// Ask answers from the script.
+// Ask returns the next of askResponses.
 func (a *fakeAgent) Ask(context.Context, *wire.AskRequest) (*wire.AskResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -165,13 +166,12 @@
 	}}})
 }
 
-// stall sends nothing more until the entry gives the connection up.
+// stall sends nothing more until the entry closes the connection.
 func (s *answerWriter) stall() { <-s.r.Context().Done() }
 
-// breakConnection breaks the connection.
 func (s *answerWriter) breakConnection() { panic(http.ErrAbortHandler) }
 
-// fixture is an entry before fake agents, with control's claims in memory.
+// fixture is a running entry with fake agents and with claims in memory.
 type fixture struct {
 	t     testing.TB
 	entry *Entry
@@ -190,7 +190,7 @@
 	bookingService: {Name: bookingService, IdempotentCalls: []string{"GET /v1/*"}},
 }
 
-// newFixture starts an entry whose targets are agents, each carrying service.
+// newFixture starts an entry whose targets are agents, all of the given service.
 func newFixture(t testing.TB, service string, change func(*Entry), agents ...*fakeAgent) *fixture {
 	t.Helper()
 
@@ -199,7 +199,7 @@
 	listener, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 
-	claims := newClaims()
+	claims := newClaimServer()
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(1, 1))}
 	e := &Entry{
 		ID: "entry-1", Zone: "muscat-a", Listener: listener, Seed: 1,
@@ -223,16 +223,16 @@
 	chooser.ChangeTargets(targetsOf(service, agents))
 
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &fixture{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	f := &fixture{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
 
-	go func() { r.done <- e.Run(ctx) }()
+	go func() { f.done <- e.Run(ctx) }()
 
 	t.Cleanup(cancel)
 
-	return r
+	return f
 }
 
-func newClaims() *control.Server {
+func newClaimServer() *control.Server {
 	log := &control.MemoryLog{}
 	s := &control.Server{Propose: log.Propose, ReadIndex: log.ReadIndex}
 	s.Init()
@@ -253,7 +253,7 @@
 	return ev
 }
 
-// callerResult is what a caller got.
+// callerResult is the response that a caller received.
 type callerResult struct {
 	status     int
 	verdict    string
@@ -261,30 +261,31 @@
 	retryAfter string
 	body       string
 	keyWindow  string
-	// cutOff says that the answer broke off.
+	// cutOff is set if the body ended before its end.
 	cutOff bool
 }
 
-func (r *fixture) post(path, body string, headers ...string) callerResult {
-	r.t.Helper()
+func (f *fixture) post(path, body string, headers ...string) callerResult {
+	f.t.Helper()
 
-	q, err := http.NewRequest(http.MethodPost, r.base+"/"+path, strings.NewReader(body))
-	require.NoError(r.t, err)
+	q, err := http.NewRequest(http.MethodPost, f.base+"/"+path, strings.NewReader(body))
+	require.NoError(f.t, err)
 
 	for i := 0; i < len(headers); i += 2 {
 		q.Header.Set(headers[i], headers[i+1])
 	}
 
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 
 	defer resp.Body.Close()
 
 	text, err := io.ReadAll(bufio.NewReader(resp.Body))
 
 	if resp.Header.Get(HeaderCause) != "" {
-		// A refusal names the request; its other words are in the headers too.
-		require.Contains(r.t, string(text), resp.Header.Get(HeaderRequestID))
+		// The body of a refusal contains the request ID. Its other fields are also in
+		// the headers, so the body is not compared.
+		require.Contains(f.t, string(text), resp.Header.Get(HeaderRequestID))
 
 		text = nil
 	}
@@ -296,19 +297,19 @@
 	}
 }
 
-func (r *fixture) book(key string) callerResult {
-	r.t.Helper()
+func (f *fixture) book(key string) callerResult {
+	f.t.Helper()
 
-	return r.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
+	return f.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
 }
 
-func (r *fixture) draft() callerResult {
-	r.t.Helper()
+func (f *fixture) draft() callerResult {
+	f.t.Helper()
 
-	return r.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
+	return f.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
 }
 
-// draftEvents returns the events from first to last of a test stream.
+// draftEvents returns the events with the IDs first to last.
 func draftEvents(first, last int) string {
 	var b strings.Builder
 	for n := first; n <= last; n++ {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -9,7 +9,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// stoppingRetryAfter is when a caller refused by a leaving entry may try another.
+// stoppingRetryAfter is the time after which a caller refused by a stopping entry may
+// retry at another one.
 const stoppingRetryAfter = time.Second
 
 func (e *Entry) handler() http.Handler {
@@ -22,7 +23,7 @@
 	return r
 }
 
-// ready tells the platform's balancer whether to send callers here.
+// ready reports to the platform's balancer whether this entry accepts requests.
 func (e *Entry) ready(w http.ResponseWriter, _ *http.Request) {
 	if e.stopping.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/entry/prefix.go
+++ b/internal/entry/prefix.go
@@ -3,14 +3,15 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// prefixBlockBytes is the length of one prompt block, in bytes.
+	// prefixBlockBytes is the length of one prompt block.
 	prefixBlockBytes = 256
-	// maxPrefixes bounds how many blocks of a prompt are looked at.
+	// maxPrefixes bounds how many blocks of a prompt are hashed.
 	maxPrefixes = 16
 )
 
-// prefixHashes returns the hashes of the body's first blocks, shortest prefix first.
-// Engines cache prompts by prefix, so requests that share blocks do well together.
+// prefixHashes returns the hashes of the body's prefixes of whole blocks, shortest
+// first. Engines cache prompts by prefix, so requests with common prefixes benefit from
+// the same target.
 func (c *call) prefixHashes() []uint64 {
 	n := min(len(c.body)/prefixBlockBytes, maxPrefixes)
 	if n == 0 || !c.idempotent {
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -12,7 +12,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// queue joins one service's fairness core with the requests that wait in it.
+// queue connects the fairness queue of a service with the goroutines of waiting
+// requests.
 type queue struct {
 	core *fairness.Queue
 
@@ -42,7 +43,7 @@
 	return q
 }
 
-// setCapacity lets waiting requests start where there is room for them now.
+// setCapacity updates the queue's capacity and starts waiting requests that now fit.
 func (q *queue) setCapacity(now time.Time, capacity routing.Capacity) {
 	q.deliver(q.core.SetCapacity(now, capacity.Slots))
 }
@@ -62,13 +63,13 @@
 	}
 }
 
-// QueueState is one service's queue in a dump.
+// QueueState is the state of one service's queue, for dumps.
 type QueueState struct {
 	Service string
 	State   fairness.State
 }
 
-// Queues returns the state of each service's queue, by name.
+// Queues returns the state of each service's queue, sorted by name.
 func (e *Entry) Queues() []QueueState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,8 +82,8 @@
 	return out
 }
 
-// enqueue waits for the turn of an item. It returns the refusal of an item that
-// the queue gave up, or that its caller did.
+// enqueue adds an item and waits for its turn. It returns a refusal if the queue
+// refuses the item or ctx ends first.
 func (q *queue) enqueue(ctx context.Context, item fairness.Item) *verdict.Error {
 	turn := make(chan fairness.Action, 1)
 
@@ -100,7 +101,7 @@
 	return q.awaitTurn(ctx, item.ID, turn)
 }
 
-// requeue waits for another turn, where no target had room in this one.
+// requeue waits for another turn of an item for which no target had capacity.
 func (q *queue) requeue(ctx context.Context, id uint64) *verdict.Error {
 	turn := make(chan fairness.Action, 1)
 
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// release frees the place of an item; ran says that it ran to its end.
+// release removes an item from the queue. completed is set if its request was answered.
 func (q *queue) release(id uint64, completed bool) {
 	if completed {
 		q.deliver(q.core.Finish(time.Now(), id))
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -10,18 +10,19 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Refusal is the body of an answer that says why there is none.
+// Refusal is the response body of a request that has no answer.
 type Refusal struct {
 	RequestID string
 	// Verdict is NotRun, MayHaveRun or Ran.
 	Verdict string
 	Cause   verdict.Cause
-	// RetryAfterSeconds is when another try makes sense; 0 where it does not.
+	// RetryAfterSeconds is the time after which a retry may succeed, or 0 if none is
+	// known.
 	RetryAfterSeconds int    `json:",omitempty"`
 	Detail            string `json:",omitempty"`
 }
 
-// httpStatus names the HTTP status of each cause.
+// httpStatus returns the HTTP status for a refusal.
 func httpStatus(err *verdict.Error) int {
 	switch err.Cause {
 	case verdict.CauseUnknownService:
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -13,7 +13,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// reply is the entry's side of one answer to a caller.
+// reply writes one answer to a caller.
 type reply struct {
 	w            http.ResponseWriter
 	ctrl         *http.ResponseController
@@ -21,9 +21,9 @@
 
 	headSent  bool
 	bytesSent uint64
-	// callerGone says that the caller no longer takes the answer.
+	// callerGone is set if writing to the caller has failed.
 	callerGone bool
-	// events is set for a stream that another target can continue.
+	// events is set for an event stream that another target may resume.
 	events *eventBuffer
 }
 
@@ -31,8 +31,8 @@
 	return &reply{w: w, ctrl: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// receiver passes an answer on as it comes. resuming says that the caller has its
-// beginning already.
+// receiver returns a receiver that relays an answer to the caller as it arrives.
+// resuming is set if the caller has already received the beginning of the answer.
 func (p *reply) receiver(resumable, resuming bool) agentclient.Receiver {
 	return agentclient.Receiver{
 		Head: func(h *wire.Head) error {
@@ -50,14 +50,14 @@
 	}
 }
 
-// checkResumedHead guards against a target that answers a resumption with something
-// else, an error page say: the caller would take it for the rest of its draft.
+// checkResumedHead rejects a response that does not continue the stream, such as an
+// error page. The caller would take it for the rest of its answer.
 func (p *reply) checkResumedHead(h *wire.Head) error {
 	if h.GetStatus() == http.StatusOK && isEventStream(h.GetHeaders()) {
 		return nil
 	}
 
-	return eris.Errorf("target did not resume: status %d", h.GetStatus())
+	return eris.Errorf("target did not resume the event stream: status %d", h.GetStatus())
 }
 
 func (p *reply) writeHead(status int32, headers []*wire.Header) error {
@@ -110,7 +110,7 @@
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseCancelled, Err: err}
 }
 
-// writeAnswer gives a whole answer at once.
+// writeAnswer writes a complete answer.
 func (p *reply) writeAnswer(a *wire.Answer) {
 	if err := p.writeHead(a.GetStatus(), a.GetHeaders()); err != nil {
 		return
@@ -120,13 +120,13 @@
 	_ = p.writeData(a.GetBody())
 }
 
-// abort breaks the connection, or resets the HTTP/2 stream, so that the caller
-// sees a cut answer as cut and never as ended.
+// abort closes the connection or resets the HTTP/2 stream, so that the caller sees that
+// the answer is incomplete.
 func (p *reply) abort() {
 	panic(http.ErrAbortHandler)
 }
 
-// flushPending gives what is left of an event stream that ended whole.
+// flushPending writes the remaining bytes of an event stream that ended completely.
 func (p *reply) flushPending() {
 	if p.events == nil {
 		return
@@ -137,9 +137,9 @@
 	_ = p.writeData(pending)
 }
 
-// resumable reports whether another target can continue what the caller has: a
-// stream of numbered events, or one of which no event has been passed on. Going
-// on with anything else would give the caller its beginning twice.
+// resumable reports whether another target can continue the answer. This requires that
+// the events have IDs or that no event was sent to the caller. Otherwise the caller
+// would receive the beginning twice.
 func (p *reply) resumable() bool {
 	return p.events != nil && (p.bytesSent == 0 || p.events.lastID != "")
 }
@@ -154,15 +154,15 @@
 	return false
 }
 
-// eventBuffer holds back the unfinished last event of a stream. A stream that
-// breaks inside an event would otherwise be continued in the middle of it.
+// eventBuffer holds back the incomplete last event of a stream, so that a broken stream
+// is never resumed in the middle of an event.
 type eventBuffer struct {
 	pending []byte
-	// lastID is the id of the last event passed on.
+	// lastID is the ID of the last event sent to the caller.
 	lastID string
 }
 
-// add takes in b and returns the events that are whole now.
+// add appends b to the buffer, and removes and returns the complete events.
 func (v *eventBuffer) add(b []byte) []byte {
 	v.pending = append(v.pending, b...)
 
@@ -186,8 +186,8 @@
 	}
 }
 
-// collector keeps a whole answer, to be recorded before the caller gets it. One
-// that grows too large to be recorded is relayed from then on.
+// collector buffers a complete answer, so that it is recorded before the caller gets
+// it. An answer larger than maxBytes is not recorded but relayed to overflow.
 type collector struct {
 	answer   *wire.Answer
 	maxBytes int
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -15,7 +15,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// exchangeRun carries out the actions of one exchange.
+// exchangeRun performs the actions of one exchange.
 type exchangeRun struct {
 	entry *Entry
 	call  *call
@@ -25,19 +25,19 @@
 	item  fairness.Item
 
 	hasTurn bool
-	// excluded are targets that failed this request.
+	// excluded are the targets that failed this request.
 	excluded []string
-	// staleTargets are targets that refused it since they could not know that they are
-	// still in use. That says nothing of the target.
+	// staleTargets are the targets that refused it because the lease of their view had
+	// expired. This is no failure of the target.
 	staleTargets []string
 	choice       routing.Choice
 	attempt      *wire.ClaimHolder
 }
 
-// execute takes a call to its end.
+// execute runs the exchange of a call and responds to the caller.
 func (e *Entry) execute(w http.ResponseWriter, r *http.Request, c *call) {
-	// The answer of a keyed request is recorded whether or not its caller stays, so
-	// that a resend finds it: the caller's disconnect does not cancel it.
+	// A disconnect of the caller does not cancel a keyed request: its answer is
+	// recorded, so that a resend finds it.
 	ctx := r.Context()
 	if c.keyed() {
 		ctx = context.WithoutCancel(ctx)
@@ -76,7 +76,7 @@
 	return item
 }
 
-// runActions does one action after the other until Finish.
+// runActions performs actions until Finish and returns that one.
 func (x *exchangeRun) runActions(ctx context.Context) exchange.Action {
 	a := x.ex.Start(time.Now())
 	for a.Kind != exchange.Finish {
@@ -107,7 +107,7 @@
 	}
 }
 
-// respond gives the caller the last word.
+// respond completes the response to the caller.
 func (x *exchangeRun) respond(a exchange.Action) {
 	counters := &x.entry.counters
 
@@ -117,7 +117,7 @@
 		x.reply.flushPending()
 	case x.reply.headSent:
 		counters.broken.Add(1)
-		x.entry.Logger.Warn("answer cut off", "request", x.call.id, "tries", x.ex.Attempts(), "callerGone", x.reply.callerGone, "error", a.Err)
+		x.entry.Logger.Warn("answer to caller cut off", "request", x.call.id, "tries", x.ex.Attempts(), "callerGone", x.reply.callerGone, "error", a.Err)
 		x.reply.abort()
 	case a.Err != nil:
 		counters.countRefusal(a.Err)
@@ -127,7 +127,8 @@
 
 func (x *exchangeRun) retry(now time.Time, err *verdict.Error, attempts int) (time.Time, bool) {
 	if err.Cause == verdict.CauseStale && x.viewStale() {
-		// Neither side is fresh, and no other agent would take this entry's word.
+		// The leases of both the agent's and this entry's view have expired, so other
+		// agents cannot rely on this entry's view either.
 		return time.Time{}, false
 	}
 
@@ -140,15 +141,15 @@
 	return d.At, d.Retry
 }
 
-// sleepUntil sleeps until at, or ctx ends.
+// sleepUntil sleeps until at or until ctx ends.
 func sleepUntil(ctx context.Context, at time.Time) {
 	if d := time.Until(at); d > 0 {
 		pauses.For(ctx, d)
 	}
 }
 
-// holderAddress returns where the agent of an attempt is reached: the address
-// that the configuration has now, else the one that the claim recorded.
+// holderAddress returns the address of an attempt's agent: the current one in the view
+// if there is one, otherwise the one recorded in the claim.
 func (x *exchangeRun) holderAddress(h *wire.ClaimHolder) (netip.AddrPort, error) {
 	if n := x.entry.View().Agent(h.GetAgentID()); n != nil {
 		return netip.ParseAddrPort(n.GetAddress()) //nolint:wrapcheck // names the address
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -13,7 +13,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// send sends the chosen attempt and passes its answer on.
+// send sends the chosen attempt and relays or records its answer.
 func (x *exchangeRun) send(ctx context.Context, resume bool) exchange.Action {
 	x.entry.counters.attempts.Add(1)
 
@@ -40,7 +40,8 @@
 	return x.ex.Ended(time.Now(), outcome)
 }
 
-// callerDisconnected tells a caller's disconnect from a deadline that passed.
+// callerDisconnected reports whether ctx ended because the caller disconnected, not
+// because the deadline passed.
 func callerDisconnected(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.Canceled)
 }
@@ -67,8 +68,9 @@
 	}
 }
 
-// resumeHeaders asks the next target to go on after the last event that the
-// caller has. What the broken attempt left unfinished comes again, whole.
+// resumeHeaders returns the request headers for a resumption after the last event that
+// the caller received. The incomplete event of the broken attempt is discarded, since
+// the next target sends it again completely.
 func (x *exchangeRun) resumeHeaders() []*wire.Header {
 	x.reply.events.pending = nil
 	if x.reply.events.lastID == "" {
@@ -86,7 +88,8 @@
 	return headers
 }
 
-// observeResponse notes the answer's status and the time to its first byte.
+// observeResponse makes receiver record the time to the first byte. It returns the
+// status, which is set when the response head arrives.
 func (x *exchangeRun) observeResponse(start time.Time, receiver *agentclient.Receiver) *int32 {
 	var (
 		status  int32
@@ -113,7 +116,8 @@
 	return &status
 }
 
-// excludeTarget notes that this request is not to go to its target again.
+// excludeTarget excludes the chosen target from further attempts of this request,
+// unless it was only at capacity.
 func (x *exchangeRun) excludeTarget(err *verdict.Error) {
 	switch {
 	case atCapacity(err):
@@ -124,7 +128,8 @@
 	}
 }
 
-// recordOutcome tells the chooser how the attempt ended.
+// recordOutcome reports the outcome of the attempt to the chooser and applies the
+// credit and load that came with it.
 func (x *exchangeRun) recordOutcome(start time.Time, res agentclient.Result, status int32) {
 	now := time.Now()
 	ev := routing.Finished{
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -51,7 +51,7 @@
 
 // Outcome describes how an attempt that was sent ended.
 type Outcome struct {
-	// Complete is set if the answer arrived with its closing frame and with the right
+	// Complete is set if the answer arrived with its end frame and with the right
 	// length and digest.
 	Complete bool
 	// Answer is the complete answer of a keyed request. It is recorded before the
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -122,8 +122,8 @@
 }
 
 // retryAt returns the time at which a refusal permits a retry, or zero for "".
-func (s *script) retryAt(text string) time.Time {
-	d, err := time.ParseDuration(text)
+func (s *script) retryAt(after string) time.Time {
+	d, err := time.ParseDuration(after)
 	if err != nil {
 		return time.Time{}
 	}
