--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -19,26 +19,26 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// The headers that callers and entries exchange.
+// Headers of requests from callers and of responses to them.
 const (
 	HeaderRequestID = "Parsleygate-Request-Id"
 	HeaderWorkspace = "Parsleygate-Workspace"
-	// HeaderTimeout is what the caller waits, in milliseconds from sending.
+	// HeaderTimeout is the caller's timeout in milliseconds, counted from receipt.
 	HeaderTimeout  = "Parsleygate-Timeout-Ms"
 	HeaderPriority = "Parsleygate-Priority"
 	HeaderKey      = "Idempotency-Key"
 	HeaderVerdict  = "Parsleygate-Verdict"
 	HeaderCause    = "Parsleygate-Cause"
-	// HeaderKeyWindow is for how long a key is remembered, in seconds from its claim.
-	HeaderKeyWindow = "Parsleygate-Key-Window"
-	headerPrefix    = "Parsleygate-"
-	lastEventID     = "Last-Event-ID"
+	// HeaderKeyWindow is how long a key is kept, in seconds from its claim.
+	HeaderKeyWindow   = "Parsleygate-Key-Window"
+	headerPrefix      = "Parsleygate-"
+	headerLastEventID = "Last-Event-ID"
 )
 
-// maxIDLength bounds request ids, keys and workspace names, in bytes.
+// maxIDLength bounds request IDs, keys and workspace names, in bytes.
 const maxIDLength = 128
 
-// call is one caller's request, read whole.
+// call is a request of a caller, including its complete body.
 type call struct {
 	id         string
 	service    *wire.Service
@@ -54,8 +54,8 @@
 	priority   int
 }
 
-// read reads a call from r, or returns why it is refused.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) (*call, *verdict.Error) {
+// readCall reads a call from r, or returns the refusal of an invalid one.
+func (e *Entry) readCall(w http.ResponseWriter, r *http.Request) (*call, *verdict.Error) {
 	now := time.Now()
 	c := &call{
 		id:        r.Header.Get(HeaderRequestID),
@@ -74,19 +74,19 @@
 		c.path += "?" + r.URL.RawQuery
 	}
 
-	if err := c.readNumbers(r, now, e.Limits); err != nil {
+	if err := c.readTimeoutAndPriority(r, now, e.Limits); err != nil {
 		return c, malformed(err)
 	}
 
-	known := e.View()
+	view := e.View()
 
 	name := chi.URLParam(r, "service")
-	if c.service = known.Service(name); c.service == nil {
+	if c.service = view.Service(name); c.service == nil {
 		return c, &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseUnknownService, Err: eris.Errorf("no service %q", name)}
 	}
 
-	c.idempotent = idempotent(c.service, c.method, "/"+chi.URLParam(r, "*"))
-	c.headers = forwarded(r.Header)
+	c.idempotent = isIdempotent(c.service, c.method, "/"+chi.URLParam(r, "*"))
+	c.headers = forwardedHeaders(r.Header)
 
 	return c, c.readBody(w, r, e.Limits.MaxBodyBytes)
 }
@@ -95,7 +95,7 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Cause: verdict.CauseMalformed, Err: err}
 }
 
-func (c *call) readNumbers(r *http.Request, now time.Time, limits Limits) error {
+func (c *call) readTimeoutAndPriority(r *http.Request, now time.Time, limits Limits) error {
 	if len(c.id) > maxIDLength || len(c.key) > maxIDLength || len(c.workspace) > maxIDLength {
 		return eris.Errorf("request id, key and workspace have at most %d bytes", maxIDLength)
 	}
@@ -128,8 +128,8 @@
 func (c *call) readBody(w http.ResponseWriter, r *http.Request, limit int64) *verdict.Error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return &verdict.Error{
 			Verdict: verdict.NotRun, Cause: verdict.CauseTooLarge,
 			Err: eris.Errorf("a body has at most %d bytes", limit),
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// digest identifies what the call asks for, against use of one key for two things.
+// digest returns a hash of the method, path and body. It detects the use of one key for
+// different requests.
 func (c *call) digest() []byte {
 	h := sha256.New()
 	for _, s := range []string{c.method, c.path} {
@@ -158,16 +159,16 @@
 	return h.Sum(nil)
 }
 
-// idempotent reports whether the service declares the call repeatable. What is
-// not declared may not be repeated, whatever its method.
-func idempotent(s *wire.Service, method, p string) bool {
+// isIdempotent reports whether the service declares the call idempotent. A call that is
+// not declared is not idempotent, whatever its method.
+func isIdempotent(s *wire.Service, method, p string) bool {
 	for _, pattern := range s.GetIdempotentCalls() {
-		m, want, ok := strings.Cut(pattern, " ")
-		if !ok || m != method {
+		patternMethod, patternPath, ok := strings.Cut(pattern, " ")
+		if !ok || patternMethod != method {
 			continue
 		}
 
-		if hit, err := path.Match(want, p); err == nil && hit {
+		if matched, err := path.Match(patternPath, p); err == nil && matched {
 			return true
 		}
 	}
@@ -175,14 +176,14 @@
 	return false
 }
 
-// hopByHop are the headers that concern one connection alone.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded returns the headers that go on to the target.
-func forwarded(h http.Header) []*wire.Header {
+// forwardedHeaders returns the headers that are forwarded to the target.
+func forwardedHeaders(h http.Header) []*wire.Header {
 	h = h.Clone()
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
@@ -190,7 +191,7 @@
 		}
 	}
 
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -28,39 +28,40 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// testSilence is how long a fake agent may send nothing in tests of just that,
-// testPatience in all others: a busy machine's pause must not pass for the agent's.
+// shortReadTimeout is how long the entry waits for an unresponsive agent in tests of
+// exactly that. All other tests use longReadTimeout, so that a stall of a busy machine
+// is not taken for an unresponsive agent.
 const (
-	testSilence  = time.Second
-	testPatience = time.Minute
+	shortReadTimeout = time.Second
+	longReadTimeout  = time.Minute
 )
 
-// impatient makes an entry wait for a silent agent no longer than testSilence.
-func impatient(e *Entry) { e.Agents.ReadTimeout = testSilence }
+// withShortReadTimeout sets the entry's read timeout for agents to shortReadTimeout.
+func withShortReadTimeout(e *Entry) { e.Agents.ReadTimeout = shortReadTimeout }
 
-// fakeAgent answers requests by a script: one behaviour for each request that it
-// or one of its siblings gets.
+// fakeAgent answers requests by a script. The script has one behaviour for each
+// request, shared with the sibling agents.
 type fakeAgent struct {
 	id     string
 	server *httptest.Server
-	*scripted
+	*agentScript
 }
 
-// scripted is what siblings share.
-type scripted struct {
-	mu       sync.Mutex
-	script   []behaviour
-	requests []*wire.Request
-	// asked is what Ask answers, one for each; the last goes on.
-	asked []*wire.AskResponse
-	asks  int
+// agentScript is the state that siblings share.
+type agentScript struct {
+	mu         sync.Mutex
+	behaviours []behaviour
+	requests   []*wire.Request
+	// askResponses are the successive responses to Ask. The last one is repeated.
+	askResponses []*wire.AskResponse
+	askCount     int
 }
 
-// behaviour is what a fake agent does with one request.
-type behaviour func(a *fakeAgent, s *sender)
+// behaviour defines how a fake agent handles one request.
+type behaviour func(a *fakeAgent, s *answerWriter)
 
-// sender writes the frames of one answer.
-type sender struct {
+// answerWriter writes the frames of one answer.
+type answerWriter struct {
 	w       http.ResponseWriter
 	r       *http.Request
 	request *wire.Request
@@ -68,19 +69,19 @@
 	length  uint64
 }
 
-func newFakeAgent(t testing.TB, id string, script ...behaviour) *fakeAgent {
+func newFakeAgent(t testing.TB, id string, behaviours ...behaviour) *fakeAgent {
 	t.Helper()
 
-	return (&scripted{script: script}).agent(t, id)
+	return (&agentScript{behaviours: behaviours}).agent(t, id)
 }
 
 // sibling returns another agent with the same script.
 func (a *fakeAgent) sibling(t testing.TB, id string) *fakeAgent { return a.agent(t, id) }
 
-func (x *scripted) agent(t testing.TB, id string) *fakeAgent {
+func (s *agentScript) agent(t testing.TB, id string) *fakeAgent {
 	t.Helper()
 
-	a := &fakeAgent{id: id, scripted: x}
+	a := &fakeAgent{id: id, agentScript: s}
 	mux := http.NewServeMux()
 	mux.HandleFunc(agentclient.RequestPath, a.serve)
 	mux.Handle(wire.AgentPathPrefix, wire.NewAgentServer(a))
@@ -105,33 +106,33 @@
 	a.mu.Lock()
 	n := len(a.requests)
 	a.requests = append(a.requests, req)
-	do := a.script[min(n, len(a.script)-1)]
+	behave := a.behaviours[min(n, len(a.behaviours)-1)]
 	a.mu.Unlock()
 
-	do(a, &sender{w: w, r: r, request: req, digest: xxhash.New()})
+	behave(a, &answerWriter{w: w, r: r, request: req, digest: xxhash.New()})
 }
 
-func (a *fakeAgent) got() []*wire.Request {
+func (a *fakeAgent) received() []*wire.Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	return a.requests
 }
 
-// Grant gives every entry a credit.
+// Grant grants a credit to every entry.
 func (a *fakeAgent) Grant(_ context.Context, r *wire.GrantRequest) (*wire.GrantResponse, error) {
 	return &wire.GrantResponse{Credit: &wire.Credit{
 		AgentID: a.id, Incarnation: 1, EntryID: r.GetEntryID(), Serial: 1, ExpiresAtTick: 1000, Slots: 64, RemainingMillis: 60_000,
 	}}, nil
 }
 
-// Ask answers from the script.
+// Ask returns the next of askResponses.
 func (a *fakeAgent) Ask(context.Context, *wire.AskRequest) (*wire.AskResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	r := a.asked[min(a.asks, len(a.asked)-1)]
-	a.asks++
+	r := a.askResponses[min(a.askCount, len(a.askResponses)-1)]
+	a.askCount++
 
 	return r, nil
 }
@@ -141,38 +142,37 @@
 	return &wire.OrderResponse{Cause: "no engine"}, nil
 }
 
-func (s *sender) frame(f *wire.Frame) {
+func (s *answerWriter) frame(f *wire.Frame) {
 	_, _ = protodelim.MarshalTo(s.w, f)
 	_ = http.NewResponseController(s.w).Flush()
 }
 
-func (s *sender) head(status int32, contentType string) {
+func (s *answerWriter) head(status int32, contentType string) {
 	s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{
 		AttemptID: s.request.GetAttemptID(), Status: status,
 		Headers: []*wire.Header{{Name: "Content-Type", Value: contentType}},
 	}}})
 }
 
-func (s *sender) data(text string) {
+func (s *answerWriter) data(text string) {
 	_, _ = s.digest.WriteString(text)
 	s.length += uint64(len(text))
 	s.frame(&wire.Frame{Kind: &wire.Frame_Data{Data: []byte(text)}})
 }
 
-func (s *sender) end() {
+func (s *answerWriter) end() {
 	s.frame(&wire.Frame{Kind: &wire.Frame_End{End: &wire.End{
 		AttemptID: s.request.GetAttemptID(), Length: s.length, Digest: s.digest.Sum64(),
 	}}})
 }
 
-// silent sends nothing more until the entry gives the connection up.
-func (s *sender) silent() { <-s.r.Context().Done() }
+// stall sends nothing more until the entry closes the connection.
+func (s *answerWriter) stall() { <-s.r.Context().Done() }
 
-// cut breaks the connection.
-func (s *sender) cut() { panic(http.ErrAbortHandler) }
+func (s *answerWriter) breakConnection() { panic(http.ErrAbortHandler) }
 
-// rig is an entry before fake agents, with control's claims in memory.
-type rig struct {
+// fixture is a running entry with fake agents and with claims in memory.
+type fixture struct {
 	t     testing.TB
 	entry *Entry
 	base  string
@@ -190,8 +190,8 @@
 	bookingService: {Name: bookingService, IdempotentCalls: []string{"GET /v1/*"}},
 }
 
-// newRig starts an entry whose targets are agents, each carrying service.
-func newRig(t testing.TB, service string, change func(*Entry), agents ...*fakeAgent) *rig {
+// newFixture starts an entry whose targets are agents, all of the given service.
+func newFixture(t testing.TB, service string, change func(*Entry), agents ...*fakeAgent) *fixture {
 	t.Helper()
 
 	var lc net.ListenConfig
@@ -199,11 +199,11 @@
 	listener, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 
-	claims := newClaims()
+	claims := newClaimServer()
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(1, 1))}
 	e := &Entry{
 		ID: "entry-1", Zone: "muscat-a", Listener: listener, Seed: 1,
-		Agents:  &agentclient.Client{ReadTimeout: testPatience, DialTimeout: time.Second, IdleConnTimeout: time.Second},
+		Agents:  &agentclient.Client{ReadTimeout: longReadTimeout, DialTimeout: time.Second, IdleConnTimeout: time.Second},
 		Chooser: chooser, Budget: &retries.Budget{Rand: rand.New(rand.NewPCG(1, 2))},
 		Claim: claims.Claim, Settle: claims.Settle, Limits: DefaultLimits(), Logger: logs.Discard(),
 		View: func() View {
@@ -223,16 +223,16 @@
 	chooser.ChangeTargets(targetsOf(service, agents))
 
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	f := &fixture{t: t, entry: e, base: "http://" + listener.Addr().String(), stop: cancel, done: make(chan error, 1)}
 
-	go func() { r.done <- e.Run(ctx) }()
+	go func() { f.done <- e.Run(ctx) }()
 
 	t.Cleanup(cancel)
 
-	return r
+	return f
 }
 
-func newClaims() *control.Server {
+func newClaimServer() *control.Server {
 	log := &control.MemoryLog{}
 	s := &control.Server{Propose: log.Propose, ReadIndex: log.ReadIndex}
 	s.Init()
@@ -253,63 +253,64 @@
 	return ev
 }
 
-// said is what a caller got.
-type said struct {
-	status  int
-	verdict string
-	cause   string
-	retry   string
-	body    string
-	window  string
-	// cut says that the answer broke off.
-	cut bool
+// callerResult is the response that a caller received.
+type callerResult struct {
+	status     int
+	verdict    string
+	cause      string
+	retryAfter string
+	body       string
+	keyWindow  string
+	// cutOff is set if the body ended before its end.
+	cutOff bool
 }
 
-func (r *rig) post(path, body string, headers ...string) said {
-	r.t.Helper()
+func (f *fixture) post(path, body string, headers ...string) callerResult {
+	f.t.Helper()
 
-	q, err := http.NewRequest(http.MethodPost, r.base+"/"+path, strings.NewReader(body))
-	require.NoError(r.t, err)
+	q, err := http.NewRequest(http.MethodPost, f.base+"/"+path, strings.NewReader(body))
+	require.NoError(f.t, err)
 
 	for i := 0; i < len(headers); i += 2 {
 		q.Header.Set(headers[i], headers[i+1])
 	}
 
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 
 	defer resp.Body.Close()
 
 	text, err := io.ReadAll(bufio.NewReader(resp.Body))
 
 	if resp.Header.Get(HeaderCause) != "" {
-		// A refusal names the request; its other words are in the headers too.
-		require.Contains(r.t, string(text), resp.Header.Get(HeaderRequestID))
+		// The body of a refusal contains the request ID. Its other fields are also in
+		// the headers, so the body is not compared.
+		require.Contains(f.t, string(text), resp.Header.Get(HeaderRequestID))
 
 		text = nil
 	}
 
-	return said{
-		window: resp.Header.Get(HeaderKeyWindow),
-		status: resp.StatusCode, verdict: resp.Header.Get(HeaderVerdict), cause: resp.Header.Get(HeaderCause),
-		retry: resp.Header.Get("Retry-After"), body: string(text), cut: err != nil,
+	return callerResult{
+		keyWindow: resp.Header.Get(HeaderKeyWindow),
+		status:    resp.StatusCode, verdict: resp.Header.Get(HeaderVerdict), cause: resp.Header.Get(HeaderCause),
+		retryAfter: resp.Header.Get("Retry-After"), body: string(text), cutOff: err != nil,
 	}
 }
 
-func (r *rig) book(key string) said {
-	r.t.Helper()
+func (f *fixture) book(key string) callerResult {
+	f.t.Helper()
 
-	return r.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
+	return f.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
 }
 
-func (r *rig) draft() said {
-	r.t.Helper()
+func (f *fixture) draft() callerResult {
+	f.t.Helper()
 
-	return r.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
+	return f.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
 }
 
-// events returns the events from first to last of a test stream.
-func events(first, last int) string {
+// draftEvents returns the events with the IDs first to last.
+func draftEvents(first, last int) string {
 	var b strings.Builder
 	for n := first; n <= last; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: word%d\n\n", n, n)
