--- a/internal/expertgroup/unit.go
+++ b/internal/expertgroup/unit.go
@@ -57,11 +57,11 @@
 	return &unit{
 		ctx: ctx, director: d, name: g.GetName(), shape: shape, busy: make(map[int]bool),
 		coordinator: &expertmap.Coordinator{
-			Ranks: shape.Ranks, Margin: s.SwitchLead, StageFor: s.StageTimeout, PrepareFor: s.PrepareTimeout, ResendEvery: s.ResendInterval,
+			Ranks: shape.Ranks, Margin: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
-			Gain: trackerGain, SpeedGain: speedGain, MaxLife: longestLife,
+			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: longestLife,
 		},
 		planner: s.Planner,
 	}
@@ -239,7 +239,7 @@
 		}
 	}
 
-	u.tracker.Close(now)
+	u.tracker.CloseWindow(now)
 
 	if u.director.units[u.name] != u || u.next != nil || len(reports) < u.shape.Ranks {
 		return
@@ -257,14 +257,14 @@
 	}
 
 	d, err := u.planner.Decide(now, &placement.Group{
-		Map: current, Life: u.tracker.Life(),
-		Load: placement.Load{Tokens: u.tracker.Tokens(), Speed: u.tracker.Speeds(), Volatility: u.tracker.Volatility()},
+		Map: current, PopularityDecay: u.tracker.Decay(),
+		Load: placement.Load{Tokens: u.tracker.TokenShares(), Speed: u.tracker.Speeds(), Volatility: u.tracker.Volatility()},
 	})
 	if err != nil || d.Map == nil {
 		return err
 	}
 
-	u.director.Logger.Info("new map", "group", u.name, "why", d.Why.String(), "moves", len(d.Moves),
+	u.director.Logger.Info("new map", "group", u.name, "why", d.Reason.String(), "moves", len(d.Moves),
 		"bytes", d.Bytes, "skewBefore", d.Before.Skew(), "skewAfter", d.After.Skew(), "saved", d.Saved, "cost", d.Cost)
 
 	version := nextVersion(u.coordinator.Record().AsOf, d.Map)
@@ -296,7 +296,7 @@
 
 // current returns the map that rules.
 func (u *unit) current() (*placement.Map, error) {
-	version := uint64(u.coordinator.Record().Ruling.Version)
+	version := uint64(u.coordinator.Record().Current.Version)
 	if version == ledger.FirstMap {
 		return placement.NewMap(u.shape)
 	}
--- a/internal/expertmap/convert.go
+++ b/internal/expertmap/convert.go
@@ -5,8 +5,8 @@
 // RecordToWire returns r as it travels and is stored.
 func RecordToWire(r Record) *wire.GroupRecord {
 	return &wire.GroupRecord{
-		AsOf: uint64(r.AsOf), RulingVersion: uint64(r.Ruling.Version), RulingStep: uint64(r.Ruling.Step),
-		RulingBefore: uint64(r.Ruling.Before), RulingFence: uint64(r.Ruling.Fence),
+		AsOf: uint64(r.AsOf), RulingVersion: uint64(r.Current.Version), RulingStep: uint64(r.Current.Step),
+		RulingBefore: uint64(r.Current.Previous), RulingFence: uint64(r.Current.Fence),
 		OpenFence: uint64(r.Open.Fence), OpenVersion: uint64(r.Open.Version),
 	}
 }
@@ -15,9 +15,9 @@
 func RecordFromWire(w *wire.GroupRecord) Record {
 	return Record{
 		AsOf: Fence(w.GetAsOf()),
-		Ruling: Ruling{
+		Current: Activation{
 			Version: Version(w.GetRulingVersion()), Step: Step(w.GetRulingStep()),
-			Before: Version(w.GetRulingBefore()), Fence: Fence(w.GetRulingFence()),
+			Previous: Version(w.GetRulingBefore()), Fence: Fence(w.GetRulingFence()),
 		},
 		Open: Switch{Fence: Fence(w.GetOpenFence()), Version: Version(w.GetOpenVersion())},
 	}
@@ -59,17 +59,17 @@
 // StatusToWire returns s as it travels.
 func StatusToWire(s Status) *wire.RankStatus {
 	return &wire.RankStatus{
-		Rank: uint32(s.Rank), Incarnation: s.Incarnation, Known: s.Known, Joined: uint64(s.Joined),
+		Rank: uint32(s.Rank), Incarnation: s.Incarnation, Known: s.Confirmed, Joined: uint64(s.Joined),
 		Staged: uint64(s.Staged), Promised: uint64(s.Promised), Refused: uint64(s.Refused),
-		AsOf: uint64(s.AsOf), Highest: uint64(s.Highest),
+		AsOf: uint64(s.AsOf), Highest: uint64(s.HighestFence),
 	}
 }
 
 // StatusFromWire returns the Status that w holds.
 func StatusFromWire(w *wire.RankStatus) Status {
 	return Status{
-		Rank: int(w.GetRank()), Incarnation: w.GetIncarnation(), Known: w.GetKnown(), Joined: Step(w.GetJoined()),
+		Rank: int(w.GetRank()), Incarnation: w.GetIncarnation(), Confirmed: w.GetKnown(), Joined: Step(w.GetJoined()),
 		Staged: Fence(w.GetStaged()), Promised: Fence(w.GetPromised()), Refused: Fence(w.GetRefused()),
-		AsOf: Fence(w.GetAsOf()), Highest: Fence(w.GetHighest()),
+		AsOf: Fence(w.GetAsOf()), HighestFence: Fence(w.GetHighest()),
 	}
 }
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -14,10 +14,10 @@
 	// Margin is how many steps ahead a switch is named. Where the decision
 	// reaches all ranks within Margin steps, no step waits for it.
 	Margin Step
-	// StageFor bounds the staging of a map, PrepareFor the time from then to the decision.
-	StageFor, PrepareFor time.Duration
-	// ResendEvery is how often unanswered orders and entries are repeated.
-	ResendEvery time.Duration
+	// StageTimeout bounds the staging of a map, PrepareFor the time from then to the decision.
+	StageTimeout, PrepareTimeout time.Duration
+	// ResendInterval is how often unanswered orders and entries are repeated.
+	ResendInterval time.Duration
 
 	record  Record
 	leading bool
@@ -108,10 +108,10 @@
 		return nil, &ProposeError{Version: v, Reason: "this VM does not lead"}
 	case c.job.phase != phaseIdle || c.record.Open.Fence != 0:
 		return nil, &ProposeError{Version: v, Reason: "another switch is open"}
-	case v <= c.record.Ruling.Version:
+	case v <= c.record.Current.Version:
 		return nil, &ProposeError{Version: v, Reason: "not newer than the ruling map"}
 	}
-	c.job = job{phase: phaseBeginning, version: v, by: now.Add(c.StageFor)}
+	c.job = job{phase: phaseBeginning, version: v, by: now.Add(c.StageTimeout)}
 	c.tickAt = now
 
 	return c.Tick(now), nil
@@ -155,7 +155,7 @@
 
 func (c *Coordinator) ended(now time.Time, open Switch) []Action {
 	outcome := Aborted
-	if c.record.Ruling.Fence == open.Fence {
+	if c.record.Current.Fence == open.Fence {
 		outcome = Committed
 	}
 	var out []Action
@@ -175,7 +175,7 @@
 	if v.confirming == e.Incarnation {
 		v.confirming = 0
 	}
-	if c.record.Open.Fence != 0 || v.status.Incarnation != e.Incarnation || v.status.Known {
+	if c.record.Open.Fence != 0 || v.status.Incarnation != e.Incarnation || v.status.Confirmed {
 		return out
 	}
 
@@ -207,13 +207,13 @@
 		return
 	}
 	w := &v.status
-	w.Known = s.Known || (w.Known && s.AsOf < w.AsOf)
+	w.Confirmed = s.Confirmed || (w.Confirmed && s.AsOf < w.AsOf)
 	w.Joined = max(w.Joined, s.Joined)
 	w.Staged = max(w.Staged, s.Staged)
 	w.Promised = max(w.Promised, s.Promised)
 	w.Refused = max(w.Refused, s.Refused)
 	w.AsOf = max(w.AsOf, s.AsOf)
-	w.Highest = max(w.Highest, s.Highest)
+	w.HighestFence = max(w.HighestFence, s.HighestFence)
 }
 
 // advance moves the switch on as far as the ranks' statuses allow.
@@ -227,7 +227,7 @@
 	case phaseIdle, phaseBeginning, phaseCommitting, phaseAborting:
 	}
 	if c.job.phase == phaseStaging && c.all(func(s *Status) bool { return s.Staged == c.job.fence }) {
-		c.job.phase, c.job.by = phasePreparing, now.Add(c.PrepareFor)
+		c.job.phase, c.job.by = phasePreparing, now.Add(c.PrepareTimeout)
 		c.job.step = c.joined() + max(1, c.Margin)
 		c.tickAt = now
 	}
@@ -243,7 +243,7 @@
 func (c *Coordinator) lost() bool {
 	for i := range c.ranks {
 		s := &c.ranks[i].status
-		if s.Refused == c.job.fence || (c.ranks[i].heard && !s.Known) {
+		if s.Refused == c.job.fence || (c.ranks[i].heard && !s.Confirmed) {
 			return true
 		}
 	}
@@ -264,7 +264,7 @@
 // joined returns the latest step that any rank is known to have begun, or that
 // the present ruling begins at.
 func (c *Coordinator) joined() Step {
-	s := c.record.Ruling.Step
+	s := c.record.Current.Step
 	for i := range c.ranks {
 		s = max(s, c.ranks[i].status.Joined)
 	}
--- a/internal/expertmap/engine.go
+++ b/internal/expertmap/engine.go
@@ -25,7 +25,7 @@
 	// Run lifts the hold; each step then uses the map that r gives for it.
 	// The engine joins no step whose map it has not loaded, and frees all maps
 	// but those of r.
-	Run func(ctx context.Context, f Fence, r Ruling) error
+	Run func(ctx context.Context, f Fence, r Activation) error
 }
 
 // ActionError says that an action is none of the engine's.
@@ -48,7 +48,7 @@
 	case ActionHold:
 		return e.Hold(ctx, a.Fence, a.Step)
 	case ActionRun:
-		return e.Run(ctx, a.Fence, a.Ruling)
+		return e.Run(ctx, a.Fence, a.Activation)
 	default:
 		return &ActionError{Kind: a.Kind}
 	}
--- a/internal/expertmap/example_test.go
+++ b/internal/expertmap/example_test.go
@@ -11,9 +11,9 @@
 // stands for appends entries to the log and carries messages.
 func Example() {
 	now := time.Unix(0, 0)
-	c := &expertmap.Coordinator{Ranks: 1, Margin: 10, StageFor: time.Minute, PrepareFor: time.Minute}
+	c := &expertmap.Coordinator{Ranks: 1, Margin: 10, StageTimeout: time.Minute, PrepareTimeout: time.Minute}
 	p := &expertmap.Participant{Rank: 0, Incarnation: 1 << 32}
-	c.Start(expertmap.Record{Ruling: expertmap.Ruling{Version: 1}})
+	c.Start(expertmap.Record{Current: expertmap.Activation{Version: 1}})
 
 	index := expertmap.Fence(0)
 	queue := append(c.Lead(now), p.Tick(now)...)
@@ -29,7 +29,7 @@
 			queue = append(queue, p.Receive(now, a.Order)...)
 		case expertmap.ActionStatus:
 			queue = append(queue, c.Receive(now, a.Status)...)
-			if a.Status.Known && !proposed {
+			if a.Status.Confirmed && !proposed {
 				proposed = true
 				more, _ := c.Propose(now, 2)
 				queue = append(queue, more...)
@@ -40,7 +40,7 @@
 			fmt.Println("hold at step", a.Step)
 			queue = append(queue, p.Held(now, a.Fence, true)...)
 		case expertmap.ActionRun:
-			fmt.Println("map", a.Ruling.Version, "rules from step", a.Ruling.Step)
+			fmt.Println("map", a.Activation.Version, "rules from step", a.Activation.Step)
 		}
 	}
 	// Output:
--- a/internal/expertmap/group_test.go
+++ b/internal/expertmap/group_test.go
@@ -37,7 +37,7 @@
 	id      int
 	agent   *Participant
 	boots   uint64
-	ruling  *Ruling
+	ruling  *Activation
 	hold    Step
 	loaded  map[Version]bool
 	begun   bool
@@ -85,9 +85,9 @@
 
 func (g *group) restartControl(i int) {
 	g.nodes[i] = &Coordinator{
-		Ranks: 4, Margin: 20, StageFor: 3 * time.Second, PrepareFor: 2 * time.Second, ResendEvery: 50 * time.Millisecond,
+		Ranks: 4, Margin: 20, StageTimeout: 3 * time.Second, PrepareTimeout: 2 * time.Second, ResendInterval: 50 * time.Millisecond,
 	}
-	g.nodes[i].Start(Record{Ruling: Ruling{Version: 1, Before: 1}})
+	g.nodes[i].Start(Record{Current: Activation{Version: 1, Previous: 1}})
 	g.applied[i] = 0
 	if g.leader == i {
 		g.leader = -1
@@ -97,7 +97,7 @@
 func (g *group) restartAgent(i int) {
 	r := g.ranks[i]
 	r.boots++
-	r.agent = &Participant{Rank: i, Incarnation: r.boots << 32, StatusEvery: 100 * time.Millisecond, AskAfter: 200 * time.Millisecond}
+	r.agent = &Participant{Rank: i, Incarnation: r.boots << 32, StatusInterval: 100 * time.Millisecond, PeerQueryInterval: 200 * time.Millisecond}
 }
 
 func (g *group) restartEngine(i int) {
@@ -214,13 +214,13 @@
 					g.nodeActs(i, g.nodes[i].Receive(g.now, a.Status))
 				}
 			})
-		case ActionAsk:
+		case ActionQueryPeers:
 			for _, peer := range g.ranks {
-				g.send(func() { g.rankActs(peer, peer.agent.Asked(r.id)) })
+				g.send(func() { g.rankActs(peer, peer.agent.HandlePeerQuery(r.id)) })
 			}
-		case ActionTell:
+		case ActionAnswerPeer:
 			to := g.ranks[a.Peer]
-			g.send(func() { g.rankActs(to, to.agent.Told(g.now, a.Record)) })
+			g.send(func() { g.rankActs(to, to.agent.HandlePeerRecord(g.now, a.Record)) })
 		case ActionLoad:
 			g.after(g.upTo(100*time.Millisecond), func() {
 				loads[a.Version] = true
@@ -233,9 +233,9 @@
 		case ActionHold:
 			g.holdEngine(r, a)
 		case ActionRun:
-			r.hold, r.ruling = 0, &a.Ruling
+			r.hold, r.ruling = 0, &a.Activation
 			for v := range r.loaded {
-				if v != a.Ruling.Version && v != a.Ruling.Before {
+				if v != a.Activation.Version && v != a.Activation.Previous {
 					delete(r.loaded, v)
 				}
 			}
@@ -261,7 +261,7 @@
 	if r.begun || r.ruling == nil || (r.hold != 0 && g.step >= r.hold) || g.now.Before(r.silent) {
 		return
 	}
-	v := r.ruling.At(g.step)
+	v := r.ruling.VersionAt(g.step)
 	if !r.loaded[v] {
 		g.rankActs(r, r.agent.Missing(v))
 
--- a/internal/expertmap/message.go
+++ b/internal/expertmap/message.go
@@ -33,16 +33,16 @@
 type Status struct {
 	Rank        int
 	Incarnation uint64
-	// Known says that the rank knows which map rules.
-	Known bool
+	// Confirmed says that the rank knows which map rules.
+	Confirmed bool
 	// Joined is the last step that the engine is known to have begun.
 	Joined Step
 	// Staged, Promised and Refused name the latest switch for which the rank did so.
 	Staged, Promised, Refused Fence
 	// AsOf is how far the rank knows the log.
 	AsOf Fence
-	// Highest is the highest fencing number of an order that the rank accepted.
-	Highest Fence
+	// HighestFence is the highest fencing number of an order that the rank accepted.
+	HighestFence Fence
 }
 
 // Outcome says how a proposed switch ended.
@@ -69,10 +69,10 @@
 	ActionDone
 	// ActionStatus sends Status to the control leader.
 	ActionStatus
-	// ActionAsk asks all other ranks of the group for their Record.
-	ActionAsk
-	// ActionTell answers a peer's question with Record.
-	ActionTell
+	// ActionQueryPeers asks all other ranks of the group for their Record.
+	ActionQueryPeers
+	// ActionAnswerPeer answers a peer's question with Record.
+	ActionAnswerPeer
 	// ActionLoad has the engine fetch Version; the shell then calls Loaded.
 	ActionLoad
 	// ActionDrop has the engine free Version.
@@ -85,16 +85,16 @@
 
 // Action is one thing to do. Which fields are set follows from Kind.
 type Action struct {
-	Kind    ActionKind
-	Entry   Entry
-	Order   Order
-	Status  Status
-	Record  Record
-	Ruling  Ruling
-	Version Version
-	Step    Step
-	Fence   Fence
-	Outcome Outcome
+	Kind       ActionKind
+	Entry      Entry
+	Order      Order
+	Status     Status
+	Record     Record
+	Activation Activation
+	Version    Version
+	Step       Step
+	Fence      Fence
+	Outcome    Outcome
 	// Peer is the rank to tell.
 	Peer int
 }
--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -12,11 +12,11 @@
 	// Incarnation is fresh and higher at each start of the agent, with its low
 	// 32 bits zero: EngineRestarted counts there.
 	Incarnation uint64
-	// StatusEvery is how often the rank reports without being asked.
-	StatusEvery time.Duration
-	// AskAfter is how long the rank waits for the end of a switch that it
+	// StatusInterval is how often the rank reports without being asked.
+	StatusInterval time.Duration
+	// PeerQueryInterval is how long the rank waits for the end of a switch that it
 	// promised before it asks its peers.
-	AskAfter time.Duration
+	PeerQueryInterval time.Duration
 
 	// known says that record is good enough to run by.
 	known  bool
@@ -30,7 +30,7 @@
 	promise promise
 	refused Fence
 	// running is the ruling that the engine was given last.
-	running  Ruling
+	running  Activation
 	statusAt time.Time
 	askAt    time.Time
 }
@@ -44,7 +44,7 @@
 }
 
 // kept reports whether r came from the switch that was promised.
-func (m promise) kept(r Ruling) bool {
+func (m promise) kept(r Activation) bool {
 	return m.Held && r.Fence == m.Fence && r.Version == m.Version && r.Step == m.Step
 }
 
@@ -95,11 +95,11 @@
 
 // run hands the ruling to the engine, which keeps no other maps.
 func (p *Participant) run(out []Action) []Action {
-	p.running = p.record.Ruling
-	p.wanted.keep(p.running.Version, p.running.Before)
-	p.loaded.keep(p.running.Version, p.running.Before)
+	p.running = p.record.Current
+	p.wanted.keep(p.running.Version, p.running.Previous)
+	p.loaded.keep(p.running.Version, p.running.Previous)
 
-	return append(out, Action{Kind: ActionRun, Fence: p.highest, Ruling: p.running})
+	return append(out, Action{Kind: ActionRun, Fence: p.highest, Activation: p.running})
 }
 
 // absorb takes in a newer record, and with it the end of a promised switch.
@@ -108,7 +108,7 @@
 		return out
 	}
 	promised := p.promise
-	if r.Ruling != p.record.Ruling && !promised.kept(r.Ruling) {
+	if r.Current != p.record.Current && !promised.kept(r.Current) {
 		// No switch commits without this rank's promise. That one did means that
 		// this rank's memory is not to be trusted: it must not go on by it.
 		p.known, p.promise = false, promise{}
@@ -156,11 +156,11 @@
 	}
 	// Until the engine has begun a step by the present ruling, Before is still
 	// in use, and a second switch would make it forgotten.
-	if !p.loaded.has(open.Version) || p.joined < p.record.Ruling.Step {
+	if !p.loaded.has(open.Version) || p.joined < p.record.Current.Step {
 		return out
 	}
 	p.promise = promise{Fence: o.Fence, Version: open.Version, Step: o.Step}
-	p.askAt = now.Add(p.AskAfter)
+	p.askAt = now.Add(p.PeerQueryInterval)
 
 	return append(out, Action{Kind: ActionHold, Fence: o.Fence, Step: o.Step})
 }
@@ -214,8 +214,8 @@
 	if !p.known {
 		return nil
 	}
-	p.loaded.add(p.running.At(s))
-	if before := p.running.Before; before != 0 && s >= p.running.Step && before != p.running.Version {
+	p.loaded.add(p.running.VersionAt(s))
+	if before := p.running.Previous; before != 0 && s >= p.running.Step && before != p.running.Version {
 		return p.drop(before, nil)
 	}
 
@@ -227,24 +227,24 @@
 func (p *Participant) EngineRestarted(now time.Time) []Action {
 	*p = Participant{
 		Rank: p.Rank, Incarnation: p.Incarnation + 1,
-		StatusEvery: p.StatusEvery, AskAfter: p.AskAfter,
+		StatusInterval: p.StatusInterval, PeerQueryInterval: p.PeerQueryInterval,
 	}
 
 	return p.report(now, nil)
 }
 
-// Asked answers a peer that waits for the end of a switch.
-func (p *Participant) Asked(peer int) []Action {
+// HandlePeerQuery answers a peer that waits for the end of a switch.
+func (p *Participant) HandlePeerQuery(peer int) []Action {
 	if !p.known {
 		return nil
 	}
 
-	return []Action{{Kind: ActionTell, Peer: peer, Record: p.record}}
+	return []Action{{Kind: ActionAnswerPeer, Peer: peer, Record: p.record}}
 }
 
-// Told takes in a peer's answer. It may end a promised switch, but never tells
+// HandlePeerRecord takes in a peer's answer. It may end a promised switch, but never tells
 // a rank that does not know which map rules: the peer's word may be old.
-func (p *Participant) Told(now time.Time, r Record) []Action {
+func (p *Participant) HandlePeerRecord(now time.Time, r Record) []Action {
 	if out := p.absorb(r, nil); out != nil {
 		return p.report(now, out)
 	}
@@ -256,8 +256,8 @@
 func (p *Participant) Tick(now time.Time) []Action {
 	var out []Action
 	if p.promise.Fence != 0 && !now.Before(p.askAt) {
-		p.askAt = now.Add(p.AskAfter)
-		out = append(out, Action{Kind: ActionAsk, Fence: p.promise.Fence})
+		p.askAt = now.Add(p.PeerQueryInterval)
+		out = append(out, Action{Kind: ActionQueryPeers, Fence: p.promise.Fence})
 	}
 	if now.Before(p.statusAt) {
 		return out
@@ -268,10 +268,10 @@
 
 // report adds the rank's status to out.
 func (p *Participant) report(now time.Time, out []Action) []Action {
-	p.statusAt = now.Add(p.StatusEvery)
+	p.statusAt = now.Add(p.StatusInterval)
 	s := Status{
-		Rank: p.Rank, Incarnation: p.Incarnation, Known: p.known,
-		Joined: p.joined, Refused: p.refused, AsOf: p.record.AsOf, Highest: p.highest,
+		Rank: p.Rank, Incarnation: p.Incarnation, Confirmed: p.known,
+		Joined: p.joined, Refused: p.refused, AsOf: p.record.AsOf, HighestFence: p.highest,
 	}
 	if open := p.record.Open; open.Fence != 0 && p.loaded.has(open.Version) {
 		s.Staged = open.Fence
--- a/internal/expertmap/participant_test.go
+++ b/internal/expertmap/participant_test.go
@@ -11,8 +11,8 @@
 
 var (
 	start  = time.Unix(0, 0)
-	first  = Record{AsOf: 5, Ruling: Ruling{Version: 1, Before: 1}}
-	opened = Record{AsOf: 8, Ruling: first.Ruling, Open: Switch{Fence: 8, Version: 2}}
+	first  = Record{AsOf: 5, Current: Activation{Version: 1, Previous: 1}}
+	opened = Record{AsOf: 8, Current: first.Current, Open: Switch{Fence: 8, Version: 2}}
 )
 
 func order(k OrderKind, f Fence, r Record) Order {
@@ -49,9 +49,9 @@
 func TestReceive(t *testing.T) {
 	t.Parallel()
 
-	committed := Record{AsOf: 9, Ruling: Ruling{Version: 2, Step: 100, Before: 1, Fence: 8}}
-	foreign := Record{AsOf: 9, Ruling: Ruling{Version: 2, Step: 100, Before: 1, Fence: 7}}
-	aborted := Record{AsOf: 9, Ruling: first.Ruling}
+	committed := Record{AsOf: 9, Current: Activation{Version: 2, Step: 100, Previous: 1, Fence: 8}}
+	foreign := Record{AsOf: 9, Current: Activation{Version: 2, Step: 100, Previous: 1, Fence: 7}}
+	aborted := Record{AsOf: 9, Current: first.Current}
 	other := order(OrderInform, 9, committed)
 	other.Incarnation++
 	cases := []struct {
@@ -67,7 +67,7 @@
 		{"prepare again", holding(), order(OrderPrepare, 8, opened), []ActionKind{ActionStatus}, 1},
 		{"committed", holding(), order(OrderInform, 9, committed), []ActionKind{ActionRun, ActionStatus}, 2},
 		{"aborted", holding(), order(OrderInform, 9, aborted), []ActionKind{ActionRun, ActionStatus}, 1},
-		{"still open, later log", holding(), order(OrderPrepare, 8, Record{AsOf: 9, Ruling: first.Ruling, Open: opened.Open}), []ActionKind{ActionStatus}, 1},
+		{"still open, later log", holding(), order(OrderPrepare, 8, Record{AsOf: 9, Current: first.Current, Open: opened.Open}), []ActionKind{ActionStatus}, 1},
 		{"committed without this rank", member(), order(OrderInform, 9, committed), []ActionKind{ActionHold, ActionStatus}, 0},
 		{"another switch committed", holding(), order(OrderInform, 9, foreign), []ActionKind{ActionHold, ActionStatus}, 0},
 		{"old fencing number", holding(), order(OrderInform, 7, committed), []ActionKind{ActionStatus}, 1},
@@ -79,7 +79,7 @@
 		require.Equal(t, c.want, kinds(c.p.Receive(start, c.o)), c.name)
 		require.Equal(t, c.v != 0, c.p.known, c.name)
 		if c.v != 0 {
-			require.Equal(t, c.v, c.p.record.Ruling.At(100), c.name)
+			require.Equal(t, c.v, c.p.record.Current.VersionAt(100), c.name)
 		}
 	}
 }
@@ -93,14 +93,14 @@
 		e    Entry
 		want Record
 	}{
-		{"begin", first, Entry{Kind: EntryBegin, Version: 2}, Record{AsOf: 20, Ruling: first.Ruling, Open: Switch{Fence: 20, Version: 2}}},
-		{"begin an old map", first, Entry{Kind: EntryBegin, Version: 1}, Record{AsOf: 20, Ruling: first.Ruling}},
-		{"begin twice", opened, Entry{Kind: EntryBegin, Version: 3}, Record{AsOf: 20, Ruling: first.Ruling, Open: opened.Open}},
-		{"commit", opened, Entry{Kind: EntryCommit, Fence: 8, Step: 9}, Record{AsOf: 20, Ruling: Ruling{Version: 2, Step: 9, Before: 1, Fence: 8}}},
-		{"commit of another", opened, Entry{Kind: EntryCommit, Fence: 7, Step: 9}, Record{AsOf: 20, Ruling: first.Ruling, Open: opened.Open}},
-		{"commit after abort", first, Entry{Kind: EntryCommit, Fence: 0, Step: 9}, Record{AsOf: 20, Ruling: first.Ruling}},
-		{"abort", opened, Entry{Kind: EntryAbort, Fence: 8}, Record{AsOf: 20, Ruling: first.Ruling}},
-		{"abort of another", opened, Entry{Kind: EntryAbort, Fence: 7}, Record{AsOf: 20, Ruling: first.Ruling, Open: opened.Open}},
+		{"begin", first, Entry{Kind: EntryBegin, Version: 2}, Record{AsOf: 20, Current: first.Current, Open: Switch{Fence: 20, Version: 2}}},
+		{"begin an old map", first, Entry{Kind: EntryBegin, Version: 1}, Record{AsOf: 20, Current: first.Current}},
+		{"begin twice", opened, Entry{Kind: EntryBegin, Version: 3}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
+		{"commit", opened, Entry{Kind: EntryCommit, Fence: 8, Step: 9}, Record{AsOf: 20, Current: Activation{Version: 2, Step: 9, Previous: 1, Fence: 8}}},
+		{"commit of another", opened, Entry{Kind: EntryCommit, Fence: 7, Step: 9}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
+		{"commit after abort", first, Entry{Kind: EntryCommit, Fence: 0, Step: 9}, Record{AsOf: 20, Current: first.Current}},
+		{"abort", opened, Entry{Kind: EntryAbort, Fence: 8}, Record{AsOf: 20, Current: first.Current}},
+		{"abort of another", opened, Entry{Kind: EntryAbort, Fence: 7}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
 	}
 	for _, c := range cases {
 		r := c.from
@@ -114,7 +114,7 @@
 func TestProposeRefuses(t *testing.T) {
 	t.Parallel()
 
-	c := &Coordinator{Ranks: 1, StageFor: time.Minute}
+	c := &Coordinator{Ranks: 1, StageTimeout: time.Minute}
 	c.Start(first)
 	_, err := c.Propose(start, 2)
 	require.EqualError(t, err, "expert map 2: this VM does not lead")
@@ -139,5 +139,5 @@
 		return fault
 	}}
 	require.ErrorIs(t, e.Do(context.Background(), Action{Kind: ActionHold, Fence: 8, Step: 100}), fault)
-	require.EqualError(t, e.Do(context.Background(), Action{Kind: ActionAsk}), "action 5 is none of the engine's")
+	require.EqualError(t, e.Do(context.Background(), Action{Kind: ActionQueryPeers}), "action 5 is none of the engine's")
 }
--- a/internal/expertmap/record.go
+++ b/internal/expertmap/record.go
@@ -18,23 +18,23 @@
 // Fence is a fencing number: the index of a log entry. Zero is none.
 type Fence uint64
 
-// Ruling says which map rules in each step.
-type Ruling struct {
+// Activation says which map rules in each step.
+type Activation struct {
 	// Version rules from Step on, Before until then.
-	Version Version
-	Step    Step
-	Before  Version
+	Version  Version
+	Step     Step
+	Previous Version
 	// Fence is the number of the switch that brought the ruling, 0 for a group's first.
 	Fence Fence
 }
 
-// At returns the map that rules in step s.
-func (r Ruling) At(s Step) Version {
+// VersionAt returns the map that rules in step s.
+func (r Activation) VersionAt(s Step) Version {
 	if s >= r.Step {
 		return r.Version
 	}
 
-	return r.Before
+	return r.Previous
 }
 
 // Switch is a change of map that is not yet decided.
@@ -46,9 +46,9 @@
 // Record is what the log says about a group's map up to AsOf. A Record is a
 // true statement whoever passes it on: what it calls settled stays settled.
 type Record struct {
-	AsOf   Fence
-	Ruling Ruling
-	Open   Switch
+	AsOf    Fence
+	Current Activation
+	Open    Switch
 }
 
 // settled reports whether the switch with this number is decided, as far as r knows.
@@ -92,12 +92,12 @@
 	r.AsOf = index
 	switch e.Kind {
 	case EntryBegin:
-		if r.Open.Fence == 0 && e.Version > r.Ruling.Version {
+		if r.Open.Fence == 0 && e.Version > r.Current.Version {
 			r.Open = Switch{Fence: index, Version: e.Version}
 		}
 	case EntryCommit:
-		if r.Open.Fence != 0 && r.Open.Fence == e.Fence && e.Step > r.Ruling.Step {
-			r.Ruling = Ruling{Version: r.Open.Version, Step: e.Step, Before: r.Ruling.Version, Fence: e.Fence}
+		if r.Open.Fence != 0 && r.Open.Fence == e.Fence && e.Step > r.Current.Step {
+			r.Current = Activation{Version: r.Open.Version, Step: e.Step, Previous: r.Current.Version, Fence: e.Fence}
 			r.Open = Switch{}
 		}
 	case EntryAbort:
--- a/internal/expertmap/resend.go
+++ b/internal/expertmap/resend.go
@@ -13,7 +13,7 @@
 	if now.Before(c.tickAt) {
 		return out
 	}
-	c.tickAt = now.Add(c.ResendEvery)
+	c.tickAt = now.Add(c.ResendInterval)
 	out = c.appendAgain(out)
 	for r := range c.ranks {
 		out = c.orderAgain(r, out)
@@ -67,7 +67,7 @@
 	switch {
 	case !v.heard:
 		return out
-	case !s.Known:
+	case !s.Confirmed:
 		if c.record.Open.Fence != 0 {
 			return out // the switch ends first
 		}
--- a/internal/expertmap/switch_test.go
+++ b/internal/expertmap/switch_test.go
@@ -25,7 +25,7 @@
 
 func staged(r *rank) bool   { return r.agent.loaded.has(2) }
 func promised(r *rank) bool { return r.agent.promise.Held }
-func told(r *rank) bool     { return r.agent.record.Ruling.Version == 2 }
+func told(r *rank) bool     { return r.agent.record.Current.Version == 2 }
 func switched(r *rank) bool { return r.version == 2 }
 
 func (g *group) in(p phase) bool { return g.leader >= 0 && g.nodes[g.leader].job.phase == p }
@@ -81,7 +81,7 @@
 		for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second} {
 			g.after(d, func() { g.restartEngine(2) })
 		}
-		g.after(time.Second, func() { g.propose(g.nodes[1].record.Ruling.Version + 1) })
+		g.after(time.Second, func() { g.propose(g.nodes[1].record.Current.Version + 1) })
 	}},
 	{"the log stalls, then an engine restarts", func(g *group) {
 		g.stalled = g.now.Add(2 * time.Second)
@@ -131,7 +131,7 @@
 	require.True(t, g.run(10*time.Second, func() bool { return g.step > want }), "the group steps: %v", g.fault)
 	require.NoError(t, g.fault)
 
-	next := g.nodes[g.leader].record.Ruling.Version + 1
+	next := g.nodes[g.leader].record.Current.Version + 1
 	for range 4 {
 		g.propose(next)
 		if g.run(5*time.Second, func() bool { return g.every(func(r *rank) bool { return r.version == next }) }) {
@@ -160,7 +160,7 @@
 	g.drop, g.twice, g.slow = 0.2*rng.Float64(), 0.3*rng.Float64(), 0.2*rng.Float64()
 	calm := rng.Float64() * 0.9
 	for v := Version(2); v < 24; v++ {
-		g.propose(g.nodes[max(0, g.leader)].record.Ruling.Version + 1)
+		g.propose(g.nodes[max(0, g.leader)].record.Current.Version + 1)
 		g.run(g.upTo(3*time.Second), nil)
 		if rng.Float64() < calm {
 			continue
--- a/internal/ledger/groups.go
+++ b/internal/ledger/groups.go
@@ -39,7 +39,7 @@
 
 // FirstRecord is the record of a group of which the log has said nothing yet.
 func FirstRecord() expertmap.Record {
-	return expertmap.Record{Ruling: expertmap.Ruling{Version: FirstMap}}
+	return expertmap.Record{Current: expertmap.Activation{Version: FirstMap}}
 }
 
 // opened returns the map of an entry that has just opened a switch.
@@ -55,7 +55,7 @@
 func named(r expertmap.Record, version uint64) bool {
 	v := expertmap.Version(version)
 
-	return v == r.Ruling.Version || v == r.Ruling.Before || v == r.Open.Version
+	return v == r.Current.Version || v == r.Current.Previous || v == r.Open.Version
 }
 
 func (t groupTable) sorted() []*wire.GroupState {
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -23,7 +23,7 @@
 	}
 	if taken == 0 && forced == 0 {
 		if len(p.results) > 0 {
-			d.Why = WhyCost
+			d.Reason = ReasonCost
 		}
 
 		return
@@ -71,15 +71,15 @@
 	saved := seconds(worth * math.Exp(-transfer.Seconds()/math.Max(p.horizon, noise)))
 	cost := seconds(transfer.Seconds()*p.Slowdown+p.fetchTime(len(moves))*p.StorePrice) + p.SwitchPause
 	if forced == 0 && saved <= cost {
-		d.Why = WhyCost
+		d.Reason = ReasonCost
 
 		return
 	}
 
 	p.learn(taken)
-	d.Map, d.Moves, d.Why = m, moves, WhyGain
+	d.Map, d.Moves, d.Reason = m, moves, ReasonGain
 	if forced > 0 {
-		d.Why = WhyRepair
+		d.Reason = ReasonRepair
 	}
 	d.After = Evaluate(m, &g.Load)
 	d.Bytes = int64(len(moves)) * p.ExpertBytes
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -11,7 +11,7 @@
 func decision(minutes int) *placement.Group {
 	g := newGroup(scene{sigma: 0.7, life: 3 * time.Hour, speed: even}, 1)
 	g.advance(1)
-	group := &placement.Group{Load: placement.Load{Tokens: g.tokens, Speed: g.speed}, Life: 3 * time.Hour}
+	group := &placement.Group{Load: placement.Load{Tokens: g.tokens, Speed: g.speed}, PopularityDecay: 3 * time.Hour}
 	group.Map = greedy(epoch, group)
 	for range minutes * samples {
 		g.advance(1)
--- a/internal/placement/example_test.go
+++ b/internal/placement/example_test.go
@@ -14,11 +14,11 @@
 		Slowdown: 0.05, SwitchPause: 50 * time.Millisecond, ExpertFraction: 0.6,
 	}
 	d, _ := p.Decide(time.Unix(0, 0), &placement.Group{
-		Map:  m,
-		Load: placement.Load{Tokens: []float64{0.4, 0.1, 0.4, 0.1}, Speed: []float64{1, 1}},
-		Life: time.Hour,
+		Map:             m,
+		Load:            placement.Load{Tokens: []float64{0.4, 0.1, 0.4, 0.1}, Speed: []float64{1, 1}},
+		PopularityDecay: time.Hour,
 	})
-	fmt.Printf("%s: skew %.1f to %.1f, %d moves\n", d.Why, d.Before.Skew(), d.After.Skew(), len(d.Moves))
+	fmt.Printf("%s: skew %.1f to %.1f, %d moves\n", d.Reason, d.Before.Skew(), d.After.Skew(), len(d.Moves))
 	// Output: Gain: skew 1.6 to 1.0, 2 moves
 }
 
--- a/internal/placement/former_test.go
+++ b/internal/placement/former_test.go
@@ -25,7 +25,7 @@
 func (p *Former) Decide(g *Group) *Map {
 	calm := *g
 	calm.Load.Volatility = 0
-	p.horizon = max(g.Life.Seconds(), noise)
+	p.horizon = max(g.PopularityDecay.Seconds(), noise)
 	pr := p.price(&calm, Evaluate(g.Map, &calm.Load))
 	p.results = p.results[:0]
 	forced := 0
--- a/internal/placement/group_test.go
+++ b/internal/placement/group_test.go
@@ -102,7 +102,7 @@
 func newTracker() *popularity.Tracker {
 	return &popularity.Tracker{
 		Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
-		Gain: 0.4, SpeedGain: 0.3, MaxLife: 6 * time.Hour,
+		Gain: 0.4, SpeedGain: 0.3, MaxDecay: 6 * time.Hour,
 	}
 }
 
@@ -184,7 +184,7 @@
 	for i := range late {
 		g.observe(&late[i])
 	}
-	g.tracker.Close(now)
+	g.tracker.CloseWindow(now)
 }
 
 func (g *group) observe(r *popularity.Report) {
@@ -272,7 +272,7 @@
 			continue
 		}
 		began := time.Now()
-		m := p.decide(now, &placement.Group{Map: current, Load: placement.Load{Tokens: g.tracker.Tokens(), Speed: g.tracker.Speeds(), Volatility: g.tracker.Volatility()}, Life: g.tracker.Life()})
+		m := p.decide(now, &placement.Group{Map: current, Load: placement.Load{Tokens: g.tracker.TokenShares(), Speed: g.tracker.Speeds(), Volatility: g.tracker.Volatility()}, PopularityDecay: g.tracker.Decay()})
 		out.decided += time.Since(began)
 		if m == nil {
 			continue
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -51,36 +51,36 @@
 type Group struct {
 	Map  *Map
 	Load Load
-	// Life is how long the popularity is expected to stay as it is: after Life,
+	// PopularityDecay is how long the popularity is expected to stay as it is: after Life,
 	// 1/e of a gain made now is left.
-	Life time.Duration
+	PopularityDecay time.Duration
 }
 
-// Why says what led to a decision.
-type Why uint8
+// Reason says what led to a decision.
+type Reason uint8
 
 // The reasons of a decision.
 const (
-	// WhyBalanced: no change gains anything.
-	WhyBalanced Why = iota
-	// WhyCost: what could be gained does not cover its cost.
-	WhyCost
-	// WhyGain: the change saves more than it costs.
-	WhyGain
-	// WhyRepair: ranks that are out held experts that no live rank held.
-	WhyRepair
+	// ReasonBalanced: no change gains anything.
+	ReasonBalanced Reason = iota
+	// ReasonCost: what could be gained does not cover its cost.
+	ReasonCost
+	// ReasonGain: the change saves more than it costs.
+	ReasonGain
+	// ReasonRepair: ranks that are out held experts that no live rank held.
+	ReasonRepair
 )
 
 // String returns the reason's name.
-func (y Why) String() string {
+func (y Reason) String() string {
 	return [...]string{"Balanced", "Cost", "Gain", "Repair"}[y]
 }
 
 // Decision is the outcome of Decide. Map is nil where the present one stays.
 type Decision struct {
-	Map   *Map
-	Moves []Move
-	Why   Why
+	Map    *Map
+	Moves  []Move
+	Reason Reason
 	// Saved and Cost are the group's working time saved over the expected life
 	// of the map, and lost to fetching and switching. Of these, a repair's cost is always paid.
 	Saved, Cost time.Duration
@@ -90,8 +90,8 @@
 	Bytes int64
 	// Before and After are the step times under the present and the new map.
 	Before, After StepTime
-	// Stranded says that too few slots are left for all experts on live ranks.
-	Stranded bool
+	// InsufficientSlots says that too few slots are left for all experts on live ranks.
+	InsufficientSlots bool
 }
 
 // LoadError says that a Group's parts do not belong together.
@@ -145,10 +145,10 @@
 
 	p.past.observe(now, g, &p.work)
 	p.packed.observe(now, g, &p.work)
-	p.horizon = p.past.horizon(g.Life)
+	p.horizon = p.past.horizon(g.PopularityDecay)
 	before := Evaluate(g.Map, &g.Load)
 	p.fits = fits(g.Map.Shape, &g.Load)
-	d := Decision{Before: before, After: before, Stranded: !p.fits}
+	d := Decision{Before: before, After: before, InsufficientSlots: !p.fits}
 	pr := p.price(g, before)
 	p.results = p.results[:0]
 	forced := 0
@@ -249,7 +249,7 @@
 		return
 	}
 	p.packed.remember(x.Layer, found, packed, before-after)
-	value := x.Value + (before-after)*pr.Gain/p.horizon*p.packed.horizon(g.Life)
+	value := x.Value + (before-after)*pr.Gain/p.horizon*p.packed.horizon(g.PopularityDecay)
 	if value-float64(copies)*pr.Copy > x.Value-float64(x.Copies)*pr.Copy {
 		x.Value, x.Copies, x.slots, x.Saved = value, copies, packed, 0
 	}
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		panic(err)
 	}
-	g := &placement.Group{Map: m, Life: time.Duration(pick(1e5)) * time.Second}
+	g := &placement.Group{Map: m, PopularityDecay: time.Duration(pick(1e5)) * time.Second}
 	tokens, speeds := []float64{0, 0, 1, 2, 10, 100}, []float64{0, 0.05, 0.5, 1, 1, 1}
 	for range s.Layers * s.Experts {
 		g.Load.Tokens = append(g.Load.Tokens, tokens[pick(len(tokens))])
@@ -95,11 +95,11 @@
 func checkDecision(t require.TestingT, g *placement.Group, d *placement.Decision) {
 	require.NoError(t, d.Map.Validate())
 	require.Equal(t, placement.Moves(g.Map, d.Map), d.Moves)
-	if d.Why == placement.WhyGain {
+	if d.Reason == placement.ReasonGain {
 		require.Greater(t, d.Saved, d.Cost)
 		require.Less(t, d.After.Slowest, d.Before.Slowest)
 	}
-	if d.Stranded {
+	if d.InsufficientSlots {
 		return
 	}
 	for l := range g.Map.Shape.Layers {
@@ -121,7 +121,7 @@
 	g := &placement.Group{Map: m, Load: placement.Load{Tokens: make([]float64, 16), Speed: []float64{1, 0, 1, 1}}}
 	d, err := newPlanner().Decide(epoch, g)
 	require.NoError(t, err)
-	require.Equal(t, placement.WhyRepair, d.Why)
+	require.Equal(t, placement.ReasonRepair, d.Reason)
 	require.NotEmpty(t, d.Moves)
 	for l := range s.Layers {
 		require.Equal(t, []placement.Expert{none, none, none}, d.Map.Rank(l, 1))
@@ -130,7 +130,7 @@
 	g.Map, g.Load.Speed = d.Map, []float64{1, 0, 0, 1}
 	d, err = newPlanner().Decide(epoch, g)
 	require.NoError(t, err)
-	require.True(t, d.Stranded, "six slots cannot hold eight experts")
+	require.True(t, d.InsufficientSlots, "six slots cannot hold eight experts")
 	require.NoError(t, d.Map.Validate())
 }
 
@@ -143,7 +143,7 @@
 	g.advance(1)
 	m, err := placement.NewMap(shape)
 	require.NoError(t, err)
-	group := &placement.Group{Map: m, Load: placement.Load{Tokens: g.tokens, Speed: g.speed}, Life: time.Hour}
+	group := &placement.Group{Map: m, Load: placement.Load{Tokens: g.tokens, Speed: g.speed}, PopularityDecay: time.Hour}
 	rebalances := 0
 	for range 10 {
 		d, err := newPlanner().Decide(epoch, group)
@@ -158,12 +158,12 @@
 	require.NoError(t, err)
 	require.Nil(t, d.Map, "an unchanged popularity leaves nothing to do")
 
-	group.Life = time.Second
+	group.PopularityDecay = time.Second
 	group.Map = m
 	d, err = newPlanner().Decide(epoch, group)
 	require.NoError(t, err)
 	require.Nil(t, d.Map, "popularity that lasts a second is not worth following")
-	require.Equal(t, placement.WhyBalanced, d.Why)
+	require.Equal(t, placement.ReasonBalanced, d.Reason)
 }
 
 // Two crowds of callers take turns, minute by minute. A planner that believes
@@ -191,7 +191,7 @@
 	require.NoError(t, err)
 	moves := 0
 	for k := range 20 {
-		g := &placement.Group{Map: m, Load: loads[k%len(loads)], Life: time.Hour}
+		g := &placement.Group{Map: m, Load: loads[k%len(loads)], PopularityDecay: time.Hour}
 		d, err := planner().Decide(epoch.Add(time.Duration(k)*time.Minute), g)
 		require.NoError(t, err)
 		if d.Map != nil {
@@ -217,7 +217,7 @@
 	}}
 	tokens := []float64{3, 1, 1, 1, 1, 1, 1, 1, 1, 1}
 	for volatility, want := range map[float64]int{0: 1, 0.5: 2} {
-		g := &placement.Group{Map: m, Life: time.Hour, Load: placement.Load{
+		g := &placement.Group{Map: m, PopularityDecay: time.Hour, Load: placement.Load{
 			Tokens: tokens, Speed: []float64{1, 1, 1, 1}, Volatility: volatility,
 		}}
 		d, err := newPlanner().Decide(epoch, g)
@@ -226,7 +226,7 @@
 			d.Map = m
 		}
 		require.GreaterOrEqual(t, bits.OnesCount64(liveReplicas(d.Map, &g.Load, 0, 0)), want)
-		require.Equal(t, want == 1, d.Why == placement.WhyBalanced)
+		require.Equal(t, want == 1, d.Reason == placement.ReasonBalanced)
 	}
 }
 
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -42,8 +42,8 @@
 	Gain float64
 	// SpeedGain is the weight of a newly measured rank speed.
 	SpeedGain float64
-	// MaxLife bounds Life where popularity does not move at all.
-	MaxLife time.Duration
+	// MaxDecay bounds Life where popularity does not move at all.
+	MaxDecay time.Duration
 
 	ranks  []rankState
 	window []float64
@@ -154,9 +154,9 @@
 	t.ranks = make([]rankState, t.Ranks)
 }
 
-// Close ends the window at now and folds it into the estimate. A layer without
+// CloseWindow ends the window at now and folds it into the estimate. A layer without
 // tokens in the window, for want of reports, keeps its estimate.
-func (t *Tracker) Close(now time.Time) {
+func (t *Tracker) CloseWindow(now time.Time) {
 	t.init()
 	interval := now.Sub(t.closed)
 	var c correlation
@@ -164,7 +164,7 @@
 		t.fold(l, &c)
 	}
 	if !t.closed.IsZero() {
-		t.life.observe(c, averageAge(interval, t.Gain), t.MaxLife)
+		t.life.observe(c, averageAge(interval, t.Gain), t.MaxDecay)
 	}
 	t.closed = now
 	clear(t.window)
@@ -229,9 +229,9 @@
 	return math.Min(1, base*math.Max(1, ratio))
 }
 
-// Tokens returns the expected share of tokens, layer by layer, expert by
+// TokenShares returns the expected share of tokens, layer by layer, expert by
 // expert; each known layer sums to 1. The slice is valid until the next Close.
-func (t *Tracker) Tokens() []float64 {
+func (t *Tracker) TokenShares() []float64 {
 	t.init()
 
 	return t.shares
@@ -252,9 +252,9 @@
 	return math.Sqrt(usual / squares)
 }
 
-// Life returns how long a difference in popularity is expected to last: after
+// Decay returns how long a difference in popularity is expected to last: after
 // Life, 1/e of it is left.
-func (t *Tracker) Life() time.Duration { return t.life.value(t.MaxLife) }
+func (t *Tracker) Decay() time.Duration { return t.life.value(t.MaxDecay) }
 
 // Speeds returns each rank's speed relative to the median of those measured.
 // A rank that was never measured counts as 1; none is below MinSpeed, since
--- a/internal/popularity/tracker_test.go
+++ b/internal/popularity/tracker_test.go
@@ -16,7 +16,7 @@
 func newTracker() *popularity.Tracker {
 	return &popularity.Tracker{
 		Layers: 1, Experts: 4, Ranks: 3,
-		Gain: 0.4, SpeedGain: 0.5, MaxLife: time.Hour,
+		Gain: 0.4, SpeedGain: 0.5, MaxDecay: time.Hour,
 	}
 }
 
@@ -25,8 +25,8 @@
 	start := time.Unix(0, 0)
 	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Seq: 1, Tokens: []uint64{0, 0, 0, 0}})
 	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Seq: 2, Tokens: []uint64{60, 20, 10, 10}})
-	t.Close(start)
-	fmt.Println(t.Tokens(), t.Life())
+	t.CloseWindow(start)
+	fmt.Println(t.TokenShares(), t.Decay())
 	// Output: [0.6 0.2 0.1 0.1] 1h0m0s
 }
 
@@ -52,13 +52,13 @@
 			require.Equal(t, i > newest, observe(t, tr, &sent[i]))
 			newest = max(newest, i)
 		}
-		tr.Close(time.Unix(60, 0))
+		tr.CloseWindow(time.Unix(60, 0))
 
 		sum := 0.0
 		for e := range total {
 			sum += float64(sent[newest].Tokens[e] - sent[0].Tokens[e])
 		}
-		for e, share := range tr.Tokens() {
+		for e, share := range tr.TokenShares() {
 			want := 0.0
 			if sum > 0 {
 				want = float64(sent[newest].Tokens[e]-sent[0].Tokens[e]) / sum
@@ -87,8 +87,8 @@
 	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "an earlier incarnation is old news")
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 2, Tokens: []uint64{15, 10, 10, 10}})
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 3, Tokens: []uint64{0, 10, 10, 10}})
-	tr.Close(time.Unix(60, 0))
-	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.Tokens())
+	tr.CloseWindow(time.Unix(60, 0))
+	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.TokenShares())
 }
 
 // run feeds windows of layers whose shares follow f and returns the tracker.
@@ -98,7 +98,7 @@
 	counts := make([]uint64, layers*experts)
 	for w := range windows + 1 {
 		tr.Observe(&popularity.Report{Incarnation: 1, Seq: uint64(w), Tokens: counts})
-		tr.Close(time.Unix(int64(w+1)*60, 0))
+		tr.CloseWindow(time.Unix(int64(w+1)*60, 0))
 		for e, share := range f(w) {
 			counts[e] += uint64(share * 1e6)
 		}
@@ -127,8 +127,8 @@
 
 		return noisy(0.1, 0.2, 0.3, 0.4)
 	})
-	require.InDeltaSlice(t, []float64{0.1, 0.2, 0.3, 0.4}, tr.Tokens(), 0.02)
-	require.Greater(t, tr.Life(), 30*time.Minute, "one shift does not make popularity short-lived")
+	require.InDeltaSlice(t, []float64{0.1, 0.2, 0.3, 0.4}, tr.TokenShares(), 0.02)
+	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not make popularity short-lived")
 }
 
 func TestLifeFollowsDrift(t *testing.T) {
@@ -146,7 +146,7 @@
 
 			return shares
 		})
-		require.InEpsilon(t, minutes, tr.Life().Minutes(), 0.25)
+		require.InEpsilon(t, minutes, tr.Decay().Minutes(), 0.25)
 	}
 }
 
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -86,9 +86,9 @@
 		Hold: func(ctx context.Context, f expertmap.Fence, s expertmap.Step) error {
 			return c.post(ctx, &EngineOrder{Do: DoHold, Fence: uint64(f), Step: uint64(s)})
 		},
-		Run: func(ctx context.Context, f expertmap.Fence, r expertmap.Ruling) error {
+		Run: func(ctx context.Context, f expertmap.Fence, r expertmap.Activation) error {
 			return c.post(ctx, &EngineOrder{
-				Do: DoRun, Fence: uint64(f), RunVersion: uint64(r.Version), RunStep: uint64(r.Step), RunBefore: uint64(r.Before),
+				Do: DoRun, Fence: uint64(f), RunVersion: uint64(r.Version), RunStep: uint64(r.Step), RunBefore: uint64(r.Previous),
 			})
 		},
 	}
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -79,7 +79,7 @@
 // Init prepares the rank. It is called once, before Run and the service.
 func (r *Rank) Init() {
 	r.core = &expertmap.Participant{
-		Rank: r.Number, Incarnation: r.incarnation(time.Now()), StatusEvery: statusEvery, AskAfter: askAfter,
+		Rank: r.Number, Incarnation: r.incarnation(time.Now()), StatusInterval: statusEvery, PeerQueryInterval: askAfter,
 	}
 	r.events = make(chan event, eventBuffer)
 	r.jobs.more = make(chan struct{}, 1)
@@ -138,7 +138,7 @@
 		switch a.Kind {
 		case expertmap.ActionStatus:
 			r.status.Store(expertmap.StatusToWire(a.Status))
-		case expertmap.ActionAsk:
+		case expertmap.ActionQueryPeers:
 			r.askPeers(ctx)
 		case expertmap.ActionLoad:
 			j := r.job(a)
@@ -215,7 +215,7 @@
 			}
 
 			r.post(ctx, func(ctx context.Context, now time.Time) {
-				r.do(ctx, r.core.Told(now, expertmap.RecordFromWire(a.GetRecord())))
+				r.do(ctx, r.core.HandlePeerRecord(now, expertmap.RecordFromWire(a.GetRecord())))
 			})
 		})
 	}
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -82,8 +82,8 @@
 	r.post(ctx, func(context.Context, time.Time) {
 		out := &wire.RankAnswer{}
 
-		for _, a := range r.core.Asked(int(q.GetRank())) {
-			if a.Kind == expertmap.ActionTell {
+		for _, a := range r.core.HandlePeerQuery(int(q.GetRank())) {
+			if a.Kind == expertmap.ActionAnswerPeer {
 				out.Record = expertmap.RecordToWire(a.Record)
 			}
 		}
--- a/internal/slopes/director_test.go
+++ b/internal/slopes/director_test.go
@@ -155,7 +155,7 @@
 	require.NoError(b, err)
 
 	record := ledger.FirstRecord()
-	record.Ruling.Version = 2
+	record.Current.Version = 2
 
 	var out []*wire.GroupState
 	for i := range groups {
