--- a/internal/control/decide_test.go
+++ b/internal/control/decide_test.go
@@ -139,7 +139,7 @@
 		again := g.decide(t, 0, 150, "[Workspace \"w5\"]\nWeight = 150\n")
 		require.True(t, again.GetRepeated())
 		require.Equal(t, held, r.Snapshot().Version)
-		require.True(t, r.Snapshot().Fresh(time.Now()))
+		require.True(t, r.Snapshot().Valid(time.Now()))
 
 		g.decide(t, 0, 201, "[Workspace \"w5\"]\nWeight = 7\n")
 		time.Sleep(time.Second)
--- a/internal/control/follow_test.go
+++ b/internal/control/follow_test.go
@@ -83,7 +83,7 @@
 		node, ok := r.Snapshot().Node("entry-1")
 		require.True(t, ok)
 		require.Equal(t, uint64(1), node.GetIncarnation())
-		require.True(t, r.Snapshot().Fresh(time.Now()))
+		require.True(t, r.Snapshot().Valid(time.Now()))
 	})
 }
 
--- a/internal/control/force_test.go
+++ b/internal/control/force_test.go
@@ -69,14 +69,14 @@
 		require.False(t, status.GetInForce(), status.GetWhy())
 		require.Len(t, status.GetOutstanding(), 1)
 		require.Equal(t, "entry-1", status.GetOutstanding()[0].GetNodeID())
-		require.True(t, cutOff.Snapshot().Fresh(time.Now()))
+		require.True(t, cutOff.Snapshot().Valid(time.Now()))
 		require.True(t, cutOff.Snapshot().ZoneInUse("ayutthaya"))
 
 		time.Sleep(4 * time.Second)
 
 		// Its lease has run out, but an agent that is cut off too may still let in a
 		// request that it sent before, for as long as its credit lasts.
-		require.False(t, cutOff.Snapshot().Fresh(time.Now()))
+		require.False(t, cutOff.Snapshot().Valid(time.Now()))
 		require.False(t, g.status(t, 0, 2).GetInForce())
 		time.Sleep(2 * time.Second)
 
@@ -86,7 +86,7 @@
 
 		f.silence("entry-1", false)
 		time.Sleep(2 * time.Second)
-		require.True(t, cutOff.Snapshot().Fresh(time.Now()))
+		require.True(t, cutOff.Snapshot().Valid(time.Now()))
 		require.False(t, cutOff.Snapshot().ZoneInUse("ayutthaya"))
 	})
 }
@@ -121,13 +121,13 @@
 
 				unknown := f.start(entry("unknown", 1), 2)
 				time.Sleep(500 * time.Millisecond)
-				require.True(t, unknown.Snapshot().Fresh(time.Now()))
+				require.True(t, unknown.Snapshot().Valid(time.Now()))
 				require.True(t, unknown.Snapshot().ZoneInUse("ayutthaya"))
 
 				status := g.status(t, 0, 2)
 				require.False(t, status.GetInForce(), status.GetWhy())
 				time.Sleep(4 * time.Second)
-				require.False(t, unknown.Snapshot().Fresh(time.Now()))
+				require.False(t, unknown.Snapshot().Valid(time.Now()))
 				require.False(t, g.status(t, 0, 2).GetInForce(), "its credits last")
 				time.Sleep(2 * time.Second)
 				require.True(t, g.status(t, 0, 2).GetInForce())
@@ -155,8 +155,8 @@
 		g.decide(t, 0, 2, zoneOut)
 		time.Sleep(5 * time.Second)
 
-		require.False(t, bound.Snapshot().Fresh(time.Now()))
-		require.True(t, free.Snapshot().Fresh(time.Now()))
+		require.False(t, bound.Snapshot().Valid(time.Now()))
+		require.True(t, free.Snapshot().Valid(time.Now()))
 		require.False(t, free.Snapshot().ZoneInUse("ayutthaya"))
 
 		_, err := g.servers[2].Plan(t.Context(), &wire.PlanRequest{Operator: "may", Declaration: []byte(zoneIn)})
@@ -165,13 +165,13 @@
 		for n := range uint64(300) {
 			g.decide(t, int(n%2), n+3, fmt.Sprintf("[Workspace \"w%d\"]\nWeight = %d\n", n%40, n+1))
 			time.Sleep(12 * time.Second)
-			require.False(t, bound.Snapshot().Fresh(time.Now()))
+			require.False(t, bound.Snapshot().Valid(time.Now()))
 		}
 
 		g.isolate(2, false)
 		time.Sleep(2 * time.Second)
 
-		require.True(t, bound.Snapshot().Fresh(time.Now()))
+		require.True(t, bound.Snapshot().Valid(time.Now()))
 		require.Equal(t, free.Snapshot().Version, bound.Snapshot().Version)
 		require.False(t, bound.Snapshot().ZoneInUse("ayutthaya"))
 
@@ -300,5 +300,5 @@
 
 func actsBefore(r *view.Reader, version uint64) bool {
 	s := r.Snapshot()
-	return s.Version < version && s.Fresh(time.Now())
+	return s.Version < version && s.Valid(time.Now())
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -122,7 +122,7 @@
 
 	records := s.published.Load().records
 
-	return intent.Base{Version: records.Version, Records: records.All(), StopUnsafe: s.StopUnsafe}, nil
+	return intent.Base{Version: records.Version, Records: records.All(), StopBlocker: s.StopUnsafe}, nil
 }
 
 func loadsOf(g gathering) map[string]*wire.NodeLoad {
--- a/internal/control/published.go
+++ b/internal/control/published.go
@@ -57,7 +57,7 @@
 		decisions: entries,
 		floor:     floor,
 		tickIndex: s.state.TickIndex(),
-		changes:   s.state.Changes(),
+		changes:   s.state.ChangeCount(),
 		learnt:    s.learn(records.Version, now),
 		replaced:  make(chan struct{}),
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -163,7 +163,7 @@
 
 	s.Logger = s.Logger.With("part", "control")
 	s.state = ledger.New(s.Limits)
-	s.state.OnGroup = s.groupApplied
+	s.state.OnGroupEntry = s.groupApplied
 	s.events = make(chan event, eventBuffer)
 	s.announced.init()
 	s.saves = make(chan []byte)
@@ -205,9 +205,9 @@
 	before := s.published.Load()
 	result := s.state.Apply(index, command)
 	s.applied.Store(index)
-	s.claims.Store(int64(s.state.Claims()))
+	s.claims.Store(int64(s.state.ClaimCount()))
 
-	if s.state.Changes() != before.changes {
+	if s.state.ChangeCount() != before.changes {
 		s.publish(time.Now())
 	}
 
@@ -224,7 +224,7 @@
 	}
 
 	s.applied.Store(s.state.Index())
-	s.claims.Store(int64(s.state.Claims()))
+	s.claims.Store(int64(s.state.ClaimCount()))
 	s.publish(time.Now())
 
 	if s.OnGroup != nil {
--- a/internal/control/storm_test.go
+++ b/internal/control/storm_test.go
@@ -40,7 +40,7 @@
 		require.Less(t, len(g.log)-commands, 30)
 
 		for id, r := range f.readers {
-			require.True(t, r.Snapshot().Fresh(time.Now()))
+			require.True(t, r.Snapshot().Valid(time.Now()))
 
 			node, ok := r.Snapshot().Node(id)
 			require.True(t, ok)
@@ -244,7 +244,7 @@
 					}
 				}
 
-				if !r.Snapshot().Fresh(time.Now()) {
+				if !r.Snapshot().Valid(time.Now()) {
 					out += 10 * time.Millisecond
 				}
 
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -244,7 +244,7 @@
 	u := newUnit(ctx, d, g)
 	d.units[g.GetName()] = u
 
-	record := ledger.FirstRecord()
+	record := ledger.InitialRecord()
 	if s := d.states[g.GetName()]; s != nil {
 		record = expertmap.RecordFromWire(s.GetRecord())
 	}
--- a/internal/expertgroup/unit.go
+++ b/internal/expertgroup/unit.go
@@ -297,7 +297,7 @@
 // current returns the map that rules.
 func (u *unit) current() (*placement.Map, error) {
 	version := uint64(u.coordinator.Record().Current.Version)
-	if version == ledger.FirstMap {
+	if version == ledger.InitialMapVersion {
 		return placement.NewMap(u.shape)
 	}
 
--- a/internal/expertgroup/world_test.go
+++ b/internal/expertgroup/world_test.go
@@ -147,7 +147,7 @@
 		Logger:      slog.New(slog.NewTextHandler(w.t.Output(), nil)),
 	}
 	n.director.Init()
-	n.ledger.OnGroup = func(index uint64, e *wire.GroupEntry) { n.director.OnApplied(index, e, n.ledger.Groups()) }
+	n.ledger.OnGroupEntry = func(index uint64, e *wire.GroupEntry) { n.director.OnApplied(index, e, n.ledger.Groups()) }
 
 	return n
 }
@@ -470,7 +470,7 @@
 		return g[0].GetRecord()
 	}
 
-	return &wire.GroupRecord{RulingVersion: ledger.FirstMap}
+	return &wire.GroupRecord{RulingVersion: ledger.InitialMapVersion}
 }
 
 // apply applies the next entry of log to l.
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -18,9 +18,9 @@
 	Records []*wire.Record
 	// Loads is what processes had in hand when they last polled, by ID.
 	Loads map[string]*wire.NodeLoad
-	// StopUnsafe says why stopping the control VM of that name is not safe yet,
+	// StopBlocker says why stopping the control VM of that name is not safe yet,
 	// or ""; nil means that no such stop is known to be unsafe.
-	StopUnsafe func(name string) string
+	StopBlocker func(name string) string
 }
 
 func (b *Base) index() map[string]*wire.Record {
--- a/internal/intent/names.go
+++ b/internal/intent/names.go
@@ -53,8 +53,8 @@
 			continue
 		}
 
-		if base.StopUnsafe != nil {
-			if why := base.StopUnsafe(id); why != "" {
+		if base.StopBlocker != nil {
+			if why := base.StopBlocker(id); why != "" {
 				p.Refusals = append(p.Refusals, fmt.Sprintf("stopping %s is not safe yet: %s", id, why))
 			}
 		}
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -104,11 +104,11 @@
 		return lines[key]
 	}
 
-	for _, sum := range ledger.Bears(e.base.Records) {
+	for _, sum := range ledger.WarmCapacities(e.base.Records) {
 		at(sum.Service, sum.Zone).Before = sum.Requests
 	}
 
-	for _, sum := range ledger.Bears(e.after) {
+	for _, sum := range ledger.WarmCapacities(e.after) {
 		at(sum.Service, sum.Zone).After = sum.Requests
 	}
 
--- a/internal/intent/plan_test.go
+++ b/internal/intent/plan_test.go
@@ -48,7 +48,7 @@
 func trust(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
 	t.Helper()
 
-	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopUnsafe: unsafe}
+	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopBlocker: unsafe}
 
 	for _, zone := range []string{"ang-thong", "ayutthaya", "saraburi"} {
 		for i := range 2 {
--- a/internal/ledger/base.go
+++ b/internal/ledger/base.go
@@ -17,7 +17,7 @@
 
 	for _, c := range plan.GetChanges() {
 		own[c.GetKey()] = true
-		capacity = capacity || CapacityOwned(c.GetKey())
+		capacity = capacity || AffectsCapacity(c.GetKey())
 	}
 
 	view := l.records.view()
@@ -28,7 +28,7 @@
 	var out []string
 
 	for _, c := range latest(view.changes, plan.GetBaseVersion()) {
-		if own[c.key] || capacity && CapacityOwned(c.key) {
+		if own[c.key] || capacity && AffectsCapacity(c.key) {
 			out = append(out, fmt.Sprintf("%s changed at version %d, after the plan's base %d",
 				c.key, c.version, plan.GetBaseVersion()))
 		}
@@ -47,7 +47,7 @@
 	after := Overlay(l.records.view().All(), plan.GetChanges())
 	bears := map[string]uint32{}
 
-	for _, line := range Bears(after) {
+	for _, line := range WarmCapacities(after) {
 		bears[line.Service] += line.Requests
 	}
 
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -93,7 +93,7 @@
 	i := 0
 
 	for b.Loop() {
-		key := fmt.Sprint(i % (limits.Claims - 1))
+		key := fmt.Sprint(i % (limits.MaxClaims - 1))
 		i++
 
 		state.claim(key, "a", "b", "")
--- a/internal/ledger/capacity.go
+++ b/internal/ledger/capacity.go
@@ -7,8 +7,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Bearing is how many requests at once the usable targets of a service in a zone bear when warm.
-type Bearing struct {
+// ZoneCapacity is how many requests at once the usable targets of a service in a zone bear when warm.
+type ZoneCapacity struct {
 	Service, Zone string
 	Requests      uint32
 	Targets       uint32
@@ -71,8 +71,8 @@
 	return out
 }
 
-// Bears sums the usable targets of records by service and zone, in that order.
-func Bears(records []*wire.Record) []Bearing {
+// WarmCapacities sums the usable targets of records by service and zone, in that order.
+func WarmCapacities(records []*wire.Record) []ZoneCapacity {
 	warm := map[string]uint32{}
 
 	for _, r := range records {
@@ -81,7 +81,7 @@
 		}
 	}
 
-	sums := map[[2]string]Bearing{}
+	sums := map[[2]string]ZoneCapacity{}
 
 	for _, node := range Usable(records) {
 		at := [2]string{node.GetService(), node.GetZone()}
@@ -92,12 +92,12 @@
 		sums[at] = sum
 	}
 
-	out := make([]Bearing, 0, len(sums))
+	out := make([]ZoneCapacity, 0, len(sums))
 	for _, sum := range sums {
 		out = append(out, sum)
 	}
 
-	slices.SortFunc(out, func(a, b Bearing) int {
+	slices.SortFunc(out, func(a, b ZoneCapacity) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone))
 	})
 
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -113,7 +113,7 @@
 }
 
 func (t *claimTable) full() bool {
-	return len(t.entries) >= t.limits.Claims || t.bytes >= t.limits.ClaimBytes
+	return len(t.entries) >= t.limits.MaxClaims || t.bytes >= t.limits.MaxClaimBytes
 }
 
 // makeRoom lets the oldest claims go that have outlived their guarantee, while
@@ -188,7 +188,7 @@
 }
 
 func (t *claimTable) record(entry *wire.ClaimEntry, answer *wire.Answer) {
-	if answer == nil || answerBytes(answer) > t.limits.AnswerBytes {
+	if answer == nil || answerBytes(answer) > t.limits.MaxAnswerBytes {
 		entry.State = wire.ClaimEntryState_ClaimEntryLost
 		return
 	}
--- a/internal/ledger/claims_test.go
+++ b/internal/ledger/claims_test.go
@@ -107,7 +107,7 @@
 	t.Parallel()
 
 	limits := ledger.DefaultLimits()
-	limits.Claims = 3
+	limits.MaxClaims = 3
 	limits.ClaimWindow = 90 * time.Second
 	b := newBed(t, limits)
 
@@ -124,7 +124,7 @@
 	require.Equal(t, wire.ClaimState_ClaimFull, b.claim("3", "a", "b", "").GetState())
 	b.tick(1)
 	require.Equal(t, wire.ClaimState_ClaimGranted, b.claim("3", "a", "b", "").GetState())
-	require.Equal(t, 1, b.ledger.Claims())
+	require.Equal(t, 1, b.ledger.ClaimCount())
 }
 
 // More bookings come than a day's window holds. Keys that have outlived what
@@ -134,7 +134,7 @@
 	t.Parallel()
 
 	limits := ledger.DefaultLimits()
-	limits.Claims = 2
+	limits.MaxClaims = 2
 	limits.ClaimGuarantee = time.Minute
 	b := newBed(t, limits)
 
--- a/internal/ledger/decisions.go
+++ b/internal/ledger/decisions.go
@@ -38,7 +38,7 @@
 	t.plans = append(t.plans, kept)
 	t.planBytes += proto.Size(kept)
 
-	for len(t.plans) > t.limits.Plans || len(t.plans) > 1 && t.planBytes > t.limits.PlanBytes {
+	for len(t.plans) > t.limits.MaxPlans || len(t.plans) > 1 && t.planBytes > t.limits.MaxPlanBytes {
 		t.dropPlan(0)
 	}
 
@@ -107,7 +107,7 @@
 	t.byNumber[entry.GetNumber()] = entry
 	t.entries = append(t.entries, entry)
 
-	if len(t.byNumber) <= t.limits.Decisions {
+	if len(t.byNumber) <= t.limits.MaxDecisions {
 		return
 	}
 
--- a/internal/ledger/decisions_test.go
+++ b/internal/ledger/decisions_test.go
@@ -123,7 +123,7 @@
 	t.Parallel()
 
 	limits := ledger.DefaultLimits()
-	limits.Decisions = 2
+	limits.MaxDecisions = 2
 	b := newBed(t, limits)
 	id := b.plan(b.zonePlan("ayutthaya", true))
 	b.decide("may", 1, id)
@@ -146,7 +146,7 @@
 	t.Parallel()
 
 	limits := ledger.DefaultLimits()
-	limits.PlanBytes = 300
+	limits.MaxPlanBytes = 300
 	b := newBed(t, limits)
 	first := b.plan(b.zonePlan("ayutthaya", true))
 
--- a/internal/ledger/directory.go
+++ b/internal/ledger/directory.go
@@ -150,7 +150,7 @@
 
 func (d *directory) mayExpire(now time.Time, live int) bool {
 	if !now.Before(fromMillis(d.window.GetStartMillis()).Add(expiryPeriod)) || d.window.GetLimit() == 0 {
-		limit := max(d.limits.ExpiriesAtLeast, live/d.limits.ExpiryShare)
+		limit := max(d.limits.MinExpiries, live/d.limits.ExpiryDivisor)
 		d.window = &wire.ExpiryWindow{StartMillis: millis(now), Limit: uint32(limit)}
 	}
 
@@ -173,7 +173,7 @@
 		AtMillis:    millis(now),
 	}
 
-	if len(d.departed) > d.limits.Departed {
+	if len(d.departed) > d.limits.MaxDeparted {
 		delete(d.departed, d.sorted()[0].GetID())
 	}
 }
--- a/internal/ledger/groups.go
+++ b/internal/ledger/groups.go
@@ -8,8 +8,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// FirstMap is the version of a group's first map, which follows from its shape.
-const FirstMap = 1
+// InitialMapVersion is the version of a group's first map, which follows from its shape.
+const InitialMapVersion = 1
 
 // groupTable holds what the log says of each lock-step group's expert map. It is
 // kept apart from the records that entries and agents follow: only the group's
@@ -21,7 +21,7 @@
 func (t groupTable) apply(index uint64, e *wire.GroupEntry) {
 	state := t[e.GetGroup()]
 	if state == nil {
-		state = &wire.GroupState{Group: e.GetGroup(), Record: expertmap.RecordToWire(FirstRecord())}
+		state = &wire.GroupState{Group: e.GetGroup(), Record: expertmap.RecordToWire(InitialRecord())}
 	}
 
 	record := expertmap.RecordFromWire(state.GetRecord())
@@ -37,9 +37,9 @@
 	t[e.GetGroup()] = next
 }
 
-// FirstRecord is the record of a group of which the log has said nothing yet.
-func FirstRecord() expertmap.Record {
-	return expertmap.Record{Current: expertmap.Activation{Version: FirstMap}}
+// InitialRecord is the record of a group of which the log has said nothing yet.
+func InitialRecord() expertmap.Record {
+	return expertmap.Record{Current: expertmap.Activation{Version: InitialMapVersion}}
 }
 
 // opened returns the map of an entry that has just opened a switch.
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -43,11 +43,11 @@
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := ledger.DefaultLimits()
-		limits.Tombstones = 1
-		limits.Decisions = 4
-		limits.Plans = 3
-		limits.Departed = 3
-		limits.Claims = 5
+		limits.MaxTombstones = 1
+		limits.MaxDecisions = 4
+		limits.MaxPlans = 3
+		limits.MaxDeparted = 3
+		limits.MaxClaims = 5
 
 		steady, restarting := newBed(rt, limits), newBed(rt, limits)
 		readers := []*copyOf{{}, {}, {}}
--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -62,8 +62,8 @@
 // capacityPrefixes are the kinds of records that decide how much a service bears.
 var capacityPrefixes = []string{ServicePrefix, ZonePrefix, TargetPrefix, StopPrefix}
 
-// CapacityOwned reports whether the record at key decides how much a service bears.
-func CapacityOwned(key string) bool { return hasAnyPrefix(key, capacityPrefixes) }
+// AffectsCapacity reports whether the record at key decides how much a service bears.
+func AffectsCapacity(key string) bool { return hasAnyPrefix(key, capacityPrefixes) }
 
 func hasAnyPrefix(key string, prefixes []string) bool {
 	for _, prefix := range prefixes {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,8 +17,8 @@
 // equal on all control VMs, since they decide results.
 type Ledger struct {
 	Limits Limits
-	// OnGroup is called after each entry about an expert map; nil for nobody.
-	OnGroup func(index uint64, e *wire.GroupEntry)
+	// OnGroupEntry is called after each entry about an expert map; nil for nobody.
+	OnGroupEntry func(index uint64, e *wire.GroupEntry)
 
 	index     uint64
 	changes   uint64
@@ -42,7 +42,7 @@
 func (l *Ledger) reset() {
 	l.index = 0
 	l.clock = clock{}
-	l.records = newRecordTable(l.Limits.Tombstones)
+	l.records = newRecordTable(l.Limits.MaxTombstones)
 	l.directory = newDirectory(l.Limits)
 	l.claims = newClaimTable(l.Limits)
 	l.decisions = newDecisionTable(l.Limits)
@@ -104,8 +104,8 @@
 	case *wire.Command_GroupEntry:
 		l.groups.apply(index, kind.GroupEntry)
 
-		if l.OnGroup != nil {
-			l.OnGroup(index, kind.GroupEntry)
+		if l.OnGroupEntry != nil {
+			l.OnGroupEntry(index, kind.GroupEntry)
 		}
 
 		return &wire.Result{}
@@ -129,11 +129,11 @@
 	return l.decisions.entries, l.decisions.floor
 }
 
-// Changes grows when a command changes what Records, Decisions or TickIndex return.
-func (l *Ledger) Changes() uint64 { return l.changes }
+// ChangeCount grows when a command changes what Records, Decisions or TickIndex return.
+func (l *Ledger) ChangeCount() uint64 { return l.changes }
 
-// Claims returns how many claims are held.
-func (l *Ledger) Claims() int { return len(l.claims.entries) }
+// ClaimCount returns how many claims are held.
+func (l *Ledger) ClaimCount() int { return len(l.claims.entries) }
 
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,7 +34,7 @@
 	ID   string
 	Zone string
 	// State returns the state that the control VMs published last.
-	State     func() *view.Followed
+	State     func() *view.ClusterState
 	Transport *targetclient.Client
 	Budget    *retries.SharedBudget
 	// StopsAt returns whether this entry is stopping, and when it ends. While it stops, each
@@ -102,7 +102,7 @@
 
 // Apply updates the services and targets from the state that the control VMs published. It
 // ignores a state without a configuration.
-func (r *Relay) Apply(f *view.Followed) {
+func (r *Relay) Apply(f *view.ClusterState) {
 	if f.Table == nil {
 		return
 	}
@@ -138,7 +138,7 @@
 // Uses reports whether this entry sends requests to an engine on vm.
 func (r *Relay) Uses(vm netip.Addr) bool { return r.queue.hasEngineOn(vm) }
 
-func targetOf(t *directory.Target, f *view.Followed, share shares.Share) dispatch.Target {
+func targetOf(t *directory.Target, f *view.ClusterState, share shares.Share) dispatch.Target {
 	return dispatch.Target{
 		ID: t.ID, Service: t.Service, Address: t.Address, Zone: t.Zone, Group: t.Group.Name, Slots: t.Slots,
 		Draining: isDraining(t, f), Unresponsive: t.State == directory.Unresponsive,
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -19,7 +19,7 @@
 	relay     *Relay
 	w         http.ResponseWriter
 	req       *http.Request
-	state     *view.Followed
+	state     *view.ClusterState
 	arrivedAt time.Time
 
 	caller    RequestInfo
--- a/internal/relay/shares.go
+++ b/internal/relay/shares.go
@@ -21,7 +21,7 @@
 
 // update recomputes the shares from the current entries and targets. It returns the shares of
 // the targets that this entry uses, by target ID. It must not be called concurrently.
-func (e *entryShares) update(now time.Time, f *view.Followed) map[string]shares.Share {
+func (e *entryShares) update(now time.Time, f *view.ClusterState) map[string]shares.Share {
 	entries := e.entries(f)
 	budgets := make(map[string]shares.Share, len(f.Table.Services))
 	targetShares := make(map[string]shares.Share, len(f.Targets))
@@ -44,7 +44,7 @@
 
 // entries lists the entries that share the limits, with placeholders for entries that are
 // counted but not known by ID.
-func (e *entryShares) entries(f *view.Followed) []shares.Node {
+func (e *entryShares) entries(f *view.ClusterState) []shares.Node {
 	out := append([]shares.Node{}, f.Roster...)
 	if !slices.ContainsFunc(out, func(node shares.Node) bool { return node.ID == e.self.ID }) {
 		out = append(out, e.self)
@@ -67,7 +67,7 @@
 }
 
 // assignableTargets lists the targets of a service that accept new requests.
-func assignableTargets(f *view.Followed, service string) []shares.Node {
+func assignableTargets(f *view.ClusterState, service string) []shares.Node {
 	var out []shares.Node
 
 	for i := range f.Targets {
@@ -84,6 +84,6 @@
 func addressKey(t *directory.Target) string { return t.Address.String() }
 
 // isDraining reports whether a target gets no new requests: it drains, or its zone is out.
-func isDraining(t *directory.Target, f *view.Followed) bool {
-	return t.State == directory.Draining || f.Out(t.Zone)
+func isDraining(t *directory.Target, f *view.ClusterState) bool {
+	return t.State == directory.Draining || f.ZoneOut(t.Zone)
 }
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -127,7 +127,7 @@
 func (r *Agent) view() admission.View {
 	s := r.reader.Snapshot()
 	v := admission.View{
-		Version: s.Version, FreshUntil: s.FreshUntil,
+		Version: s.Version, FreshUntil: s.ValidUntil,
 		ZoneOut: !s.ZoneInUse(r.Zone), Retired: s.Retired(r.ID) || s.Stopping(r.ID),
 	}
 
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -230,7 +230,7 @@
 	s := r.reader.Snapshot()
 
 	return entry.View{
-		Version: s.Version, ValidUntil: s.FreshUntil,
+		Version: s.Version, ValidUntil: s.ValidUntil,
 		Service:   func(name string) *wire.Service { v, _ := s.Service(name); return v },
 		Workspace: func(name string) *wire.Workspace { v, _ := s.Workspace(name); return v },
 		Agent:     func(id string) *wire.Node { v, _ := s.Node(id); return v },
@@ -330,7 +330,7 @@
 }
 
 func viewState(s *view.Snapshot) ViewState {
-	v := ViewState{Version: s.Version, FreshUntil: s.FreshUntil, Fresh: s.Fresh(time.Now()), Nodes: len(s.Nodes())}
+	v := ViewState{Version: s.Version, FreshUntil: s.ValidUntil, Fresh: s.Valid(time.Now()), Nodes: len(s.Nodes())}
 
 	for _, z := range s.Zones() {
 		if z.GetOut() {
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -149,11 +149,11 @@
 	defer stopFollowing()
 
 	a.follower = &view.Follower{
-		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Ask: a.clients.ask,
+		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.ask,
 		// A configuration of 1,773 routes, which each control VM sends as it changes, kept
 		// a link of 8 Mbit/s busy for a second, and the directing agent deaf.
 		ServicesOnly: true,
-		Leaving:      func() bool { return true }, OnChange: func(*view.Followed) {}, Logger: a.Logs.Logger("view"),
+		Leaving:      func() bool { return true }, OnChange: func(*view.ClusterState) {}, Logger: a.Logs.Logger("view"),
 	}
 	a.follower.Init()
 
--- a/internal/role/rankpeers.go
+++ b/internal/role/rankpeers.go
@@ -13,7 +13,7 @@
 
 // ranks returns the targets of a group by rank, and their service. An earlier
 // incarnation that the directory still holds gives way to the later one.
-func (a *RankAgent) ranks(f *view.Followed, r lockstep.Report) (map[int]directory.Target, string) {
+func (a *RankAgent) ranks(f *view.ClusterState, r lockstep.Report) (map[int]directory.Target, string) {
 	out := make(map[int]directory.Target)
 	service := ""
 
--- a/internal/role/routing.go
+++ b/internal/role/routing.go
@@ -190,15 +190,15 @@
 
 	f := r.follower.State()
 
-	return f.Answered > 1 || time.Since(f.First) > settleTime
+	return f.ControlsAnswered > 1 || time.Since(f.FirstAnswerAt) > settleTime
 }
 
 func (r *RoutingEntry) build() error {
 	r.logger = r.Logs.Logger("entry")
 	r.follower = &view.Follower{
-		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Ask: r.clients.ask,
+		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.ask,
 		Leaving: r.stopping, Relay: r.Relay, Logger: r.Logs.Logger("view"),
-		OnChange: func(f *view.Followed) { r.relay.Apply(f) },
+		OnChange: func(f *view.ClusterState) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
 		Dialect: r.Dialect, ID: r.ID, Zone: r.Zone, State: r.follower.State, Budget: r.Budget,
--- a/internal/slopes/director_test.go
+++ b/internal/slopes/director_test.go
@@ -154,7 +154,7 @@
 	})
 	require.NoError(b, err)
 
-	record := ledger.FirstRecord()
+	record := ledger.InitialRecord()
 	record.Current.Version = 2
 
 	var out []*wire.GroupState
--- a/internal/view/core.go
+++ b/internal/view/core.go
@@ -56,7 +56,7 @@
 		return outcomeIgnored
 	}
 
-	until := c.snapshot.FreshUntil
+	until := c.snapshot.ValidUntil
 	if !r.GetStale() {
 		until = later(until, c.freshUntil(sent, r))
 	}
--- a/internal/view/core_test.go
+++ b/internal/view/core_test.go
@@ -82,7 +82,7 @@
 			core := newCore(4 * time.Second)
 			core.answered(start, 0, c.answer)
 
-			until := core.snapshot.FreshUntil
+			until := core.snapshot.ValidUntil
 			if c.answer.GetStale() {
 				require.True(t, until.IsZero())
 				return
@@ -90,7 +90,7 @@
 
 			require.Equal(t, c.want, until.Sub(start))
 			core.answered(start.Add(-time.Second), 1, c.answer)
-			require.Equal(t, until, core.snapshot.FreshUntil, "an answer to an earlier poll shortens nothing")
+			require.Equal(t, until, core.snapshot.ValidUntil, "an answer to an earlier poll shortens nothing")
 		})
 	}
 }
@@ -112,7 +112,7 @@
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := ledger.DefaultLimits()
-		limits.Tombstones = 8
+		limits.MaxTombstones = 8
 		state := ledger.New(limits)
 		history := []ledger.Records{state.Records()}
 		core := newCore(4 * time.Second)
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -18,8 +18,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Followed is what an entry that is the door of its targets knows. It never changes.
-type Followed struct {
+// ClusterState is what an entry that is the door of its targets knows. It never changes.
+type ClusterState struct {
 	// Index orders states; Number is the operators' own of Table.
 	Index    uint64
 	Number   uint64
@@ -33,14 +33,14 @@
 	// Relays are where some processes relay orders to engines, by the control VM that
 	// answered last.
 	Relays []netip.AddrPort
-	// Answered is how many control VMs have answered since the start.
-	Answered int
-	// First is when the first of them answered.
-	First time.Time
+	// ControlsAnswered is how many control VMs have answered since the start.
+	ControlsAnswered int
+	// FirstAnswerAt is when the first of them answered.
+	FirstAnswerAt time.Time
 }
 
-// Out reports whether the operators have taken the zone out.
-func (f *Followed) Out(zone string) bool { return slices.Contains(f.ZonesOut, zone) }
+// ZoneOut reports whether the operators have taken the zone out.
+func (f *ClusterState) ZoneOut(zone string) bool { return slices.Contains(f.ZonesOut, zone) }
 
 // Follower follows every control VM at once. Targets announce themselves to any
 // one of them, so that one alone does not know them all; and a control VM that a
@@ -53,8 +53,8 @@
 	// Seeds are the control VMs that the settings name; Seeds is called anew for
 	// each round of dials, since settings change.
 	Seeds func() []netip.AddrPort
-	// Ask sends one question to a control VM. It must end when ctx does.
-	Ask func(ctx context.Context, control netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error)
+	// Poll sends one question to a control VM. It must end when ctx does.
+	Poll func(ctx context.Context, control netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error)
 	// Leaving says that this process stops.
 	Leaving func() bool
 	// Relay is where this process relays orders to engines; invalid where it does not.
@@ -62,13 +62,13 @@
 	// ServicesOnly leaves out routes and workspaces, for who takes no callers.
 	ServicesOnly bool
 	// OnChange is called with each new state, one call at a time.
-	OnChange func(*Followed)
+	OnChange func(*ClusterState)
 	Settings FollowerSettings
 	Logger   *slog.Logger
 
 	mu       sync.Mutex
 	merged   directory.MergedTargets
-	current  atomic.Pointer[Followed]
+	current  atomic.Pointer[ClusterState]
 	members  map[netip.AddrPort][]netip.AddrPort // by who told
 	counts   map[netip.AddrPort]uint32
 	rosters  map[netip.AddrPort][]shares.Node // by who told
@@ -81,23 +81,23 @@
 
 // FollowerSettings are the intervals of a follower.
 type FollowerSettings struct {
-	// Wait is how long a control VM may hold a question, and Timeout how long its
+	// MaxPollWait is how long a control VM may hold a question, and Timeout how long its
 	// answer may take beyond that. Together they are how long a connection that has
 	// gone silent keeps news from this entry.
-	Wait    time.Duration
-	Timeout time.Duration
-	// Pause is the pause after a question that failed.
-	Pause time.Duration
-	// RefreshEvery is how often the list of control VMs is looked at.
-	RefreshEvery time.Duration
+	MaxPollWait   time.Duration
+	AnswerTimeout time.Duration
+	// RetryDelay is the pause after a question that failed.
+	RetryDelay time.Duration
+	// RefreshInterval is how often the list of control VMs is looked at.
+	RefreshInterval time.Duration
 }
 
 // DefaultFollowerSettings returns intervals that bring news of a lost connection
 // within a second and cost 1.5 questions a second and control VM.
 func DefaultFollowerSettings() FollowerSettings {
 	return FollowerSettings{
-		Wait: 600 * time.Millisecond, Timeout: 400 * time.Millisecond,
-		Pause: 150 * time.Millisecond, RefreshEvery: 500 * time.Millisecond,
+		MaxPollWait: 600 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond,
+		RetryDelay: 150 * time.Millisecond, RefreshInterval: 500 * time.Millisecond,
 	}
 }
 
@@ -118,15 +118,15 @@
 	f.lost = make(map[netip.AddrPort]bool)
 	f.tables = tables{own: f.Zone, zones: make(map[netip.AddrPort]string)}
 	f.running = make(map[netip.AddrPort]context.CancelFunc)
-	f.current.Store(&Followed{Entries: 1})
+	f.current.Store(&ClusterState{Entries: 1})
 }
 
 // State returns what is known now. It is never nil after Init.
-func (f *Follower) State() *Followed { return f.current.Load() }
+func (f *Follower) State() *ClusterState { return f.current.Load() }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	tick := time.NewTicker(f.Settings.RefreshEvery)
+	tick := time.NewTicker(f.Settings.RefreshInterval)
 	defer tick.Stop()
 	defer f.done.Wait()
 
@@ -216,7 +216,7 @@
 				f.lose(control, &k)
 			}
 
-			pauses.For(ctx, f.Settings.Pause)
+			pauses.For(ctx, f.Settings.RetryDelay)
 
 			continue
 		}
@@ -248,10 +248,10 @@
 		r.WaitMillis = uint64(wait.Milliseconds())
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, f.Settings.Wait+f.Settings.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, f.Settings.MaxPollWait+f.Settings.AnswerTimeout)
 	defer cancel()
 
-	out, err := f.Ask(ctx, control, r)
+	out, err := f.Poll(ctx, control, r)
 	if err == nil {
 		err = f.take(time.Now(), control, out, k)
 	}
@@ -281,12 +281,12 @@
 
 	if !f.answered[control] {
 		f.answered[control] = true
-		next.Answered = len(f.answered)
+		next.ControlsAnswered = len(f.answered)
 		changed = true
 	}
 
-	if next.First.IsZero() {
-		next.First = now
+	if next.FirstAnswerAt.IsZero() {
+		next.FirstAnswerAt = now
 	}
 
 	if out.GetIndex() > next.Index || out.GetTable() != nil && out.GetNumber() > next.Number {
@@ -338,7 +338,7 @@
 
 // takeState takes in a later state. A table that it must hold and does not, since
 // this entry learnt a higher number meanwhile, leaves the table as it is.
-func (f *Follower) takeState(next *Followed, out *wire.FollowResponse) error {
+func (f *Follower) takeState(next *ClusterState, out *wire.FollowResponse) error {
 	if out.GetTable() != nil && out.GetNumber() > next.Number {
 		table, err := routes.NewTable(routes.FromWire(out.GetTable()))
 		if err != nil {
@@ -393,7 +393,7 @@
 	return out, nil
 }
 
-func (f *Follower) takeTargets(now time.Time, next *Followed, out *wire.FollowResponse) bool {
+func (f *Follower) takeTargets(now time.Time, next *ClusterState, out *wire.FollowResponse) bool {
 	var ts []directory.Target
 
 	for _, w := range out.GetTargets() {
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -71,8 +71,8 @@
 	t.Helper()
 
 	f := &view.Follower{
-		Cluster: "trust", ID: "e", Seeds: func() []netip.AddrPort { return seeds }, Ask: p.ask,
-		OnChange: func(*view.Followed) {},
+		Cluster: "trust", ID: "e", Seeds: func() []netip.AddrPort { return seeds }, Poll: p.ask,
+		OnChange: func(*view.ClusterState) {},
 	}
 	return f, start(t, f)
 }
@@ -115,7 +115,7 @@
 		require.Equal(t, uint64(7), s.Number)
 		require.NotNil(t, s.Table.Service("new"))
 		require.Empty(t, s.ZonesOut)
-		require.Equal(t, 2, s.Answered)
+		require.Equal(t, 2, s.ControlsAnswered)
 
 		p.set(controlOne, &wire.FollowResponse{Index: 10, Number: 7, ZonesOut: []string{"b"}, DirectoryBoot: 1})
 		time.Sleep(2 * time.Second)
@@ -246,8 +246,8 @@
 				}
 
 				f := &view.Follower{
-					Cluster: "trust", ID: "e", Zone: "z", Seeds: func() []netip.AddrPort { return seeds }, Ask: ask,
-					OnChange: func(*view.Followed) {},
+					Cluster: "trust", ID: "e", Zone: "z", Seeds: func() []netip.AddrPort { return seeds }, Poll: ask,
+					OnChange: func(*view.ClusterState) {},
 				}
 				stop := start(t, f)
 
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -51,28 +51,28 @@
 	// Lease is how long the process may act on a view after it was current. It
 	// must not exceed the control VMs' own.
 	Lease time.Duration
-	// Wait is how long a control VM may hold a poll.
-	Wait time.Duration
-	// Timeout is how long a control VM may take beyond Wait.
-	Timeout time.Duration
-	// FirstTimeout is Timeout for a poll whose answer holds everything.
-	FirstTimeout time.Duration
-	// BackoffMin and BackoffMax bound the pause after a poll that failed.
-	BackoffMin, BackoffMax time.Duration
-	// PollGap is the least time between two polls.
-	PollGap time.Duration
+	// MaxPollWait is how long a control VM may hold a poll.
+	MaxPollWait time.Duration
+	// AnswerTimeout is how long a control VM may take beyond Wait.
+	AnswerTimeout time.Duration
+	// FullAnswerTimeout is Timeout for a poll whose answer holds everything.
+	FullAnswerTimeout time.Duration
+	// MinBackoff and BackoffMax bound the pause after a poll that failed.
+	MinBackoff, MaxBackoff time.Duration
+	// MinPollInterval is the least time between two polls.
+	MinPollInterval time.Duration
 }
 
 // DefaultSettings returns the intervals for the size that parsleygate is designed for.
 func DefaultSettings() Settings {
 	return Settings{
-		Lease:        4 * time.Second,
-		Wait:         time.Second,
-		Timeout:      700 * time.Millisecond,
-		FirstTimeout: 5 * time.Second,
-		BackoffMin:   20 * time.Millisecond,
-		BackoffMax:   500 * time.Millisecond,
-		PollGap:      20 * time.Millisecond,
+		Lease:             4 * time.Second,
+		MaxPollWait:       time.Second,
+		AnswerTimeout:     700 * time.Millisecond,
+		FullAnswerTimeout: 5 * time.Second,
+		MinBackoff:        20 * time.Millisecond,
+		MaxBackoff:        500 * time.Millisecond,
+		MinPollInterval:   20 * time.Millisecond,
 	}
 }
 
@@ -145,7 +145,7 @@
 		request.Load = r.Load()
 	}
 
-	if r.fails > 0 || !r.core.snapshot.Fresh(time.Now()) {
+	if r.fails > 0 || !r.core.snapshot.Valid(time.Now()) {
 		request.WaitMillis = 0
 	}
 
@@ -155,7 +155,7 @@
 // wait returns how long the next poll may be held. It varies, since a change
 // answers the polls of all readers at once, and they would poll in step from then on.
 func (r *Reader) wait() time.Duration {
-	return r.Settings.Wait - rand.N(r.Settings.Wait/waitSpread+1)
+	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/waitSpread+1)
 }
 
 // waitSpread divides Wait: 4 lets a poll be held for three quarters of it at least.
@@ -168,10 +168,10 @@
 // silent: the poll is given up and the next control VM is tried.
 func (r *Reader) pollOnce(ctx context.Context) error {
 	request := r.request()
-	limit := time.Duration(request.GetWaitMillis())*time.Millisecond + r.Settings.Timeout
+	limit := time.Duration(request.GetWaitMillis())*time.Millisecond + r.Settings.AnswerTimeout
 
 	if request.GetKnownVersion() == 0 {
-		limit = max(limit, r.Settings.FirstTimeout)
+		limit = max(limit, r.Settings.FullAnswerTimeout)
 	}
 
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -210,14 +210,14 @@
 // pause waits before the next poll: shortly after success, longer and with
 // jitter after failures, so that readers do not return all at once.
 func (r *Reader) pause(ctx context.Context, err error) {
-	wait := r.Settings.PollGap
+	wait := r.Settings.MinPollInterval
 
 	if err == nil {
 		r.fails = 0
 	} else {
 		r.Logger.Debug("poll failed", "control", r.Controls[r.control], "error", err)
 
-		limit := min(r.Settings.BackoffMin<<min(r.fails, 10), r.Settings.BackoffMax)
+		limit := min(r.Settings.MinBackoff<<min(r.fails, 10), r.Settings.MaxBackoff)
 		wait = limit/2 + rand.N(limit/2+1)
 		r.fails++
 		r.control = (r.control + 1) % len(r.Controls)
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -13,16 +13,16 @@
 	// Version is the log index that last changed the configuration; zero means
 	// that the process has none yet.
 	Version uint64
-	// FreshUntil is when the freshness lease ends. Until then no decision that
+	// ValidUntil is when the freshness lease ends. Until then no decision that
 	// this snapshot lacks is said to be in force anywhere.
-	FreshUntil time.Time
+	ValidUntil time.Time
 
 	content *content
 	targets func() map[string][]Target
 }
 
 func newSnapshot(version uint64, freshUntil time.Time, c *content) *Snapshot {
-	s := &Snapshot{Version: version, FreshUntil: freshUntil, content: c}
+	s := &Snapshot{Version: version, ValidUntil: freshUntil, content: c}
 	s.targets = sync.OnceValue(s.listTargets)
 
 	return s
@@ -30,11 +30,11 @@
 
 // extended returns the same configuration with a later end of its lease.
 func (s *Snapshot) extended(freshUntil time.Time) *Snapshot {
-	return &Snapshot{Version: s.Version, FreshUntil: freshUntil, content: s.content, targets: s.targets}
+	return &Snapshot{Version: s.Version, ValidUntil: freshUntil, content: s.content, targets: s.targets}
 }
 
-// Fresh reports whether the freshness lease still holds at now.
-func (s *Snapshot) Fresh(now time.Time) bool { return now.Before(s.FreshUntil) }
+// Valid reports whether the freshness lease still holds at now.
+func (s *Snapshot) Valid(now time.Time) bool { return now.Before(s.ValidUntil) }
 
 // Service returns the declaration of a service.
 func (s *Snapshot) Service(name string) (*wire.Service, bool) {
--- a/internal/view/tables.go
+++ b/internal/view/tables.go
@@ -56,7 +56,7 @@
 	defer f.mu.Unlock()
 
 	if number <= f.current.Load().Number {
-		return false, f.Settings.Wait
+		return false, f.Settings.MaxPollWait
 	}
 
 	now := time.Now()
@@ -64,9 +64,9 @@
 		return false, fetchWait
 	}
 
-	f.tables.from, f.tables.fetchUntil = control, now.Add(f.Settings.Wait+f.Settings.Timeout)
+	f.tables.from, f.tables.fetchUntil = control, now.Add(f.Settings.MaxPollWait+f.Settings.AnswerTimeout)
 
-	return true, f.Settings.Wait
+	return true, f.Settings.MaxPollWait
 }
 
 // fetched takes in that the answer to a question for a table has come, or failed. After a
