--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// TestMain fixes the seed, unless the command line names another one.
+// TestMain fixes the random seed. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -23,19 +23,21 @@
 	os.Exit(m.Run())
 }
 
-// modelTarget is what really goes on at the target, beside what the agent knows.
+// modelTarget is the actual state of the target, which may differ from the agent's view.
 type modelTarget struct {
 	bootID string
 	cold   bool
-	// running maps each request that the target works on to when it drops it by
-	// itself; zero while the agent's connection is open.
+	// running maps each request in progress to the time at which the target drops it
+	// by itself, or to zero while the agent's connection is open.
 	running map[string]time.Time
-	// reported is the target's count at some moment since its last announcement.
+	// reported is the number of requests in progress at some time since the last
+	// announcement.
 	reported int
 }
 
-// schedule drives one core, its successors after restarts, and the target, by seed.
-type schedule struct {
+// simulation drives the target and one core, which is replaced when the agent restarts,
+// with random events.
+type simulation struct {
 	t       *rapid.T
 	now     time.Time
 	core    Core
@@ -43,16 +45,18 @@
 	target  modelTarget
 	credits []Credit
 	sent    []Request
-	// open are attempts that the present incarnation has admitted and not ended.
+	// open holds the attempts that the current incarnation has admitted and that have
+	// not ended.
 	open []string
-	// ran and never record what is true for good; admitted counts per attempt.
+	// admitted counts the admissions of each attempt. notRun holds the attempts that
+	// were reported as NotRun and must never run from then on.
 	admitted map[string]int
-	never    map[string]bool
+	notRun   map[string]bool
 	n        int
 }
 
-func newSchedule(t *rapid.T) *schedule {
-	s := &schedule{t: t, now: start, admitted: map[string]int{}, never: map[string]bool{}}
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{t: t, now: start, admitted: map[string]int{}, notRun: map[string]bool{}}
 	s.view = View{Version: 1, FreshUntil: start.Add(time.Hour), ColdLimit: 2, WarmLimit: 12}
 	s.target = modelTarget{bootID: "boot-0", running: map[string]time.Time{}}
 	s.core = Core{AgentID: "agent-1", Incarnation: 1, Started: start, Settings: s.settings()}
@@ -61,25 +65,25 @@
 	return s
 }
 
-// settings make memory short and small, so that schedules go past both bounds.
-func (s *schedule) settings() Settings {
+// settings returns a short retention and a small store, so that simulations exceed both.
+func (s *simulation) settings() Settings {
 	return Settings{AttemptRetention: 3 * time.Second, MaxAttempts: 8}
 }
 
-func (s *schedule) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(s.t, what) }
+func (s *simulation) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(s.t, what) }
 
-func (s *schedule) pass() {
+func (s *simulation) advance() {
 	d := time.Duration(rapid.SampledFrom([]int{1, 10, 60, 300, 1100, 2500}).Draw(s.t, "ms")) * time.Millisecond
 	s.now = s.now.Add(d)
-	s.settleTarget()
+	s.expireAbandoned()
 
 	if s.pick(3, "tick") > 0 {
 		s.core.Tick(s.now)
 	}
 }
 
-// settleTarget drops requests that the target stopped by itself.
-func (s *schedule) settleTarget() {
+// expireAbandoned removes the requests that the target has dropped by itself.
+func (s *simulation) expireAbandoned() {
 	for id, until := range s.target.running {
 		if !until.IsZero() && !until.After(s.now) {
 			delete(s.target.running, id)
@@ -87,25 +91,25 @@
 	}
 }
 
-func (s *schedule) announce() {
+func (s *simulation) announce() {
 	s.core.Announce(s.now, Announcement{
 		BootID: s.target.bootID, Service: "assist", Cold: s.target.cold,
 		InFlight: uint32(s.target.reported), InFlightKnown: s.pick(4, "counted") > 0,
 	})
-	s.count()
+	s.countInFlight()
 }
 
-// count takes the number that the next announcement will carry.
-func (s *schedule) count() { s.target.reported = len(s.target.running) }
+// countInFlight sets the number of requests that the next announcement reports.
+func (s *simulation) countInFlight() { s.target.reported = len(s.target.running) }
 
-func (s *schedule) grant() {
+func (s *simulation) grant() {
 	id := fmt.Sprintf("entry-%d", s.pick(20, "entry"))
 	g := s.core.Grant(s.now, GrantRequest{EntryID: id, Wanted: uint32(s.pick(6, "wanted"))})
 	s.credits = append(s.credits, g.Credit)
 }
 
-// send sends a new request on some credit, or an old message once more.
-func (s *schedule) send() {
+// send sends a new request on a recent credit, or a duplicate of an earlier request.
+func (s *simulation) send() {
 	if len(s.credits) == 0 {
 		return
 	}
@@ -120,10 +124,10 @@
 		s.sent = append(s.sent, r)
 	}
 
-	s.arrive(r)
+	s.admit(r)
 }
 
-func (s *schedule) arrive(r Request) {
+func (s *simulation) admit(r Request) {
 	id := r.AttemptID
 	cold := s.core.Load().Cold
 	d := s.core.Admit(s.now, r)
@@ -131,16 +135,16 @@
 	if !d.Admitted {
 		sameAgent := r.Credit.Incarnation == s.core.Incarnation
 		if d.Verdict == verdict.NotRun && sameAgent {
-			require.Zero(s.t, s.admitted[id]*s.bool(!s.never[id]), "NotRun said of an attempt that was let in")
-			s.never[id] = true
+			require.Zero(s.t, s.admitted[id]*s.toInt(!s.notRun[id]), "NotRun reported for an admitted attempt")
+			s.notRun[id] = true
 		}
 
 		return
 	}
 
-	require.False(s.t, s.never[id], "attempt let in after NotRun was said of it")
+	require.False(s.t, s.notRun[id], "attempt admitted after it was reported as NotRun")
 	s.admitted[id]++
-	require.Equal(s.t, 1, s.admitted[id], "attempt let in twice")
+	require.Equal(s.t, 1, s.admitted[id], "attempt admitted twice")
 	require.False(s.t, s.view.ZoneOut)
 
 	s.target.running[id] = time.Time{}
@@ -148,7 +152,7 @@
 	s.checkLimit(cold)
 }
 
-func (s *schedule) bool(b bool) int {
+func (s *simulation) toInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -156,23 +160,24 @@
 	return 0
 }
 
-// checkLimit holds what was just let in against the limit.
-func (s *schedule) checkLimit(cold bool) {
+// checkLimit checks the limits after an admission.
+func (s *simulation) checkLimit(cold bool) {
 	l := s.core.Load()
 	require.LessOrEqual(s.t, l.InFlight, l.Limit)
 	require.LessOrEqual(s.t, l.Limit, s.view.WarmLimit)
 
 	if cold {
-		require.LessOrEqual(s.t, len(s.target.running), int(l.Limit), "a ramping target holds more than its limit")
+		require.LessOrEqual(s.t, len(s.target.running), int(l.Limit), "ramping target exceeds its limit")
 	}
 
-	if s.target.cold && s.core.ramp.held {
+	if s.target.cold && s.core.ramp.engineCold {
 		require.LessOrEqual(s.t, l.Limit, s.view.ColdLimit)
 	}
 }
 
-// finish ends an open attempt: whole, refused by the target, or cut off.
-func (s *schedule) finish() {
+// finish ends an open attempt: with a complete answer, with a connection refused by the
+// target, or abandoned.
+func (s *simulation) finish() {
 	if len(s.open) == 0 {
 		return
 	}
@@ -188,17 +193,17 @@
 	case 1:
 		s.core.Finish(s.now, id, Outcome{Verdict: verdict.NotRun})
 		delete(s.target.running, id)
-		s.never[id] = true
+		s.notRun[id] = true
 	default:
 		s.core.FirstToken(s.now, id)
 		s.core.Finish(s.now, id, Outcome{Verdict: verdict.Ran})
 		delete(s.target.running, id)
 	}
 
-	s.settleTarget()
+	s.expireAbandoned()
 }
 
-func (s *schedule) ask() {
+func (s *simulation) query() {
 	if len(s.credits) == 0 {
 		return
 	}
@@ -219,15 +224,15 @@
 
 	switch f.State {
 	case wire.AskState_AskClosed:
-		require.Zero(s.t, s.admitted[r.AttemptID]*s.bool(!s.never[r.AttemptID]), "closed, but it was let in")
-		s.never[r.AttemptID] = true
+		require.Zero(s.t, s.admitted[r.AttemptID]*s.toInt(!s.notRun[r.AttemptID]), "admitted attempt reported as closed")
+		s.notRun[r.AttemptID] = true
 	case wire.AskState_AskRan, wire.AskState_AskRunning:
 		require.Equal(s.t, 1, s.admitted[r.AttemptID])
 	}
 }
 
-// boot replaces the target by a cold one.
-func (s *schedule) boot() {
+// bootTarget restarts the target, which then may or may not report that it is cold.
+func (s *simulation) bootTarget() {
 	s.target.bootID += "+"
 	s.target.cold = s.pick(2, "cold") == 0
 	s.target.running = map[string]time.Time{}
@@ -241,8 +246,9 @@
 	s.announce()
 }
 
-// restart replaces the agent. The target drops the connections of the old one in its own time.
-func (s *schedule) restart() {
+// restartAgent restarts the agent. The target drops the requests of the old incarnation
+// after a random time.
+func (s *simulation) restartAgent() {
 	for _, id := range s.open {
 		s.target.running[id] = s.now.Add(time.Duration(s.pick(10_000, "lingers")) * time.Millisecond)
 	}
@@ -254,7 +260,7 @@
 	s.announce()
 }
 
-func (s *schedule) changeView() {
+func (s *simulation) changeView() {
 	s.view.Version++
 	s.view.ZoneOut = s.pick(3, "out") == 0
 	s.view.ColdLimit = uint32(1 + s.pick(4, "cold limit"))
@@ -262,23 +268,24 @@
 	s.core.ChangeView(s.now, s.view)
 }
 
-// A cold target would be pushed over, or a booking made twice or denied, under any
-// order of events: sudden cold, restarts of agent and target with work in flight,
-// many entries, lowered limits, a zone that leaves and returns, late copies.
-func TestAdmissionHoldsUnderSchedules(t *testing.T) {
+// Checks under random events that a cold target is never overloaded and that no request
+// runs twice or runs after it was reported as NotRun. The events include restarts of the
+// agent and of a target with requests in flight, targets that turn cold, many entries,
+// lowered limits, a zone that goes out of service and returns, and late duplicates.
+func TestAdmissionInvariantsUnderRandomEvents(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSchedule(t)
+		s := newSimulation(t)
 		s.announce()
 
 		weighted := []func(){
 			s.send, s.send, s.send, s.send, s.send, s.send, s.grant, s.grant, s.grant,
-			s.finish, s.finish, s.finish, s.pass, s.pass, s.announce, s.announce, s.count,
-			s.ask, s.ask, s.changeView, s.boot,
+			s.finish, s.finish, s.finish, s.advance, s.advance, s.announce, s.announce, s.countInFlight,
+			s.query, s.query, s.changeView, s.bootTarget,
 		}
 		if s.pick(2, "restarts") == 0 {
-			weighted = append(weighted, s.restart)
+			weighted = append(weighted, s.restartAgent)
 		}
 
 		for range 300 {
--- a/internal/entry/caller_test.go
+++ b/internal/entry/call_test.go
@@ -11,9 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers send what no entry can serve. Each gets a clear refusal that says the
-// request did not run, and nothing reaches an agent.
-func TestBadInput(t *testing.T) {
+// Invalid requests must be refused with the verdict NotRun and must not reach an agent.
+func TestInvalidRequestsAreRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
 
 	small := func(e *Entry) { e.Limits.MaxBodyBytes = 10 }
@@ -27,8 +26,8 @@
 	}{
 		{name: "unknown service", path: "nobody/v1/x", status: 404, cause: "UnknownService"},
 		{name: "body too large", path: "desk/v1/bookings", body: strings.Repeat("x", 11), status: 413, cause: "TooLarge"},
-		{name: "timeout no number", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "soon"}, status: 400, cause: "Malformed"},
-		{name: "timeout of nothing", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "0"}, status: 400, cause: "Malformed"},
+		{name: "timeout is not a number", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "soon"}, status: 400, cause: "Malformed"},
+		{name: "timeout is zero", path: "desk/v1/bookings", headers: []string{HeaderTimeout, "0"}, status: 400, cause: "Malformed"},
 		{name: "priority out of range", path: "desk/v1/bookings", headers: []string{HeaderPriority, "9"}, status: 400, cause: "Malformed"},
 		{name: "key too long", path: "desk/v1/bookings", headers: []string{HeaderKey, strings.Repeat("k", 129)}, status: 400, cause: "Malformed"},
 	}
@@ -37,20 +36,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			a := newFakeAgent(t, "agent-1", booked)
-			r := newRig(t, bookingService, small, a)
-			got := r.post(c.path, c.body, c.headers...)
+			a := newFakeAgent(t, "agent-1", answerBooking)
+			f := newFixture(t, bookingService, small, a)
+			got := f.post(c.path, c.body, c.headers...)
 			require.Equal(t, c.status, got.status)
 			require.Equal(t, "NotRun", got.verdict)
 			require.Equal(t, c.cause, got.cause)
-			require.Empty(t, a.got())
+			require.Empty(t, a.received())
 		})
 	}
 }
 
-// A head that is too long, or no HTTP at all, is refused by status, and the
-// entry goes on serving others.
-func TestMalformedHeads(t *testing.T) {
+// Requests whose head is too long or not HTTP must get an error status, and the entry
+// must continue to serve other callers.
+func TestMalformedRequestHeadsAreRefused(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -59,17 +58,17 @@
 		status int
 	}{
 		{name: "head too long", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 128<<10) + "\r\n\r\n", status: 431},
-		{name: "no HTTP", text: "hello, is anybody there today?\r\n\r\n", status: 400},
-		{name: "two lengths", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", status: 400},
+		{name: "not HTTP", text: "hello, is anybody there today?\r\n\r\n", status: 400},
+		{name: "two Content-Length headers", text: "POST /desk/v1/bookings HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", status: 400},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := newRig(t, bookingService, nil, newFakeAgent(t, "agent-1", booked))
+			f := newFixture(t, bookingService, nil, newFakeAgent(t, "agent-1", answerBooking))
 
-			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", r.entry.Listener.Addr().String())
+			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.entry.Listener.Addr().String())
 			require.NoError(t, err)
 
 			defer conn.Close()
@@ -79,12 +78,12 @@
 			require.NoError(t, err)
 			require.NoError(t, resp.Body.Close())
 			require.Equal(t, c.status, resp.StatusCode)
-			require.Equal(t, 201, r.book("cask-1").status)
+			require.Equal(t, 201, f.book("cask-1").status)
 		})
 	}
 }
 
-// What concerns one connection alone, or the system, does not go on to targets.
+// Hop-by-hop headers and the headers of this system must not be forwarded to targets.
 func TestForwardedHeaders(t *testing.T) {
 	t.Parallel()
 
@@ -95,18 +94,18 @@
 	h.Set(HeaderWorkspace, "cooperage")
 	h.Set("Accept", "text/plain")
 
-	out := forwarded(h)
+	out := forwardedHeaders(h)
 	require.Len(t, out, 1)
 	require.Equal(t, "Accept", out[0].GetName())
 }
 
-// Only what a service declares is repeatable, whatever the method.
+// Only calls that a service declares are idempotent, whatever the method.
 func TestIdempotentCalls(t *testing.T) {
 	t.Parallel()
 
 	s := testServices[bookingService]
-	require.True(t, idempotent(s, "GET", "/v1/bookings"))
-	require.False(t, idempotent(s, "GET", "/v2/bookings"))
-	require.False(t, idempotent(s, "POST", "/v1/bookings"))
-	require.False(t, idempotent(s, "HEAD", "/v1/bookings"))
+	require.True(t, isIdempotent(s, "GET", "/v1/bookings"))
+	require.False(t, isIdempotent(s, "GET", "/v2/bookings"))
+	require.False(t, isIdempotent(s, "POST", "/v1/bookings"))
+	require.False(t, isIdempotent(s, "HEAD", "/v1/bookings"))
 }
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -10,19 +10,20 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Refusal is the body of an answer that says why there is none.
+// Refusal is the response body of a request that has no answer.
 type Refusal struct {
 	RequestID string
 	// Verdict is NotRun, MayHaveRun or Ran.
 	Verdict string
 	Cause   verdict.Cause
-	// RetryAfterSeconds is when another try makes sense; 0 where it does not.
+	// RetryAfterSeconds is the time after which a retry may succeed, or 0 if none is
+	// known.
 	RetryAfterSeconds int    `json:",omitempty"`
 	Detail            string `json:",omitempty"`
 }
 
-// statusOf names the HTTP status of each cause.
-func statusOf(err *verdict.Error) int {
+// httpStatus returns the HTTP status for a refusal.
+func httpStatus(err *verdict.Error) int {
 	switch err.Cause {
 	case verdict.CauseUnknownService:
 		return http.StatusNotFound
@@ -39,11 +40,11 @@
 	case verdict.CauseDeadline:
 		return http.StatusGatewayTimeout
 	default:
-		return statusOfVerdict(err.Verdict)
+		return httpStatusOfVerdict(err.Verdict)
 	}
 }
 
-func statusOfVerdict(v verdict.Verdict) int {
+func httpStatusOfVerdict(v verdict.Verdict) int {
 	if v == verdict.NotRun {
 		return http.StatusServiceUnavailable
 	}
@@ -63,11 +64,11 @@
 	h.Set("Content-Type", "application/json")
 
 	if !err.RetryAt.IsZero() {
-		wait := math.Ceil(time.Until(err.RetryAt).Seconds())
-		body.RetryAfterSeconds = max(1, int(wait))
+		seconds := math.Ceil(time.Until(err.RetryAt).Seconds())
+		body.RetryAfterSeconds = max(1, int(seconds))
 		h.Set("Retry-After", strconv.Itoa(body.RetryAfterSeconds))
 	}
 
-	w.WriteHeader(statusOf(err))
+	w.WriteHeader(httpStatus(err))
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/internal/routes"
 )
 
-// declaration returns a right one, changed by edit.
-func declaration(edit func(d *routes.Declaration)) routes.Declaration {
+// validDeclaration returns a valid declaration to which edit, if not nil, is applied.
+func validDeclaration(edit func(d *routes.Declaration)) routes.Declaration {
 	d := routes.Declaration{
 		Number: 7,
 		Services: []routes.Service{
@@ -32,9 +32,9 @@
 	return d
 }
 
-// An operator sends a configuration that cannot be in force. It is refused with
-// what is wrong and where, and the one in force stays.
-func TestInvalidDeclarations(t *testing.T) {
+// An invalid declaration must be rejected with an error that names the invalid part and
+// the problem.
+func TestInvalidDeclarationsAreRejected(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -43,12 +43,12 @@
 		want string
 	}{
 		{name: "unknown service", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Service = "gone" }, want: `route "a": service "gone" is not declared`},
-		{name: "no weight", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Weight = 0 }, want: `route "a": the weights add up to 0`},
+		{name: "zero weight", edit: func(d *routes.Declaration) { d.Routes[0].Shares[0].Weight = 0 }, want: `route "a": the weights add up to 0`},
 		{name: "no share", edit: func(d *routes.Declaration) { d.Routes[0].Shares = nil }, want: `route "a": the weights add up to 0`},
 		{name: "no timeout", edit: func(d *routes.Declaration) { d.Routes[1].Timeout = 0 }, want: `route "b": the timeout is not above 0`},
-		{name: "same place", edit: func(d *routes.Declaration) { d.Routes[1].Prefix = "/kiln/" }, want: `route "b": another route has the same host and prefix`},
-		{name: "open prefix", edit: func(d *routes.Declaration) { d.Routes[0].Prefix = "/kiln" }, want: `route "a": the prefix does not begin and end with a slash`},
-		{name: "doubled service", edit: func(d *routes.Declaration) { d.Services[1].Name = "drafts" }, want: `service "drafts": has no name or is declared twice`},
+		{name: "same host and prefix", edit: func(d *routes.Declaration) { d.Routes[1].Prefix = "/kiln/" }, want: `route "b": another route has the same host and prefix`},
+		{name: "prefix without final slash", edit: func(d *routes.Declaration) { d.Routes[0].Prefix = "/kiln" }, want: `route "a": the prefix does not begin and end with a slash`},
+		{name: "duplicate service", edit: func(d *routes.Declaration) { d.Services[1].Name = "drafts" }, want: `service "drafts": has no name or is declared twice`},
 		{name: "shared key", edit: func(d *routes.Declaration) {
 			d.Workspaces = append(d.Workspaces, routes.Workspace{Name: "makers", Keys: []string{"k2"}})
 		}, want: `workspace "makers": shares a key with workspace "coopers"`},
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			_, err := routes.NewTable(declaration(c.edit))
+			_, err := routes.NewTable(validDeclaration(c.edit))
 			require.EqualError(t, err, c.want)
 
 			var invalid *routes.InvalidError
@@ -71,7 +71,7 @@
 func TestFind(t *testing.T) {
 	t.Parallel()
 
-	table, err := routes.NewTable(declaration(nil))
+	table, err := routes.NewTable(validDeclaration(nil))
 	require.NoError(t, err)
 
 	cases := []struct{ host, path, want string }{
@@ -105,32 +105,32 @@
 func TestPickFollowsTheWeights(t *testing.T) {
 	t.Parallel()
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 	r := &d.Routes[1]
-	n := map[string]int{}
+	picked := map[string]int{}
 
 	for i := range 1000 {
-		n[r.Pick(float64(i)/1000)]++
+		picked[r.Pick(float64(i)/1000)]++
 	}
 
-	require.Equal(t, map[string]int{"drafts": 900, "desk": 100}, n)
-	// The largest number below 1 must not fall past the last share.
+	require.Equal(t, map[string]int{"drafts": 900, "desk": 100}, picked)
+	// The largest number below 1 must not select past the last share.
 	require.Equal(t, "desk", r.Pick(0.9999999999999999))
 }
 
-// A declaration goes over the wire to entries. What is lost on the way would be in
-// force nowhere while the operator was told that it is.
-func TestWireKeepsEverything(t *testing.T) {
+// Declarations are sent to entries in wire form. A field lost in the conversion would
+// not be in force at any entry, although the operator's declaration was accepted.
+func TestWireRoundTripKeepsAllFields(t *testing.T) {
 	t.Parallel()
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 	require.Equal(t, d, routes.FromWire(d.ToWire()))
 }
 
 func FuzzFind(f *testing.F) {
 	f.Add("desk.example", "/kiln/drafts/1")
 
-	d := declaration(nil)
+	d := validDeclaration(nil)
 
 	table, err := routes.NewTable(d)
 	require.NoError(f, err)
@@ -152,8 +152,8 @@
 	})
 }
 
-// sameHost compares as Find does. EqualFold would also fold letters that have no
-// lower case of their own.
+// sameHost compares hosts as Find does. strings.EqualFold would also match letters that
+// have no lower case.
 func sameHost(a, b string) bool {
 	a, b = strings.ToLower(a), strings.ToLower(b)
 
--- a/internal/streams/plan_test.go
+++ b/internal/streams/plan_test.go
@@ -13,10 +13,10 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func leaving(by time.Duration) streams.DrainingTarget {
+func drainingTarget(deadline time.Duration) streams.DrainingTarget {
 	l := streams.DrainingTarget{TokensPerSecond: 20, BytesPerSecond: 1 << 30}
-	if by > 0 {
-		l.Deadline = epoch.Add(by)
+	if deadline > 0 {
+		l.Deadline = epoch.Add(deadline)
 	}
 
 	return l
@@ -30,7 +30,7 @@
 	short := long
 	short.Remaining = 20
 
-	change := func(s streams.Stream, f func(*streams.Stream)) streams.Stream {
+	edited := func(s streams.Stream, f func(*streams.Stream)) streams.Stream {
 		f(&s)
 
 		return s
@@ -44,21 +44,21 @@
 		want    streams.Kind
 		overrun bool
 	}{
-		{"nearly done", short, 0, dest, streams.Stay, false},
-		{"long, cache moves faster", long, 0, dest, streams.Move, false},
-		{"long, no export", change(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
-		{"large cache, small text", change(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
-		{"may not run twice and no export", change(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
-		{"no place elsewhere", long, 20 * time.Second, streams.Destination{}, streams.Stay, true},
-		{"a long stall without need", change(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
-		{"a long stall to be gone in time", change(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
+		{"nearly finished", short, 0, dest, streams.Stay, false},
+		{"long, transfer is faster than prefill", long, 0, dest, streams.Move, false},
+		{"long, cache not exportable", edited(long, func(s *streams.Stream) { s.Exportable = false; s.Tokens = 400 }), 0, dest, streams.Recompute, false},
+		{"large cache, short text", edited(long, func(s *streams.Stream) { s.Tokens = 100 }), 0, dest, streams.Recompute, false},
+		{"neither resumable nor exportable", edited(long, func(s *streams.Stream) { s.Exportable, s.Resumable = false, false }), 20 * time.Second, dest, streams.Stay, true},
+		{"no destination", long, 20 * time.Second, streams.Destination{}, streams.Stay, true},
+		{"stall above MaxStall, no deadline", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 0, dest, streams.Stay, false},
+		{"stall above MaxStall, needed for the deadline", edited(long, func(s *streams.Stream) { s.KVBytes = 3 << 30; s.Resumable = false }), 20 * time.Second, dest, streams.Move, false},
 	}
 
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			got := streams.Planner{}.Plan(epoch, leaving(tc.by), []streams.Stream{tc.s}, []streams.Destination{tc.to})
+			got := streams.Planner{}.Plan(epoch, drainingTarget(tc.by), []streams.Stream{tc.s}, []streams.Destination{tc.to})
 			require.Len(t, got, 1)
 			require.Equal(t, tc.want, got[0].Kind)
 			require.Equal(t, tc.overrun, got[0].Overrun)
@@ -68,20 +68,20 @@
 	}
 }
 
-// Destinations and the export link are shared by all streams of a plan.
-func TestPlanFillsPlacesOnce(t *testing.T) {
+// All streams of a plan share the capacity of the destinations and the export link.
+func TestPlanSharesDestinationsAndExportLink(t *testing.T) {
 	t.Parallel()
 
-	list, to := load(64, 1)
-	taken := map[string]int{}
+	list, to := randomStreams(64, 1)
+	assigned := map[string]int{}
 	linkFree := epoch
 
-	for _, d := range (streams.Planner{}).Plan(epoch, leaving(0), list, to) {
+	for _, d := range (streams.Planner{}).Plan(epoch, drainingTarget(0), list, to) {
 		if d.Kind == streams.Stay {
 			continue
 		}
 
-		taken[d.To]++
+		assigned[d.To]++
 
 		if d.Kind == streams.Move {
 			require.False(t, d.StartAt.Before(linkFree), "two exports at once")
@@ -90,13 +90,13 @@
 	}
 
 	for _, d := range to {
-		require.LessOrEqual(t, taken[d.AgentID], d.Free)
+		require.LessOrEqual(t, assigned[d.AgentID], d.Free)
 	}
 }
 
-// load draws streams: prompts of 500 to 8,000 tokens, 128 KB of cache a token,
-// half of them may be computed anew.
-func load(n int, seed uint64) ([]streams.Stream, []streams.Destination) {
+// randomStreams returns n random streams with prompts of 500 to 8,000 tokens and 128
+// KiB of KV cache per token. Half of them are resumable.
+func randomStreams(n int, seed uint64) ([]streams.Stream, []streams.Destination) {
 	r := rand.New(rand.NewPCG(seed, seed))
 	list := make([]streams.Stream, n)
 
@@ -114,44 +114,45 @@
 	}
 }
 
-// BenchmarkPlan measures when a target with 64 streams is empty and what its
-// callers wait for that, against letting all finish and moving all that can.
+// BenchmarkPlan reports when a target with 64 streams is empty and how long its callers
+// stall for that, with the default costs and with costs that make nearly all streams
+// stay or move.
 func BenchmarkPlan(b *testing.B) {
-	ways := []struct {
+	planners := []struct {
 		name string
 		p    streams.Planner
 	}{
 		{"StayAll", streams.Planner{DelayCost: 1e-9}},
 		{"MoveAll", streams.Planner{DelayCost: 1e3, MaxStall: time.Hour}},
-		{"Ours", streams.Planner{}},
+		{"Default", streams.Planner{}},
 	}
 
-	for _, w := range ways {
-		b.Run(w.name, func(b *testing.B) {
+	for _, tc := range planners {
+		b.Run(tc.name, func(b *testing.B) {
 			var got []streams.Decision
 
-			list, to := load(64, 1)
+			list, to := randomStreams(64, 1)
 
 			b.ReportAllocs()
 
 			for b.Loop() {
-				got = w.p.Plan(epoch, leaving(0), list, to)
+				got = tc.p.Plan(epoch, drainingTarget(0), list, to)
 			}
 
-			empty, stall, left := 0.0, 0.0, 0.0
+			empty, stall, moved := 0.0, 0.0, 0.0
 
 			for _, d := range got {
 				empty = max(empty, d.DoneAt.Sub(epoch).Seconds())
 				stall += d.Stall.Seconds()
 
 				if d.Kind != streams.Stay {
-					left++
+					moved++
 				}
 			}
 
 			b.ReportMetric(empty, "empty-after-s")
 			b.ReportMetric(stall/64, "stall-s/stream")
-			b.ReportMetric(left, "left")
+			b.ReportMetric(moved, "left")
 		})
 	}
 }
