--- /dev/null
+++ b/internal/control/follow.go
@@ -0,0 +1,315 @@
+package control
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/twitchtv/twirp"
+
+	"github.com/parsleygate/parsleygate/internal/directory"
+	"github.com/parsleygate/parsleygate/internal/wire"
+)
+
+// followerTimeout is the time since an entry's last request after which the entry no longer
+// counts as one that shares the targets. It exceeds the longest held request plus the pause
+// before the next one.
+const followerTimeout = 4 * time.Second
+
+// follower is an entry that follows this VM. Only the goroutine of runTrackers uses it.
+type follower struct {
+	lastRequest time.Time
+	leaving     bool
+	relay       string
+	zone        string
+}
+
+// targetTracker holds the targets that announced themselves to this VM, and the entries
+// that follow it. Only the goroutine of runTrackers uses it.
+type targetTracker struct {
+	registry  directory.Registry
+	followers map[string]follower
+	// savedRevision and savedRosterHash identify the directory and the roster that were
+	// saved last.
+	savedRevision   uint64
+	savedRosterHash uint64
+
+	roster        roster
+	rosterExpires time.Time
+}
+
+// maxMissedAnnouncements is the number of announcement intervals after which a target
+// counts as unresponsive. An announcement may be more than one interval late, and after one
+// interval the target tries a second control VM.
+const maxMissedAnnouncements = 3
+
+func newTargetTracker(interval time.Duration) *targetTracker {
+	return &targetTracker{
+		registry:  directory.Registry{AnnounceTimeout: maxMissedAnnouncements * interval},
+		followers: make(map[string]follower),
+	}
+}
+
+// recordFollower records a request of a follower.
+func (t *targetTracker) recordFollower(id string, f follower) {
+	if known, ok := t.followers[id]; !ok || known.leaving != f.leaving || known.zone != f.zone {
+		t.rosterExpires = time.Time{}
+	}
+
+	t.followers[id] = f
+}
+
+// rosterTTL is how long a roster is used before followers are checked for timeouts again.
+const rosterTTL = 200 * time.Millisecond
+
+// currentRoster returns the active followers that are not leaving, by ID. The result is
+// cached for rosterTTL, as each follower of a large deployment requests it several times a
+// second.
+func (t *targetTracker) currentRoster(now time.Time) *roster {
+	if now.Before(t.rosterExpires) {
+		return &t.roster
+	}
+
+	t.roster = roster{}
+	t.rosterExpires = now.Add(rosterTTL)
+	hash := xxhash.New()
+
+	for _, id := range slices.Sorted(maps.Keys(t.followers)) {
+		f := t.followers[id]
+
+		switch {
+		case now.Sub(f.lastRequest) > followerTimeout:
+			delete(t.followers, id)
+		case !f.leaving:
+			t.roster.entries = append(t.roster.entries, &wire.RosterEntry{ID: id, Zone: f.zone})
+			_, _ = hash.WriteString(id + "\x00" + f.zone + "\x00")
+		}
+	}
+
+	t.roster.hash = hash.Sum64()
+
+	return &t.roster
+}
+
+// roster holds the entries that share the targets, and a hash of them.
+type roster struct {
+	entries []*wire.RosterEntry
+	hash    uint64
+}
+
+// addTo adds the roster to out, unless the receiver already has the roster with that hash.
+func (r *roster) addTo(out *wire.FollowResponse, knownHash uint64) {
+	out.Entries = uint32(len(r.entries))
+	out.RosterHash = r.hash
+
+	if r.hash != knownHash {
+		out.Roster = r.entries
+	}
+}
+
+// maxRelays bounds the relay addresses in an answer; a director needs one or two.
+const maxRelays = 8
+
+// relayAddresses returns the addresses at which some of the followers relay orders to
+// engines. Followers that are leaving are left out.
+func (t *targetTracker) relayAddresses() []string {
+	var out []string
+
+	for _, f := range t.followers {
+		if f.relay != "" && !f.leaving {
+			out = append(out, f.relay)
+		}
+	}
+
+	slices.Sort(out)
+
+	return out[:min(len(out), maxRelays)]
+}
+
+// Announce records a target's announcement. If its zone or service is not declared, it
+// returns an *UndeclaredError: the announcement comes from a foreign sender, and if it were
+// recorded it could take over the address of an existing target.
+func (s *Server) Announce(ctx context.Context, t directory.Target) error {
+	if _, ok := s.Zones[t.Zone]; !ok {
+		return &UndeclaredError{Kind: "zone", Name: t.Zone}
+	}
+
+	if !s.hasService(t.Service) {
+		return &UndeclaredError{Kind: "service", Name: t.Service}
+	}
+
+	return s.updateTargets(ctx, func(targets *targetTracker) bool { return targets.registry.Announce(time.Now(), t) })
+}
+
+// Leave records that a target has ended.
+func (s *Server) Leave(ctx context.Context, id string) error {
+	return s.updateTargets(ctx, func(targets *targetTracker) bool {
+		targets.registry.Leave(time.Now(), id)
+
+		return true
+	})
+}
+
+// updateTargets runs change on the goroutine of runTrackers, and wakes the waiting
+// followers if change returns true.
+func (s *Server) updateTargets(ctx context.Context, change func(*targetTracker) bool) error {
+	return s.withTargets(ctx, func(targets *targetTracker) {
+		if change(targets) {
+			s.targetsChanged.notify()
+		}
+	})
+}
+
+func (s *Server) withTargets(ctx context.Context, do func(*targetTracker)) error {
+	done := make(chan struct{})
+
+	s.post(ctx, event{targetQuery: func(targets *targetTracker) {
+		do(targets)
+		close(done)
+	}})
+
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return newRPCError(twirp.Unavailable, "this control VM is busy")
+	}
+}
+
+// Follow answers an entry that proxies directly to its targets. It answers at once if the
+// entry lacks something, otherwise at the next change or at the end of the requested wait.
+func (s *Server) Follow(ctx context.Context, r *wire.FollowRequest) (*wire.FollowResponse, error) {
+	if r.GetCluster() != s.Cluster {
+		return nil, newRPCError(twirp.FailedPrecondition, "this control VM belongs to another cluster")
+	}
+
+	timer := time.NewTimer(min(time.Duration(r.GetWaitMillis())*time.Millisecond, s.Settings.MaxPollWait))
+	defer timer.Stop()
+
+	for {
+		// Both channels are read before the answer is built, so a change during or after
+		// that ends the wait.
+		p, targetsChanged := s.published.Load(), s.targetsChanged.changed()
+
+		out, changed, err := s.answerFollower(ctx, p, r)
+		if err != nil || changed {
+			return out, err
+		}
+
+		select {
+		case <-p.superseded:
+		case <-targetsChanged:
+		case <-timer.C:
+			return out, nil
+		case <-ctx.Done():
+			return nil, newRPCError(twirp.Canceled, "the question ended early")
+		}
+	}
+}
+
+// answerFollower returns what the entry lacks, and whether it lacks anything.
+func (s *Server) answerFollower(ctx context.Context, p *publishedState, r *wire.FollowRequest) (*wire.FollowResponse, bool, error) {
+	out := &wire.FollowResponse{Index: p.stateIndex, DirectoryBoot: s.directoryBoot, Controls: s.controlAddresses(), Zone: s.Zone}
+	changed := p.stateIndex > r.GetKnownIndex() || r.GetWaitMillis() == 0
+
+	if p.stateIndex >= r.GetKnownIndex() {
+		out.ZonesOut = zonesOut(p)
+
+		if err := s.addTable(p, r, out); err != nil {
+			return nil, false, err
+		}
+
+		changed = changed || out.GetTable() != nil
+	}
+
+	err := s.withTargets(ctx, func(targets *targetTracker) {
+		now := time.Now()
+		targets.recordFollower(r.GetID(), follower{lastRequest: now, leaving: r.GetLeaving(), relay: r.GetRelay(), zone: r.GetZone()})
+
+		knownRevision := r.GetDirectoryRevision()
+		if r.GetDirectoryBoot() != s.directoryBoot {
+			knownRevision = 0
+			out.Full = true
+		}
+
+		for _, t := range targets.registry.ChangedSince(knownRevision) {
+			out.Targets = append(out.Targets, t.ToWire(now))
+		}
+
+		out.DirectoryRevision = targets.registry.Revision()
+		targets.currentRoster(now).addTo(out, r.GetRosterHash())
+		out.Relays = targets.relayAddresses()
+		changed = changed || out.Full || out.DirectoryRevision > knownRevision
+	})
+	if err != nil {
+		// The goroutine of runTrackers may still write to out, so out must not be returned.
+		return nil, false, err
+	}
+
+	return out, changed, nil
+}
+
+func (s *Server) addTable(p *publishedState, r *wire.FollowRequest, out *wire.FollowResponse) error {
+	if p.document == nil {
+		return nil
+	}
+
+	out.Number = p.document.number
+
+	if p.document.number <= r.GetKnownNumber() || r.GetWithoutTable() {
+		return nil
+	}
+
+	table, err := p.document.routeTable(s.ReadDocument)
+	if err != nil {
+		s.Logger.Error("Reading the document in force failed; the follower gets an error.", "number", p.document.number, "error", err)
+
+		return newRPCError(twirp.Internal, "the document in force cannot be read")
+	}
+
+	if r.GetServicesOnly() {
+		table = &wire.RouteTable{Number: table.GetNumber(), Services: table.GetServices()}
+	}
+
+	out.Table = table
+
+	return nil
+}
+
+// hasService reports whether the document in force declares the service. Without a document
+// it returns true.
+func (s *Server) hasService(service string) bool {
+	d := s.published.Load().document
+	if d == nil {
+		return true
+	}
+
+	table, err := d.routeTable(s.ReadDocument)
+	if err != nil {
+		return false
+	}
+
+	return slices.ContainsFunc(table.GetServices(), func(r *wire.RoutedService) bool { return r.GetName() == service })
+}
+
+func (s *Server) controlAddresses() []string {
+	if s.ControlAddresses == nil {
+		return nil
+	}
+
+	return s.ControlAddresses()
+}
+
+func zonesOut(p *publishedState) []string {
+	var out []string
+
+	for _, r := range p.records.All() {
+		if z := r.GetZone(); z.GetOut() {
+			out = append(out, z.GetName())
+		}
+	}
+
+	return out
+}
