--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -178,12 +178,12 @@
 	limits := entry.Limits{
 		MaxHeaderBytes: s.Entry.MaxHeaderBytes, MaxBodyBytes: int64(s.Entry.MaxBodyBytes),
 		MaxRecordedBytes: s.Entry.MaxRecordedBytes, DefaultTimeout: s.Entry.DefaultTimeout,
-		MaxTimeout: s.Entry.MaxTimeout, WriteTimeout: s.Entry.SlowReader,
+		MaxTimeout: s.Entry.MaxTimeout, WriteTimeout: s.Entry.WriteTimeout,
 	}
 	e := &role.Entry{
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Region: s.Process.Region,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
-		Controls: role.NewControls(s.ControlAddresses(), p.identity), Limits: limits, Leave: s.Entry.Leave,
+		Controls: role.NewControls(s.ControlAddresses(), p.identity), Limits: limits, Leave: s.Entry.ShutdownDelay,
 		Logs: p.logs, Dump: p.dump,
 	}
 
@@ -201,8 +201,8 @@
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
 		Controls: role.NewControls(s.ControlAddresses(), p.identity),
 		Settings: agent.Settings{
-			Admission:      admission.Settings{CreditLife: s.Agent.CreditLife, AnnounceTimeout: s.Agent.AnnounceLimit},
-			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetIdleTimeout: s.Agent.TargetSilence,
+			Admission:      admission.Settings{CreditLife: s.Agent.CreditLifetime, AnnounceTimeout: s.Agent.AnnounceTimeout},
+			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetIdleTimeout: s.Agent.TargetIdleTimeout,
 		},
 		Logs: p.logs, Dump: p.dump,
 	}
@@ -221,7 +221,7 @@
 
 func runControl(ctx context.Context, p *process) error {
 	s := p.settings
-	if s.AutomaticControls() {
+	if s.UsesSeeds() {
 		return runAutomaticControl(ctx, p)
 	}
 
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/routing.go
@@ -39,8 +39,8 @@
 		Relay: s.Process.AdminAddress, EngineAt: platform.Engine, Internal: p.internal,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Ready: ready,
 		Seeds: p.seeds(), Dialect: platform.Dialect(), Readiness: platform.Readiness,
-		Budget:     &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.RetrySlack, Window: s.Routing.RetryWindow},
-		StopWithin: s.Routing.Stop, Logs: p.logs, Dump: p.dump,
+		Budget:     &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
+		StopWithin: s.Routing.StopTimeout, Logs: p.logs, Dump: p.dump,
 	}
 
 	return e.Run(ctx)
@@ -85,7 +85,7 @@
 func runControlOnce(ctx context.Context, p *process) error {
 	s := p.settings
 
-	self, err := role.OpenMember(filepath.Clean(s.Control.DataFolder), s.Process.Address, s.Seeds.Controls(),
+	self, err := role.OpenMember(filepath.Clean(s.Control.DataFolder), s.Process.Address, s.Seeds.ControlAddresses(),
 		role.MemberOptions{Bootstrap: s.Operating.Bootstrap, Volatile: s.Control.Volatile})
 	if err != nil {
 		return err
@@ -105,8 +105,8 @@
 		VM: self.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Incarnation: role.IncarnationAt(time.Now()),
 		Listener: listener, Identity: p.identity, Dir: filepath.Join(filepath.Clean(s.Control.DataFolder), "log"),
 		Logs: p.logs, Dump: p.dump, Founders: self.Founders(),
-		Automatic:      &role.Automatic{Settings: roster.DefaultSettings(s.Operating.BearLost), Seeds: p.seeds()},
-		TrustedNetwork: s.Process.TrustedNetwork, Operators: operators, Zones: s.Zones, AnnounceEvery: s.Operating.AnnounceEvery,
+		Automatic:      &role.Automatic{Settings: roster.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seeds()},
+		TrustedNetwork: s.Process.TrustedNetwork, Operators: operators, Zones: s.Zones, AnnounceEvery: s.Operating.AnnounceInterval,
 		ReadDocument: func(sent []byte) (*wire.RouteTable, error) {
 			d, err := platform.ReadDocument(sent)
 			if err != nil {
@@ -142,7 +142,7 @@
 // exchange it with or without a signal. One that cannot be read changes nothing.
 func (p *process) seeds() func() []netip.AddrPort {
 	var (
-		last = p.settings.Seeds.Controls()
+		last = p.settings.Seeds.ControlAddresses()
 		read time.Time
 	)
 
@@ -151,7 +151,7 @@
 			read = now
 
 			if s, err := settings.Load(p.path); err == nil {
-				last = s.Seeds.Controls()
+				last = s.Seeds.ControlAddresses()
 			} else {
 				p.logs.Logger("settings").Warn("The settings cannot be read again; the former ones hold.", "error", err)
 			}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -135,9 +135,9 @@
 	return m
 }
 
-// Accept returns a listener on which only processes with a certificate of the
+// PeerListener returns a listener on which only processes with a certificate of the
 // authority are heard.
-func (i *Identity) Accept(l net.Listener) net.Listener {
+func (i *Identity) PeerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -151,8 +151,8 @@
 	})
 }
 
-// AcceptCallers returns a listener for callers, who need no certificate.
-func (i *Identity) AcceptCallers(l net.Listener) net.Listener {
+// CallerListener returns a listener for callers, who need no certificate.
+func (i *Identity) CallerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: []string{"h2", "http/1.1"},
@@ -162,14 +162,14 @@
 	})
 }
 
-// MaybeAccept is Accept with an identity; without one it returns l, whose
+// MaybePeerListener is Accept with an identity; without one it returns l, whose
 // plaintext Guard hears from loopback only.
-func MaybeAccept(i *Identity, l net.Listener) net.Listener {
+func MaybePeerListener(i *Identity, l net.Listener) net.Listener {
 	if i == nil {
 		return l
 	}
 
-	return i.Accept(l)
+	return i.PeerListener(l)
 }
 
 // Dialer dials processes of the deployment.
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -96,12 +96,12 @@
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 
-	ok := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, identity.NameOf(r.Context())) })
-	server := &http.Server{Handler: identity.Guard(ok,
+	ok := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, identity.PeerName(r.Context())) })
+	server := &http.Server{Handler: identity.Authorize(ok,
 		identity.Rule{Prefix: "/claim", Roles: []identity.Role{identity.RoleEntry}},
 		identity.Rule{Prefix: "/decide", Roles: []identity.Role{identity.RoleOperator}})}
 
-	go func() { _ = server.Serve(i.Accept(l)) }()
+	go func() { _ = server.Serve(i.PeerListener(l)) }()
 
 	t.Cleanup(func() { _ = server.Close() })
 
--- a/internal/identity/role.go
+++ b/internal/identity/role.go
@@ -28,10 +28,10 @@
 	Roles  []Role
 }
 
-// Guard lets requests through to next by the first rule that fits their path.
+// Authorize lets requests through to next by the first rule that fits their path.
 // What no rule fits is refused. It guards against decisions, claims and orders
 // of somebody who can reach a port and is not who may give them.
-func Guard(next http.Handler, rules ...Rule) http.Handler {
+func Authorize(next http.Handler, rules ...Rule) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if why := refusal(r, rules); why != "" {
 			w.Header().Set("Content-Type", "application/json")
@@ -56,9 +56,9 @@
 	return context.WithValue(r.Context(), nameKey{}, r.TLS.PeerCertificates[0].Subject.CommonName)
 }
 
-// NameOf returns the common name of the certificate behind a request that came
+// PeerName returns the common name of the certificate behind a request that came
 // through Guard; "" for plaintext.
-func NameOf(ctx context.Context) string {
+func PeerName(ctx context.Context) string {
 	name, _ := ctx.Value(nameKey{}).(string)
 
 	return name
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -33,7 +33,7 @@
 		r.MaxBatch = batch
 		r.Apply = func(uint64, []byte) []byte { return nil }
 		r.Snapshot = func() []byte { return nil }
-		r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
+		r.HeartbeatInterval, r.ElectionTimeout = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 	})
 	defer g.stop()
 
@@ -101,7 +101,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if _, _, err := r.Read(within(10 * time.Second)); err != nil {
+					if _, _, err := r.ReadIndex(within(10 * time.Second)); err != nil {
 						b.Error(err)
 					}
 				}
@@ -129,10 +129,10 @@
 						r.Founders = r.Founders[:1]
 					}
 
-					r.SnapshotEvery, r.Keep = 2, 1
+					r.SnapshotThreshold, r.CatchUpEntries = 2, 1
 					r.Snapshot = func() []byte { return state }
 					r.Restore = func([]byte) error { return nil }
-					r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
+					r.HeartbeatInterval, r.ElectionTimeout = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 				})
 				leader := g.leader(b)
 				_, _, err := leader.Propose(within(10*time.Second), []byte("second"))
@@ -160,7 +160,7 @@
 	for _, n := range []int{3, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
 			g := newHTTPGroup(b, n, func(r *replica.Replica) {
-				r.Heartbeat, r.Election = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
+				r.HeartbeatInterval, r.ElectionTimeout = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 			})
 			defer g.stop()
 
--- a/internal/replica/example_test.go
+++ b/internal/replica/example_test.go
@@ -22,7 +22,7 @@
 
 	zones := ""
 	r := &replica.Replica{
-		ID: "vm0", Cluster: "qurum", Dir: dir, Founders: []quorum.Member{{ID: "vm0"}}, Heartbeat: 10 * time.Millisecond,
+		ID: "vm0", Cluster: "qurum", Dir: dir, Founders: []quorum.Member{{ID: "vm0"}}, HeartbeatInterval: 10 * time.Millisecond,
 		Apply:    func(_ uint64, command []byte) []byte { zones += string(command); return []byte("done") },
 		Snapshot: func() []byte { return []byte(zones) },
 		Restore:  func(b []byte) error { zones = string(b); return nil },
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -82,7 +82,7 @@
 		// An order is applied where the leader is; each of the others has it once a read
 		// there has returned.
 		for _, n := range others {
-			_, _, err = n.Read(within(5 * time.Second))
+			_, _, err = n.ReadIndex(within(5 * time.Second))
 			require.NoError(t, err)
 			require.Equal(t, "first second third", n.state.String())
 		}
@@ -141,7 +141,7 @@
 		_, _, err := others[0].Propose(within(20*time.Second), []byte("meanwhile"))
 		require.NoError(t, err)
 
-		_, _, err = leader.Read(within(time.Minute))
+		_, _, err = leader.ReadIndex(within(time.Minute))
 		require.NoError(t, err)
 		require.Contains(t, leader.state.String(), "meanwhile")
 		require.NotEqual(t, leader.ID, others[0].Status().Leader)
@@ -231,7 +231,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3)
-		g.tune = func(r *replica.Replica) { r.SnapshotEvery, r.Keep = 100, 10 }
+		g.tune = func(r *replica.Replica) { r.SnapshotThreshold, r.CatchUpEntries = 100, 10 }
 		leader, others := three(t, g)
 		lost := others[1]
 
@@ -251,13 +251,13 @@
 		commit("a", 400)
 		time.Sleep(2 * time.Second)
 		require.False(t, leader.Status().SafeToStop)
-		require.ErrorAs(t, others[0].CheckStop(within(5*time.Second), leader.ID), new(*replica.OrderError))
+		require.ErrorAs(t, others[0].CheckStop(within(5*time.Second), leader.ID), new(*replica.RequestError))
 		require.NoError(t, others[0].Remove(within(5*time.Second), lost.ID))
 
 		fresh := g.start(5, "f", nil)
 		err := others[0].Promote(within(time.Second), fresh.ID)
 
-		var refused *replica.OrderError
+		var refused *replica.RequestError
 
 		require.ErrorAs(t, err, &refused)
 		require.Equal(t, quorum.ReasonMemberUnknown, refused.Reason)
@@ -274,7 +274,7 @@
 		require.NoError(t, g.end(leader))
 		commit("c", 100)
 
-		_, _, err = fresh.Read(within(5 * time.Second))
+		_, _, err = fresh.ReadIndex(within(5 * time.Second))
 		require.NoError(t, err)
 
 		want := fresh.state.String()
@@ -285,7 +285,7 @@
 		again := g.start(5, "f", nil)
 		back := g.start(int(others[0].Addr.Port())-7000, dirOf(others[0]), g.founder)
 
-		_, _, err = again.Read(within(20 * time.Second))
+		_, _, err = again.ReadIndex(within(20 * time.Second))
 		require.NoError(t, err)
 		require.Equal(t, want, again.state.String())
 		require.NoError(t, g.end(again))
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -206,7 +206,7 @@
 
 		n = g.start(0, "a", g.founder)
 		asked := time.Now()
-		asOf, index, err := n.Read(within(time.Second))
+		asOf, index, err := n.ReadIndex(within(time.Second))
 		require.NoError(t, err)
 		require.Equal(t, asked, asOf)
 		require.GreaterOrEqual(t, index, uint64(300))
@@ -227,7 +227,7 @@
 		}
 
 		for _, n := range nodes {
-			_, _, err := n.Read(within(time.Second))
+			_, _, err := n.ReadIndex(within(time.Second))
 			require.NoError(t, err)
 			require.Equal(t, "0 1 2", n.state.String())
 		}
@@ -266,7 +266,7 @@
 		_, _, err = other.Propose(within(20*time.Second), []byte("meanwhile"))
 		require.NoError(t, err)
 
-		_, _, err = nodes[cut].Read(within(5 * time.Second))
+		_, _, err = nodes[cut].ReadIndex(within(5 * time.Second))
 		require.Error(t, err)
 
 		time.Sleep(time.Hour)
@@ -278,7 +278,7 @@
 		require.Equal(t, leader, nodes[cut].Status().Leader)
 		require.Equal(t, term, nodes[cut].Status().Term)
 
-		_, _, err = nodes[cut].Read(within(time.Second))
+		_, _, err = nodes[cut].ReadIndex(within(time.Second))
 		require.NoError(t, err)
 		require.Equal(t, "before meanwhile", nodes[cut].state.String())
 
--- a/internal/replica/http_test.go
+++ b/internal/replica/http_test.go
@@ -152,7 +152,7 @@
 		node := &replica.Replica{
 			ID: m.ID, Cluster: "test", Dir: t.TempDir(), Addr: m.Addr, Founders: founders,
 			Apply: state.apply, Snapshot: state.snapshot, Restore: state.restore,
-			Heartbeat: 50 * time.Millisecond, Election: 600 * time.Millisecond,
+			HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond,
 		}
 
 		if tune != nil {
@@ -204,7 +204,7 @@
 
 	for i, n := range g.nodes {
 		require.Eventually(t, func() bool {
-			_, _, err := n.Read(within(time.Second))
+			_, _, err := n.ReadIndex(within(time.Second))
 
 			return err == nil
 		}, 30*time.Second, 10*time.Millisecond)
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -161,7 +161,7 @@
 
 // compact takes a snapshot if one is due.
 func (r *Replica) compact() bool {
-	if r.applied-r.snapshot < r.SnapshotEvery && r.unsaved < snapshotBytes {
+	if r.applied-r.snapshot < r.SnapshotThreshold && r.unsaved < snapshotBytes {
 		return false
 	}
 
--- a/internal/replica/order.go
+++ b/internal/replica/order.go
@@ -19,13 +19,13 @@
 	reasonCluster quorum.Reason = "AnotherCluster"
 )
 
-// OrderError says why a proposal, change or read was refused or left open.
-type OrderError struct {
+// RequestError says why a proposal, change or read was refused or left open.
+type RequestError struct {
 	Reason quorum.Reason
 }
 
 // Error implements error.
-func (e *OrderError) Error() string { return "replica: " + string(e.Reason) }
+func (e *RequestError) Error() string { return "replica: " + string(e.Reason) }
 
 // request is an event of a caller, on its way to the core.
 type request struct {
@@ -52,10 +52,10 @@
 	return out.index, out.result, err
 }
 
-// Read returns a time and an index: state applied up to at least index, as this
+// ReadIndex returns a time and an index: state applied up to at least index, as this
 // replica's is when Read returns, was current as of asOf, the local time at
 // which Read was called.
-func (r *Replica) Read(ctx context.Context) (asOf time.Time, index uint64, err error) {
+func (r *Replica) ReadIndex(ctx context.Context) (asOf time.Time, index uint64, err error) {
 	asOf = time.Now()
 
 	ctx, cancel := bounded(ctx)
@@ -145,7 +145,7 @@
 			return out, refusal(out)
 		case <-r.stopped:
 			return out, refusal(out)
-		case <-time.After(r.Heartbeat / 4):
+		case <-time.After(r.HeartbeatInterval / 4):
 		}
 	}
 }
@@ -275,7 +275,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.Heartbeat):
+		case <-time.After(r.HeartbeatInterval):
 		}
 
 		if s := r.Status(); s.Term > term && s.Leader != "" {
@@ -316,5 +316,5 @@
 		cause = verdict.CauseOverload
 	}
 
-	return &verdict.Error{Verdict: out.verdict, Cause: cause, Err: &OrderError{Reason: out.reason}}
+	return &verdict.Error{Verdict: out.verdict, Cause: cause, Err: &RequestError{Reason: out.reason}}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -22,11 +22,11 @@
 
 // Defaults and limits of a Replica.
 const (
-	DefaultSnapshotEvery = 4096
-	DefaultMaxBatch      = 512
-	snapshotBytes        = 16 << 20
-	DefaultTimeout       = 10 * time.Second
-	maxQueued            = 1024
+	DefaultSnapshotThreshold = 4096
+	DefaultMaxBatch          = 512
+	snapshotBytes            = 16 << 20
+	DefaultTimeout           = 10 * time.Second
+	maxQueued                = 1024
 )
 
 // Replica is one control VM's copy of the state. Its exported fields are set
@@ -55,14 +55,14 @@
 	Client *http.Client
 	Scheme string
 	Logger *slog.Logger
-	// Heartbeat and Election are as in quorum.Config.
-	Heartbeat time.Duration
-	Election  time.Duration
-	// SnapshotEvery is after how many entries a snapshot is taken, or sooner after
+	// HeartbeatInterval and Election are as in quorum.Config.
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration
+	// SnapshotThreshold is after how many entries a snapshot is taken, or sooner after
 	// 16 MiB of commands.
-	SnapshotEvery uint64
-	// Keep is how many entries stay in the log behind a snapshot.
-	Keep uint64
+	SnapshotThreshold uint64
+	// CatchUpEntries is how many entries stay in the log behind a snapshot.
+	CatchUpEntries uint64
 	// MaxBatch is how many requests and messages may share one sync, and
 	// DefaultMaxBatch if 0. More would keep ticks waiting.
 	MaxBatch int
@@ -111,20 +111,20 @@
 			r.Rand = rand.Int64N
 		}
 
-		if r.SnapshotEvery == 0 {
-			r.SnapshotEvery = DefaultSnapshotEvery
+		if r.SnapshotThreshold == 0 {
+			r.SnapshotThreshold = DefaultSnapshotThreshold
 		}
 
 		if r.MaxBatch == 0 {
 			r.MaxBatch = DefaultMaxBatch
 		}
 
-		if r.Heartbeat == 0 {
-			r.Heartbeat = quorum.DefaultHeartbeatInterval
+		if r.HeartbeatInterval == 0 {
+			r.HeartbeatInterval = quorum.DefaultHeartbeatInterval
 		}
 
-		if r.Election == 0 {
-			r.Election = quorum.DefaultElectionTimeout
+		if r.ElectionTimeout == 0 {
+			r.ElectionTimeout = quorum.DefaultElectionTimeout
 		}
 	})
 }
@@ -173,7 +173,7 @@
 
 	r.core, err = quorum.New(quorum.Config{
 		ID: r.ID, CreationID: r.journal.CreationID(), Founders: r.Founders,
-		HeartbeatInterval: r.Heartbeat, ElectionTimeout: r.Election, CatchUpEntries: r.Keep, Rand: r.Rand,
+		HeartbeatInterval: r.HeartbeatInterval, ElectionTimeout: r.ElectionTimeout, CatchUpEntries: r.CatchUpEntries, Rand: r.Rand,
 	}, stored, time.Now())
 	if err != nil {
 		return errors.Join(eris.Wrap(err, "start core"), r.journal.Close())
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -51,7 +51,7 @@
 
 func (r *Replica) transport() *transport {
 	return &transport{
-		scheme: r.scheme(), client: r.Client, timeout: r.Election / 2, peers: map[netip.AddrPort]*peer{},
+		scheme: r.scheme(), client: r.Client, timeout: r.ElectionTimeout / 2, peers: map[netip.AddrPort]*peer{},
 	}
 }
 
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -89,7 +89,7 @@
 
 	r.shell = &agent.Agent{
 		ID: r.ID, Zone: r.Zone, Incarnation: r.Incarnation,
-		Listener: identity.MaybeAccept(r.Identity, r.Listener), AnnounceListener: r.Announce, Authorize: guardAgent,
+		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.Announce, Authorize: guardAgent,
 		Mount: func(routes chi.Router) { routes.Mount(wire.RankPathPrefix, wire.NewRankServer(&rankService{role: r})) },
 		View:  r.view, Logger: r.Logs.Logger("agent"), Metrics: r.Dump.Metrics, Settings: r.Settings,
 	}
@@ -106,7 +106,7 @@
 
 // guardAgent lets entries send requests and ask, and control VMs give orders.
 func guardAgent(next http.Handler) http.Handler {
-	return identity.Guard(next,
+	return identity.Authorize(next,
 		identity.Rule{Prefix: agent.RequestPath, Roles: []identity.Role{identity.RoleEntry}},
 		identity.Rule{Prefix: wire.AgentPathPrefix + "Give", Roles: []identity.Role{identity.RoleControl}},
 		identity.Rule{Prefix: wire.AgentPathPrefix, Roles: []identity.Role{identity.RoleEntry, identity.RoleControl}},
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -127,7 +127,7 @@
 // read leaves the index out: the replica has applied it when Read returns, and
 // entries of its own in the log never reach the ledger's count.
 func (r *Control) read(ctx context.Context) (time.Time, uint64, error) {
-	asOf, _, err := r.replica.Read(ctx)
+	asOf, _, err := r.replica.ReadIndex(ctx)
 
 	return asOf, 0, err
 }
@@ -177,7 +177,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		if err := web.Serve(identity.MaybeAccept(r.Identity, r.Listener)); !errors.Is(err, http.ErrServerClosed) {
+		if err := web.Serve(identity.MaybePeerListener(r.Identity, r.Listener)); !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve control")
 		}
 
@@ -274,7 +274,7 @@
 func guardControl(next http.Handler) http.Handler {
 	followers := []identity.Role{identity.RoleEntry, identity.RoleAgent}
 
-	return identity.Guard(next,
+	return identity.Authorize(next,
 		identity.Rule{Prefix: wire.ControlPathPrefix + "Poll", Roles: followers},
 		identity.Rule{Prefix: wire.ControlPathPrefix, Roles: []identity.Role{identity.RoleEntry}},
 		identity.Rule{Prefix: wire.PublisherPathPrefix, Roles: []identity.Role{identity.RoleEntry}},
--- a/internal/role/director.go
+++ b/internal/role/director.go
@@ -23,7 +23,7 @@
 	d := &expertgroup.Director{
 		IsLeader: r.leads,
 		Barrier: func(ctx context.Context) error {
-			_, _, err := r.replica.Read(ctx)
+			_, _, err := r.replica.ReadIndex(ctx)
 
 			return err
 		},
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -136,7 +136,7 @@
 		return r.Listener
 	}
 
-	return r.Identity.AcceptCallers(r.Listener)
+	return r.Identity.CallerListener(r.Listener)
 }
 
 func (r *Entry) describe() error {
--- a/internal/role/named.go
+++ b/internal/role/named.go
@@ -18,7 +18,7 @@
 
 // Poll implements wire.Control.
 func (s *namedControl) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
-	if name := identity.NameOf(ctx); name != "" && name != r.GetNode().GetID() {
+	if name := identity.PeerName(ctx); name != "" && name != r.GetNode().GetID() {
 		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate is of %s, the report of %s", name, r.GetNode().GetID())
 	}
 
@@ -46,7 +46,7 @@
 }
 
 func nameOr(ctx context.Context, said string) string {
-	if name := identity.NameOf(ctx); name != "" {
+	if name := identity.PeerName(ctx); name != "" {
 		return name
 	}
 
--- a/internal/role/named_test.go
+++ b/internal/role/named_test.go
@@ -22,7 +22,7 @@
 
 	var ctx context.Context
 
-	guarded := identity.Guard(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { ctx = r.Context() }),
+	guarded := identity.Authorize(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { ctx = r.Context() }),
 		identity.Rule{Prefix: "/", Roles: []identity.Role{identity.RoleEntry}})
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	r.TLS = &tls.ConnectionState{PeerCertificates: []*x509.Certificate{{
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -100,15 +100,15 @@
 // check holds the whole against itself.
 func (s *Settings) check(given map[string]bool) *inifile.Error {
 	for _, f := range Fields() {
-		if f.Needed && s.applies(f.Section, given) && !given[f.Section+"."+f.Key] {
+		if f.Required && s.applies(f.Section, given) && !given[f.Section+"."+f.Key] {
 			return &inifile.Error{Section: f.Section, Key: f.Key, Problem: "is missing", Allowed: f.Allowed}
 		}
 	}
 
 	switch n := len(s.Controls); {
-	case s.AutomaticControls() && n > 0:
+	case s.UsesSeeds() && n > 0:
 		return &inifile.Error{Section: sectionControls, Problem: "stands beside [Seeds]", Allowed: "one of the two"}
-	case s.AutomaticControls():
+	case s.UsesSeeds():
 	case n == 0 || n > maxControls:
 		return &inifile.Error{Section: sectionControls, Problem: fmt.Sprintf("names %d control VMs", n), Allowed: "1 to 7"}
 	case s.Entry.DefaultTimeout > s.Entry.MaxTimeout:
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -18,8 +18,8 @@
 	Help    string
 	// Default is the value where the file says nothing; empty for none.
 	Default string
-	// Needed settings have no default and must be given where their section applies.
-	Needed bool
+	// Required settings have no default and must be given where their section applies.
+	Required bool
 
 	set func(s *Settings, value string) bool
 }
@@ -61,7 +61,7 @@
 func ownFields() []Field {
 	return []Field{
 		{
-			Section: sectionProcess, Key: "Role", Allowed: "entry, agent or control", Needed: true,
+			Section: sectionProcess, Key: "Role", Allowed: "entry, agent or control", Required: true,
 			Help: "What the process is.", set: setRole,
 		},
 		name("ID", "The process's name, unique in the deployment. It outlives restarts.", true, func(s *Settings) *string { return &s.Process.ID }),
@@ -81,8 +81,8 @@
 		size(sectionEntry, "MaxRecordedBytes", "65536", "The longest answer that is kept for resends of an idempotency key.", func(s *Settings) *int { return &s.Entry.MaxRecordedBytes }),
 		duration(sectionEntry, "DefaultTimeout", "1m", "The deadline of a caller that names none.", func(s *Settings) *time.Duration { return &s.Entry.DefaultTimeout }),
 		duration(sectionEntry, "MaxTimeout", "10m", "The longest deadline; longer ones are cut to it.", func(s *Settings) *time.Duration { return &s.Entry.MaxTimeout }),
-		duration(sectionEntry, "SlowReader", "30s", "How long one write to a caller may take before it counts as gone.", func(s *Settings) *time.Duration { return &s.Entry.SlowReader }),
-		duration(sectionEntry, "Leave", "5s", "How long a stopping entry goes on taking requests after /ready said that it leaves.", func(s *Settings) *time.Duration { return &s.Entry.Leave }),
+		duration(sectionEntry, "SlowReader", "30s", "How long one write to a caller may take before it counts as gone.", func(s *Settings) *time.Duration { return &s.Entry.WriteTimeout }),
+		duration(sectionEntry, "Leave", "5s", "How long a stopping entry goes on taking requests after /ready said that it leaves.", func(s *Settings) *time.Duration { return &s.Entry.ShutdownDelay }),
 		{
 			Section: sectionAgent, Key: "AnnounceAddress", Allowed: "IP:port on loopback",
 			Help: "Where the target announces itself, in plaintext. Needed with [TLS]; without it Address does.",
@@ -93,12 +93,12 @@
 				return err == nil && a.Port() != 0 && a.Addr().IsLoopback()
 			},
 		},
-		duration(sectionAgent, "CreditLife", "2s", "How long a credit holds. It bounds how old an entry's word on freshness may be.", func(s *Settings) *time.Duration { return &s.Agent.CreditLife }),
-		duration(sectionAgent, "AnnounceLimit", "3s", "How long the target may not announce itself before it counts as down.", func(s *Settings) *time.Duration { return &s.Agent.AnnounceLimit }),
-		duration(sectionAgent, "TargetSilence", "1m", "How long the target may send nothing of an answer.", func(s *Settings) *time.Duration { return &s.Agent.TargetSilence }),
+		duration(sectionAgent, "CreditLife", "2s", "How long a credit holds. It bounds how old an entry's word on freshness may be.", func(s *Settings) *time.Duration { return &s.Agent.CreditLifetime }),
+		duration(sectionAgent, "AnnounceLimit", "3s", "How long the target may not announce itself before it counts as down.", func(s *Settings) *time.Duration { return &s.Agent.AnnounceTimeout }),
+		duration(sectionAgent, "TargetSilence", "1m", "How long the target may send nothing of an answer.", func(s *Settings) *time.Duration { return &s.Agent.TargetIdleTimeout }),
 		size(sectionAgent, "MaxAnswerBytes", "262144", "The longest answer of a non-idempotent request that the agent remembers.", func(s *Settings) *int { return &s.Agent.MaxAnswerBytes }),
 		{
-			Section: sectionControl, Key: "DataFolder", Allowed: allowedPath, Needed: true,
+			Section: sectionControl, Key: "DataFolder", Allowed: allowedPath, Required: true,
 			Help: "The data folder of the log and its snapshots. It belongs to this VM alone.",
 			set:  func(s *Settings, v string) bool { s.Control.DataFolder = v; return v != "" },
 		},
@@ -126,7 +126,7 @@
 
 func name(key, help string, needed bool, at func(*Settings) *string) Field {
 	return Field{
-		Section: sectionProcess, Key: key, Allowed: allowedName, Help: help, Needed: needed,
+		Section: sectionProcess, Key: key, Allowed: allowedName, Help: help, Required: needed,
 		set: func(s *Settings, v string) bool {
 			*at(s) = v
 
@@ -137,7 +137,7 @@
 
 func address(key, help string, needed bool, at func(*Settings) *netip.AddrPort) Field {
 	return Field{
-		Section: sectionProcess, Key: key, Allowed: allowedAddress, Help: help, Needed: needed,
+		Section: sectionProcess, Key: key, Allowed: allowedAddress, Help: help, Required: needed,
 		set: func(s *Settings, v string) bool {
 			a, err := netip.ParseAddrPort(v)
 			*at(s) = a
@@ -173,7 +173,7 @@
 
 func path(key, help string, at func(*Settings) *string) Field {
 	return Field{
-		Section: sectionTLS, Key: key, Allowed: allowedPath, Help: help, Needed: true,
+		Section: sectionTLS, Key: key, Allowed: allowedPath, Help: help, Required: true,
 		set: func(s *Settings, v string) bool {
 			*at(s) = v
 
@@ -198,7 +198,7 @@
 		}
 
 		def := f.Default
-		if f.Needed {
+		if f.Required {
 			def = "needed"
 		}
 
--- a/internal/settings/seeds.go
+++ b/internal/settings/seeds.go
@@ -19,8 +19,8 @@
 	Port uint16
 }
 
-// Controls returns where the system's own processes reach the seeds.
-func (s *Seeds) Controls() []netip.AddrPort {
+// ControlAddresses returns where the system's own processes reach the seeds.
+func (s *Seeds) ControlAddresses() []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(s.Addresses))
 	for _, a := range s.Addresses {
 		out = append(out, netip.AddrPortFrom(a.Addr(), s.Port))
@@ -35,10 +35,10 @@
 	ReadyAddress netip.AddrPort
 	// RetryRatio, RetrySlack and RetryWindow are the retry budget that all entries hold together.
 	RetryRatio  float64
-	RetrySlack  float64
+	MinRetries  float64
 	RetryWindow time.Duration
-	// Stop bounds a graceful stop.
-	Stop time.Duration
+	// StopTimeout bounds a graceful stop.
+	StopTimeout time.Duration
 }
 
 // Rank are the settings of an agent beside a rank of a lock-step group.
@@ -52,14 +52,14 @@
 	Address netip.AddrPort
 	// Bootstrap says that the deployment starts for the first time.
 	Bootstrap bool
-	// BearLost is how many control VMs may be lost at once.
-	BearLost int
-	// AnnounceEvery is how often targets announce themselves.
-	AnnounceEvery time.Duration
+	// ToleratedFailures is how many control VMs may be lost at once.
+	ToleratedFailures int
+	// AnnounceInterval is how often targets announce themselves.
+	AnnounceInterval time.Duration
 }
 
-// AutomaticControls reports whether the control VMs find each other by seeds.
-func (s *Settings) AutomaticControls() bool { return len(s.Seeds.Addresses) > 0 }
+// UsesSeeds reports whether the control VMs find each other by seeds.
+func (s *Settings) UsesSeeds() bool { return len(s.Seeds.Addresses) > 0 }
 
 // networkTrusted and networkLoopback are the values of Network.
 const (
@@ -87,12 +87,12 @@
 func seedFields() []Field {
 	return []Field{
 		{
-			Section: sectionSeeds, Key: "Addresses", Allowed: "IP:port, 1 to 16 with commas between them", Needed: true,
+			Section: sectionSeeds, Key: "Addresses", Allowed: "IP:port, 1 to 16 with commas between them", Required: true,
 			Help: "Where operators reach some control VMs. In place of [Controls]; the others are learnt from these.",
 			set:  setSeeds,
 		},
 		{
-			Section: sectionSeeds, Key: "Port", Allowed: "1 to 65535", Needed: true,
+			Section: sectionSeeds, Key: "Port", Allowed: "1 to 65535", Required: true,
 			Help: "The port at which each control VM serves the system's own processes.",
 			set: func(s *Settings, v string) bool {
 				n, err := strconv.ParseUint(v, 10, 16)
@@ -103,9 +103,9 @@
 		},
 		addressIn(sectionRouting, "ReadyAddress", "Answers the balancer whether this entry takes callers. It makes the entry the door of its targets.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
 		fraction(sectionRouting, "RetryRatio", "0.2", "How many sends beyond its first a request pays for, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
-		fraction(sectionRouting, "RetrySlack", "50", "How many such sends each service gets free in RetryWindow, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetrySlack }),
+		fraction(sectionRouting, "RetrySlack", "50", "How many such sends each service gets free in RetryWindow, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
 		duration(sectionRouting, "RetryWindow", "10s", "The window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
-		duration(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.Stop }),
+		duration(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
 		addressIn(sectionRank, "EngineAddress", "The engine on this VM, which is a rank of a lock-step group and takes orders. It makes the agent one that only keeps expert maps; callers' requests reach the engine past it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
 		addressIn(sectionOperating, "Address", "Takes operators' orders, which are carried out in one step, and targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
 		{
@@ -122,12 +122,12 @@
 			Help: "How many control VMs may be lost at once: twice as many and one more vote.",
 			set: func(s *Settings, v string) bool {
 				n, err := strconv.Atoi(v)
-				s.Operating.BearLost = n
+				s.Operating.ToleratedFailures = n
 
 				return err == nil && n >= 0 && n <= maxBearLost
 			},
 		},
-		duration(sectionOperating, "AnnounceEvery", "1s", "How often targets announce themselves; after three silent periods one counts as silent.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceEvery }),
+		duration(sectionOperating, "AnnounceEvery", "1s", "How often targets announce themselves; after three silent periods one counts as silent.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceInterval }),
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,19 +52,19 @@
 	MaxRecordedBytes int
 	DefaultTimeout   time.Duration
 	MaxTimeout       time.Duration
-	SlowReader       time.Duration
-	// Leave is how long a stopping entry goes on, for the balancer before it to notice.
-	Leave time.Duration
+	WriteTimeout     time.Duration
+	// ShutdownDelay is how long a stopping entry goes on, for the balancer before it to notice.
+	ShutdownDelay time.Duration
 }
 
 // Agent are the settings of an agent.
 type Agent struct {
 	// AnnounceAddress takes the target's announcements over loopback.
-	AnnounceAddress netip.AddrPort
-	CreditLife      time.Duration
-	AnnounceLimit   time.Duration
-	TargetSilence   time.Duration
-	MaxAnswerBytes  int
+	AnnounceAddress   netip.AddrPort
+	CreditLifetime    time.Duration
+	AnnounceTimeout   time.Duration
+	TargetIdleTimeout time.Duration
+	MaxAnswerBytes    int
 }
 
 // Control are the settings of a control VM.
@@ -149,22 +149,22 @@
 		Entry: Entry{
 			MaxHeaderBytes: 64 << 10, MaxBodyBytes: 4 << 20, MaxRecordedBytes: 64 << 10,
 			DefaultTimeout: time.Minute, MaxTimeout: 10 * time.Minute,
-			SlowReader: 30 * time.Second, Leave: 5 * time.Second,
+			WriteTimeout: 30 * time.Second, ShutdownDelay: 5 * time.Second,
 		},
 		Agent: Agent{
-			CreditLife: 2 * time.Second, AnnounceLimit: 3 * time.Second,
-			TargetSilence: time.Minute, MaxAnswerBytes: 256 << 10,
+			CreditLifetime: 2 * time.Second, AnnounceTimeout: 3 * time.Second,
+			TargetIdleTimeout: time.Minute, MaxAnswerBytes: 256 << 10,
 		},
-		Routing:   Routing{RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second, Stop: 8 * time.Second},
-		Operating: Operating{BearLost: 1, AnnounceEvery: time.Second},
+		Routing:   Routing{RetryRatio: 0.2, MinRetries: 50, RetryWindow: 10 * time.Second, StopTimeout: 8 * time.Second},
+		Operating: Operating{ToleratedFailures: 1, AnnounceInterval: time.Second},
 		Zones:     map[string]string{},
 	}
 }
 
 // ControlAddresses returns the addresses of the control VMs that the file names.
 func (s *Settings) ControlAddresses() []netip.AddrPort {
-	if s.AutomaticControls() {
-		return s.Seeds.Controls()
+	if s.UsesSeeds() {
+		return s.Seeds.ControlAddresses()
 	}
 
 	out := make([]netip.AddrPort, 0, len(s.Controls))
