--- a/internal/identity/role.go
+++ b/internal/identity/authorize.go
@@ -33,33 +33,33 @@
 // of somebody who can reach a port and is not who may give them.
 func Authorize(next http.Handler, rules ...Rule) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if why := refusal(r, rules); why != "" {
+		if reason := denialReason(r, rules); reason != "" {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusForbidden)
-			_ = json.NewEncoder(w).Encode(denial{Code: "permission_denied", Msg: why})
+			_ = json.NewEncoder(w).Encode(denial{Code: "permission_denied", Msg: reason})
 
 			return
 		}
 
-		next.ServeHTTP(w, r.WithContext(withName(r)))
+		next.ServeHTTP(w, r.WithContext(withPeerName(r)))
 	})
 }
 
-// nameKey is the context key of the other side's name.
-type nameKey struct{}
+// peerNameKey is the context key of the other side's name.
+type peerNameKey struct{}
 
-func withName(r *http.Request) context.Context {
+func withPeerName(r *http.Request) context.Context {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return r.Context()
 	}
 
-	return context.WithValue(r.Context(), nameKey{}, r.TLS.PeerCertificates[0].Subject.CommonName)
+	return context.WithValue(r.Context(), peerNameKey{}, r.TLS.PeerCertificates[0].Subject.CommonName)
 }
 
 // PeerName returns the common name of the certificate behind a request that came
 // through Guard; "" for plaintext.
 func PeerName(ctx context.Context) string {
-	name, _ := ctx.Value(nameKey{}).(string)
+	name, _ := ctx.Value(peerNameKey{}).(string)
 
 	return name
 }
@@ -70,9 +70,9 @@
 	Msg  string `json:"msg"`
 }
 
-func refusal(r *http.Request, rules []Rule) string {
+func denialReason(r *http.Request, rules []Rule) string {
 	if r.TLS == nil {
-		return refusePlaintext(r)
+		return plaintextDenialReason(r)
 	}
 
 	for _, rule := range rules {
@@ -80,29 +80,29 @@
 			continue
 		}
 
-		for _, role := range rolesOf(r) {
+		for _, role := range peerRoles(r) {
 			if slices.Contains(rule.Roles, role) {
 				return ""
 			}
 		}
 
-		return fmt.Sprintf("%s is for %v; the certificate's organisational unit names %v", r.URL.Path, rule.Roles, rolesOf(r))
+		return fmt.Sprintf("%s is for %v; the certificate's organisational unit names %v", r.URL.Path, rule.Roles, peerRoles(r))
 	}
 
 	return "nobody may use " + r.URL.Path
 }
 
-// refusePlaintext lets plaintext through from the VM itself alone.
-func refusePlaintext(r *http.Request) string {
-	from, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err != nil || !from.Addr().Unmap().IsLoopback() {
+// plaintextDenialReason lets plaintext through from the VM itself alone.
+func plaintextDenialReason(r *http.Request) string {
+	remote, err := netip.ParseAddrPort(r.RemoteAddr)
+	if err != nil || !remote.Addr().Unmap().IsLoopback() {
 		return "plaintext is heard on loopback only"
 	}
 
 	return ""
 }
 
-func rolesOf(r *http.Request) []Role {
+func peerRoles(r *http.Request) []Role {
 	if len(r.TLS.PeerCertificates) == 0 {
 		return nil
 	}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -26,8 +26,8 @@
 	AuthorityFile string
 }
 
-// reloadEvery is the shortest time between two looks at the files.
-const reloadEvery = time.Second
+// minReloadInterval is the shortest time between two looks at the files.
+const minReloadInterval = time.Second
 
 // Identity is one process's identity. Its fields are set before Load.
 type Identity struct {
@@ -36,16 +36,16 @@
 	// Now replaces time.Now in tests.
 	Now func() time.Time
 
-	mu      sync.Mutex
-	current *material
-	nextAt  time.Time
+	mu         sync.Mutex
+	current    *credentials
+	nextReload time.Time
 }
 
-// material is what the files held when they were last read whole.
-type material struct {
+// credentials is what the files held when they were last read whole.
+type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
-	modified [3]time.Time
+	modTimes [3]time.Time
 }
 
 // Load reads the files for the first time.
@@ -57,19 +57,19 @@
 		i.Now = time.Now
 	}
 
-	m, err := i.Files.read()
+	creds, err := i.Files.read()
 	if err != nil {
 		return err
 	}
 
-	i.current = m
-	i.nextAt = i.Now().Add(reloadEvery)
+	i.current = creds
+	i.nextReload = i.Now().Add(minReloadInterval)
 
 	return nil
 }
 
-func (f Files) read() (*material, error) {
-	modified, err := f.modified()
+func (f Files) read() (*credentials, error) {
+	modTimes, err := f.modTimes()
 	if err != nil {
 		return nil, err
 	}
@@ -89,10 +89,10 @@
 		return nil, eris.Errorf("%s holds no certificate in PEM", f.AuthorityFile)
 	}
 
-	return &material{cert: cert, roots: roots, modified: modified}, nil
+	return &credentials{cert: cert, roots: roots, modTimes: modTimes}, nil
 }
 
-func (f Files) modified() (times [3]time.Time, err error) {
+func (f Files) modTimes() (times [3]time.Time, err error) {
 	for n, path := range []string{f.CertFile, f.KeyFile, f.AuthorityFile} {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -105,24 +105,24 @@
 	return times, nil
 }
 
-// material returns what is in force now. Files that are half written, or do not
+// credentials returns what is in force now. Files that are half written, or do not
 // fit together, leave the former ones in force until they do.
-func (i *Identity) material() *material {
+func (i *Identity) credentials() *credentials {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 
 	now := i.Now()
-	if now.Before(i.nextAt) {
+	if now.Before(i.nextReload) {
 		return i.current
 	}
 
-	i.nextAt = now.Add(reloadEvery)
+	i.nextReload = now.Add(minReloadInterval)
 
-	if modified, err := i.Files.modified(); err == nil && modified == i.current.modified {
+	if modTimes, err := i.Files.modTimes(); err == nil && modTimes == i.current.modTimes {
 		return i.current
 	}
 
-	m, err := i.Files.read()
+	creds, err := i.Files.read()
 	if err != nil {
 		i.Logger.Warn("new keys not taken, the former stay in force", "error", err)
 
@@ -130,9 +130,9 @@
 	}
 
 	i.Logger.Info("keys read anew")
-	i.current = m
+	i.current = creds
 
-	return m
+	return creds
 }
 
 // PeerListener returns a listener on which only processes with a certificate of the
@@ -141,11 +141,11 @@
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			m := i.material()
+			creds := i.credentials()
 
 			return &tls.Config{
-				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.cert},
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: m.roots,
+				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{creds.cert},
+				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: creds.roots,
 			}, nil
 		},
 	})
@@ -157,7 +157,7 @@
 		MinVersion: tls.VersionTLS12,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &i.material().cert, nil
+			return &i.credentials().cert, nil
 		},
 	})
 }
@@ -185,9 +185,9 @@
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
 
-	plain := &net.Dialer{KeepAlive: -1}
+	dialer := &net.Dialer{KeepAlive: -1}
 
-	conn, err := plain.DialContext(ctx, network, address)
+	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil || d.Identity == nil {
 		return conn, err //nolint:wrapcheck // callers read net.OpError
 	}
@@ -197,18 +197,18 @@
 		return nil, eris.Wrap(err, "read address")
 	}
 
-	m := d.Identity.material()
-	secure := tls.Client(conn, &tls.Config{
+	creds := d.Identity.credentials()
+	tlsConn := tls.Client(conn, &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: host,
-		RootCAs: m.roots, Certificates: []tls.Certificate{m.cert},
+		RootCAs: creds.roots, Certificates: []tls.Certificate{creds.cert},
 	})
 
-	if err := secure.HandshakeContext(ctx); err != nil {
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 
 		// No byte of a request was sent, which is what Op "dial" tells callers.
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 
-	return secure, nil
+	return tlsConn, nil
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -23,13 +23,13 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// authority signs certificates in tests.
-type authority struct {
+// testCA signs certificates in tests.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -45,11 +45,11 @@
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
 
-	return &authority{cert: cert, key: key}
+	return &testCA{cert: cert, key: key}
 }
 
-// write writes an identity of a role, signed by a, that trusts the authorities.
-func (a *authority) write(t *testing.T, dir string, role identity.Role, trusted ...*authority) identity.Files {
+// issue writes an identity of a role, signed by a, that trusts the authorities.
+func (a *testCA) issue(t *testing.T, dir string, role identity.Role, trusted ...*testCA) identity.Files {
 	t.Helper()
 
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -68,8 +68,8 @@
 	require.NoError(t, err)
 
 	var roots []byte
-	for _, r := range trusted {
-		roots = append(roots, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: r.cert.Raw})...)
+	for _, ca := range trusted {
+		roots = append(roots, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: ca.cert.Raw})...)
 	}
 
 	f := identity.Files{CertFile: filepath.Join(dir, "crt"), KeyFile: filepath.Join(dir, "key"), AuthorityFile: filepath.Join(dir, "ca")}
@@ -123,12 +123,12 @@
 		return 0
 	}
 
-	said, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 
 	if resp.StatusCode == http.StatusOK {
-		require.Equal(t, "process", string(said), "the name in the certificate")
+		require.Equal(t, "process", string(body), "the name in the certificate")
 	}
 
 	return resp.StatusCode
@@ -136,32 +136,32 @@
 
 // Somebody inside the network tries to decide, claim or order without the right
 // certificate. Each try is refused, and the right one goes through.
-func TestWhoMayDoWhat(t *testing.T) {
+func TestAuthorize(t *testing.T) {
 	t.Parallel()
 
-	ours, theirs := newAuthority(t), newAuthority(t)
-	address := serve(t, load(t, ours.write(t, t.TempDir(), identity.RoleControl, ours)))
+	trustedCA, otherCA := newTestCA(t), newTestCA(t)
+	address := serve(t, load(t, trustedCA.issue(t, t.TempDir(), identity.RoleControl, trustedCA)))
 
 	cases := []struct {
 		name   string
-		signer *authority
+		signer *testCA
 		role   identity.Role
 		path   string
 		status int
 	}{
-		{name: "an entry claims", signer: ours, role: identity.RoleEntry, path: "/claim", status: 200},
-		{name: "an operator decides", signer: ours, role: identity.RoleOperator, path: "/decide", status: 200},
-		{name: "an entry decides", signer: ours, role: identity.RoleEntry, path: "/decide", status: 403},
-		{name: "an agent claims", signer: ours, role: identity.RoleAgent, path: "/claim", status: 403},
-		{name: "a path of nobody", signer: ours, role: identity.RoleControl, path: "/other", status: 403},
-		{name: "an operator of another authority", signer: theirs, role: identity.RoleOperator, path: "/decide", status: 0},
+		{name: "an entry claims", signer: trustedCA, role: identity.RoleEntry, path: "/claim", status: 200},
+		{name: "an operator decides", signer: trustedCA, role: identity.RoleOperator, path: "/decide", status: 200},
+		{name: "an entry decides", signer: trustedCA, role: identity.RoleEntry, path: "/decide", status: 403},
+		{name: "an agent claims", signer: trustedCA, role: identity.RoleAgent, path: "/claim", status: 403},
+		{name: "a path of nobody", signer: trustedCA, role: identity.RoleControl, path: "/other", status: 403},
+		{name: "an operator of another authority", signer: otherCA, role: identity.RoleOperator, path: "/decide", status: 0},
 	}
 
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			i := load(t, c.signer.write(t, t.TempDir(), c.role, ours))
+			i := load(t, c.signer.issue(t, t.TempDir(), c.role, trustedCA))
 			require.Equal(t, c.status, get(t, i, address, c.path))
 		})
 	}
@@ -175,43 +175,43 @@
 // The operators rotate the authority: first all trust the old and the new one,
 // then certificates are exchanged, at last the old one goes. No process restarts,
 // and at no point is one that has done its step refused.
-func TestRotation(t *testing.T) {
+func TestAuthorityRotationWithoutRestart(t *testing.T) {
 	t.Parallel()
 
-	former, next := newAuthority(t), newAuthority(t)
+	oldCA, newCA := newTestCA(t), newTestCA(t)
 	serverDir, clientDir := t.TempDir(), t.TempDir()
-	later := time.Now()
-	server := load(t, former.write(t, serverDir, identity.RoleControl, former))
-	client := load(t, former.write(t, clientDir, identity.RoleEntry, former))
-	server.Now = func() time.Time { return later }
+	now := time.Now()
+	server := load(t, oldCA.issue(t, serverDir, identity.RoleControl, oldCA))
+	client := load(t, oldCA.issue(t, clientDir, identity.RoleEntry, oldCA))
+	server.Now = func() time.Time { return now }
 	client.Now = server.Now
 	address := serve(t, server)
 
 	require.Equal(t, 200, get(t, client, address, "/claim"))
 
 	steps := []func(){
-		func() { former.write(t, serverDir, identity.RoleControl, former, next) },
-		func() { former.write(t, clientDir, identity.RoleEntry, former, next) },
-		func() { next.write(t, serverDir, identity.RoleControl, former, next) },
-		func() { next.write(t, clientDir, identity.RoleEntry, former, next) },
-		func() { next.write(t, serverDir, identity.RoleControl, next) },
-		func() { next.write(t, clientDir, identity.RoleEntry, next) },
+		func() { oldCA.issue(t, serverDir, identity.RoleControl, oldCA, newCA) },
+		func() { oldCA.issue(t, clientDir, identity.RoleEntry, oldCA, newCA) },
+		func() { newCA.issue(t, serverDir, identity.RoleControl, oldCA, newCA) },
+		func() { newCA.issue(t, clientDir, identity.RoleEntry, oldCA, newCA) },
+		func() { newCA.issue(t, serverDir, identity.RoleControl, newCA) },
+		func() { newCA.issue(t, clientDir, identity.RoleEntry, newCA) },
 	}
 	for n, step := range steps {
 		step()
 
-		later = later.Add(time.Hour / 100)
+		now = now.Add(time.Hour / 100)
 		require.Equal(t, 200, get(t, client, address, "/claim"), "after step %d", n)
 	}
 
 	// A file that is half written leaves the keys in force.
 	require.NoError(t, os.WriteFile(filepath.Join(serverDir, "crt"), []byte("-----BEGIN"), 0o600))
 
-	later = later.Add(time.Minute)
+	now = now.Add(time.Minute)
 	require.Equal(t, 200, get(t, client, address, "/claim"))
 }
 
-func TestLoadSaysWhatIsWrong(t *testing.T) {
+func TestLoadErrorNamesFile(t *testing.T) {
 	t.Parallel()
 
 	i := &identity.Identity{Files: identity.Files{CertFile: "none", KeyFile: "none", AuthorityFile: "none"}, Logger: logs.Discard()}
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -72,8 +72,8 @@
 	Sections []Section
 }
 
-// place names a section, or a key of one.
-type place struct {
+// location names a section, or a key of one.
+type location struct {
 	section, key string
 }
 
@@ -98,7 +98,7 @@
 	f := &File{Source: source}
 
 	for _, s := range parsed.Sections() {
-		line := lines[place{section: s.Name()}]
+		line := lines[location{section: s.Name()}]
 		if line == 0 {
 			continue
 		}
@@ -106,7 +106,7 @@
 		section := Section{Name: s.Name(), Line: line}
 		for _, k := range s.Keys() {
 			section.Settings = append(section.Settings, Setting{
-				Key: k.Name(), Value: k.Value(), Line: lines[place{section: s.Name(), key: k.Name()}],
+				Key: k.Name(), Value: k.Value(), Line: lines[location{section: s.Name(), key: k.Name()}],
 			})
 		}
 
@@ -133,8 +133,8 @@
 
 // scan finds the line of each section and key, and refuses doubled sections and
 // keys, lines before the first section, and lines that are neither.
-func scan(source string, data []byte) (map[place]int, error) {
-	lines := make(map[place]int)
+func scan(source string, data []byte) (map[location]int, error) {
+	lines := make(map[location]int)
 	section := ""
 
 	for i, raw := range bytes.Split(data, []byte("\n")) {
@@ -143,44 +143,44 @@
 			continue
 		}
 
-		at, err := scanLine(line, section)
-		if err == nil && lines[at] != 0 {
-			err = &Error{Problem: fmt.Sprintf("already given in line %d", lines[at]), Allowed: "one of each"}
+		loc, err := scanLine(line, section)
+		if err == nil && lines[loc] != 0 {
+			err = &Error{Problem: fmt.Sprintf("already given in line %d", lines[loc]), Allowed: "one of each"}
 		}
 
 		if err != nil {
-			err.Source, err.Line, err.Section, err.Key = source, i+1, at.section, at.key
+			err.Source, err.Line, err.Section, err.Key = source, i+1, loc.section, loc.key
 
 			return nil, err
 		}
 
-		section = at.section
-		lines[at] = i + 1
+		section = loc.section
+		lines[loc] = i + 1
 	}
 
 	return lines, nil
 }
 
-func scanLine(line, section string) (place, *Error) {
+func scanLine(line, section string) (location, *Error) {
 	if line[0] == '[' {
 		if line[len(line)-1] != ']' {
-			return place{}, &Error{Problem: "the section's head is not closed", Allowed: `[Section] or [Kind "name"]`}
+			return location{}, &Error{Problem: "the section's head is not closed", Allowed: `[Section] or [Kind "name"]`}
 		}
 
-		return place{section: strings.TrimSpace(line[1 : len(line)-1])}, nil
+		return location{section: strings.TrimSpace(line[1 : len(line)-1])}, nil
 	}
 
 	key, value, ok := strings.Cut(line, "=")
-	at := place{section: section, key: strings.TrimSpace(key)}
+	loc := location{section: section, key: strings.TrimSpace(key)}
 
 	switch {
 	case section == "":
-		return at, &Error{Problem: "stands before the first section", Allowed: "a section first"}
-	case !ok || at.key == "":
-		return at, &Error{Problem: "is no setting", Allowed: "Key = value"}
-	case strings.ContainsAny(value, "\"`") || strings.ContainsAny(at.key, "\"`:"):
-		return at, &Error{Problem: "holds a quote", Allowed: "plain text without quotes, on one line"}
+		return loc, &Error{Problem: "stands before the first section", Allowed: "a section first"}
+	case !ok || loc.key == "":
+		return loc, &Error{Problem: "is no setting", Allowed: "Key = value"}
+	case strings.ContainsAny(value, "\"`") || strings.ContainsAny(loc.key, "\"`:"):
+		return loc, &Error{Problem: "holds a quote", Allowed: "plain text without quotes, on one line"}
 	}
 
-	return at, nil
+	return loc, nil
 }
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -22,7 +22,7 @@
 
 // An operator's slip must be told with its place, never merged or dropped: a
 // doubled section would otherwise undo half of a decision without a word.
-func TestFaults(t *testing.T) {
+func TestErrorsNamePlaceAndAllowedValues(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -21,14 +21,14 @@
 		for _, batch := range []int{1, 512} {
 			for _, callers := range []int{1, 64, 512} {
 				b.Run(fmt.Sprintf("replicas=%d/batch=%d/callers=%d", n, batch, callers), func(b *testing.B) {
-					propose(b, n, batch, callers)
+					benchmarkPropose(b, n, batch, callers)
 				})
 			}
 		}
 	}
 }
 
-func propose(b *testing.B, n, batch, callers int) {
+func benchmarkPropose(b *testing.B, n, batch, callers int) {
 	g := newHTTPGroup(b, n, func(r *replica.Replica) {
 		r.MaxBatch = batch
 		r.Apply = func(uint64, []byte) []byte { return nil }
@@ -37,16 +37,16 @@
 	})
 	defer g.stop()
 
-	leader := g.leader(b)
+	leader := g.waitForLeader(b)
 	before := leader.Status().Disk
 	command := make([]byte, 200)
-	work := make(chan struct{}, callers)
+	requests := make(chan struct{}, callers)
 
-	var done sync.WaitGroup
+	var workers sync.WaitGroup
 	for range callers {
-		done.Go(func() {
-			for range work {
-				if _, _, err := leader.Propose(within(30*time.Second), command); err != nil {
+		workers.Go(func() {
+			for range requests {
+				if _, _, err := leader.Propose(timeoutContext(30*time.Second), command); err != nil {
 					b.Error(err)
 				}
 			}
@@ -56,11 +56,11 @@
 	b.ResetTimer()
 
 	for range b.N {
-		work <- struct{}{}
+		requests <- struct{}{}
 	}
 
-	close(work)
-	done.Wait()
+	close(requests)
+	workers.Wait()
 	b.StopTimer()
 
 	after := leader.Status().Disk
@@ -69,8 +69,8 @@
 	b.ReportMetric(float64(after.Syncs-before.Syncs)/float64(b.N), "syncs/commit")
 }
 
-func (g *httpGroup) leader(t testing.TB) *replica.Replica {
-	_, _, err := g.nodes[0].Propose(within(30*time.Second), []byte("first"))
+func (g *httpGroup) waitForLeader(t testing.TB) *replica.Replica {
+	_, _, err := g.nodes[0].Propose(timeoutContext(30*time.Second), []byte("first"))
 	require.NoError(t, err)
 
 	for {
@@ -90,7 +90,7 @@
 			g := newHTTPGroup(b, 3, nil)
 			defer g.stop()
 
-			r := g.leader(b)
+			r := g.waitForLeader(b)
 			for _, other := range g.nodes {
 				if at == "follower" && other.Status().State != "Leader" {
 					r = other
@@ -101,7 +101,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if _, _, err := r.ReadIndex(within(10 * time.Second)); err != nil {
+					if _, _, err := r.ReadIndex(timeoutContext(10 * time.Second)); err != nil {
 						b.Error(err)
 					}
 				}
@@ -134,13 +134,13 @@
 					r.Restore = func([]byte) error { return nil }
 					r.HeartbeatInterval, r.ElectionTimeout = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 				})
-				leader := g.leader(b)
-				_, _, err := leader.Propose(within(10*time.Second), []byte("second"))
+				leader := g.waitForLeader(b)
+				_, _, err := leader.Propose(timeoutContext(10*time.Second), []byte("second"))
 				require.NoError(b, err)
 				b.StartTimer()
 
 				learner := g.nodes[1]
-				require.NoError(b, leader.AddLearner(within(10*time.Second), quorum.Member{ID: learner.ID, Addr: learner.Addr}))
+				require.NoError(b, leader.AddLearner(timeoutContext(10*time.Second), quorum.Member{ID: learner.ID, Addr: learner.Addr}))
 
 				for learner.Status().Applied < leader.Status().Commit {
 					time.Sleep(time.Millisecond)
@@ -164,10 +164,10 @@
 			})
 			defer g.stop()
 
-			g.leader(b)
+			g.waitForLeader(b)
 			time.Sleep(time.Second)
 
-			cpu, bytes := processorTime(b), g.passed()
+			cpu, bytes := cpuTime(b), g.proxiedBytes()
 
 			b.ResetTimer()
 
@@ -178,22 +178,22 @@
 			b.StopTimer()
 
 			seconds := b.Elapsed().Seconds()
-			b.ReportMetric(float64(g.passed()-bytes)/seconds, "bytes/s")
-			b.ReportMetric(100*(processorTime(b)-cpu).Seconds()/seconds, "%core")
+			b.ReportMetric(float64(g.proxiedBytes()-bytes)/seconds, "bytes/s")
+			b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/seconds, "%core")
 		})
 	}
 }
 
-func (g *httpGroup) passed() int64 {
+func (g *httpGroup) proxiedBytes() int64 {
 	n := int64(0)
-	for _, r := range g.relays {
-		n += r.passed.Load()
+	for _, r := range g.proxies {
+		n += r.bytes.Load()
 	}
 
 	return n
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -81,30 +81,30 @@
 // node is one replica of a group in this process.
 type node struct {
 	*replica.Replica
-	state *ledger
-	stop  context.CancelFunc
-	ended chan error
+	state  *ledger
+	cancel context.CancelFunc
+	runErr chan error
 }
 
 // group is several replicas whose messages stay in this process.
 type group struct {
-	t       *testing.T
-	dirs    string
-	mu      sync.Mutex
-	nodes   map[netip.AddrPort]*node
-	cut     map[[2]netip.AddrPort]bool // from, to
-	founder []quorum.Member
-	tune    func(*replica.Replica)
+	t         *testing.T
+	baseDir   string
+	mu        sync.Mutex
+	nodes     map[netip.AddrPort]*node
+	blocked   map[[2]netip.AddrPort]bool // from, to
+	founders  []quorum.Member
+	configure func(*replica.Replica)
 }
 
-func addr(i int) netip.AddrPort {
+func nodeAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(7000+i))
 }
 
 func newGroup(t *testing.T, founders int) *group {
-	g := &group{t: t, dirs: t.TempDir(), nodes: map[netip.AddrPort]*node{}, cut: map[[2]netip.AddrPort]bool{}}
+	g := &group{t: t, baseDir: t.TempDir(), nodes: map[netip.AddrPort]*node{}, blocked: map[[2]netip.AddrPort]bool{}}
 	for i := range founders {
-		g.founder = append(g.founder, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addr(i)})
+		g.founders = append(g.founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: nodeAddr(i)})
 	}
 
 	return g
@@ -113,52 +113,52 @@
 // start runs the replica vm<i> on its own data folder, the same one each time.
 func (g *group) start(i int, dir string, founders []quorum.Member) *node {
 	state := &ledger{}
-	from := addr(i)
-	random := rand.New(rand.NewPCG(uint64(i), 1))
-	ctx, stop := context.WithCancel(context.Background())
-	n := &node{state: state, stop: stop, ended: make(chan error, 1)}
+	from := nodeAddr(i)
+	rng := rand.New(rand.NewPCG(uint64(i), 1))
+	ctx, cancel := context.WithCancel(context.Background())
+	n := &node{state: state, cancel: cancel, runErr: make(chan error, 1)}
 	n.Replica = &replica.Replica{
-		ID: fmt.Sprint("vm", i), Cluster: "test", Dir: g.dirs + "/" + dir, Addr: from, Founders: founders,
+		ID: fmt.Sprint("vm", i), Cluster: "test", Dir: g.baseDir + "/" + dir, Addr: from, Founders: founders,
 		Apply: state.apply, Snapshot: state.snapshot, Restore: state.restore,
-		Rand: random.Int64N,
+		Rand: rng.Int64N,
 		Send: func(to netip.AddrPort, env *wire.PeerEnvelope) {
-			if peer := g.reach(from, to); peer != nil {
+			if peer := g.lookup(from, to); peer != nil {
 				time.AfterFunc(time.Millisecond, func() { _, _ = peer.Deliver(context.Background(), env) })
 			}
 		},
 		Forward: func(ctx context.Context, to netip.AddrPort, o *wire.PeerOrder) (*wire.PeerOrderAnswer, error) {
-			peer := g.reach(from, to)
+			peer := g.lookup(from, to)
 			if peer == nil {
 				return nil, replica.ErrNotSent
 			}
 
-			answer, err := peer.Give(ctx, o)
-			if g.reach(to, from) == nil {
+			resp, err := peer.Give(ctx, o)
+			if g.lookup(to, from) == nil {
 				return nil, errors.New("answer lost")
 			}
 
-			return answer, err
+			return resp, err
 		},
 	}
 
-	if g.tune != nil {
-		g.tune(n.Replica)
+	if g.configure != nil {
+		g.configure(n.Replica)
 	}
 
 	g.mu.Lock()
 	g.nodes[from] = n
 	g.mu.Unlock()
 
-	go func() { n.ended <- n.Run(ctx) }()
+	go func() { n.runErr <- n.Run(ctx) }()
 
 	return n
 }
 
-func (g *group) reach(from, to netip.AddrPort) *node {
+func (g *group) lookup(from, to netip.AddrPort) *node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	if g.cut[[2]netip.AddrPort{from, to}] {
+	if g.blocked[[2]netip.AddrPort{from, to}] {
 		return nil
 	}
 
@@ -166,23 +166,23 @@
 }
 
 // isolate cuts vm<i> off silently, both ways, or heals it.
-func (g *group) isolate(i int, cut bool) {
+func (g *group) isolate(i int, isolated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	for j := range 10 {
-		g.cut[[2]netip.AddrPort{addr(i), addr(j)}] = cut && i != j
-		g.cut[[2]netip.AddrPort{addr(j), addr(i)}] = cut && i != j
+		g.blocked[[2]netip.AddrPort{nodeAddr(i), nodeAddr(j)}] = isolated && i != j
+		g.blocked[[2]netip.AddrPort{nodeAddr(j), nodeAddr(i)}] = isolated && i != j
 	}
 }
 
-func (g *group) end(n *node) error {
-	n.stop()
+func (g *group) stopNode(n *node) error {
+	n.cancel()
 
-	return <-n.ended
+	return <-n.runErr
 }
 
-func within(d time.Duration) context.Context {
+func timeoutContext(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	_ = cancel // ends with the deadline
 
@@ -193,47 +193,47 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 1)
-		n := g.start(0, "a", g.founder)
+		n := g.start(0, "a", g.founders)
 
 		for i := range 300 {
-			_, result, err := n.Propose(within(time.Second), []byte(fmt.Sprint(i)))
+			_, result, err := n.Propose(timeoutContext(time.Second), []byte(fmt.Sprint(i)))
 			require.NoError(t, err)
 			require.Equal(t, binary.AppendUvarint(nil, uint64(i+1)), result)
 		}
 
 		want := n.state.String()
-		require.NoError(t, g.end(n))
+		require.NoError(t, g.stopNode(n))
 
-		n = g.start(0, "a", g.founder)
-		asked := time.Now()
-		asOf, index, err := n.ReadIndex(within(time.Second))
+		n = g.start(0, "a", g.founders)
+		start := time.Now()
+		asOf, index, err := n.ReadIndex(timeoutContext(time.Second))
 		require.NoError(t, err)
-		require.Equal(t, asked, asOf)
+		require.Equal(t, start, asOf)
 		require.GreaterOrEqual(t, index, uint64(300))
 		require.Equal(t, want, n.state.String())
-		require.NoError(t, g.end(n))
+		require.NoError(t, g.stopNode(n))
 	})
 }
 
-func TestThreeReplicasFollowAnyProposer(t *testing.T) {
+func TestAnyReplicaAcceptsProposals(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3)
-		nodes := []*node{g.start(0, "a", g.founder), g.start(1, "b", g.founder), g.start(2, "c", g.founder)}
+		nodes := []*node{g.start(0, "a", g.founders), g.start(1, "b", g.founders), g.start(2, "c", g.founders)}
 
 		for i, n := range nodes {
-			_, _, err := n.Propose(within(10*time.Second), []byte(fmt.Sprint(i)))
+			_, _, err := n.Propose(timeoutContext(10*time.Second), []byte(fmt.Sprint(i)))
 			require.NoError(t, err)
 		}
 
 		for _, n := range nodes {
-			_, _, err := n.ReadIndex(within(time.Second))
+			_, _, err := n.ReadIndex(timeoutContext(time.Second))
 			require.NoError(t, err)
 			require.Equal(t, "0 1 2", n.state.String())
 		}
 
 		for _, n := range nodes {
-			require.NoError(t, g.end(n))
+			require.NoError(t, g.stopNode(n))
 		}
 	})
 }
@@ -241,49 +241,49 @@
 // Users see a control VM answer status and claims after its switch port failed
 // without a word: it still calls itself leader. It must neither show old state
 // as current nor, when it is back, unseat the leader that the others chose.
-func TestIsolatedLeaderIsNotCurrentAndReturnsQuietly(t *testing.T) {
+func TestIsolatedLeaderFailsReadsAndRejoinsAsFollower(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3)
-		nodes := []*node{g.start(0, "a", g.founder), g.start(1, "b", g.founder), g.start(2, "c", g.founder)}
-		_, _, err := nodes[0].Propose(within(10*time.Second), []byte("before"))
+		nodes := []*node{g.start(0, "a", g.founders), g.start(1, "b", g.founders), g.start(2, "c", g.founders)}
+		_, _, err := nodes[0].Propose(timeoutContext(10*time.Second), []byte("before"))
 		require.NoError(t, err)
 
 		time.Sleep(time.Second)
 
-		old := nodes[0].Status().Leader
-		cut := 0
+		oldLeader := nodes[0].Status().Leader
+		isolated := 0
 
 		for i, n := range nodes {
-			if n.ID == old {
-				cut = i
+			if n.ID == oldLeader {
+				isolated = i
 			}
 		}
 
-		g.isolate(cut, true)
+		g.isolate(isolated, true)
 
-		other := nodes[(cut+1)%3]
-		_, _, err = other.Propose(within(20*time.Second), []byte("meanwhile"))
+		other := nodes[(isolated+1)%3]
+		_, _, err = other.Propose(timeoutContext(20*time.Second), []byte("meanwhile"))
 		require.NoError(t, err)
 
-		_, _, err = nodes[cut].ReadIndex(within(5 * time.Second))
+		_, _, err = nodes[isolated].ReadIndex(timeoutContext(5 * time.Second))
 		require.Error(t, err)
 
 		time.Sleep(time.Hour)
 
 		leader, term := other.Status().Leader, other.Status().Term
 
-		g.isolate(cut, false)
+		g.isolate(isolated, false)
 		time.Sleep(10 * time.Second)
-		require.Equal(t, leader, nodes[cut].Status().Leader)
-		require.Equal(t, term, nodes[cut].Status().Term)
+		require.Equal(t, leader, nodes[isolated].Status().Leader)
+		require.Equal(t, term, nodes[isolated].Status().Term)
 
-		_, _, err = nodes[cut].ReadIndex(within(time.Second))
+		_, _, err = nodes[isolated].ReadIndex(timeoutContext(time.Second))
 		require.NoError(t, err)
-		require.Equal(t, "before meanwhile", nodes[cut].state.String())
+		require.Equal(t, "before meanwhile", nodes[isolated].state.String())
 
 		for _, n := range nodes {
-			require.NoError(t, g.end(n))
+			require.NoError(t, g.stopNode(n))
 		}
 	})
 }
--- a/internal/replica/handler.go
+++ b/internal/replica/handler.go
@@ -14,13 +14,13 @@
 
 // Handler answers the other replicas. It is to be served under wire.PeerPathPrefix.
 func (r *Replica) Handler() http.Handler {
-	return http.MaxBytesHandler(wire.NewPeerServer(r), maxBody)
+	return http.MaxBytesHandler(wire.NewPeerServer(r), maxBodyBytes)
 }
 
 // Deliver takes in messages of another replica. When this one is busy they are
 // dropped: the core sends again what matters.
 func (r *Replica) Deliver(_ context.Context, env *wire.PeerEnvelope) (*wire.PeerDelivered, error) {
-	if reason := r.refuses(env.GetCluster()); reason != quorum.ReasonNone {
+	if reason := r.refusalReason(env.GetCluster()); reason != quorum.ReasonNone {
 		return nil, twirp.NewError(twirp.FailedPrecondition, string(reason)) //nolint:wrapcheck // the server looks for its own type
 	}
 
@@ -35,27 +35,27 @@
 // Give takes in an order that a follower hands to the leader. It is never
 // handed on again.
 func (r *Replica) Give(ctx context.Context, o *wire.PeerOrder) (*wire.PeerOrderAnswer, error) {
-	if reason := r.refuses(o.GetCluster()); reason != quorum.ReasonNone {
+	if reason := r.refusalReason(o.GetCluster()); reason != quorum.ReasonNone {
 		return &wire.PeerOrderAnswer{NotRun: true, Reason: string(reason)}, nil
 	}
 
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(o.GetRemainingMillis())*time.Millisecond)
 	defer cancel()
 
-	out := r.give(ctx, o)
+	out := r.submitLocal(ctx, o)
 
 	return &wire.PeerOrderAnswer{
-		Done: out.done, Index: out.index, Result: out.result,
-		NotRun: !out.done && out.verdict == verdict.NotRun, Reason: string(out.reason),
+		Done: out.succeeded, Index: out.index, Result: out.result,
+		NotRun: !out.succeeded && out.verdict == verdict.NotRun, Reason: string(out.reason),
 	}, nil
 }
 
-// refuses returns why nothing from a peer is taken in.
-func (r *Replica) refuses(cluster string) quorum.Reason {
-	r.prepare()
+// refusalReason returns why nothing from a peer is taken in.
+func (r *Replica) refusalReason(cluster string) quorum.Reason {
+	r.init()
 
 	if cluster != r.Cluster {
-		return reasonCluster
+		return reasonOtherCluster
 	}
 
 	select {
@@ -66,14 +66,14 @@
 	}
 }
 
-// sendAll hands messages to Send, those for one receiver together.
-func (r *Replica) sendAll(ms []quorum.Message) {
+// sendMessages hands messages to Send, those for one receiver together.
+func (r *Replica) sendMessages(ms []quorum.Message) {
 	envs := map[string]*wire.PeerEnvelope{}
 
 	for _, m := range ms {
 		env := envs[m.To]
 		if env == nil {
-			env = &wire.PeerEnvelope{Cluster: r.Cluster, Address: r.addr()}
+			env = &wire.PeerEnvelope{Cluster: r.Cluster, Address: r.addrString()}
 			envs[m.To] = env
 		}
 
@@ -81,8 +81,8 @@
 	}
 
 	for id, env := range envs {
-		addr := r.learned[id]
-		if m, ok := r.member(id); ok {
+		addr := r.learnedAddrs[id]
+		if m, ok := r.findMember(id); ok {
 			addr = m.Addr
 		}
 
@@ -92,7 +92,7 @@
 	}
 }
 
-func (r *Replica) addr() string {
+func (r *Replica) addrString() string {
 	if r.Addr.IsValid() {
 		return r.Addr.String()
 	}
--- a/internal/replica/http_test.go
+++ b/internal/replica/http_test.go
@@ -20,64 +20,64 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// relay passes connections on to a server, until they are silenced: open ones
+// blackholeProxy passes connections on to a server, until they are silenced: open ones
 // then pass nothing any more, without being closed, while new ones work.
-type relay struct {
+type blackholeProxy struct {
 	net.Listener
-	to     string
-	passed atomic.Int64 // bytes, both ways
+	upstream string
+	bytes    atomic.Int64 // bytes, both ways
 
 	mu    sync.Mutex
-	open  []*link
-	tasks sync.WaitGroup
+	conns []*proxiedConn
+	wg    sync.WaitGroup
 }
 
-type link struct {
-	a, b   net.Conn
-	mu     sync.Mutex
-	silent bool
+type proxiedConn struct {
+	client, server net.Conn
+	mu             sync.Mutex
+	dropping       bool
 }
 
-func (r *relay) run() {
+func (r *blackholeProxy) run() {
 	for {
-		a, err := r.Accept()
+		client, err := r.Accept()
 		if err != nil {
 			return
 		}
 
-		b, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", r.upstream)
 		if err != nil {
-			a.Close()
+			client.Close()
 
 			continue
 		}
 
-		l := &link{a: a, b: b}
+		l := &proxiedConn{client: client, server: server}
 
 		r.mu.Lock()
-		r.open = append(r.open, l)
+		r.conns = append(r.conns, l)
 		r.mu.Unlock()
-		r.tasks.Go(func() { l.pass(a, b, &r.passed) })
-		r.tasks.Go(func() { l.pass(b, a, &r.passed) })
+		r.wg.Go(func() { l.copy(client, server, &r.bytes) })
+		r.wg.Go(func() { l.copy(server, client, &r.bytes) })
 	}
 }
 
-func (l *link) pass(from, to net.Conn, passed *atomic.Int64) {
+func (l *proxiedConn) copy(from, to net.Conn, total *atomic.Int64) {
 	buf := make([]byte, 32<<10)
 
 	for {
 		n, err := from.Read(buf)
-		passed.Add(int64(n))
+		total.Add(int64(n))
 
 		l.mu.Lock()
-		silent := l.silent
+		dropping := l.dropping
 		l.mu.Unlock()
 
-		if !silent && n > 0 {
+		if !dropping && n > 0 {
 			_, _ = to.Write(buf[:n])
 		}
 
-		if errors.Is(err, io.EOF) && !silent {
+		if errors.Is(err, io.EOF) && !dropping {
 			to.Close()
 		}
 
@@ -87,29 +87,29 @@
 	}
 }
 
-// silence makes all open connections silent for good and counts them.
-func (r *relay) silence() int {
+// blackhole makes all open connections silent for good and counts them.
+func (r *blackholeProxy) blackhole() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	for _, l := range r.open {
+	for _, l := range r.conns {
 		l.mu.Lock()
-		l.silent = true
+		l.dropping = true
 		l.mu.Unlock()
 	}
 
-	return len(r.open)
+	return len(r.conns)
 }
 
-func (r *relay) shut() {
+func (r *blackholeProxy) closeAll() {
 	r.Close()
 
-	for _, l := range r.open {
-		l.a.Close()
-		l.b.Close()
+	for _, l := range r.conns {
+		l.client.Close()
+		l.server.Close()
 	}
 
-	r.tasks.Wait()
+	r.wg.Wait()
 }
 
 func listen(t testing.TB) net.Listener {
@@ -125,25 +125,25 @@
 
 // httpGroup is a group over real connections on loopback, each through a relay.
 type httpGroup struct {
-	nodes  []*replica.Replica
-	states []*ledger
-	relays []*relay
-	stop   func()
+	nodes   []*replica.Replica
+	states  []*ledger
+	proxies []*blackholeProxy
+	stop    func()
 }
 
-func newHTTPGroup(t testing.TB, n int, tune func(*replica.Replica)) *httpGroup {
+func newHTTPGroup(t testing.TB, n int, configure func(*replica.Replica)) *httpGroup {
 	g := &httpGroup{}
 	ctx, cancel := context.WithCancel(context.Background())
 
 	var (
 		founders []quorum.Member
 		servers  []*http.Server
-		tasks    sync.WaitGroup
+		wg       sync.WaitGroup
 	)
 
 	for i := range n {
-		r := &relay{Listener: listen(t)}
-		g.relays = append(g.relays, r)
+		r := &blackholeProxy{Listener: listen(t)}
+		g.proxies = append(g.proxies, r)
 		founders = append(founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addrOf(r)})
 	}
 
@@ -155,19 +155,19 @@
 			HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond,
 		}
 
-		if tune != nil {
-			tune(node)
+		if configure != nil {
+			configure(node)
 		}
 
 		l := listen(t)
-		g.relays[i].to = l.Addr().String()
+		g.proxies[i].upstream = l.Addr().String()
 		server := &http.Server{Handler: node.Handler()}
 		servers = append(servers, server)
 		g.nodes, g.states = append(g.nodes, node), append(g.states, state)
 
-		tasks.Go(func() { _ = server.Serve(l) })
-		tasks.Go(g.relays[i].run)
-		tasks.Go(func() { _ = node.Run(ctx) })
+		wg.Go(func() { _ = server.Serve(l) })
+		wg.Go(g.proxies[i].run)
+		wg.Go(func() { _ = node.Run(ctx) })
 	}
 
 	g.stop = func() {
@@ -175,10 +175,10 @@
 
 		for i := range servers {
 			servers[i].Close()
-			g.relays[i].shut()
+			g.proxies[i].closeAll()
 		}
 
-		tasks.Wait()
+		wg.Wait()
 	}
 
 	return g
@@ -187,24 +187,24 @@
 // A stateful device between the VMs forgets all open connections: they carry
 // nothing any more, in no direction, for good, and nobody closes them. New
 // ones work. Every replica must notice, dial anew and go on.
-func TestSilentConnectionsAreDialledAnew(t *testing.T) { //nolint:paralleltest // looks for leaked goroutines
+func TestBlackholedConnectionsAreRedialled(t *testing.T) { //nolint:paralleltest // looks for leaked goroutines
 	defer goleak.VerifyNone(t)
 
 	g := newHTTPGroup(t, 3, nil)
 	defer g.stop()
 
 	for i, n := range g.nodes {
-		_, _, err := n.Propose(within(20*time.Second), []byte(fmt.Sprint(i)))
+		_, _, err := n.Propose(timeoutContext(20*time.Second), []byte(fmt.Sprint(i)))
 		require.NoError(t, err)
 	}
 
-	for _, r := range g.relays {
-		require.NotZero(t, r.silence())
+	for _, r := range g.proxies {
+		require.NotZero(t, r.blackhole())
 	}
 
 	for i, n := range g.nodes {
 		require.Eventually(t, func() bool {
-			_, _, err := n.ReadIndex(within(time.Second))
+			_, _, err := n.ReadIndex(timeoutContext(time.Second))
 
 			return err == nil
 		}, 30*time.Second, 10*time.Millisecond)
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -17,7 +17,7 @@
 	defer timer.Stop()
 
 	for {
-		if err := r.settle(); err != nil {
+		if err := r.processBatches(); err != nil {
 			return err
 		}
 
@@ -29,36 +29,36 @@
 		case <-timer.C:
 			r.core.Step(time.Now(), quorum.Tick{})
 		case req := <-r.requests:
-			r.request(req)
+			r.stepRequest(req)
 		case env := <-r.inbox:
-			r.receive(env)
+			r.stepEnvelope(env)
 		}
 
-		r.drain()
+		r.drainQueues()
 	}
 }
 
-// drain takes in what else is waiting, up to a limit that keeps ticks on time.
-func (r *Replica) drain() {
+// drainQueues takes in what else is waiting, up to a limit that keeps ticks on time.
+func (r *Replica) drainQueues() {
 	for range r.MaxBatch - 1 {
 		select {
 		case req := <-r.requests:
-			r.request(req)
+			r.stepRequest(req)
 		case env := <-r.inbox:
-			r.receive(env)
+			r.stepEnvelope(env)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Replica) request(req request) {
-	r.lastID++
-	r.waiting[r.lastID] = req.done
-	r.core.Step(time.Now(), req.event(r.lastID))
+func (r *Replica) stepRequest(req request) {
+	r.lastRequestID++
+	r.pending[r.lastRequestID] = req.result
+	r.core.Step(time.Now(), req.newEvent(r.lastRequestID))
 }
 
-func (r *Replica) receive(env *wire.PeerEnvelope) {
+func (r *Replica) stepEnvelope(env *wire.PeerEnvelope) {
 	for _, w := range env.GetMessages() {
 		m, err := quorum.MessageFromWire(w)
 		if err != nil {
@@ -74,20 +74,20 @@
 		}
 
 		if addr, err := netip.ParseAddrPort(env.GetAddress()); err == nil {
-			r.learned[m.From] = addr
+			r.learnedAddrs[m.From] = addr
 		}
 
 		r.core.Step(time.Now(), quorum.Received{Message: m})
 	}
 }
 
-// settle does what the core asks for until there is nothing left.
-func (r *Replica) settle() error {
+// processBatches does what the core asks for until there is nothing left.
+func (r *Replica) processBatches() error {
 	for {
 		b := r.core.Take()
 		if b.Empty() {
-			if !r.compact() {
-				r.publish()
+			if !r.snapshotIfDue() {
+				r.publishStatus()
 
 				return nil
 			}
@@ -95,30 +95,30 @@
 			continue
 		}
 
-		if err := r.do(b); err != nil {
+		if err := r.executeBatch(b); err != nil {
 			return err
 		}
 	}
 }
 
-// do carries out one batch. The order matters: see quorum.Batch.
-func (r *Replica) do(b quorum.Batch) error {
-	r.sendAll(b.SendNow)
+// executeBatch carries out one batch. The order matters: see quorum.Batch.
+func (r *Replica) executeBatch(b quorum.Batch) error {
+	r.sendMessages(b.SendNow)
 
 	if err := r.journal.Write(b.Persist); err != nil {
 		return eris.Wrap(err, "write journal")
 	}
 
 	r.core.Synced()
-	r.sendAll(b.Send)
+	r.sendMessages(b.Send)
 
 	if b.Restore != nil {
 		if err := r.Restore(b.Restore.Data); err != nil {
 			return eris.Wrapf(err, "restore the snapshot at %d", b.Restore.Index)
 		}
 
-		r.applied = b.Restore.Index
-		r.snapshot = b.Restore.Index
+		r.appliedIndex = b.Restore.Index
+		r.snapshotIndex = b.Restore.Index
 	}
 
 	for _, c := range b.Apply {
@@ -126,56 +126,56 @@
 	}
 
 	for _, a := range b.Answers {
-		r.answer(a.ID, outcome{verdict: a.Verdict, reason: a.Reason})
+		r.complete(a.ID, outcome{verdict: a.Verdict, reason: a.Reason})
 	}
 
 	for _, d := range b.Reads {
-		r.answer(d.ID, outcome{done: !d.Failed, index: d.Index})
+		r.complete(d.ID, outcome{succeeded: !d.Failed, index: d.Index})
 	}
 
 	return r.core.Err()
 }
 
 func (r *Replica) apply(c quorum.Committed) {
-	out := outcome{done: true, index: c.Entry.Index}
+	out := outcome{succeeded: true, index: c.Entry.Index}
 
 	if c.Entry.Kind == quorum.EntryCommand {
 		out.result = r.Apply(c.Entry.Index, c.Entry.Command)
-		r.commits++
-		r.unsaved += len(c.Entry.Command)
+		r.appliedCommands++
+		r.bytesSinceSnapshot += len(c.Entry.Command)
 	}
 
-	r.applied = c.Entry.Index
-	r.answer(c.ProposalID, out)
+	r.appliedIndex = c.Entry.Index
+	r.complete(c.ProposalID, out)
 }
 
-func (r *Replica) answer(id uint64, out outcome) {
-	done, ok := r.waiting[id]
+func (r *Replica) complete(id uint64, out outcome) {
+	result, ok := r.pending[id]
 	if !ok {
 		return
 	}
 
-	delete(r.waiting, id)
-	done <- out
+	delete(r.pending, id)
+	result <- out
 }
 
-// compact takes a snapshot if one is due.
-func (r *Replica) compact() bool {
-	if r.applied-r.snapshot < r.SnapshotThreshold && r.unsaved < snapshotBytes {
+// snapshotIfDue takes a snapshot if one is due.
+func (r *Replica) snapshotIfDue() bool {
+	if r.appliedIndex-r.snapshotIndex < r.SnapshotThreshold && r.bytesSinceSnapshot < snapshotThresholdBytes {
 		return false
 	}
 
-	r.snapshot = r.applied
-	r.unsaved = 0
-	r.core.Step(time.Now(), quorum.SnapshotTaken{Index: r.applied, Data: r.Snapshot()})
+	r.snapshotIndex = r.appliedIndex
+	r.bytesSinceSnapshot = 0
+	r.core.Step(time.Now(), quorum.SnapshotTaken{Index: r.appliedIndex, Data: r.Snapshot()})
 
 	return true
 }
 
-// failWaiting answers all who wait when the replica stops. What they proposed
+// failPending answers all who wait when the replica stops. What they proposed
 // may still be committed by the others.
-func (r *Replica) failWaiting() {
-	for id := range r.waiting {
-		r.answer(id, outcome{reason: reasonStopped})
+func (r *Replica) failPending() {
+	for id := range r.pending {
+		r.complete(id, outcome{reason: reasonStopped})
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -24,9 +24,9 @@
 const (
 	DefaultSnapshotThreshold = 4096
 	DefaultMaxBatch          = 512
-	snapshotBytes            = 16 << 20
+	snapshotThresholdBytes   = 16 << 20
 	DefaultTimeout           = 10 * time.Second
-	maxQueued                = 1024
+	maxQueueLength           = 1024
 )
 
 // Replica is one control VM's copy of the state. Its exported fields are set
@@ -71,35 +71,35 @@
 	// Rand returns a random number in [0, n). Tests set it.
 	Rand func(n int64) int64
 
-	prepared sync.Once
+	initOnce sync.Once
 	requests chan request
 	inbox    chan *wire.PeerEnvelope
 	stopped  chan struct{}
 	status   atomic.Pointer[Status]
 
-	core     *quorum.Core
-	journal  *journal.Journal
-	lastID   uint64
-	waiting  map[uint64]chan outcome
-	learned  map[string]netip.AddrPort // of replicas that are not members, or not yet known to be
-	applied  uint64
-	snapshot uint64
-	commits  uint64
-	unsaved  int // bytes of commands since the snapshot
-	logged   Status
-
-	forwarder *http.Client
+	core               *quorum.Core
+	journal            *journal.Journal
+	lastRequestID      uint64
+	pending            map[uint64]chan outcome
+	learnedAddrs       map[string]netip.AddrPort // of replicas that are not members, or not yet known to be
+	appliedIndex       uint64
+	snapshotIndex      uint64
+	appliedCommands    uint64
+	bytesSinceSnapshot int // bytes of commands since the snapshot
+	loggedStatus       Status
+
+	forwardClient *http.Client
 }
 
-// prepare fills in defaults. Methods may be called before Run.
-func (r *Replica) prepare() {
-	r.prepared.Do(func() {
-		r.requests = make(chan request, maxQueued)
-		r.inbox = make(chan *wire.PeerEnvelope, maxQueued)
+// init fills in defaults. Methods may be called before Run.
+func (r *Replica) init() {
+	r.initOnce.Do(func() {
+		r.requests = make(chan request, maxQueueLength)
+		r.inbox = make(chan *wire.PeerEnvelope, maxQueueLength)
 		r.stopped = make(chan struct{})
-		r.waiting = map[uint64]chan outcome{}
-		r.learned = map[string]netip.AddrPort{}
-		r.forwarder = newClient(r.Client)
+		r.pending = map[uint64]chan outcome{}
+		r.learnedAddrs = map[string]netip.AddrPort{}
+		r.forwardClient = newClient(r.Client)
 
 		if r.Logger == nil {
 			r.Logger = slog.New(slog.DiscardHandler)
@@ -133,14 +133,14 @@
 // the disk cannot be trusted or written: this replica then no longer takes part.
 // A planned stop calls TransferLeadership first.
 func (r *Replica) Run(ctx context.Context) error {
-	r.prepare()
+	r.init()
 	defer close(r.stopped)
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
 	if r.Send == nil {
-		t := r.transport()
+		t := r.newTransport()
 		defer t.close()
 
 		r.Send = t.send
@@ -151,7 +151,7 @@
 	}
 
 	err := r.loop(ctx)
-	r.failWaiting()
+	r.failPending()
 	err = errors.Join(err, r.journal.Close())
 	if err != nil {
 		r.Logger.Error("Stopped taking part.", "err", err)
--- a/internal/replica/order.go
+++ b/internal/replica/request.go
@@ -15,8 +15,8 @@
 const CauseNoQuorum verdict.Cause = "NoQuorum"
 
 const (
-	reasonStopped quorum.Reason = "ReplicaStopped"
-	reasonCluster quorum.Reason = "AnotherCluster"
+	reasonStopped      quorum.Reason = "ReplicaStopped"
+	reasonOtherCluster quorum.Reason = "AnotherCluster"
 )
 
 // RequestError says why a proposal, change or read was refused or left open.
@@ -29,17 +29,17 @@
 
 // request is an event of a caller, on its way to the core.
 type request struct {
-	event func(id uint64) quorum.Event
-	done  chan outcome
+	newEvent func(id uint64) quorum.Event
+	result   chan outcome
 }
 
 // outcome is what became of a request.
 type outcome struct {
-	done    bool
-	index   uint64
-	result  []byte
-	verdict verdict.Verdict
-	reason  quorum.Reason
+	succeeded bool
+	index     uint64
+	result    []byte
+	verdict   verdict.Verdict
+	reason    quorum.Reason
 }
 
 // Propose commits command through the leader, wherever it is, and returns what
@@ -47,7 +47,7 @@
 // the command is not and will not be applied. Without a deadline in ctx it takes
 // at most DefaultTimeout.
 func (r *Replica) Propose(ctx context.Context, command []byte) (uint64, []byte, error) {
-	out, err := r.order(ctx, &wire.PeerOrder{Kind: wire.PeerOrderKind_PeerOrderPropose, Command: command})
+	out, err := r.submit(ctx, &wire.PeerOrder{Kind: wire.PeerOrderKind_PeerOrderPropose, Command: command})
 
 	return out.index, out.result, err
 }
@@ -58,15 +58,15 @@
 func (r *Replica) ReadIndex(ctx context.Context) (asOf time.Time, index uint64, err error) {
 	asOf = time.Now()
 
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 
-	until, _ := ctx.Deadline()
-	out := r.ask(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: until} })
+	deadline, _ := ctx.Deadline()
+	out := r.submitEvent(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: deadline} })
 
-	if !out.done {
+	if !out.succeeded {
 		// A read changes nothing, so it may always be repeated.
-		return time.Time{}, 0, refusal(outcome{verdict: verdict.NotRun, reason: quorum.ReasonTimeout})
+		return time.Time{}, 0, outcomeError(outcome{verdict: verdict.NotRun, reason: quorum.ReasonTimeout})
 	}
 
 	return asOf, out.index, nil
@@ -74,7 +74,7 @@
 
 // AddLearner adds a member that receives the log and has no vote.
 func (r *Replica) AddLearner(ctx context.Context, m quorum.Member) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderAddLearner, Member: quorum.MemberToWire(m),
 	})
 
@@ -83,7 +83,7 @@
 
 // Promote makes a learner a voter. It is refused until the learner is up to date.
 func (r *Replica) Promote(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderPromote, Member: &wire.QuorumMember{ID: id},
 	})
 
@@ -93,7 +93,7 @@
 // Remove takes a member out for good. It is refused where too few voters that
 // are up to date would remain, and for the leader, which hands over first.
 func (r *Replica) Remove(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderRemove, Member: &wire.QuorumMember{ID: id},
 	})
 
@@ -103,7 +103,7 @@
 // TransferLeadership hands leadership to the voter named to, or to the most up
 // to date one if it is empty. It returns nil once the old leader has stepped down.
 func (r *Replica) TransferLeadership(ctx context.Context, to string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderTransfer, Member: &wire.QuorumMember{ID: to},
 	})
 
@@ -113,45 +113,45 @@
 // CheckStop returns nil if the group can go on without the member, however the
 // others are: it asks them now, where Status tells what it last heard.
 func (r *Replica) CheckStop(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderCheckStop, Member: &wire.QuorumMember{ID: id},
 	})
 
 	return err
 }
 
-// order gives an order here or, if another replica leads, there. While nobody
+// submit gives an order here or, if another replica leads, there. While nobody
 // leads it tries again until ctx ends; it never gives an order twice that may
 // have run.
-func (r *Replica) order(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
-	ctx, cancel := bounded(ctx)
+func (r *Replica) submit(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 
 	for {
-		out := r.give(ctx, o)
+		out := r.submitLocal(ctx, o)
 		if out.reason == quorum.ReasonNotLeader {
 			out = r.forward(ctx, o)
 		}
 
 		switch {
-		case out.done:
+		case out.succeeded:
 			return out, nil
-		case out.verdict != verdict.NotRun || !isPassing(out.reason):
-			return out, refusal(out)
+		case out.verdict != verdict.NotRun || !isTransient(out.reason):
+			return out, outcomeError(out)
 		}
 
 		select {
 		case <-ctx.Done():
-			return out, refusal(out)
+			return out, outcomeError(out)
 		case <-r.stopped:
-			return out, refusal(out)
+			return out, outcomeError(out)
 		case <-time.After(r.HeartbeatInterval / 4):
 		}
 	}
 }
 
-// isPassing reports whether a refusal may soon be over.
-func isPassing(reason quorum.Reason) bool {
+// isTransient reports whether a refusal may soon be over.
+func isTransient(reason quorum.Reason) bool {
 	switch reason {
 	case quorum.ReasonNotLeader, quorum.ReasonTransferring, quorum.ReasonMembersChanging:
 		return true
@@ -160,14 +160,14 @@
 	}
 }
 
-// give gives an order to this replica's core.
-func (r *Replica) give(ctx context.Context, o *wire.PeerOrder) outcome {
+// submitLocal gives an order to this replica's core.
+func (r *Replica) submitLocal(ctx context.Context, o *wire.PeerOrder) outcome {
 	m, err := quorum.MemberFromWire(o.GetMember())
 	if err != nil {
 		return outcome{verdict: verdict.NotRun, reason: quorum.ReasonBadAddress}
 	}
 
-	out := r.ask(ctx, func(id uint64) quorum.Event {
+	out := r.submitEvent(ctx, func(id uint64) quorum.Event {
 		switch o.GetKind() {
 		case wire.PeerOrderKind_PeerOrderAddLearner:
 			return quorum.ChangeRequested{ID: id, Kind: quorum.AddLearner, Member: m}
@@ -183,16 +183,16 @@
 			return quorum.Proposed{ID: id, Command: o.GetCommand()}
 		}
 	})
-	out.done = out.done || out.verdict == verdict.Ran
+	out.succeeded = out.succeeded || out.verdict == verdict.Ran
 
 	return out
 }
 
-// ask hands an event to the core and waits for what becomes of it.
-func (r *Replica) ask(ctx context.Context, event func(id uint64) quorum.Event) outcome {
-	r.prepare()
+// submitEvent hands an event to the core and waits for what becomes of it.
+func (r *Replica) submitEvent(ctx context.Context, newEvent func(id uint64) quorum.Event) outcome {
+	r.init()
 
-	req := request{event: event, done: make(chan outcome, 1)}
+	req := request{newEvent: newEvent, result: make(chan outcome, 1)}
 
 	select {
 	case <-r.stopped:
@@ -209,7 +209,7 @@
 	}
 
 	select {
-	case out := <-req.done:
+	case out := <-req.result:
 		return out
 	case <-ctx.Done():
 		return outcome{reason: quorum.ReasonTimeout}
@@ -217,7 +217,7 @@
 	}
 
 	select {
-	case out := <-req.done:
+	case out := <-req.result:
 		return out
 	default:
 		return outcome{reason: reasonStopped}
@@ -234,16 +234,16 @@
 	}
 
 	o.Cluster = r.Cluster
-	if until, ok := ctx.Deadline(); ok {
-		o.RemainingMillis = uint64(max(1, time.Until(until).Milliseconds()))
+	if deadline, ok := ctx.Deadline(); ok {
+		o.RemainingMillis = uint64(max(1, time.Until(deadline).Milliseconds()))
 	}
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	go r.cancelWithTerm(ctx, cancel, r.Status().Term)
+	go r.cancelOnNewLeader(ctx, cancel, r.Status().Term)
 
-	answer, err := r.forwardTo(ctx, leader, o)
+	resp, err := r.forwardTo(ctx, leader, o)
 
 	switch {
 	case errors.Is(err, ErrNotSent):
@@ -252,10 +252,10 @@
 		return outcome{reason: quorum.ReasonTimeout}
 	}
 
-	out := outcome{done: answer.GetDone(), index: answer.GetIndex(), result: answer.GetResult()}
-	out.reason = quorum.Reason(answer.GetReason())
+	out := outcome{succeeded: resp.GetDone(), index: resp.GetIndex(), result: resp.GetResult()}
+	out.reason = quorum.Reason(resp.GetReason())
 
-	if answer.GetNotRun() {
+	if resp.GetNotRun() {
 		out.verdict = verdict.NotRun
 	}
 
@@ -267,10 +267,10 @@
 	return out
 }
 
-// cancelWithTerm calls cancel once a later term has a leader. The one of term
+// cancelOnNewLeader calls cancel once a later term has a leader. The one of term
 // may be cut off without a word, and its answer would be waited for until the
 // caller's deadline.
-func (r *Replica) cancelWithTerm(ctx context.Context, cancel context.CancelFunc, term uint64) {
+func (r *Replica) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, term uint64) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -294,7 +294,7 @@
 	return s.LeaderAddr, s.LeaderAddr.IsValid()
 }
 
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
@@ -302,7 +302,7 @@
 	return context.WithTimeout(ctx, DefaultTimeout)
 }
 
-func refusal(out outcome) error {
+func outcomeError(out outcome) error {
 	cause := CauseNoQuorum
 
 	switch out.reason {
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -26,25 +26,25 @@
 	return Status{Status: quorum.Status{ID: r.ID, Reason: "not running yet"}}
 }
 
-// publish makes the core's state visible to Status, and logs what changed.
-func (r *Replica) publish() {
-	s := Status{Status: r.core.Status(), Applied: r.applied, Commands: r.commits, Disk: r.journal.Stats()}
-	if m, ok := r.member(s.Leader); ok {
+// publishStatus makes the core's state visible to Status, and logs what changed.
+func (r *Replica) publishStatus() {
+	s := Status{Status: r.core.Status(), Applied: r.appliedIndex, Commands: r.appliedCommands, Disk: r.journal.Stats()}
+	if m, ok := r.findMember(s.Leader); ok {
 		s.LeaderAddr = m.Addr
 	} else {
-		s.LeaderAddr = r.learned[s.Leader]
+		s.LeaderAddr = r.learnedAddrs[s.Leader]
 	}
 
-	if s.State != r.logged.State || s.Term != r.logged.Term || s.Leader != r.logged.Leader {
+	if s.State != r.loggedStatus.State || s.Term != r.loggedStatus.Term || s.Leader != r.loggedStatus.Leader {
 		r.Logger.Info("Role changed.", "state", s.State, "term", s.Term, "leader", s.Leader)
-		r.logged = s
+		r.loggedStatus = s
 	}
 
 	r.status.Store(&s)
 }
 
-// member finds a member, or a founder of a group that is being formed.
-func (r *Replica) member(id string) (quorum.Member, bool) {
+// findMember finds a member, or a founder of a group that is being formed.
+func (r *Replica) findMember(id string) (quorum.Member, bool) {
 	if m, ok := r.core.Members().Find(id); ok {
 		return m, true
 	}
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -19,13 +19,13 @@
 var ErrNotSent = errors.New("replica: order not sent")
 
 const (
-	// queuePerPeer bounds the envelopes that wait for one peer; more are dropped.
-	queuePerPeer = 64
-	idleTimeout  = 2 * time.Second
-	// maxMerged bounds what is sent in one call, maxBody what is read from one.
-	maxMerged   = 2 << 20
-	maxBody     = 16 << 20
-	idlePerPeer = 16
+	// maxQueuedEnvelopes bounds the envelopes that wait for one peer; more are dropped.
+	maxQueuedEnvelopes = 64
+	idleConnTimeout    = 2 * time.Second
+	// maxMergedBytes bounds what is sent in one call, maxBody what is read from one.
+	maxMergedBytes      = 2 << 20
+	maxBodyBytes        = 16 << 20
+	maxIdleConnsPerPeer = 16
 )
 
 // transport sends by HTTP, to each peer over a connection of its own, one call
@@ -37,10 +37,10 @@
 	client  *http.Client
 	timeout time.Duration
 
-	mu     sync.Mutex
-	peers  map[netip.AddrPort]*peer
-	closed bool
-	done   sync.WaitGroup
+	mu      sync.Mutex
+	peers   map[netip.AddrPort]*peer
+	closed  bool
+	workers sync.WaitGroup
 }
 
 // peer is the queue towards one address.
@@ -49,7 +49,7 @@
 	client *http.Client
 }
 
-func (r *Replica) transport() *transport {
+func (r *Replica) newTransport() *transport {
 	return &transport{
 		scheme: r.scheme(), client: r.Client, timeout: r.ElectionTimeout / 2, peers: map[netip.AddrPort]*peer{},
 	}
@@ -74,10 +74,10 @@
 
 	p := t.peers[to]
 	if p == nil {
-		p = &peer{queue: make(chan *wire.PeerEnvelope, queuePerPeer), client: newClient(t.client)}
+		p = &peer{queue: make(chan *wire.PeerEnvelope, maxQueuedEnvelopes), client: newClient(t.client)}
 		t.peers[to] = p
 
-		t.done.Add(1)
+		t.workers.Add(1)
 
 		go t.run(p, t.scheme+"://"+to.String())
 	}
@@ -89,16 +89,16 @@
 }
 
 func (t *transport) run(p *peer, url string) {
-	defer t.done.Done()
+	defer t.workers.Done()
 	defer p.client.CloseIdleConnections()
 
-	c := wire.NewPeerProtobufClient(url, p.client)
+	client := wire.NewPeerProtobufClient(url, p.client)
 
 	for env := range p.queue {
-		merge(env, p.queue)
+		mergeQueued(env, p.queue)
 
 		ctx, cancel := context.WithTimeout(context.Background(), t.timeout)
-		_, err := c.Deliver(ctx, env)
+		_, err := client.Deliver(ctx, env)
 
 		cancel()
 
@@ -108,16 +108,16 @@
 	}
 }
 
-// merge adds to env what else is waiting for the same peer.
-func merge(env *wire.PeerEnvelope, queue chan *wire.PeerEnvelope) {
-	for proto.Size(env) < maxMerged {
+// mergeQueued adds to env what else is waiting for the same peer.
+func mergeQueued(env *wire.PeerEnvelope, queue chan *wire.PeerEnvelope) {
+	for proto.Size(env) < maxMergedBytes {
 		select {
-		case more, ok := <-queue:
+		case next, ok := <-queue:
 			if !ok {
 				return
 			}
 
-			env.Messages = append(env.Messages, more.GetMessages()...)
+			env.Messages = append(env.Messages, next.GetMessages()...)
 		default:
 			return
 		}
@@ -133,7 +133,7 @@
 	}
 	t.mu.Unlock()
 
-	t.done.Wait()
+	t.workers.Wait()
 }
 
 // newClient returns a client with connections of its own, set up as base's are.
@@ -141,14 +141,14 @@
 	tr := &http.Transport{}
 
 	if base != nil {
-		if own, ok := base.Transport.(*http.Transport); ok {
-			tr = own.Clone()
+		if baseTransport, ok := base.Transport.(*http.Transport); ok {
+			tr = baseTransport.Clone()
 		}
 	}
 
 	// A connection that was idle for long may have been forgotten on the way.
-	tr.IdleConnTimeout = idleTimeout
-	tr.MaxIdleConnsPerHost = idlePerPeer
+	tr.IdleConnTimeout = idleConnTimeout
+	tr.MaxIdleConnsPerHost = maxIdleConnsPerPeer
 
 	return &http.Client{Transport: tr}
 }
@@ -160,12 +160,12 @@
 		return r.Forward(ctx, to, o)
 	}
 
-	answer, err := wire.NewPeerProtobufClient(r.scheme()+"://"+to.String(), r.forwarder).Give(ctx, o)
+	resp, err := wire.NewPeerProtobufClient(r.scheme()+"://"+to.String(), r.forwardClient).Give(ctx, o)
 
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return nil, ErrNotSent
 	}
 
-	return answer, eris.Wrap(err, "forward")
+	return resp, eris.Wrap(err, "forward")
 }
--- a/internal/replica/transport_test.go
+++ b/internal/replica/transport_test.go
@@ -17,14 +17,14 @@
 // The leader's process has just died and nothing listens there any more. An
 // order that could not even be sent may be given again; callers need not be
 // told that it may have run.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	t.Parallel()
 
 	to, err := loopback.Address()
 	require.NoError(t, err)
 
 	r := &Replica{ID: "vm0", Cluster: "test"}
-	r.prepare()
+	r.init()
 
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -34,7 +34,7 @@
 }
 
 // A message of each kind arrives as it was sent, also where its fields are empty.
-func TestMessagesTravelWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	t.Parallel()
 
 	members := quorum.Members{{ID: "a", Birth: 3, Addr: netip.MustParseAddrPort("[::1]:7"), Role: quorum.Learner}, {ID: "b"}}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,17 +9,17 @@
 	"github.com/parsleygate/parsleygate/internal/inifile"
 )
 
-// maxControls is how many control VMs a deployment may set aside.
-const maxControls = 7
+// maxControlVMs is how many control VMs a deployment may set aside.
+const maxControlVMs = 7
 
-// take reads one section. Given collects "Section.Key" of what the file says.
-func (s *Settings) take(section *inifile.Section, given map[string]bool) *inifile.Error {
+// parseSection reads one section. Given collects "Section.Key" of what the file says.
+func (s *Settings) parseSection(section *inifile.Section, present map[string]bool) *inifile.Error {
 	if section.Name == sectionControls {
-		return s.takeControls(section)
+		return s.parseControls(section)
 	}
 
 	if section.Name == sectionZones {
-		return s.takeZones(section)
+		return s.parseZones(section)
 	}
 
 	fields := fieldsOf(section.Name)
@@ -30,26 +30,26 @@
 		}
 	}
 
-	given[section.Name] = true
+	present[section.Name] = true
 
-	for _, set := range section.Settings {
-		f, ok := fields[set.Key]
+	for _, setting := range section.Settings {
+		f, ok := fields[setting.Key]
 		if !ok {
-			return problem(section, set, "unknown key", keysOf(section.Name))
+			return settingError(section, setting, "unknown key", keysOf(section.Name))
 		}
 
-		if !f.set(s, set.Value) {
-			return problem(section, set, fmt.Sprintf("bad value %q", set.Value), f.Allowed)
+		if !f.parse(s, setting.Value) {
+			return settingError(section, setting, fmt.Sprintf("bad value %q", setting.Value), f.Allowed)
 		}
 
-		given[section.Name+"."+set.Key] = true
+		present[section.Name+"."+setting.Key] = true
 	}
 
 	return nil
 }
 
-func problem(section *inifile.Section, set inifile.Setting, what, allowed string) *inifile.Error {
-	return &inifile.Error{Line: set.Line, Section: section.Name, Key: set.Key, Problem: what, Allowed: allowed}
+func settingError(section *inifile.Section, setting inifile.Setting, problem, allowed string) *inifile.Error {
+	return &inifile.Error{Line: setting.Line, Section: section.Name, Key: setting.Key, Problem: problem, Allowed: allowed}
 }
 
 func fieldsOf(section string) map[string]Field {
@@ -76,31 +76,31 @@
 	return strings.Join(keys, ", ")
 }
 
-func (s *Settings) takeControls(section *inifile.Section) *inifile.Error {
-	for _, set := range section.Settings {
-		if !nameRule.MatchString(set.Key) {
-			return problem(section, set, "bad ID of a control VM", allowedName)
+func (s *Settings) parseControls(section *inifile.Section) *inifile.Error {
+	for _, setting := range section.Settings {
+		if !namePattern.MatchString(setting.Key) {
+			return settingError(section, setting, "bad ID of a control VM", allowedName)
 		}
 
-		a, err := netip.ParseAddrPort(set.Value)
+		a, err := netip.ParseAddrPort(setting.Value)
 		if err != nil || a.Port() == 0 {
-			return problem(section, set, fmt.Sprintf("bad value %q", set.Value), allowedAddress)
+			return settingError(section, setting, fmt.Sprintf("bad value %q", setting.Value), allowedAddress)
 		}
 
 		if slices.ContainsFunc(s.Controls, func(c ControlVM) bool { return c.Address == a }) {
-			return problem(section, set, "the address is another control VM's", "one address each")
+			return settingError(section, setting, "the address is another control VM's", "one address each")
 		}
 
-		s.Controls = append(s.Controls, ControlVM{ID: set.Key, Address: a})
+		s.Controls = append(s.Controls, ControlVM{ID: setting.Key, Address: a})
 	}
 
 	return nil
 }
 
-// check holds the whole against itself.
-func (s *Settings) check(given map[string]bool) *inifile.Error {
+// validate holds the whole against itself.
+func (s *Settings) validate(present map[string]bool) *inifile.Error {
 	for _, f := range Fields() {
-		if f.Required && s.applies(f.Section, given) && !given[f.Section+"."+f.Key] {
+		if f.Required && s.sectionApplies(f.Section, present) && !present[f.Section+"."+f.Key] {
 			return &inifile.Error{Section: f.Section, Key: f.Key, Problem: "is missing", Allowed: f.Allowed}
 		}
 	}
@@ -109,7 +109,7 @@
 	case s.UsesSeeds() && n > 0:
 		return &inifile.Error{Section: sectionControls, Problem: "stands beside [Seeds]", Allowed: "one of the two"}
 	case s.UsesSeeds():
-	case n == 0 || n > maxControls:
+	case n == 0 || n > maxControlVMs:
 		return &inifile.Error{Section: sectionControls, Problem: fmt.Sprintf("names %d control VMs", n), Allowed: "1 to 7"}
 	case s.Entry.DefaultTimeout > s.Entry.MaxTimeout:
 		return &inifile.Error{Section: sectionEntry, Key: "DefaultTimeout", Problem: "is above MaxTimeout", Allowed: "at most " + s.Entry.MaxTimeout.String()}
@@ -117,28 +117,28 @@
 		return &inifile.Error{Section: sectionControls, Key: s.Process.ID, Problem: "this control VM is not in the list with its Address", Allowed: s.Process.Address.String()}
 	}
 
-	if s.Process.Role == RoleAgent && given[sectionTLS] && !s.Agent.AnnounceAddress.IsValid() {
+	if s.Process.Role == RoleAgent && present[sectionTLS] && !s.Agent.AnnounceAddress.IsValid() {
 		return &inifile.Error{Section: sectionAgent, Key: "AnnounceAddress", Problem: "is missing, and the target speaks no TLS", Allowed: "IP:port on loopback"}
 	}
 
-	return s.checkPlaintext(given)
+	return s.checkPlaintext(present)
 }
 
-func (s *Settings) applies(section string, given map[string]bool) bool {
+func (s *Settings) sectionApplies(section string, present map[string]bool) bool {
 	switch section {
 	case sectionProcess:
 		return true
 	case sectionControl:
 		return s.Process.Role == RoleControl
 	default:
-		return given[section]
+		return present[section]
 	}
 }
 
 // checkPlaintext guards against orders, claims and decisions of anybody who can
 // reach a port: without TLS a process listens on and talks to loopback only.
-func (s *Settings) checkPlaintext(given map[string]bool) *inifile.Error {
-	if given[sectionTLS] || s.Process.TrustedNetwork {
+func (s *Settings) checkPlaintext(present map[string]bool) *inifile.Error {
+	if present[sectionTLS] || s.Process.TrustedNetwork {
 		return nil
 	}
 
--- a/internal/settings/seeds.go
+++ b/internal/settings/seeds.go
@@ -68,15 +68,15 @@
 )
 
 const (
-	maxSeeds    = 16
-	maxBearLost = 3
+	maxSeeds             = 16
+	maxToleratedFailures = 3
 )
 
 func networkField() Field {
 	return Field{
 		Section: sectionProcess, Key: "Network", Allowed: networkLoopback + " or " + networkTrusted, Default: networkLoopback,
 		Help: "Trusted lets processes talk in plaintext beyond loopback. Whoever reaches their ports can then give orders: set it only on a network that nobody else reaches.",
-		set: func(s *Settings, v string) bool {
+		parse: func(s *Settings, v string) bool {
 			s.Process.TrustedNetwork = v == networkTrusted
 
 			return v == networkTrusted || v == networkLoopback
@@ -84,34 +84,34 @@
 	}
 }
 
-func seedFields() []Field {
+func seedDeploymentFields() []Field {
 	return []Field{
 		{
 			Section: sectionSeeds, Key: "Addresses", Allowed: "IP:port, 1 to 16 with commas between them", Required: true,
-			Help: "Where operators reach some control VMs. In place of [Controls]; the others are learnt from these.",
-			set:  setSeeds,
+			Help:  "Where operators reach some control VMs. In place of [Controls]; the others are learnt from these.",
+			parse: setSeeds,
 		},
 		{
 			Section: sectionSeeds, Key: "Port", Allowed: "1 to 65535", Required: true,
 			Help: "The port at which each control VM serves the system's own processes.",
-			set: func(s *Settings, v string) bool {
+			parse: func(s *Settings, v string) bool {
 				n, err := strconv.ParseUint(v, 10, 16)
 				s.Seeds.Port = uint16(n)
 
 				return err == nil && n > 0
 			},
 		},
-		addressIn(sectionRouting, "ReadyAddress", "Answers the balancer whether this entry takes callers. It makes the entry the door of its targets.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
-		fraction(sectionRouting, "RetryRatio", "0.2", "How many sends beyond its first a request pays for, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
-		fraction(sectionRouting, "RetrySlack", "50", "How many such sends each service gets free in RetryWindow, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
-		duration(sectionRouting, "RetryWindow", "10s", "The window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
-		duration(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
-		addressIn(sectionRank, "EngineAddress", "The engine on this VM, which is a rank of a lock-step group and takes orders. It makes the agent one that only keeps expert maps; callers' requests reach the engine past it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
-		addressIn(sectionOperating, "Address", "Takes operators' orders, which are carried out in one step, and targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
+		addressFieldIn(sectionRouting, "ReadyAddress", "Answers the balancer whether this entry takes callers. It makes the entry the door of its targets.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
+		numberField(sectionRouting, "RetryRatio", "0.2", "How many sends beyond its first a request pays for, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
+		numberField(sectionRouting, "RetrySlack", "50", "How many such sends each service gets free in RetryWindow, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
+		durationField(sectionRouting, "RetryWindow", "10s", "The window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
+		durationField(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
+		addressFieldIn(sectionRank, "EngineAddress", "The engine on this VM, which is a rank of a lock-step group and takes orders. It makes the agent one that only keeps expert maps; callers' requests reach the engine past it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
+		addressFieldIn(sectionOperating, "Address", "Takes operators' orders, which are carried out in one step, and targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
 		{
 			Section: sectionOperating, Key: "Bootstrap", Allowed: allowedBool, Default: "false",
 			Help: "Whether the deployment starts for the first time: the seeds then form the control set.",
-			set: func(s *Settings, v string) bool {
+			parse: func(s *Settings, v string) bool {
 				s.Operating.Bootstrap = v == "true"
 
 				return v == "true" || v == "false"
@@ -120,14 +120,14 @@
 		{
 			Section: sectionOperating, Key: "BearLost", Allowed: "0 to 3", Default: "1",
 			Help: "How many control VMs may be lost at once: twice as many and one more vote.",
-			set: func(s *Settings, v string) bool {
+			parse: func(s *Settings, v string) bool {
 				n, err := strconv.Atoi(v)
 				s.Operating.ToleratedFailures = n
 
-				return err == nil && n >= 0 && n <= maxBearLost
+				return err == nil && n >= 0 && n <= maxToleratedFailures
 			},
 		},
-		duration(sectionOperating, "AnnounceEvery", "1s", "How often targets announce themselves; after three silent periods one counts as silent.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceInterval }),
+		durationField(sectionOperating, "AnnounceEvery", "1s", "How often targets announce themselves; after three silent periods one counts as silent.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceInterval }),
 	}
 }
 
@@ -146,33 +146,33 @@
 	return len(s.Seeds.Addresses) <= maxSeeds
 }
 
-func addressIn(section, key, help string, at func(*Settings) *netip.AddrPort) Field {
-	f := address(key, help, true, at)
+func addressFieldIn(section, key, help string, dest func(*Settings) *netip.AddrPort) Field {
+	f := addressField(key, help, true, dest)
 	f.Section = section
 
 	return f
 }
 
-func fraction(section, key, def, help string, at func(*Settings) *float64) Field {
+func numberField(section, key, def, help string, dest func(*Settings) *float64) Field {
 	return Field{
 		Section: section, Key: key, Allowed: "a number from 0", Default: def, Help: help,
-		set: func(s *Settings, v string) bool {
+		parse: func(s *Settings, v string) bool {
 			n, err := strconv.ParseFloat(v, 64)
-			*at(s) = n
+			*dest(s) = n
 
 			return err == nil && n >= 0
 		},
 	}
 }
 
-// takeZones reads the regions of the availability zones, by name.
-func (s *Settings) takeZones(section *inifile.Section) *inifile.Error {
-	for _, set := range section.Settings {
-		if !nameRule.MatchString(set.Key) {
-			return problem(section, set, "bad name of a zone", allowedName)
+// parseZones reads the regions of the availability zones, by name.
+func (s *Settings) parseZones(section *inifile.Section) *inifile.Error {
+	for _, setting := range section.Settings {
+		if !namePattern.MatchString(setting.Key) {
+			return settingError(section, setting, "bad name of a zone", allowedName)
 		}
 
-		s.Zones[set.Key] = set.Value
+		s.Zones[setting.Key] = setting.Value
 	}
 
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -125,17 +125,17 @@
 	}
 
 	s := defaults()
-	given := make(map[string]bool)
+	present := make(map[string]bool)
 
 	for i := range file.Sections {
-		if err := s.take(&file.Sections[i], given); err != nil {
+		if err := s.parseSection(&file.Sections[i], present); err != nil {
 			err.Source = source
 
 			return nil, err
 		}
 	}
 
-	if err := s.check(given); err != nil {
+	if err := s.validate(present); err != nil {
 		err.Source = source
 
 		return nil, err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/settings"
 )
 
-const right = `[Process]
+const validSettings = `[Process]
 Role = entry
 ID = entry-1
 Cluster = trust
@@ -24,7 +24,7 @@
 
 // An operator mistypes a settings file. The error names the place and what is
 // allowed, and nothing runs on a guess.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -32,19 +32,19 @@
 		text string
 		want string
 	}{
-		{name: "unknown key", text: right + "[Entry]\nLeafe = 5s\n", want: `x.ini:10: [Entry] Leafe: unknown key; allowed: MaxHeaderBytes, `},
-		{name: "unknown section", text: right + "[Entri]\n", want: `x.ini:9: [Entri] unknown section; allowed: Process, `},
-		{name: "bad address", text: strings.Replace(right, "127.0.0.1:8601", "entry.example:8601", 1), want: `x.ini:6: [Process] Address: bad value "entry.example:8601"; allowed: IP:port`},
-		{name: "no zone", text: strings.Replace(right, "Zone = ayutthaya\n", "", 1), want: `x.ini: [Process] Zone: is missing; allowed: 1 to 63 letters`},
-		{name: "doubled section", text: right + "[Controls]\n", want: `x.ini:9: [Controls] already given in line 7; allowed: one of each`},
-		{name: "doubled key", text: right + "control-1 = 127.0.0.1:8602\n", want: `x.ini:9: [Controls] control-1: already given in line 8`},
-		{name: "one address twice", text: right + "control-2 = 127.0.0.1:8600\n", want: `control-2: the address is another control VM's`},
-		{name: "bad duration", text: right + "[Entry]\nLeave = 5\n", want: `x.ini:10: [Entry] Leave: bad value "5"; allowed: a duration above 0`},
-		{name: "timeouts cross", text: right + "[Entry]\nMaxTimeout = 1s\n", want: `DefaultTimeout: is above MaxTimeout; allowed: at most 1s`},
-		{name: "no control VM", text: strings.Replace(right, "control-1 = 127.0.0.1:8600\n", "", 1), want: `[Controls] names 0 control VMs; allowed: 1 to 7`},
-		{name: "plaintext beyond loopback", text: strings.ReplaceAll(right, "127.0.0.1", "10.11.1.5"), want: `[TLS] is missing, and 10.11.1.5:8600 is no loopback address`},
-		{name: "key without certificate", text: right + "[TLS]\nKeyFile = x\n", want: `[TLS] CertFile: is missing`},
-		{name: "control VM not in the list", text: strings.Replace(right, "Role = entry", "Role = control", 1) + "[Control]\nDataFolder = /d\n", want: `[Controls] entry-1: this control VM is not in the list`},
+		{name: "unknown key", text: validSettings + "[Entry]\nLeafe = 5s\n", want: `x.ini:10: [Entry] Leafe: unknown key; allowed: MaxHeaderBytes, `},
+		{name: "unknown section", text: validSettings + "[Entri]\n", want: `x.ini:9: [Entri] unknown section; allowed: Process, `},
+		{name: "bad address", text: strings.Replace(validSettings, "127.0.0.1:8601", "entry.example:8601", 1), want: `x.ini:6: [Process] Address: bad value "entry.example:8601"; allowed: IP:port`},
+		{name: "no zone", text: strings.Replace(validSettings, "Zone = ayutthaya\n", "", 1), want: `x.ini: [Process] Zone: is missing; allowed: 1 to 63 letters`},
+		{name: "doubled section", text: validSettings + "[Controls]\n", want: `x.ini:9: [Controls] already given in line 7; allowed: one of each`},
+		{name: "doubled key", text: validSettings + "control-1 = 127.0.0.1:8602\n", want: `x.ini:9: [Controls] control-1: already given in line 8`},
+		{name: "one address twice", text: validSettings + "control-2 = 127.0.0.1:8600\n", want: `control-2: the address is another control VM's`},
+		{name: "bad duration", text: validSettings + "[Entry]\nLeave = 5\n", want: `x.ini:10: [Entry] Leave: bad value "5"; allowed: a duration above 0`},
+		{name: "timeouts cross", text: validSettings + "[Entry]\nMaxTimeout = 1s\n", want: `DefaultTimeout: is above MaxTimeout; allowed: at most 1s`},
+		{name: "no control VM", text: strings.Replace(validSettings, "control-1 = 127.0.0.1:8600\n", "", 1), want: `[Controls] names 0 control VMs; allowed: 1 to 7`},
+		{name: "plaintext beyond loopback", text: strings.ReplaceAll(validSettings, "127.0.0.1", "10.11.1.5"), want: `[TLS] is missing, and 10.11.1.5:8600 is no loopback address`},
+		{name: "key without certificate", text: validSettings + "[TLS]\nKeyFile = x\n", want: `[TLS] CertFile: is missing`},
+		{name: "control VM not in the list", text: strings.Replace(validSettings, "Role = entry", "Role = control", 1) + "[Control]\nDataFolder = /d\n", want: `[Controls] entry-1: this control VM is not in the list`},
 		{name: "no section", text: "Role = entry\n", want: `x.ini:1: Role: stands before the first section`},
 	}
 
@@ -57,14 +57,14 @@
 		})
 	}
 
-	s, err := settings.Parse("x.ini", []byte(right))
+	s, err := settings.Parse("x.ini", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, settings.RoleEntry, s.Process.Role)
 	require.Len(t, s.ControlAddresses(), 1)
 }
 
 // The example settings and declarations of both deployments of today stay right.
-func TestExamples(t *testing.T) {
+func TestExampleFilesParse(t *testing.T) {
 	t.Parallel()
 
 	for _, name := range []string{"trust", "qurum"} {
