--- a/internal/identity/authorize.go
+++ b/internal/identity/authorize.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// Role is what a certificate lets its holder do. It is the certificate's
-// organisational unit.
+// Role determines what the holder of a certificate may do. It is an organisational unit
+// of the certificate's subject.
 type Role string
 
-// The roles.
+// Roles of processes and operators.
 const (
 	RoleControl  Role = "control"
 	RoleEntry    Role = "entry"
@@ -22,15 +22,17 @@
 	RoleOperator Role = "operator"
 )
 
-// Rule says which roles may use the paths with a prefix.
+// Rule allows roles to use the paths that begin with Prefix.
 type Rule struct {
 	Prefix string
 	Roles  []Role
 }
 
-// Authorize lets requests through to next by the first rule that fits their path.
-// What no rule fits is refused. It guards against decisions, claims and orders
-// of somebody who can reach a port and is not who may give them.
+// Authorize returns a handler that passes a request to next if the first rule that
+// matches its path allows a role of the client. Paths without a rule are refused. This
+// keeps clients that can reach a port from sending decisions, claims or orders for which
+// they have no permission. Plaintext requests are allowed from loopback only, whatever
+// their path.
 func Authorize(next http.Handler, rules ...Rule) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if reason := denialReason(r, rules); reason != "" {
@@ -45,7 +47,7 @@
 	})
 }
 
-// peerNameKey is the context key of the other side's name.
+// peerNameKey is the context key of the peer's name.
 type peerNameKey struct{}
 
 func withPeerName(r *http.Request) context.Context {
@@ -56,20 +58,21 @@
 	return context.WithValue(r.Context(), peerNameKey{}, r.TLS.PeerCertificates[0].Subject.CommonName)
 }
 
-// PeerName returns the common name of the certificate behind a request that came
-// through Guard; "" for plaintext.
+// PeerName returns the common name of the client certificate of a request that passed
+// Authorize, or "" if the request was plaintext.
 func PeerName(ctx context.Context) string {
 	name, _ := ctx.Value(peerNameKey{}).(string)
 
 	return name
 }
 
-// denial is a refusal as twirp clients read it.
+// denial is the JSON body of a twirp error.
 type denial struct {
 	Code string `json:"code"`
 	Msg  string `json:"msg"`
 }
 
+// denialReason returns why r is refused, or "" if it is allowed.
 func denialReason(r *http.Request, rules []Rule) string {
 	if r.TLS == nil {
 		return plaintextDenialReason(r)
@@ -89,14 +92,14 @@
 		return fmt.Sprintf("%s is for %v; the certificate's organisational unit names %v", r.URL.Path, rule.Roles, peerRoles(r))
 	}
 
-	return "nobody may use " + r.URL.Path
+	return "no role may use " + r.URL.Path
 }
 
-// plaintextDenialReason lets plaintext through from the VM itself alone.
+// plaintextDenialReason refuses plaintext requests that do not come from loopback.
 func plaintextDenialReason(r *http.Request) string {
 	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil || !remote.Addr().Unmap().IsLoopback() {
-		return "plaintext is heard on loopback only"
+		return "plaintext is accepted from loopback only"
 	}
 
 	return ""
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,7 +1,8 @@
-// Package identity holds a process's key and certificate and the authority that
-// all processes of a deployment share. It dials and accepts TLS with them, tells
-// the role of the other side from its certificate, and reads the files anew when
-// they change, so that keys rotate without a restart.
+// Package identity authenticates the processes of a deployment to each other by mutual
+// TLS. It loads a process's key and certificate and the certificate authorities that the
+// deployment trusts, dials and accepts TLS connections with them, and derives a peer's
+// role from its certificate. It reloads the files when they change, so that keys can be
+// rotated without a restart.
 package identity
 
 import (
@@ -17,19 +18,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Files names the files of an identity, all in PEM.
+// Files are the paths of the key and certificate files, all in PEM.
 type Files struct {
 	CertFile string
 	KeyFile  string
-	// AuthorityFile may hold several certificates: the old and the new authority
-	// while keys rotate.
+	// AuthorityFile may contain several certificates, such as the old and the new
+	// authority during a rotation.
 	AuthorityFile string
 }
 
-// minReloadInterval is the shortest time between two looks at the files.
+// minReloadInterval is the minimum time between two checks of the files for changes.
 const minReloadInterval = time.Second
 
-// Identity is one process's identity. Its fields are set before Load.
+// Identity is the TLS identity of one process. The exported fields must be set before
+// Load.
 type Identity struct {
 	Files  Files
 	Logger *slog.Logger
@@ -41,14 +43,14 @@
 	nextReload time.Time
 }
 
-// credentials is what the files held when they were last read whole.
+// credentials are the contents of the files when they were last read without an error.
 type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
 	modTimes [3]time.Time
 }
 
-// Load reads the files for the first time.
+// Load reads the files. It must succeed before any other method is called.
 func (i *Identity) Load() error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -81,12 +83,12 @@
 
 	pem, err := os.ReadFile(f.AuthorityFile)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the authority")
+		return nil, eris.Wrap(err, "read certificate authority")
 	}
 
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, eris.Errorf("%s holds no certificate in PEM", f.AuthorityFile)
+		return nil, eris.Errorf("%s contains no valid PEM certificate", f.AuthorityFile)
 	}
 
 	return &credentials{cert: cert, roots: roots, modTimes: modTimes}, nil
@@ -96,7 +98,7 @@
 	for n, path := range []string{f.CertFile, f.KeyFile, f.AuthorityFile} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return times, eris.Wrap(err, "look at key files")
+			return times, eris.Wrap(err, "stat key file")
 		}
 
 		times[n] = info.ModTime()
@@ -105,8 +107,9 @@
 	return times, nil
 }
 
-// credentials returns what is in force now. Files that are half written, or do not
-// fit together, leave the former ones in force until they do.
+// credentials returns the current credentials, and reloads the files if they changed. If
+// the files are incomplete or do not match each other, the previous credentials stay in
+// use.
 func (i *Identity) credentials() *credentials {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -124,19 +127,19 @@
 
 	creds, err := i.Files.read()
 	if err != nil {
-		i.Logger.Warn("new keys not taken, the former stay in force", "error", err)
+		i.Logger.Warn("Failed to reload keys; the previous keys stay in use.", "error", err)
 
 		return i.current
 	}
 
-	i.Logger.Info("keys read anew")
+	i.Logger.Info("Keys reloaded.")
 	i.current = creds
 
 	return creds
 }
 
-// PeerListener returns a listener on which only processes with a certificate of the
-// authority are heard.
+// PeerListener wraps l in TLS that requires a client certificate signed by a trusted
+// authority.
 func (i *Identity) PeerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -151,7 +154,7 @@
 	})
 }
 
-// CallerListener returns a listener for callers, who need no certificate.
+// CallerListener wraps l in TLS for callers, who need no client certificate.
 func (i *Identity) CallerListener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -162,8 +165,8 @@
 	})
 }
 
-// MaybePeerListener is Accept with an identity; without one it returns l, whose
-// plaintext Guard hears from loopback only.
+// MaybePeerListener returns i.PeerListener(l), or l itself if i is nil. Authorize then
+// accepts the plaintext requests from loopback only.
 func MaybePeerListener(i *Identity, l net.Listener) net.Listener {
 	if i == nil {
 		return l
@@ -172,15 +175,16 @@
 	return i.PeerListener(l)
 }
 
-// Dialer dials processes of the deployment.
+// Dialer connects to processes of the deployment.
 type Dialer struct {
-	// Identity is nil for plaintext, which settings allow on loopback only.
+	// Identity is nil for plaintext. Package settings decides where plaintext is allowed.
 	Identity *Identity
 	Timeout  time.Duration
 }
 
-// Dial connects and, with an identity, shakes hands. It fits http.Transport's
-// DialContext: the connection that it returns is ready for plain HTTP on top.
+// Dial connects to address and, if Identity is set, completes the TLS handshake. It can be
+// used as the DialContext of an http.Transport for http:// URLs, because the returned
+// connection is already encrypted.
 func (d *Dialer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
@@ -189,12 +193,12 @@
 
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil || d.Identity == nil {
-		return conn, err //nolint:wrapcheck // callers read net.OpError
+		return conn, err //nolint:wrapcheck // callers inspect the net.OpError
 	}
 
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, eris.Wrap(err, "read address")
+		return nil, eris.Wrap(err, "parse address")
 	}
 
 	creds := d.Identity.credentials()
@@ -206,7 +210,7 @@
 	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 
-		// No byte of a request was sent, which is what Op "dial" tells callers.
+		// Op "dial" tells callers that no byte of a request was sent.
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -23,7 +23,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// testCA signs certificates in tests.
+// testCA is a certificate authority that signs test certificates.
 type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -48,7 +48,8 @@
 	return &testCA{cert: cert, key: key}
 }
 
-// issue writes an identity of a role, signed by a, that trusts the authorities.
+// issue writes to dir a key and a certificate for role, signed by a, and the trusted
+// authorities.
 func (a *testCA) issue(t *testing.T, dir string, role identity.Role, trusted ...*testCA) identity.Files {
 	t.Helper()
 
@@ -89,7 +90,8 @@
 	return i
 }
 
-// serve answers claims of entries, and decisions of operators.
+// serve starts a server that allows entries to use /claim and operators to use /decide.
+// Its response is the peer's name.
 func serve(t *testing.T, i *identity.Identity) string {
 	t.Helper()
 
@@ -108,7 +110,7 @@
 	return l.Addr().String()
 }
 
-// get returns the status of a request, or 0 where there was no connection.
+// get returns the status code of a request, or 0 if the connection failed.
 func get(t *testing.T, i *identity.Identity, address, path string) int {
 	t.Helper()
 
@@ -134,8 +136,8 @@
 	return resp.StatusCode
 }
 
-// Somebody inside the network tries to decide, claim or order without the right
-// certificate. Each try is refused, and the right one goes through.
+// A client inside the network sends requests without the required certificate. Each one
+// must be refused, and requests with the required certificate must succeed.
 func TestAuthorize(t *testing.T) {
 	t.Parallel()
 
@@ -153,7 +155,7 @@
 		{name: "an operator decides", signer: trustedCA, role: identity.RoleOperator, path: "/decide", status: 200},
 		{name: "an entry decides", signer: trustedCA, role: identity.RoleEntry, path: "/decide", status: 403},
 		{name: "an agent claims", signer: trustedCA, role: identity.RoleAgent, path: "/claim", status: 403},
-		{name: "a path of nobody", signer: trustedCA, role: identity.RoleControl, path: "/other", status: 403},
+		{name: "a path without a rule", signer: trustedCA, role: identity.RoleControl, path: "/other", status: 403},
 		{name: "an operator of another authority", signer: otherCA, role: identity.RoleOperator, path: "/decide", status: 0},
 	}
 
@@ -172,9 +174,9 @@
 	})
 }
 
-// The operators rotate the authority: first all trust the old and the new one,
-// then certificates are exchanged, at last the old one goes. No process restarts,
-// and at no point is one that has done its step refused.
+// Operators rotate the certificate authority. First all processes trust the old and the
+// new authority, then they get new certificates, and finally the old authority is removed.
+// Connections must succeed after every step, without a restart.
 func TestAuthorityRotationWithoutRestart(t *testing.T) {
 	t.Parallel()
 
@@ -204,7 +206,7 @@
 		require.Equal(t, 200, get(t, client, address, "/claim"), "after step %d", n)
 	}
 
-	// A file that is half written leaves the keys in force.
+	// An incomplete file must leave the previous keys in use.
 	require.NoError(t, os.WriteFile(filepath.Join(serverDir, "crt"), []byte("-----BEGIN"), 0o600))
 
 	now = now.Add(time.Minute)
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,5 +1,5 @@
-// Package inifile reads INI files strictly: what the INI library would merge or
-// drop without a word is an error that says where it is and what is allowed.
+// Package inifile parses INI files strictly. Input that the INI library would silently
+// merge or drop is an error with its position and the allowed values.
 package inifile
 
 import (
@@ -10,15 +10,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error says what is wrong in a file, where, and what is allowed.
+// Error is a fault in a file, with its position and what is allowed instead.
 type Error struct {
 	Source string
-	// Line is the line number from 1, or 0 where no line is to blame.
+	// Line is the line number from 1, or 0 if the fault is not in one line.
 	Line    int
 	Section string
 	Key     string
 	Problem string
-	// Allowed says what would be right.
+	// Allowed describes valid input. It may be empty.
 	Allowed string
 }
 
@@ -51,36 +51,37 @@
 	return b.String()
 }
 
-// Setting is one key with its value, in the order of the file.
+// Setting is a key with its value.
 type Setting struct {
 	Key   string
 	Value string
 	Line  int
 }
 
-// Section is one section of a file.
+// Section is a section of a file.
 type Section struct {
-	// Name is the whole head, such as `Zone "ayutthaya"`.
-	Name     string
-	Line     int
+	// Name is the entire text between the brackets, such as `Zone "ayutthaya"`.
+	Name string
+	Line int
+	// Settings are in the order of the file.
 	Settings []Setting
 }
 
-// File is a file that was read.
+// File is a parsed file.
 type File struct {
 	Source   string
 	Sections []Section
 }
 
-// location names a section, or a key of one.
+// location identifies a section or, if key is set, a key of the section.
 type location struct {
 	section, key string
 }
 
-// Read reads data. Source names it in errors, which are of type *Error.
+// Read parses data. Errors are of type *Error and name source.
 func Read(source string, data []byte, maxBytes int) (*File, error) {
 	if len(data) > maxBytes {
-		return nil, &Error{Source: source, Problem: "the file is too long", Allowed: fmt.Sprintf("%d bytes", maxBytes)}
+		return nil, &Error{Source: source, Problem: "the file is too long", Allowed: fmt.Sprintf("at most %d bytes", maxBytes)}
 	}
 
 	lines, err := scan(source, data)
@@ -116,8 +117,8 @@
 	return f, f.complete(len(lines))
 }
 
-// complete guards against lines that the INI library dropped or renamed: each
-// that was scanned must have become a section or a setting.
+// complete returns an error unless each scanned line became a section or a setting. This
+// detects lines that the INI library dropped or renamed.
 func (f *File) complete(scanned int) error {
 	read := len(f.Sections)
 	for _, s := range f.Sections {
@@ -125,14 +126,14 @@
 	}
 
 	if read != scanned {
-		return &Error{Source: f.Source, Problem: fmt.Sprintf("%d of %d lines were understood", read, scanned), Allowed: "plain INI"}
+		return &Error{Source: f.Source, Problem: fmt.Sprintf("only %d of %d lines could be parsed", read, scanned), Allowed: "plain INI"}
 	}
 
 	return nil
 }
 
-// scan finds the line of each section and key, and refuses doubled sections and
-// keys, lines before the first section, and lines that are neither.
+// scan returns the line number of each section and key. It rejects duplicate sections and
+// keys, keys before the first section, and lines that are neither.
 func scan(source string, data []byte) (map[location]int, error) {
 	lines := make(map[location]int)
 	section := ""
@@ -164,7 +165,7 @@
 func scanLine(line, section string) (location, *Error) {
 	if line[0] == '[' {
 		if line[len(line)-1] != ']' {
-			return location{}, &Error{Problem: "the section's head is not closed", Allowed: `[Section] or [Kind "name"]`}
+			return location{}, &Error{Problem: "section header without a closing bracket", Allowed: `[Section] or [Kind "name"]`}
 		}
 
 		return location{section: strings.TrimSpace(line[1 : len(line)-1])}, nil
@@ -175,11 +176,11 @@
 
 	switch {
 	case section == "":
-		return loc, &Error{Problem: "stands before the first section", Allowed: "a section first"}
+		return loc, &Error{Problem: "key before the first section", Allowed: "a section header first"}
 	case !ok || loc.key == "":
-		return loc, &Error{Problem: "is no setting", Allowed: "Key = value"}
+		return loc, &Error{Problem: "not a setting", Allowed: "Key = value"}
 	case strings.ContainsAny(value, "\"`") || strings.ContainsAny(loc.key, "\"`:"):
-		return loc, &Error{Problem: "holds a quote", Allowed: "plain text without quotes, on one line"}
+		return loc, &Error{Problem: "contains a quote", Allowed: "plain text without quotes, on one line"}
 	}
 
 	return loc, nil
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// BenchmarkPropose measures commits a second through the leader, over HTTP on
-// loopback and real disks, by how many callers wait at a time. Without group
-// sync (batch=1) is the baseline.
+// BenchmarkPropose measures commits per second through the leader, over HTTP on loopback
+// and with real disks, for several numbers of concurrent callers. The baseline is batch=1,
+// where each request has its own disk sync.
 func BenchmarkPropose(b *testing.B) {
 	for _, n := range []int{1, 3} {
 		for _, batch := range []int{1, 512} {
@@ -69,6 +69,7 @@
 	b.ReportMetric(float64(after.Syncs-before.Syncs)/float64(b.N), "syncs/commit")
 }
 
+// waitForLeader commits a first command and returns the leader.
 func (g *httpGroup) waitForLeader(t testing.TB) *replica.Replica {
 	_, _, err := g.nodes[0].Propose(timeoutContext(30*time.Second), []byte("first"))
 	require.NoError(t, err)
@@ -82,8 +83,7 @@
 	}
 }
 
-// BenchmarkRead measures reads a second that are shown as current, at the leader
-// and at a follower.
+// BenchmarkRead measures linearizable reads per second, at the leader and at a follower.
 func BenchmarkRead(b *testing.B) {
 	for _, at := range []string{"leader", "follower"} {
 		b.Run(at, func(b *testing.B) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// BenchmarkCatchUp measures how long a new learner takes to hold the whole
-// state, over HTTP on loopback, by the size of the state.
+// BenchmarkCatchUp measures the time until a new learner has the entire state, over HTTP
+// on loopback, for several sizes of the state.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, mib := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("MiB=%d", mib), func(b *testing.B) {
@@ -154,8 +154,8 @@
 	}
 }
 
-// BenchmarkIdle measures what a group costs while nothing happens: a second of
-// it is one operation. Bytes and processor time are for the whole group.
+// BenchmarkIdle measures the network and CPU use of an idle group. One operation is one
+// second. Bytes and CPU time are totals of the group.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{3, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
@@ -184,15 +184,17 @@
 	}
 }
 
+// proxiedBytes returns the number of bytes that all proxies have read.
 func (g *httpGroup) proxiedBytes() int64 {
 	n := int64(0)
-	for _, r := range g.proxies {
-		n += r.bytes.Load()
+	for _, p := range g.proxies {
+		n += p.bytes.Load()
 	}
 
 	return n
 }
 
+// cpuTime returns the CPU time of this process.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 
--- a/internal/replica/example_test.go
+++ b/internal/replica/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// One control VM alone: what it acknowledges is on its disk.
+// A group of one replica. Propose returns once the command is on its disk.
 func ExampleReplica() {
 	dir, err := os.MkdirTemp("", "replica")
 	if err != nil {
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -20,7 +20,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// startThree starts a group of three and waits until it has a leader.
+// startThree starts a group of three replicas and waits until it has a leader.
 func startThree(t *testing.T, g *group) (leader *node, followers []*node) {
 	nodes := []*node{g.start(0, "a", g.founders), g.start(1, "b", g.founders), g.start(2, "c", g.founders)}
 	_, _, err := nodes[0].Propose(timeoutContext(10*time.Second), []byte("first"))
@@ -44,8 +44,8 @@
 	}
 }
 
-// The leader's disk reports an error on one sync. It must stop at once and say
-// so, its callers must not be told that nothing happened, and the others go on.
+// The leader's disk fails a sync. The leader must stop with the error, must not report
+// NotRun for the proposal in flight, and the other replicas must continue.
 func TestFailedSyncStopsReplica(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -79,8 +79,8 @@
 		_, _, err = followers[0].Propose(timeoutContext(20*time.Second), []byte("third"))
 		require.NoError(t, err)
 
-		// An order is applied where the leader is; each of the others has it once a read
-		// there has returned.
+		// Propose waits for the leader to apply the command. Another replica is only sure
+		// to have applied it after a ReadIndex there.
 		for _, n := range followers {
 			_, _, err = n.ReadIndex(timeoutContext(5 * time.Second))
 			require.NoError(t, err)
@@ -93,7 +93,7 @@
 	})
 }
 
-// filesWithSyncHook returns files that call before ahead of each sync.
+// filesWithSyncHook returns files that call beforeSync before each sync.
 func filesWithSyncHook(beforeSync func() error) journal.Files {
 	files := journal.OSFiles()
 	create := files.Create
@@ -112,9 +112,9 @@
 	return files
 }
 
-// The leader's disk hangs for half a minute in one sync. Claims must go on
-// through another leader, and when the sync returns the old one must neither
-// answer with old state nor take the lead back.
+// The leader's disk hangs in one sync for 30 s. Another leader must take over and commit
+// proposals. When the sync returns, the old leader must neither serve reads from stale
+// state nor become the leader again.
 func TestLeaderWithHangingDiskIsReplaced(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -149,8 +149,8 @@
 	})
 }
 
-// A follower hands a booking to the leader and the answer gets lost. Giving it
-// again would book twice, and "not run" would be a lie.
+// A follower forwards a proposal to the leader and the response is lost. The proposal
+// must not be retried, because it could be applied twice. Its verdict must be MayHaveRun.
 func TestLostForwardResponseIsMayHaveRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -180,8 +180,9 @@
 	})
 }
 
-// The leader is cut off without a word while a follower waits for its answer.
-// The caller has a minute, but knows what there is to know once another leads.
+// The leader becomes unreachable while a follower waits for its response. The follower
+// must return MayHaveRun once another leader is elected, and not wait for the caller's
+// deadline of one minute.
 func TestForwardIsCanceledByNewLeader(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -225,8 +226,9 @@
 	return n
 }
 
-// A control VM misses hundreds of changes, its disk is lost, and operators put
-// a new VM in its place, with commits going on. All restart afterwards.
+// A replica fails, misses hundreds of commits and is replaced by a new member, which
+// catches up by a snapshot. The state must survive the loss of another replica after the
+// replacement, and a restart of the rest.
 func TestReplacedMemberCatchesUpAndRestarts(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -269,7 +271,7 @@
 		require.NoError(t, followers[0].CheckStop(timeoutContext(5*time.Second), leader.ID))
 		commit("b", 300)
 
-		// The second loss right after the repair.
+		// A second replica fails right after the replacement.
 		require.NoError(t, leader.TransferLeadership(timeoutContext(5*time.Second), replacement.ID))
 		require.NoError(t, g.stopNode(leader))
 		commit("c", 100)
@@ -297,7 +299,7 @@
 	return map[string]string{"vm0": "a", "vm1": "b", "vm2": "c"}[n.ID]
 }
 
-// Messages of another deployment reach this one through a mistaken address.
+// Messages and requests of another cluster, sent to a wrong address, must be refused.
 func TestOtherClusterIsRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/replica/group_test.go
+++ b/internal/replica/group_test.go
@@ -21,7 +21,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ledger is a state machine that keeps all commands in order.
+// ledger is a state machine that records all commands in order.
 type ledger struct {
 	mu       sync.Mutex
 	commands [][]byte
@@ -78,7 +78,7 @@
 	return string(bytes.Join(l.commands, []byte(" ")))
 }
 
-// node is one replica of a group in this process.
+// node is one replica of a group, with its state machine.
 type node struct {
 	*replica.Replica
 	state  *ledger
@@ -86,7 +86,7 @@
 	runErr chan error
 }
 
-// group is several replicas whose messages stay in this process.
+// group is a group of replicas that exchange messages in memory.
 type group struct {
 	t         *testing.T
 	baseDir   string
@@ -110,7 +110,8 @@
 	return g
 }
 
-// start runs the replica vm<i> on its own data folder, the same one each time.
+// start starts the replica vm<i> with the data folder dir below baseDir. A later start
+// with the same dir is a restart.
 func (g *group) start(i int, dir string, founders []quorum.Member) *node {
 	state := &ledger{}
 	from := nodeAddr(i)
@@ -154,6 +155,8 @@
 	return n
 }
 
+// lookup returns the node at the address to, or nil if messages from from to it are
+// blocked.
 func (g *group) lookup(from, to netip.AddrPort) *node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -165,7 +168,7 @@
 	return g.nodes[to]
 }
 
-// isolate cuts vm<i> off silently, both ways, or heals it.
+// isolate blocks all messages to and from vm<i>, without errors, or unblocks them.
 func (g *group) isolate(i int, isolated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -184,7 +187,7 @@
 
 func timeoutContext(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
-	_ = cancel // ends with the deadline
+	_ = cancel // the context ends at its deadline
 
 	return ctx
 }
@@ -238,9 +241,9 @@
 	})
 }
 
-// Users see a control VM answer status and claims after its switch port failed
-// without a word: it still calls itself leader. It must neither show old state
-// as current nor, when it is back, unseat the leader that the others chose.
+// The leader loses its network connection without any error and still considers itself
+// the leader. Its linearizable reads must fail. When the connection is back, it must
+// follow the leader elected meanwhile and not force another election.
 func TestIsolatedLeaderFailsReadsAndRejoinsAsFollower(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/replica/handler.go
+++ b/internal/replica/handler.go
@@ -12,16 +12,17 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// Handler answers the other replicas. It is to be served under wire.PeerPathPrefix.
+// Handler returns the HTTP handler for requests of the other replicas. The caller must
+// serve it under wire.PeerPathPrefix.
 func (r *Replica) Handler() http.Handler {
 	return http.MaxBytesHandler(wire.NewPeerServer(r), maxBodyBytes)
 }
 
-// Deliver takes in messages of another replica. When this one is busy they are
-// dropped: the core sends again what matters.
+// Deliver queues messages of another replica for the core. It drops them if the queue
+// is full; the core resends the messages that matter.
 func (r *Replica) Deliver(_ context.Context, env *wire.PeerEnvelope) (*wire.PeerDelivered, error) {
 	if reason := r.refusalReason(env.GetCluster()); reason != quorum.ReasonNone {
-		return nil, twirp.NewError(twirp.FailedPrecondition, string(reason)) //nolint:wrapcheck // the server looks for its own type
+		return nil, twirp.NewError(twirp.FailedPrecondition, string(reason)) //nolint:wrapcheck // the twirp server needs a twirp.Error
 	}
 
 	select {
@@ -32,8 +33,8 @@
 	return &wire.PeerDelivered{}, nil
 }
 
-// Give takes in an order that a follower hands to the leader. It is never
-// handed on again.
+// Give runs a request that a follower forwarded to this replica as the leader. It never
+// forwards the request again.
 func (r *Replica) Give(ctx context.Context, o *wire.PeerOrder) (*wire.PeerOrderAnswer, error) {
 	if reason := r.refusalReason(o.GetCluster()); reason != quorum.ReasonNone {
 		return &wire.PeerOrderAnswer{NotRun: true, Reason: string(reason)}, nil
@@ -50,7 +51,7 @@
 	}, nil
 }
 
-// refusalReason returns why nothing from a peer is taken in.
+// refusalReason returns the reason to refuse a peer's request, or ReasonNone.
 func (r *Replica) refusalReason(cluster string) quorum.Reason {
 	r.init()
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// sendMessages hands messages to Send, those for one receiver together.
+// sendMessages passes messages to Send, in one envelope per receiver.
 func (r *Replica) sendMessages(ms []quorum.Message) {
 	envs := map[string]*wire.PeerEnvelope{}
 
--- a/internal/replica/http_test.go
+++ b/internal/replica/http_test.go
@@ -20,12 +20,13 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// blackholeProxy passes connections on to a server, until they are silenced: open ones
-// then pass nothing any more, without being closed, while new ones work.
+// blackholeProxy forwards TCP connections to upstream. After a call to blackhole, the
+// connections open at that time stay open but deliver no more data, while new connections
+// work.
 type blackholeProxy struct {
 	net.Listener
 	upstream string
-	bytes    atomic.Int64 // bytes, both ways
+	bytes    atomic.Int64 // read from both sides
 
 	mu    sync.Mutex
 	conns []*proxiedConn
@@ -38,40 +39,40 @@
 	dropping       bool
 }
 
-func (r *blackholeProxy) run() {
+func (p *blackholeProxy) run() {
 	for {
-		client, err := r.Accept()
+		client, err := p.Accept()
 		if err != nil {
 			return
 		}
 
-		server, err := net.Dial("tcp", r.upstream)
+		server, err := net.Dial("tcp", p.upstream)
 		if err != nil {
 			client.Close()
 
 			continue
 		}
 
-		l := &proxiedConn{client: client, server: server}
+		conn := &proxiedConn{client: client, server: server}
 
-		r.mu.Lock()
-		r.conns = append(r.conns, l)
-		r.mu.Unlock()
-		r.wg.Go(func() { l.copy(client, server, &r.bytes) })
-		r.wg.Go(func() { l.copy(server, client, &r.bytes) })
+		p.mu.Lock()
+		p.conns = append(p.conns, conn)
+		p.mu.Unlock()
+		p.wg.Go(func() { conn.copy(client, server, &p.bytes) })
+		p.wg.Go(func() { conn.copy(server, client, &p.bytes) })
 	}
 }
 
-func (l *proxiedConn) copy(from, to net.Conn, total *atomic.Int64) {
+func (c *proxiedConn) copy(from, to net.Conn, total *atomic.Int64) {
 	buf := make([]byte, 32<<10)
 
 	for {
 		n, err := from.Read(buf)
 		total.Add(int64(n))
 
-		l.mu.Lock()
-		dropping := l.dropping
-		l.mu.Unlock()
+		c.mu.Lock()
+		dropping := c.dropping
+		c.mu.Unlock()
 
 		if !dropping && n > 0 {
 			_, _ = to.Write(buf[:n])
@@ -87,29 +88,30 @@
 	}
 }
 
-// blackhole makes all open connections silent for good and counts them.
-func (r *blackholeProxy) blackhole() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// blackhole makes all open connections drop their data permanently, and returns the
+// number of connections accepted so far.
+func (p *blackholeProxy) blackhole() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	for _, l := range r.conns {
-		l.mu.Lock()
-		l.dropping = true
-		l.mu.Unlock()
+	for _, conn := range p.conns {
+		conn.mu.Lock()
+		conn.dropping = true
+		conn.mu.Unlock()
 	}
 
-	return len(r.conns)
+	return len(p.conns)
 }
 
-func (r *blackholeProxy) closeAll() {
-	r.Close()
+func (p *blackholeProxy) closeAll() {
+	p.Close()
 
-	for _, l := range r.conns {
-		l.client.Close()
-		l.server.Close()
+	for _, conn := range p.conns {
+		conn.client.Close()
+		conn.server.Close()
 	}
 
-	r.wg.Wait()
+	p.wg.Wait()
 }
 
 func listen(t testing.TB) net.Listener {
@@ -123,7 +125,8 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// httpGroup is a group over real connections on loopback, each through a relay.
+// httpGroup is a group of replicas that communicate by HTTP on loopback, through one proxy
+// in front of each replica.
 type httpGroup struct {
 	nodes   []*replica.Replica
 	states  []*ledger
@@ -142,9 +145,9 @@
 	)
 
 	for i := range n {
-		r := &blackholeProxy{Listener: listen(t)}
-		g.proxies = append(g.proxies, r)
-		founders = append(founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addrOf(r)})
+		proxy := &blackholeProxy{Listener: listen(t)}
+		g.proxies = append(g.proxies, proxy)
+		founders = append(founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addrOf(proxy)})
 	}
 
 	for i, m := range founders {
@@ -184,10 +187,10 @@
 	return g
 }
 
-// A stateful device between the VMs forgets all open connections: they carry
-// nothing any more, in no direction, for good, and nobody closes them. New
-// ones work. Every replica must notice, dial anew and go on.
-func TestBlackholedConnectionsAreRedialled(t *testing.T) { //nolint:paralleltest // looks for leaked goroutines
+// A stateful network device between the VMs drops the state of all open connections. They
+// deliver no more data in either direction and are never closed, while new connections
+// work. Every replica must time out, dial again and continue.
+func TestBlackholedConnectionsAreRedialled(t *testing.T) { //nolint:paralleltest // checks for leaked goroutines
 	defer goleak.VerifyNone(t)
 
 	g := newHTTPGroup(t, 3, nil)
@@ -198,8 +201,8 @@
 		require.NoError(t, err)
 	}
 
-	for _, r := range g.proxies {
-		require.NotZero(t, r.blackhole())
+	for _, p := range g.proxies {
+		require.NotZero(t, p.blackhole())
 	}
 
 	for i, n := range g.nodes {
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -11,7 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// loop steps the core. Events that are waiting together share one sync.
+// loop passes requests, messages and ticks to the core. All events queued at the same
+// time share one disk sync.
 func (r *Replica) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -38,7 +39,8 @@
 	}
 }
 
-// drainQueues takes in what else is waiting, up to a limit that keeps ticks on time.
+// drainQueues processes further queued events, at most MaxBatch with the first one, so
+// that ticks stay on time.
 func (r *Replica) drainQueues() {
 	for range r.MaxBatch - 1 {
 		select {
@@ -62,13 +64,13 @@
 	for _, w := range env.GetMessages() {
 		m, err := quorum.MessageFromWire(w)
 		if err != nil {
-			r.Logger.Warn("Ignored a message.", "err", err)
+			r.Logger.Warn("Dropped an invalid peer message.", "err", err)
 
 			continue
 		}
 
-		// A VM that lost its disk takes part under a new ID at its old address, where
-		// messages to the one that it was still arrive.
+		// A VM that lost its disk rejoins with a new ID at its old address. Messages for
+		// the old ID still arrive there.
 		if m.To != r.ID {
 			continue
 		}
@@ -81,7 +83,8 @@
 	}
 }
 
-// processBatches does what the core asks for until there is nothing left.
+// processBatches executes the core's batches, and takes a snapshot if one is due, until
+// the core has no more work.
 func (r *Replica) processBatches() error {
 	for {
 		b := r.core.Take()
@@ -101,7 +104,7 @@
 	}
 }
 
-// executeBatch carries out one batch. The order matters: see quorum.Batch.
+// executeBatch executes one batch. quorum.Batch defines the order of the steps.
 func (r *Replica) executeBatch(b quorum.Batch) error {
 	r.sendMessages(b.SendNow)
 
@@ -114,7 +117,7 @@
 
 	if b.Restore != nil {
 		if err := r.Restore(b.Restore.Data); err != nil {
-			return eris.Wrapf(err, "restore the snapshot at %d", b.Restore.Index)
+			return eris.Wrapf(err, "restore the snapshot at index %d", b.Restore.Index)
 		}
 
 		r.appliedIndex = b.Restore.Index
@@ -159,7 +162,8 @@
 	result <- out
 }
 
-// snapshotIfDue takes a snapshot if one is due.
+// snapshotIfDue takes a snapshot if enough entries or bytes were applied since the last
+// one, and reports whether it did.
 func (r *Replica) snapshotIfDue() bool {
 	if r.appliedIndex-r.snapshotIndex < r.SnapshotThreshold && r.bytesSinceSnapshot < snapshotThresholdBytes {
 		return false
@@ -172,8 +176,8 @@
 	return true
 }
 
-// failPending answers all who wait when the replica stops. What they proposed
-// may still be committed by the others.
+// failPending fails all pending requests when the replica stops. Their verdict is
+// MayHaveRun, because the other replicas may still commit a pending proposal.
 func (r *Replica) failPending() {
 	for id := range r.pending {
 		r.complete(id, outcome{reason: reasonStopped})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica runs one replica of the project's own state: it drives the
-// consensus core, its disk and its connections, and applies what was committed.
+// Package replica runs one replica of the replicated state. It connects the consensus
+// core of package quorum to the disk and the network, and applies committed commands to
+// the state machine.
 package replica
 
 import (
@@ -22,53 +23,62 @@
 
 // Defaults and limits of a Replica.
 const (
+	// DefaultSnapshotThreshold is in log entries, DefaultMaxBatch in events.
 	DefaultSnapshotThreshold = 4096
 	DefaultMaxBatch          = 512
-	snapshotThresholdBytes   = 16 << 20
-	DefaultTimeout           = 10 * time.Second
-	maxQueueLength           = 1024
+	// snapshotThresholdBytes is the size of applied commands that triggers a snapshot.
+	snapshotThresholdBytes = 16 << 20
+	// DefaultTimeout bounds requests whose context has no deadline.
+	DefaultTimeout = 10 * time.Second
+	// maxQueueLength bounds the queued requests, and separately the queued envelopes.
+	maxQueueLength = 1024
 )
 
-// Replica is one control VM's copy of the state. Its exported fields are set
-// before Run; all methods may be called from any goroutine, also before Run.
+// Replica is one control VM's replica of the state. The exported fields must be set
+// before the first method call. All exported methods are safe for concurrent use, also
+// before Run.
 type Replica struct {
 	ID      string
 	Cluster string
-	// Dir is the data folder. It belongs to this replica alone.
+	// Dir is the data folder. No other replica may use it.
 	Dir string
-	// Addr is where others reach this replica's Handler.
+	// Addr is the address at which other replicas reach this replica's Handler.
 	Addr netip.AddrPort
-	// Founders are the first members of a new group, the same list at each of
-	// them. A replica that is to join a group with AddLearner has none.
+	// Founders are the initial members of a new group. Each of them must have the same
+	// list. It is empty for a replica that joins a running group by AddLearner.
 	Founders []quorum.Member
-	// Apply changes the state and returns the result for the proposer. Snapshot
-	// returns the whole state, Restore replaces it. All are called one at a time.
+	// Apply applies a command to the state and returns the result for the proposer.
+	// Snapshot returns the entire state and Restore replaces it. The replica never calls
+	// two of them concurrently.
 	Apply    func(index uint64, command []byte) []byte
 	Snapshot func() []byte
 	Restore  func(data []byte) error
-	// Send hands messages to the replica at an address and does not block. Any
-	// may be lost. By default they go by HTTP.
+	// Send sends messages to the replica at an address. It must not block and may lose
+	// messages. The default uses HTTP.
 	Send func(to netip.AddrPort, env *wire.PeerEnvelope)
-	// Forward hands an order to the leader. By default it goes by HTTP.
+	// Forward sends a request to the leader and returns its response. The default uses
+	// HTTP.
 	Forward func(ctx context.Context, to netip.AddrPort, order *wire.PeerOrder) (*wire.PeerOrderAnswer, error)
-	// Client is for the default Send and Forward, and Scheme "http" or "https".
+	// Client supplies the HTTP transport of the default Send and Forward. Scheme is
+	// "http" (the default) or "https".
 	Client *http.Client
 	Scheme string
 	Logger *slog.Logger
-	// HeartbeatInterval and Election are as in quorum.Config.
+	// HeartbeatInterval and ElectionTimeout are as in quorum.Config.
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
-	// SnapshotThreshold is after how many entries a snapshot is taken, or sooner after
-	// 16 MiB of commands.
+	// SnapshotThreshold is the number of applied entries after which a snapshot is taken.
+	// 16 MiB of applied commands also trigger one.
 	SnapshotThreshold uint64
-	// CatchUpEntries is how many entries stay in the log behind a snapshot.
+	// CatchUpEntries is the number of entries before a snapshot that stay in the log, as
+	// in quorum.Config.
 	CatchUpEntries uint64
-	// MaxBatch is how many requests and messages may share one sync, and
-	// DefaultMaxBatch if 0. More would keep ticks waiting.
+	// MaxBatch bounds the requests and messages that share one disk sync. 0 means
+	// DefaultMaxBatch. A larger batch delays ticks.
 	MaxBatch int
-	// Files are the disk; the zero value stands for the operating system's.
+	// Files is the file system. The zero value means the operating system's.
 	Files journal.Files
-	// Rand returns a random number in [0, n). Tests set it.
+	// Rand returns a random number in [0, n). The default is rand.Int64N; tests replace it.
 	Rand func(n int64) int64
 
 	initOnce sync.Once
@@ -81,17 +91,18 @@
 	journal            *journal.Journal
 	lastRequestID      uint64
 	pending            map[uint64]chan outcome
-	learnedAddrs       map[string]netip.AddrPort // of replicas that are not members, or not yet known to be
+	learnedAddrs       map[string]netip.AddrPort // by ID; of senders that may not be members
 	appliedIndex       uint64
 	snapshotIndex      uint64
 	appliedCommands    uint64
-	bytesSinceSnapshot int // bytes of commands since the snapshot
+	bytesSinceSnapshot int // of applied commands
 	loggedStatus       Status
 
 	forwardClient *http.Client
 }
 
-// init fills in defaults. Methods may be called before Run.
+// init sets defaults and creates the queues, once. Every method that needs them calls it,
+// because methods may be called before Run.
 func (r *Replica) init() {
 	r.initOnce.Do(func() {
 		r.requests = make(chan request, maxQueueLength)
@@ -129,9 +140,9 @@
 	})
 }
 
-// Run takes part until ctx ends, and then returns nil. It returns an error if
-// the disk cannot be trusted or written: this replica then no longer takes part.
-// A planned stop calls TransferLeadership first.
+// Run runs the replica until ctx ends, and then returns nil. If the stored data is
+// corrupt or the disk cannot be written, it stops the replica and returns an error. Call
+// TransferLeadership before a planned stop.
 func (r *Replica) Run(ctx context.Context) error {
 	r.init()
 	defer close(r.stopped)
@@ -154,7 +165,7 @@
 	r.failPending()
 	err = errors.Join(err, r.journal.Close())
 	if err != nil {
-		r.Logger.Error("Stopped taking part.", "err", err)
+		r.Logger.Error("Replica stopped.", "err", err)
 	}
 
 	return err
@@ -176,7 +187,7 @@
 		HeartbeatInterval: r.HeartbeatInterval, ElectionTimeout: r.ElectionTimeout, CatchUpEntries: r.CatchUpEntries, Rand: r.Rand,
 	}, stored, time.Now())
 	if err != nil {
-		return errors.Join(eris.Wrap(err, "start core"), r.journal.Close())
+		return errors.Join(eris.Wrap(err, "start consensus core"), r.journal.Close())
 	}
 
 	r.Logger.Info("Started.", "term", stored.State.Term, "snapshot", stored.Snapshot.Index, "entries", len(stored.Entries))
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -11,7 +11,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// CauseNoQuorum is the cause of errors while no leader can commit.
+// CauseNoQuorum is the cause of requests that failed for want of a leader that can
+// commit. It is also the cause for reasons without a cause of their own.
 const CauseNoQuorum verdict.Cause = "NoQuorum"
 
 const (
@@ -19,7 +20,8 @@
 	reasonOtherCluster quorum.Reason = "AnotherCluster"
 )
 
-// RequestError says why a proposal, change or read was refused or left open.
+// RequestError is the reason why a proposal, membership change, leadership transfer or
+// read failed or has an unknown outcome.
 type RequestError struct {
 	Reason quorum.Reason
 }
@@ -27,13 +29,13 @@
 // Error implements error.
 func (e *RequestError) Error() string { return "replica: " + string(e.Reason) }
 
-// request is an event of a caller, on its way to the core.
+// request is a queued event for the core, with the channel for its outcome.
 type request struct {
 	newEvent func(id uint64) quorum.Event
 	result   chan outcome
 }
 
-// outcome is what became of a request.
+// outcome is the result of a request.
 type outcome struct {
 	succeeded bool
 	index     uint64
@@ -42,19 +44,19 @@
 	reason    quorum.Reason
 }
 
-// Propose commits command through the leader, wherever it is, and returns what
-// Apply returned for it there. The error holds a verdict: only NotRun means that
-// the command is not and will not be applied. Without a deadline in ctx it takes
-// at most DefaultTimeout.
+// Propose commits command through the leader, which may be another replica, and returns
+// its log index and the result of Apply at the leader. The error has a verdict. Only
+// NotRun guarantees that the command is not and will not be applied. If ctx has no
+// deadline, DefaultTimeout applies.
 func (r *Replica) Propose(ctx context.Context, command []byte) (uint64, []byte, error) {
 	out, err := r.submit(ctx, &wire.PeerOrder{Kind: wire.PeerOrderKind_PeerOrderPropose, Command: command})
 
 	return out.index, out.result, err
 }
 
-// ReadIndex returns a time and an index: state applied up to at least index, as this
-// replica's is when Read returns, was current as of asOf, the local time at
-// which Read was called.
+// ReadIndex performs a linearizable read. When it returns, this replica has applied the
+// log up to index, and its state includes everything that was committed at asOf. AsOf is
+// the local time of the call.
 func (r *Replica) ReadIndex(ctx context.Context) (asOf time.Time, index uint64, err error) {
 	asOf = time.Now()
 
@@ -65,14 +67,14 @@
 	out := r.submitEvent(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: deadline} })
 
 	if !out.succeeded {
-		// A read changes nothing, so it may always be repeated.
+		// A read changes nothing, so the caller may always retry it.
 		return time.Time{}, 0, outcomeError(outcome{verdict: verdict.NotRun, reason: quorum.ReasonTimeout})
 	}
 
 	return asOf, out.index, nil
 }
 
-// AddLearner adds a member that receives the log and has no vote.
+// AddLearner adds a non-voting member that receives the log.
 func (r *Replica) AddLearner(ctx context.Context, m quorum.Member) error {
 	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderAddLearner, Member: quorum.MemberToWire(m),
@@ -81,7 +83,7 @@
 	return err
 }
 
-// Promote makes a learner a voter. It is refused until the learner is up to date.
+// Promote makes a learner a voter. It fails while the learner lags behind the log.
 func (r *Replica) Promote(ctx context.Context, id string) error {
 	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderPromote, Member: &wire.QuorumMember{ID: id},
@@ -90,8 +92,8 @@
 	return err
 }
 
-// Remove takes a member out for good. It is refused where too few voters that
-// are up to date would remain, and for the leader, which hands over first.
+// Remove removes a member permanently. It fails if too few up-to-date voters would
+// remain, and for the leader, which must transfer its leadership first.
 func (r *Replica) Remove(ctx context.Context, id string) error {
 	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderRemove, Member: &wire.QuorumMember{ID: id},
@@ -100,8 +102,8 @@
 	return err
 }
 
-// TransferLeadership hands leadership to the voter named to, or to the most up
-// to date one if it is empty. It returns nil once the old leader has stepped down.
+// TransferLeadership transfers leadership to the voter to, or to the most up-to-date
+// voter if to is empty. It returns nil once the old leader has stepped down.
 func (r *Replica) TransferLeadership(ctx context.Context, to string) error {
 	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderTransfer, Member: &wire.QuorumMember{ID: to},
@@ -110,8 +112,9 @@
 	return err
 }
 
-// CheckStop returns nil if the group can go on without the member, however the
-// others are: it asks them now, where Status tells what it last heard.
+// CheckStop returns nil if the group keeps a quorum without the member. The leader
+// confirms this with a new round to the other members, whereas Status returns the last
+// known state.
 func (r *Replica) CheckStop(ctx context.Context, id string) error {
 	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderCheckStop, Member: &wire.QuorumMember{ID: id},
@@ -120,9 +123,9 @@
 	return err
 }
 
-// submit gives an order here or, if another replica leads, there. While nobody
-// leads it tries again until ctx ends; it never gives an order twice that may
-// have run.
+// submit runs a request on this replica or, if another one leads, forwards it there. It
+// retries transient failures until ctx ends, for example while there is no leader. It
+// never retries a request that may have run.
 func (r *Replica) submit(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
@@ -150,7 +153,7 @@
 	}
 }
 
-// isTransient reports whether a refusal may soon be over.
+// isTransient reports whether a request refused for reason may succeed on a retry.
 func isTransient(reason quorum.Reason) bool {
 	switch reason {
 	case quorum.ReasonNotLeader, quorum.ReasonTransferring, quorum.ReasonMembersChanging:
@@ -160,7 +163,7 @@
 	}
 }
 
-// submitLocal gives an order to this replica's core.
+// submitLocal runs a request on this replica's core.
 func (r *Replica) submitLocal(ctx context.Context, o *wire.PeerOrder) outcome {
 	m, err := quorum.MemberFromWire(o.GetMember())
 	if err != nil {
@@ -188,7 +191,7 @@
 	return out
 }
 
-// submitEvent hands an event to the core and waits for what becomes of it.
+// submitEvent queues an event for the core and waits for its outcome.
 func (r *Replica) submitEvent(ctx context.Context, newEvent func(id uint64) quorum.Event) outcome {
 	r.init()
 
@@ -224,7 +227,7 @@
 	}
 }
 
-// forward gives an order to the leader, if one is known.
+// forward sends a request to the leader. It fails with NotRun if no other leader is known.
 func (r *Replica) forward(ctx context.Context, o *wire.PeerOrder) outcome {
 	notRun := outcome{verdict: verdict.NotRun, reason: quorum.ReasonNotLeader}
 
@@ -259,7 +262,8 @@
 		out.verdict = verdict.NotRun
 	}
 
-	// The leader has stopped since this replica last heard of it. Another one follows.
+	// The leader has stopped since it last contacted this replica. Treat this as
+	// transient, because another leader will be elected.
 	if out.reason == reasonStopped {
 		out.reason = quorum.ReasonNotLeader
 	}
@@ -267,9 +271,9 @@
 	return out
 }
 
-// cancelOnNewLeader calls cancel once a later term has a leader. The one of term
-// may be cut off without a word, and its answer would be waited for until the
-// caller's deadline.
+// cancelOnNewLeader calls cancel once a term later than term has a leader. Without it, a
+// request forwarded to a leader that became unreachable would wait until the caller's
+// deadline.
 func (r *Replica) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, term uint64) {
 	for {
 		select {
@@ -284,7 +288,7 @@
 	}
 }
 
-// leaderAddr returns where the leader is, if it is another replica.
+// leaderAddr returns the leader's address, if another replica leads.
 func (r *Replica) leaderAddr() (netip.AddrPort, bool) {
 	s := r.Status()
 	if s.Leader == "" || s.Leader == r.ID {
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -7,17 +7,17 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// Status is a replica's state for dumps.
+// Status is a replica's state as shown in dumps.
 type Status struct {
 	quorum.Status
 	LeaderAddr netip.AddrPort
 	Applied    uint64
-	// Commands is how many commands were applied since the start.
+	// Commands is the number of commands applied since Run began.
 	Commands uint64
 	Disk     journal.Stats
 }
 
-// Status returns the latest state. It does not wait for the disk.
+// Status returns the last published state. It never waits for the disk.
 func (r *Replica) Status() Status {
 	if s := r.status.Load(); s != nil {
 		return *s
@@ -26,7 +26,8 @@
 	return Status{Status: quorum.Status{ID: r.ID, Reason: "not running yet"}}
 }
 
-// publishStatus makes the core's state visible to Status, and logs what changed.
+// publishStatus stores the current state for Status, and logs changes of state, term or
+// leader.
 func (r *Replica) publishStatus() {
 	s := Status{Status: r.core.Status(), Applied: r.appliedIndex, Commands: r.appliedCommands, Disk: r.journal.Stats()}
 	if m, ok := r.findMember(s.Leader); ok {
@@ -43,7 +44,7 @@
 	r.status.Store(&s)
 }
 
-// findMember finds a member, or a founder of a group that is being formed.
+// findMember returns a member by ID, or a founder while the group is still being formed.
 func (r *Replica) findMember(id string) (quorum.Member, bool) {
 	if m, ok := r.core.Members().Find(id); ok {
 		return m, true
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -15,23 +15,24 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ErrNotSent says that an order did not leave this replica.
-var ErrNotSent = errors.New("replica: order not sent")
+// ErrNotSent reports that a request was not sent to the leader.
+var ErrNotSent = errors.New("replica: request not sent")
 
 const (
-	// maxQueuedEnvelopes bounds the envelopes that wait for one peer; more are dropped.
+	// maxQueuedEnvelopes bounds the queue of one peer. Further envelopes are dropped.
 	maxQueuedEnvelopes = 64
 	idleConnTimeout    = 2 * time.Second
-	// maxMergedBytes bounds what is sent in one call, maxBody what is read from one.
+	// maxMergedBytes is the size from which no more queued envelopes are merged into one
+	// call. maxBodyBytes bounds a request body that the handler reads.
 	maxMergedBytes      = 2 << 20
 	maxBodyBytes        = 16 << 20
 	maxIdleConnsPerPeer = 16
 )
 
-// transport sends by HTTP, to each peer over a connection of its own, one call
-// at a time. A call that is not answered in time ends its connection, and the
-// next one dials anew: a connection that something on the way has forgotten
-// stays silent for good, while new ones work.
+// transport sends messages by HTTP, one call at a time per peer, over a separate
+// connection for each peer. A failed or timed-out call closes the connection and the next
+// call dials again: when a stateful network device drops a connection's state, that
+// connection never delivers anything more, while new connections work.
 type transport struct {
 	scheme  string
 	client  *http.Client
@@ -43,7 +44,7 @@
 	workers sync.WaitGroup
 }
 
-// peer is the queue towards one address.
+// peer is the send queue for one address.
 type peer struct {
 	queue  chan *wire.PeerEnvelope
 	client *http.Client
@@ -63,7 +64,8 @@
 	return r.Scheme
 }
 
-// send queues env. It does not block; with a full queue env is dropped.
+// send queues env for the peer at an address. It does not block, and drops env if the
+// queue is full.
 func (t *transport) send(to netip.AddrPort, env *wire.PeerEnvelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +110,8 @@
 	}
 }
 
-// mergeQueued adds to env what else is waiting for the same peer.
+// mergeQueued appends to env the messages of further envelopes queued for the same peer,
+// until env has reached maxMergedBytes.
 func mergeQueued(env *wire.PeerEnvelope, queue chan *wire.PeerEnvelope) {
 	for proto.Size(env) < maxMergedBytes {
 		select {
@@ -136,7 +139,7 @@
 	t.workers.Wait()
 }
 
-// newClient returns a client with connections of its own, set up as base's are.
+// newClient returns a client with its own connection pool and base's transport settings.
 func newClient(base *http.Client) *http.Client {
 	tr := &http.Transport{}
 
@@ -146,15 +149,15 @@
 		}
 	}
 
-	// A connection that was idle for long may have been forgotten on the way.
+	// A network device may have dropped the state of a connection that was idle for long.
 	tr.IdleConnTimeout = idleConnTimeout
 	tr.MaxIdleConnsPerHost = maxIdleConnsPerPeer
 
 	return &http.Client{Transport: tr}
 }
 
-// forwardTo gives an order to the leader. It returns ErrNotSent if no connection
-// could be opened.
+// forwardTo sends a request to the leader at an address. It returns ErrNotSent if the
+// connection could not be opened.
 func (r *Replica) forwardTo(ctx context.Context, to netip.AddrPort, o *wire.PeerOrder) (*wire.PeerOrderAnswer, error) {
 	if r.Forward != nil {
 		return r.Forward(ctx, to, o)
--- a/internal/replica/transport_test.go
+++ b/internal/replica/transport_test.go
@@ -14,9 +14,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// The leader's process has just died and nothing listens there any more. An
-// order that could not even be sent may be given again; callers need not be
-// told that it may have run.
+// The leader's process has ended and nothing listens at its address. The request was not
+// sent, so forwardTo must return ErrNotSent, which allows a retry and the verdict NotRun.
 func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	t.Parallel()
 
@@ -33,7 +32,8 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// A message of each kind arrives as it was sent, also where its fields are empty.
+// Each kind of message must survive encoding and decoding unchanged, also with empty
+// fields. A message without a known body must give an error.
 func TestMessagesRoundTrip(t *testing.T) {
 	t.Parallel()
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,10 +9,11 @@
 	"github.com/parsleygate/parsleygate/internal/inifile"
 )
 
-// maxControlVMs is how many control VMs a deployment may set aside.
+// maxControlVMs is the maximum number of control VMs in [Controls].
 const maxControlVMs = 7
 
-// parseSection reads one section. Given collects "Section.Key" of what the file says.
+// parseSection parses one section. For sections with fixed keys it adds the section's name,
+// and "Section.Key" for each key that is set, to present.
 func (s *Settings) parseSection(section *inifile.Section, present map[string]bool) *inifile.Error {
 	if section.Name == sectionControls {
 		return s.parseControls(section)
@@ -79,7 +80,7 @@
 func (s *Settings) parseControls(section *inifile.Section) *inifile.Error {
 	for _, setting := range section.Settings {
 		if !namePattern.MatchString(setting.Key) {
-			return settingError(section, setting, "bad ID of a control VM", allowedName)
+			return settingError(section, setting, "invalid control VM ID", allowedName)
 		}
 
 		a, err := netip.ParseAddrPort(setting.Value)
@@ -88,7 +89,7 @@
 		}
 
 		if slices.ContainsFunc(s.Controls, func(c ControlVM) bool { return c.Address == a }) {
-			return settingError(section, setting, "the address is another control VM's", "one address each")
+			return settingError(section, setting, "the address belongs to another control VM", "a different address for each")
 		}
 
 		s.Controls = append(s.Controls, ControlVM{ID: setting.Key, Address: a})
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// validate holds the whole against itself.
+// validate checks that required settings are present and that settings agree with each
+// other.
 func (s *Settings) validate(present map[string]bool) *inifile.Error {
 	for _, f := range Fields() {
 		if f.Required && s.sectionApplies(f.Section, present) && !present[f.Section+"."+f.Key] {
@@ -107,10 +109,10 @@
 
 	switch n := len(s.Controls); {
 	case s.UsesSeeds() && n > 0:
-		return &inifile.Error{Section: sectionControls, Problem: "stands beside [Seeds]", Allowed: "one of the two"}
+		return &inifile.Error{Section: sectionControls, Problem: "is set together with [Seeds]", Allowed: "one of the two"}
 	case s.UsesSeeds():
 	case n == 0 || n > maxControlVMs:
-		return &inifile.Error{Section: sectionControls, Problem: fmt.Sprintf("names %d control VMs", n), Allowed: "1 to 7"}
+		return &inifile.Error{Section: sectionControls, Problem: fmt.Sprintf("lists %d control VMs", n), Allowed: "1 to 7"}
 	case s.Entry.DefaultTimeout > s.Entry.MaxTimeout:
 		return &inifile.Error{Section: sectionEntry, Key: "DefaultTimeout", Problem: "is above MaxTimeout", Allowed: "at most " + s.Entry.MaxTimeout.String()}
 	case s.Process.Role == RoleControl && !slices.Contains(s.Controls, ControlVM{ID: s.Process.ID, Address: s.Process.Address}):
@@ -118,7 +120,7 @@
 	}
 
 	if s.Process.Role == RoleAgent && present[sectionTLS] && !s.Agent.AnnounceAddress.IsValid() {
-		return &inifile.Error{Section: sectionAgent, Key: "AnnounceAddress", Problem: "is missing, and the target speaks no TLS", Allowed: "IP:port on loopback"}
+		return &inifile.Error{Section: sectionAgent, Key: "AnnounceAddress", Problem: "is missing, and the target does not use TLS", Allowed: "IP:port on loopback"}
 	}
 
 	return s.checkPlaintext(present)
@@ -135,8 +137,9 @@
 	}
 }
 
-// checkPlaintext guards against orders, claims and decisions of anybody who can
-// reach a port: without TLS a process listens on and talks to loopback only.
+// checkPlaintext returns an error if a process without TLS would listen on or connect to
+// an address that is not loopback. Otherwise anyone who can reach its ports could send
+// orders, claims and decisions.
 func (s *Settings) checkPlaintext(present map[string]bool) *inifile.Error {
 	if present[sectionTLS] || s.Process.TrustedNetwork {
 		return nil
@@ -149,7 +152,7 @@
 
 	for _, a := range addresses {
 		if !a.Addr().IsLoopback() {
-			return &inifile.Error{Section: sectionTLS, Problem: "is missing, and " + a.String() + " is no loopback address", Allowed: "plaintext on loopback only"}
+			return &inifile.Error{Section: sectionTLS, Problem: "is missing, and " + a.String() + " is not a loopback address", Allowed: "plaintext on loopback only"}
 		}
 	}
 
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Field is one setting: its place, what it is for, and how it is read.
+// Field describes one setting and parses its value.
 type Field struct {
 	Section string
 	Key     string
-	// Allowed says what values are right, Help what the setting does.
+	// Allowed describes the valid values. Help describes what the setting does.
 	Allowed string
 	Help    string
-	// Default is the value where the file says nothing; empty for none.
+	// Default is the default value, or empty if there is none.
 	Default string
-	// Required settings have no default and must be given where their section applies.
+	// Required settings have no default and must be set if their section applies.
 	Required bool
 
 	parse func(s *Settings, value string) bool
 }
 
-// The names of the sections.
+// Names of the sections.
 const (
 	sectionProcess  = "Process"
 	sectionControls = "Controls"
@@ -53,7 +53,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Fields returns all settings, in the order of the reference.
+// Fields returns all settings with fixed keys, in the order of the reference.
 func Fields() []Field {
 	return append(coreFields(), seedDeploymentFields()...)
 }
@@ -62,30 +62,30 @@
 	return []Field{
 		{
 			Section: sectionProcess, Key: "Role", Allowed: "entry, agent or control", Required: true,
-			Help: "What the process is.", parse: setRole,
+			Help: "The kind of process.", parse: setRole,
 		},
-		nameField("ID", "The process's name, unique in the deployment. It outlives restarts.", true, func(s *Settings) *string { return &s.Process.ID }),
-		nameField("Cluster", "The deployment. Processes of another are refused.", true, func(s *Settings) *string { return &s.Process.Cluster }),
+		nameField("ID", "The process's name, unique in the deployment. It stays the same over restarts.", true, func(s *Settings) *string { return &s.Process.ID }),
+		nameField("Cluster", "The name of the deployment. Processes of other deployments are refused.", true, func(s *Settings) *string { return &s.Process.Cluster }),
 		nameField("Zone", "The availability zone of the VM.", true, func(s *Settings) *string { return &s.Process.Zone }),
 		nameField("Region", "The region of the zone.", false, func(s *Settings) *string { return &s.Process.Region }),
-		addressField("Address", "Where the process listens: an entry for callers, the others for the system's processes.", true, func(s *Settings) *netip.AddrPort { return &s.Process.Address }),
-		addressField("AdminAddress", "Where the process serves its dump and metrics. It is best a loopback address.", false, func(s *Settings) *netip.AddrPort { return &s.Process.AdminAddress }),
+		addressField("Address", "The listen address: of an entry for callers, of an agent or control VM for the deployment's processes.", true, func(s *Settings) *netip.AddrPort { return &s.Process.Address }),
+		addressField("AdminAddress", "The listen address for the dump and metrics. Preferably a loopback address.", false, func(s *Settings) *netip.AddrPort { return &s.Process.AdminAddress }),
 		{
-			Section: sectionProcess, Key: "LogOutput", Allowed: "part names with commas between them, or all",
-			Help:  "The parts whose debug lines are logged.",
+			Section: sectionProcess, Key: "LogOutput", Allowed: "comma-separated part names, or all",
+			Help:  "The parts of the process that write debug log lines.",
 			parse: func(s *Settings, v string) bool { s.Process.LogOutput = v; return true },
 		},
 		networkField(),
-		sizeField(sectionEntry, "MaxHeaderBytes", "65536", "The longest head of a request; a longer one gets status 431.", func(s *Settings) *int { return &s.Entry.MaxHeaderBytes }),
-		sizeField(sectionEntry, "MaxBodyBytes", "4194304", "The longest body of a request; a longer one gets status 413, NotRun.", func(s *Settings) *int { return &s.Entry.MaxBodyBytes }),
-		sizeField(sectionEntry, "MaxRecordedBytes", "65536", "The longest answer that is kept for resends of an idempotency key.", func(s *Settings) *int { return &s.Entry.MaxRecordedBytes }),
-		durationField(sectionEntry, "DefaultTimeout", "1m", "The deadline of a caller that names none.", func(s *Settings) *time.Duration { return &s.Entry.DefaultTimeout }),
-		durationField(sectionEntry, "MaxTimeout", "10m", "The longest deadline; longer ones are cut to it.", func(s *Settings) *time.Duration { return &s.Entry.MaxTimeout }),
-		durationField(sectionEntry, "SlowReader", "30s", "How long one write to a caller may take before it counts as gone.", func(s *Settings) *time.Duration { return &s.Entry.WriteTimeout }),
-		durationField(sectionEntry, "Leave", "5s", "How long a stopping entry goes on taking requests after /ready said that it leaves.", func(s *Settings) *time.Duration { return &s.Entry.ShutdownDelay }),
+		sizeField(sectionEntry, "MaxHeaderBytes", "65536", "The maximum size of a request's header. Larger ones get status 431.", func(s *Settings) *int { return &s.Entry.MaxHeaderBytes }),
+		sizeField(sectionEntry, "MaxBodyBytes", "4194304", "The maximum size of a request's body. Larger ones get status 413 with the verdict NotRun.", func(s *Settings) *int { return &s.Entry.MaxBodyBytes }),
+		sizeField(sectionEntry, "MaxRecordedBytes", "65536", "The maximum size of a response that is stored for retries with the same idempotency key.", func(s *Settings) *int { return &s.Entry.MaxRecordedBytes }),
+		durationField(sectionEntry, "DefaultTimeout", "1m", "The timeout of requests without a deadline.", func(s *Settings) *time.Duration { return &s.Entry.DefaultTimeout }),
+		durationField(sectionEntry, "MaxTimeout", "10m", "The maximum timeout of a request. Longer ones are reduced to it.", func(s *Settings) *time.Duration { return &s.Entry.MaxTimeout }),
+		durationField(sectionEntry, "SlowReader", "30s", "The maximum time of one write to a caller. After it the caller counts as disconnected.", func(s *Settings) *time.Duration { return &s.Entry.WriteTimeout }),
+		durationField(sectionEntry, "Leave", "5s", "How long a stopping entry still accepts requests after /ready reports that it is not ready.", func(s *Settings) *time.Duration { return &s.Entry.ShutdownDelay }),
 		{
 			Section: sectionAgent, Key: "AnnounceAddress", Allowed: "IP:port on loopback",
-			Help: "Where the target announces itself, in plaintext. Needed with [TLS]; without it Address does.",
+			Help: "The address to which the target announces itself, in plaintext. Required with [TLS]; without [TLS] the target can use Address.",
 			parse: func(s *Settings, v string) bool {
 				a, err := netip.ParseAddrPort(v)
 				s.Agent.AnnounceAddress = a
@@ -93,28 +93,28 @@
 				return err == nil && a.Port() != 0 && a.Addr().IsLoopback()
 			},
 		},
-		durationField(sectionAgent, "CreditLife", "2s", "How long a credit holds. It bounds how old an entry's word on freshness may be.", func(s *Settings) *time.Duration { return &s.Agent.CreditLifetime }),
-		durationField(sectionAgent, "AnnounceLimit", "3s", "How long the target may not announce itself before it counts as down.", func(s *Settings) *time.Duration { return &s.Agent.AnnounceTimeout }),
-		durationField(sectionAgent, "TargetSilence", "1m", "How long the target may send nothing of an answer.", func(s *Settings) *time.Duration { return &s.Agent.TargetIdleTimeout }),
-		sizeField(sectionAgent, "MaxAnswerBytes", "262144", "The longest answer of a non-idempotent request that the agent remembers.", func(s *Settings) *int { return &s.Agent.MaxAnswerBytes }),
+		durationField(sectionAgent, "CreditLife", "2s", "How long a credit is valid. It bounds the age of an entry's report that its state is valid.", func(s *Settings) *time.Duration { return &s.Agent.CreditLifetime }),
+		durationField(sectionAgent, "AnnounceLimit", "3s", "The time without an announcement after which the target counts as down.", func(s *Settings) *time.Duration { return &s.Agent.AnnounceTimeout }),
+		durationField(sectionAgent, "TargetSilence", "1m", "The maximum time for which the target may send no data of a response.", func(s *Settings) *time.Duration { return &s.Agent.TargetIdleTimeout }),
+		sizeField(sectionAgent, "MaxAnswerBytes", "262144", "The maximum size of a response to a non-idempotent request that the agent stores.", func(s *Settings) *int { return &s.Agent.MaxAnswerBytes }),
 		{
 			Section: sectionControl, Key: "DataFolder", Allowed: allowedPath, Required: true,
-			Help:  "The data folder of the log and its snapshots. It belongs to this VM alone.",
+			Help:  "The folder of the log and its snapshots. No other VM may use it.",
 			parse: func(s *Settings, v string) bool { s.Control.DataFolder = v; return v != "" },
 		},
 		{
 			Section: sectionControl, Key: "Join", Allowed: allowedBool, Default: "false",
-			Help:  "Whether this VM joins a running deployment, as a learner under a new ID; else it is a founder.",
+			Help:  "Whether this VM joins a running deployment, as a learner with a new ID. Otherwise it is a founder, an initial member of a new deployment.",
 			parse: func(s *Settings, v string) bool { s.Control.Join = v == "true"; return v == "true" || v == "false" },
 		},
 		{
 			Section: sectionControl, Key: "Volatile", Allowed: allowedBool, Default: "false",
-			Help:  "Whether the VM has no disk. With [Seeds] it then keeps its log in memory, writes nothing to the data folder, follows the others and never has a vote.",
+			Help:  "Whether the VM has no disk. With [Seeds] it then keeps its log in memory, writes nothing to the data folder, and follows the other control VMs as a non-voting member.",
 			parse: func(s *Settings, v string) bool { s.Control.Volatile = v == "true"; return v == "true" || v == "false" },
 		},
 		pathField("CertFile", "The certificate of this process, in PEM.", func(s *Settings) *string { return &s.TLS.CertFile }),
-		pathField("KeyFile", "The key of this process, in PEM.", func(s *Settings) *string { return &s.TLS.KeyFile }),
-		pathField("AuthorityFile", "The certificates of the authorities that sign processes and operators, in PEM.", func(s *Settings) *string { return &s.TLS.AuthorityFile }),
+		pathField("KeyFile", "The private key of this process, in PEM.", func(s *Settings) *string { return &s.TLS.KeyFile }),
+		pathField("AuthorityFile", "The certificates of the authorities that sign the certificates of processes and operators, in PEM.", func(s *Settings) *string { return &s.TLS.AuthorityFile }),
 	}
 }
 
@@ -187,27 +187,27 @@
 	var b strings.Builder
 
 	b.WriteString("# Settings\n\nGenerated by `make docs`. A settings file is INI; an unknown section or key is an error.\n")
-	b.WriteString("`parsleygate check FILE` says what is wrong with one.\n")
+	b.WriteString("`parsleygate check FILE` validates a file and reports errors.\n")
 
 	section := ""
 
 	for _, f := range Fields() {
 		if f.Section != section {
 			section = f.Section
-			fmt.Fprintf(&b, "\n## [%s]\n\n| key | allowed | default | what it does |\n| --- | --- | --- | --- |\n", section)
+			fmt.Fprintf(&b, "\n## [%s]\n\n| key | allowed values | default | description |\n| --- | --- | --- | --- |\n", section)
 		}
 
 		def := f.Default
 		if f.Required {
-			def = "needed"
+			def = "required"
 		}
 
 		fmt.Fprintf(&b, "| %s | %s | %s | %s |\n", f.Key, f.Allowed, def, f.Help)
 	}
 
-	b.WriteString("\n## [Controls]\n\nOne key for each control VM, its ID, with its address as IP:port: `control-1 = 10.0.0.1:8600`.\n")
+	b.WriteString("\n## [Controls]\n\nOne setting per control VM. The key is its ID and the value its address, as IP:port: `control-1 = 10.0.0.1:8600`.\n")
 
-	b.WriteString("\n## [Zones]\n\nOne key for each availability zone, its name, with its region: `muscat-a = muscat`. Operators may take only these out.\n")
+	b.WriteString("\n## [Zones]\n\nOne setting per availability zone. The key is its name and the value its region: `muscat-a = muscat`. Operators can take only these zones out.\n")
 
 	return b.String()
 }
--- a/internal/settings/seeds.go
+++ b/internal/settings/seeds.go
@@ -10,16 +10,16 @@
 	"github.com/parsleygate/parsleygate/internal/inifile"
 )
 
-// Seeds name some control VMs of a deployment whose control VMs find each other
-// and replace each other by themselves.
+// Seeds are the addresses of some control VMs, in a deployment whose control VMs discover
+// and replace each other automatically.
 type Seeds struct {
-	// Addresses are where operators reach the control VMs.
+	// Addresses are the addresses of the seeds for operators.
 	Addresses []netip.AddrPort
-	// Port is where each of these VMs serves the system's own processes.
+	// Port is the port on which each control VM serves the processes of the deployment.
 	Port uint16
 }
 
-// ControlAddresses returns where the system's own processes reach the seeds.
+// ControlAddresses returns the addresses of the seeds for processes of the deployment.
 func (s *Seeds) ControlAddresses() []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(s.Addresses))
 	for _, a := range s.Addresses {
@@ -29,39 +29,42 @@
 	return out
 }
 
-// Routing are the settings of an entry that is the door of its targets.
+// Routing are the settings of an entry that proxies to targets directly, without agents.
 type Routing struct {
-	// ReadyAddress answers the balancer whether this entry takes callers.
+	// ReadyAddress serves the readiness checks of the load balancer.
 	ReadyAddress netip.AddrPort
-	// RetryRatio, RetrySlack and RetryWindow are the retry budget that all entries hold together.
+	// RetryRatio, MinRetries (key RetrySlack) and RetryWindow define the retry budget that
+	// all entries share.
 	RetryRatio  float64
 	MinRetries  float64
 	RetryWindow time.Duration
-	// StopTimeout bounds a graceful stop.
+	// StopTimeout (key Stop) bounds a graceful stop.
 	StopTimeout time.Duration
 }
 
-// Rank are the settings of an agent beside a rank of a lock-step group.
+// Rank are the settings of an agent that runs beside a rank of a lock-step group.
 type Rank struct {
 	EngineAddress netip.AddrPort
 }
 
-// Operating are the settings of a control VM whose operators decide in one step.
+// Operating are the settings of a control VM that applies an operator's decision in one
+// step.
 type Operating struct {
-	// Address takes operators' orders and targets' announcements.
+	// Address is the listen address for operators' commands and targets' announcements.
 	Address netip.AddrPort
-	// Bootstrap says that the deployment starts for the first time.
+	// Bootstrap means that the deployment starts for the first time.
 	Bootstrap bool
-	// ToleratedFailures is how many control VMs may be lost at once.
+	// ToleratedFailures (key BearLost) is the number of control VMs that may fail at the
+	// same time.
 	ToleratedFailures int
-	// AnnounceInterval is how often targets announce themselves.
+	// AnnounceInterval (key AnnounceEvery) is the interval of targets' announcements.
 	AnnounceInterval time.Duration
 }
 
-// UsesSeeds reports whether the control VMs find each other by seeds.
+// UsesSeeds reports whether the control VMs discover each other through seeds.
 func (s *Settings) UsesSeeds() bool { return len(s.Seeds.Addresses) > 0 }
 
-// networkTrusted and networkLoopback are the values of Network.
+// Values of the key Network.
 const (
 	networkTrusted  = "Trusted"
 	networkLoopback = "Loopback"
@@ -75,7 +78,7 @@
 func networkField() Field {
 	return Field{
 		Section: sectionProcess, Key: "Network", Allowed: networkLoopback + " or " + networkTrusted, Default: networkLoopback,
-		Help: "Trusted lets processes talk in plaintext beyond loopback. Whoever reaches their ports can then give orders: set it only on a network that nobody else reaches.",
+		Help: "Trusted allows plaintext on addresses other than loopback. Anyone who can reach the ports can then control the deployment: set it only on an isolated network.",
 		parse: func(s *Settings, v string) bool {
 			s.Process.TrustedNetwork = v == networkTrusted
 
@@ -87,13 +90,13 @@
 func seedDeploymentFields() []Field {
 	return []Field{
 		{
-			Section: sectionSeeds, Key: "Addresses", Allowed: "IP:port, 1 to 16 with commas between them", Required: true,
-			Help:  "Where operators reach some control VMs. In place of [Controls]; the others are learnt from these.",
+			Section: sectionSeeds, Key: "Addresses", Allowed: "1 to 16 comma-separated IP:port", Required: true,
+			Help:  "The addresses of some control VMs for operators. They replace [Controls]; the other control VMs are discovered through them.",
 			parse: setSeeds,
 		},
 		{
 			Section: sectionSeeds, Key: "Port", Allowed: "1 to 65535", Required: true,
-			Help: "The port at which each control VM serves the system's own processes.",
+			Help: "The port on which each control VM serves the deployment's processes.",
 			parse: func(s *Settings, v string) bool {
 				n, err := strconv.ParseUint(v, 10, 16)
 				s.Seeds.Port = uint16(n)
@@ -101,16 +104,16 @@
 				return err == nil && n > 0
 			},
 		},
-		addressFieldIn(sectionRouting, "ReadyAddress", "Answers the balancer whether this entry takes callers. It makes the entry the door of its targets.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
-		numberField(sectionRouting, "RetryRatio", "0.2", "How many sends beyond its first a request pays for, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
-		numberField(sectionRouting, "RetrySlack", "50", "How many such sends each service gets free in RetryWindow, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
-		durationField(sectionRouting, "RetryWindow", "10s", "The window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
-		durationField(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
-		addressFieldIn(sectionRank, "EngineAddress", "The engine on this VM, which is a rank of a lock-step group and takes orders. It makes the agent one that only keeps expert maps; callers' requests reach the engine past it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
-		addressFieldIn(sectionOperating, "Address", "Takes operators' orders, which are carried out in one step, and targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
+		addressFieldIn(sectionRouting, "ReadyAddress", "The listen address for the load balancer's readiness checks. If it is set, the entry proxies to its targets directly, without agents.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
+		numberField(sectionRouting, "RetryRatio", "0.2", "The retries that each request adds to the retry budget, which all entries share.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
+		numberField(sectionRouting, "RetrySlack", "50", "The retries that each service may make in RetryWindow beyond RetryRatio, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
+		durationField(sectionRouting, "RetryWindow", "10s", "The time window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
+		durationField(sectionRouting, "Stop", "8s", "The maximum time of a graceful stop. After it the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
+		addressFieldIn(sectionRank, "EngineAddress", "The address of the engine on this VM, which is a rank of a lock-step group and accepts orders. The agent then only manages expert maps; callers' requests bypass it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
+		addressFieldIn(sectionOperating, "Address", "The listen address for operators' commands, each of which takes effect in one step, and for targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
 		{
 			Section: sectionOperating, Key: "Bootstrap", Allowed: allowedBool, Default: "false",
-			Help: "Whether the deployment starts for the first time: the seeds then form the control set.",
+			Help: "Whether the deployment starts for the first time. The seeds then form the initial set of control VMs.",
 			parse: func(s *Settings, v string) bool {
 				s.Operating.Bootstrap = v == "true"
 
@@ -119,7 +122,7 @@
 		},
 		{
 			Section: sectionOperating, Key: "BearLost", Allowed: "0 to 3", Default: "1",
-			Help: "How many control VMs may be lost at once: twice as many and one more vote.",
+			Help: "The number n of control VMs that may fail at the same time. 2n+1 control VMs are voters.",
 			parse: func(s *Settings, v string) bool {
 				n, err := strconv.Atoi(v)
 				s.Operating.ToleratedFailures = n
@@ -127,7 +130,7 @@
 				return err == nil && n >= 0 && n <= maxToleratedFailures
 			},
 		},
-		durationField(sectionOperating, "AnnounceEvery", "1s", "How often targets announce themselves; after three silent periods one counts as silent.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceInterval }),
+		durationField(sectionOperating, "AnnounceEvery", "1s", "The interval at which targets announce themselves. A target counts as unresponsive after three intervals without an announcement.", func(s *Settings) *time.Duration { return &s.Operating.AnnounceInterval }),
 	}
 }
 
@@ -165,7 +168,7 @@
 	}
 }
 
-// parseZones reads the regions of the availability zones, by name.
+// parseZones parses the names and regions of the availability zones.
 func (s *Settings) parseZones(section *inifile.Section) *inifile.Error {
 	for _, setting := range section.Settings {
 		if !namePattern.MatchString(setting.Key) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one process: an INI file with a section
-// for what every process needs, the control VMs, and one for its role.
+// Package settings parses the settings file of one process. It is an INI file with
+// sections for the process, the control VMs, TLS and the process's role.
 package settings
 
 import (
@@ -12,36 +12,36 @@
 	"github.com/parsleygate/parsleygate/internal/inifile"
 )
 
-// Role is what a process is.
+// Role is the kind of a process.
 type Role string
 
-// The roles.
+// Roles of processes.
 const (
 	RoleEntry   Role = "entry"
 	RoleAgent   Role = "agent"
 	RoleControl Role = "control"
 )
 
-// ControlVM is one control VM of the deployment.
+// ControlVM is a control VM that is listed in [Controls].
 type ControlVM struct {
 	ID      string
 	Address netip.AddrPort
 }
 
-// Process is what every process needs.
+// Process are the settings of every process.
 type Process struct {
 	Role    Role
 	ID      string
 	Cluster string
 	Zone    string
 	Region  string
-	// Address is where the process listens: an entry for callers, the others for
-	// the system's processes.
+	// Address is the listen address, of an entry for callers and of an agent or control VM
+	// for the processes of the deployment.
 	Address netip.AddrPort
-	// AdminAddress serves the dump and the metrics.
+	// AdminAddress is the listen address for the dump and the metrics.
 	AdminAddress netip.AddrPort
 	LogOutput    string
-	// TrustedNetwork allows plaintext beyond loopback.
+	// TrustedNetwork allows plaintext on addresses other than loopback.
 	TrustedNetwork bool
 }
 
@@ -52,34 +52,40 @@
 	MaxRecordedBytes int
 	DefaultTimeout   time.Duration
 	MaxTimeout       time.Duration
-	WriteTimeout     time.Duration
-	// ShutdownDelay is how long a stopping entry goes on, for the balancer before it to notice.
+	// WriteTimeout (key SlowReader) bounds one write to a caller.
+	WriteTimeout time.Duration
+	// ShutdownDelay (key Leave) is how long a stopping entry still accepts requests, so
+	// that the load balancer in front of it can react to /ready.
 	ShutdownDelay time.Duration
 }
 
 // Agent are the settings of an agent.
 type Agent struct {
-	// AnnounceAddress takes the target's announcements over loopback.
-	AnnounceAddress   netip.AddrPort
-	CreditLifetime    time.Duration
-	AnnounceTimeout   time.Duration
+	// AnnounceAddress is the loopback address to which the target announces itself.
+	AnnounceAddress netip.AddrPort
+	// CreditLifetime is the key CreditLife.
+	CreditLifetime time.Duration
+	// AnnounceTimeout (key AnnounceLimit) is the time without an announcement after which
+	// the target counts as down.
+	AnnounceTimeout time.Duration
+	// TargetIdleTimeout (key TargetSilence) is the longest time without data of a response.
 	TargetIdleTimeout time.Duration
 	MaxAnswerBytes    int
 }
 
 // Control are the settings of a control VM.
 type Control struct {
-	// DataFolder is where the log and its snapshots live.
+	// DataFolder contains the log and its snapshots.
 	DataFolder string
-	// Volatile says that the VM has no disk, and nothing is kept.
+	// Volatile means that the VM has no disk and stores nothing.
 	Volatile bool
-	// Join says that this VM joins a running deployment as a learner; else it is
-	// one of the founders of a new one.
+	// Join means that this VM joins a running deployment as a learner. Otherwise it is a
+	// founder, an initial member of a new deployment.
 	Join bool
 }
 
-// TLS names the files of a process's key, its certificate, and the authority
-// that all processes of the deployment share. They are read again when they change.
+// TLS are the paths of the process's certificate and key, and of the certificates of the
+// authorities that the deployment trusts. The process reloads the files when they change.
 type TLS struct {
 	CertFile      string
 	KeyFile       string
@@ -95,21 +101,21 @@
 	Control  Control
 	TLS      TLS
 
-	// Seeds stand in place of Controls where control VMs find each other.
+	// Seeds replace Controls in deployments whose control VMs discover each other.
 	Seeds     Seeds
 	Routing   Routing
 	Operating Operating
 	Rank      Rank
-	// Zones are the regions of the availability zones, by name.
+	// Zones maps the name of each availability zone to its region.
 	Zones map[string]string
 }
 
-// MaxBytes bounds a settings file.
+// MaxBytes is the maximum size of a settings file.
 const MaxBytes = 1 << 20
 
-// Load reads the settings file at path.
+// Load reads and parses the settings file at path.
 func Load(path string) (*Settings, error) {
-	data, err := os.ReadFile(path) //nolint:gosec // the operator names the file
+	data, err := os.ReadFile(path) //nolint:gosec // the operator chooses the file
 	if err != nil {
 		return nil, eris.Wrap(err, "read settings")
 	}
@@ -117,7 +123,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings. Source names them in errors, which are of type *inifile.Error.
+// Parse parses and validates settings. Errors are of type *inifile.Error and name source.
 func Parse(source string, data []byte) (*Settings, error) {
 	file, err := inifile.Read(source, data, MaxBytes)
 	if err != nil {
@@ -161,7 +167,8 @@
 	}
 }
 
-// ControlAddresses returns the addresses of the control VMs that the file names.
+// ControlAddresses returns the addresses at which processes of the deployment reach the
+// control VMs in the file.
 func (s *Settings) ControlAddresses() []netip.AddrPort {
 	if s.UsesSeeds() {
 		return s.Seeds.ControlAddresses()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,8 +22,8 @@
 control-1 = 127.0.0.1:8600
 `
 
-// An operator mistypes a settings file. The error names the place and what is
-// allowed, and nothing runs on a guess.
+// A mistake in a settings file must give an error that names its position and what is
+// allowed. It must never be ignored.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 
@@ -36,16 +36,16 @@
 		{name: "unknown section", text: validSettings + "[Entri]\n", want: `x.ini:9: [Entri] unknown section; allowed: Process, `},
 		{name: "bad address", text: strings.Replace(validSettings, "127.0.0.1:8601", "entry.example:8601", 1), want: `x.ini:6: [Process] Address: bad value "entry.example:8601"; allowed: IP:port`},
 		{name: "no zone", text: strings.Replace(validSettings, "Zone = ayutthaya\n", "", 1), want: `x.ini: [Process] Zone: is missing; allowed: 1 to 63 letters`},
-		{name: "doubled section", text: validSettings + "[Controls]\n", want: `x.ini:9: [Controls] already given in line 7; allowed: one of each`},
-		{name: "doubled key", text: validSettings + "control-1 = 127.0.0.1:8602\n", want: `x.ini:9: [Controls] control-1: already given in line 8`},
-		{name: "one address twice", text: validSettings + "control-2 = 127.0.0.1:8600\n", want: `control-2: the address is another control VM's`},
+		{name: "duplicate section", text: validSettings + "[Controls]\n", want: `x.ini:9: [Controls] already given in line 7; allowed: one of each`},
+		{name: "duplicate key", text: validSettings + "control-1 = 127.0.0.1:8602\n", want: `x.ini:9: [Controls] control-1: already given in line 8`},
+		{name: "one address twice", text: validSettings + "control-2 = 127.0.0.1:8600\n", want: `control-2: the address belongs to another control VM`},
 		{name: "bad duration", text: validSettings + "[Entry]\nLeave = 5\n", want: `x.ini:10: [Entry] Leave: bad value "5"; allowed: a duration above 0`},
-		{name: "timeouts cross", text: validSettings + "[Entry]\nMaxTimeout = 1s\n", want: `DefaultTimeout: is above MaxTimeout; allowed: at most 1s`},
-		{name: "no control VM", text: strings.Replace(validSettings, "control-1 = 127.0.0.1:8600\n", "", 1), want: `[Controls] names 0 control VMs; allowed: 1 to 7`},
-		{name: "plaintext beyond loopback", text: strings.ReplaceAll(validSettings, "127.0.0.1", "10.11.1.5"), want: `[TLS] is missing, and 10.11.1.5:8600 is no loopback address`},
+		{name: "default timeout above the maximum", text: validSettings + "[Entry]\nMaxTimeout = 1s\n", want: `DefaultTimeout: is above MaxTimeout; allowed: at most 1s`},
+		{name: "no control VM", text: strings.Replace(validSettings, "control-1 = 127.0.0.1:8600\n", "", 1), want: `[Controls] lists 0 control VMs; allowed: 1 to 7`},
+		{name: "plaintext beyond loopback", text: strings.ReplaceAll(validSettings, "127.0.0.1", "10.11.1.5"), want: `[TLS] is missing, and 10.11.1.5:8600 is not a loopback address`},
 		{name: "key without certificate", text: validSettings + "[TLS]\nKeyFile = x\n", want: `[TLS] CertFile: is missing`},
 		{name: "control VM not in the list", text: strings.Replace(validSettings, "Role = entry", "Role = control", 1) + "[Control]\nDataFolder = /d\n", want: `[Controls] entry-1: this control VM is not in the list`},
-		{name: "no section", text: "Role = entry\n", want: `x.ini:1: Role: stands before the first section`},
+		{name: "no section", text: "Role = entry\n", want: `x.ini:1: Role: key before the first section`},
 	}
 
 	for _, c := range cases {
@@ -63,7 +63,7 @@
 	require.Len(t, s.ControlAddresses(), 1)
 }
 
-// The example settings and declarations of both deployments of today stay right.
+// All example settings and declarations must be valid.
 func TestExampleFilesParse(t *testing.T) {
 	t.Parallel()
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// The settings reference is generated; `make docs` writes it anew.
+// The settings reference in docs must match Reference. `make docs` regenerates it.
 func TestReferenceIsUpToDate(t *testing.T) {
 	t.Parallel()
 
