--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -165,7 +165,7 @@
 func scanLine(line, section string) (location, *Error) {
 	if line[0] == '[' {
 		if line[len(line)-1] != ']' {
-			return location{}, &Error{Problem: "section header without a closing bracket", Allowed: `[Section] or [Kind "name"]`}
+			return location{}, &Error{Problem: "section header is not closed", Allowed: `[Section] or [Kind "name"]`}
 		}
 
 		return location{section: strings.TrimSpace(line[1 : len(line)-1])}, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -101,8 +101,8 @@
 	forwardClient *http.Client
 }
 
-// init sets defaults and creates the queues, once. Every method that needs them calls it,
-// because methods may be called before Run.
+// init sets defaults and creates the queues, once. Methods call it because
+// they may be called before Run.
 func (r *Replica) init() {
 	r.initOnce.Do(func() {
 		r.requests = make(chan request, maxQueueLength)
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// CauseNoQuorum is the cause of requests that failed for want of a leader that can
-// commit. It is also the cause for reasons without a cause of their own.
+// CauseNoQuorum is the cause of errors while no leader can commit, and of all reasons
+// without a cause of their own.
 const CauseNoQuorum verdict.Cause = "NoQuorum"
 
 const (
@@ -123,7 +123,7 @@
 	return err
 }
 
-// submit runs a request on this replica or, if another one leads, forwards it there. It
+// submit runs a request on this replica or, if another replica leads, on that one. It
 // retries transient failures until ctx ends, for example while there is no leader. It
 // never retries a request that may have run.
 func (r *Replica) submit(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
@@ -272,7 +272,7 @@
 }
 
 // cancelOnNewLeader calls cancel once a term later than term has a leader. Without it, a
-// request forwarded to a leader that became unreachable would wait until the caller's
+// request forwarded to a leader that has become unreachable would wait until the caller's
 // deadline.
 func (r *Replica) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, term uint64) {
 	for {
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -44,7 +44,7 @@
 	r.status.Store(&s)
 }
 
-// findMember returns a member by ID, or a founder while the group is still being formed.
+// findMember returns a member by ID, or a founder while the group is being formed.
 func (r *Replica) findMember(id string) (quorum.Member, bool) {
 	if m, ok := r.core.Members().Find(id); ok {
 		return m, true
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -93,7 +93,7 @@
 				return err == nil && a.Port() != 0 && a.Addr().IsLoopback()
 			},
 		},
-		durationField(sectionAgent, "CreditLife", "2s", "How long a credit is valid. It bounds the age of an entry's report that its state is valid.", func(s *Settings) *time.Duration { return &s.Agent.CreditLifetime }),
+		durationField(sectionAgent, "CreditLife", "2s", "How long a credit is valid. It bounds how old an entry's confirmation of its view may be when the agent admits a request.", func(s *Settings) *time.Duration { return &s.Agent.CreditLifetime }),
 		durationField(sectionAgent, "AnnounceLimit", "3s", "The time without an announcement after which the target counts as down.", func(s *Settings) *time.Duration { return &s.Agent.AnnounceTimeout }),
 		durationField(sectionAgent, "TargetSilence", "1m", "The maximum time for which the target may send no data of a response.", func(s *Settings) *time.Duration { return &s.Agent.TargetIdleTimeout }),
 		sizeField(sectionAgent, "MaxAnswerBytes", "262144", "The maximum size of a response to a non-idempotent request that the agent stores.", func(s *Settings) *int { return &s.Agent.MaxAnswerBytes }),
@@ -199,7 +199,7 @@
 
 		def := f.Default
 		if f.Required {
-			def = "required"
+			def = "needed"
 		}
 
 		fmt.Fprintf(&b, "| %s | %s | %s | %s |\n", f.Key, f.Allowed, def, f.Help)
--- a/internal/settings/seeds.go
+++ b/internal/settings/seeds.go
@@ -105,10 +105,10 @@
 			},
 		},
 		addressFieldIn(sectionRouting, "ReadyAddress", "The listen address for the load balancer's readiness checks. If it is set, the entry proxies to its targets directly, without agents.", func(s *Settings) *netip.AddrPort { return &s.Routing.ReadyAddress }),
-		numberField(sectionRouting, "RetryRatio", "0.2", "The retries that each request adds to the retry budget, which all entries share.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
-		numberField(sectionRouting, "RetrySlack", "50", "The retries that each service may make in RetryWindow beyond RetryRatio, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
+		numberField(sectionRouting, "RetryRatio", "0.2", "The maximum ratio of retries to requests, over all entries.", func(s *Settings) *float64 { return &s.Routing.RetryRatio }),
+		numberField(sectionRouting, "RetrySlack", "50", "The retries that each service may make in RetryWindow in addition to that ratio, over all entries.", func(s *Settings) *float64 { return &s.Routing.MinRetries }),
 		durationField(sectionRouting, "RetryWindow", "10s", "The time window of the retry budget.", func(s *Settings) *time.Duration { return &s.Routing.RetryWindow }),
-		durationField(sectionRouting, "Stop", "8s", "The maximum time of a graceful stop. After it the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
+		durationField(sectionRouting, "Stop", "8s", "How long a graceful stop may take before the process is killed.", func(s *Settings) *time.Duration { return &s.Routing.StopTimeout }),
 		addressFieldIn(sectionRank, "EngineAddress", "The address of the engine on this VM, which is a rank of a lock-step group and accepts orders. The agent then only manages expert maps; callers' requests bypass it.", func(s *Settings) *netip.AddrPort { return &s.Rank.EngineAddress }),
 		addressFieldIn(sectionOperating, "Address", "The listen address for operators' commands, each of which takes effect in one step, and for targets' announcements.", func(s *Settings) *netip.AddrPort { return &s.Operating.Address }),
 		{
