--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -57,28 +57,28 @@
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	once     sync.Once
-	door     door
-	desk     orderDesk
-	target   targetState
-	counters counters
-	dialer   targetDialer
-	// pending counts the bytes of requests that are read or in flight.
-	pending  *semaphore.Weighted
-	server   *http.Server
-	bound    netip.AddrPort
-	listened chan struct{}
-	drained  chan struct{}
-	// keepUntil is until when a leaving agent still answers asks, in Unix nanoseconds.
-	keepUntil atomic.Int64
-	// open counts the exchanges whose last frame is not out yet.
-	open  atomic.Int64
-	leave sync.Once
+	prepareOnce sync.Once
+	admitter    admitter
+	orders      orderExecutor
+	target      targetState
+	counters    counters
+	client      targetClient
+	// pendingBytes counts the bytes of requests that are read or in flight.
+	pendingBytes  *semaphore.Weighted
+	server        *http.Server
+	listenAddress netip.AddrPort
+	listening     chan struct{}
+	drained       chan struct{}
+	// answerQueriesUntil is until when a leaving agent still answers asks, in Unix nanoseconds.
+	answerQueriesUntil atomic.Int64
+	// openExchanges counts the exchanges whose last frame is not out yet.
+	openExchanges atomic.Int64
+	shutdownOnce  sync.Once
 }
 
 // prepare fills what the caller left out.
 func (a *Agent) prepare() {
-	a.once.Do(func() {
+	a.prepareOnce.Do(func() {
 		if a.Now == nil {
 			a.Now = time.Now
 		}
@@ -93,20 +93,20 @@
 			a.Metrics = metrics.NewRegistry()
 		}
 
-		a.Settings.fill()
+		a.Settings.applyDefaults()
 		a.counters = newCounters(a.Metrics)
-		a.dialer = newTargetDialer(a.Settings)
-		a.pending = semaphore.NewWeighted(int64(a.Settings.MaxPendingBytes))
-		a.listened = make(chan struct{})
+		a.client = newTargetClient(a.Settings)
+		a.pendingBytes = semaphore.NewWeighted(int64(a.Settings.MaxPendingBytes))
+		a.listening = make(chan struct{})
 		a.drained = make(chan struct{})
-		a.door.view = a.View
-		a.door.core = admission.Core{
+		a.admitter.view = a.View
+		a.admitter.core = admission.Core{
 			AgentID:     a.ID,
 			Incarnation: a.Incarnation,
 			Started:     a.Now(),
 			Settings:    a.Settings.Admission,
 		}
-		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.UnsettledOrderTimeout}
+		a.orders.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.UnsettledOrderTimeout}
 	})
 }
 
@@ -123,43 +123,43 @@
 	defer cancel()
 
 	a.server = &http.Server{
-		Handler:           a.guarded(),
+		Handler:           a.handler(),
 		ReadHeaderTimeout: a.Settings.ReadTimeout,
 		IdleTimeout:       a.Settings.IdleTimeout,
 		MaxHeaderBytes:    a.Settings.MaxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(a.Logger.Handler(), slog.LevelDebug),
-		ConnContext:       boundAcks(a.Settings.AckTimeout),
+		ConnContext:       setUserTimeout(a.Settings.AckTimeout),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
-	close(a.listened)
-	a.Logger.Info("Agent listens.", "address", a.bound, "incarnation", a.Incarnation)
+	close(a.listening)
+	a.Logger.Info("Agent listens.", "address", a.listenAddress, "incarnation", a.Incarnation)
 
 	stopAnnounce := a.serveAnnouncements()
 	defer stopAnnounce()
 
-	served := make(chan error, 1)
-	go func() { served <- a.server.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- a.server.Serve(ln) }()
 
-	ticked := make(chan struct{})
+	tickerDone := make(chan struct{})
 
 	go func() {
-		defer close(ticked)
+		defer close(tickerDone)
 		a.tick(ctx)
 	}()
 
-	err = a.wait(ctx, served)
+	err = a.wait(ctx, serveErr)
 
 	cancel()
-	<-ticked
-	a.dialer.closeIdle()
+	<-tickerDone
+	a.client.closeIdle()
 
 	return err
 }
 
 // wait returns when the server has ended, by Drain, by ctx or by a fault.
-func (a *Agent) wait(ctx context.Context, served <-chan error) error {
+func (a *Agent) wait(ctx context.Context, serveErr <-chan error) error {
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		if !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve")
 		}
@@ -170,7 +170,7 @@
 	case <-ctx.Done():
 		_ = a.server.Close()
 
-		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve")
 		}
 
@@ -190,9 +190,9 @@
 		}
 	}
 
-	a.bound = a.Address
+	a.listenAddress = a.Address
 	if addr, ok := ln.Addr().(*net.TCPAddr); ok {
-		a.bound = addr.AddrPort()
+		a.listenAddress = addr.AddrPort()
 	}
 
 	return ln, nil
@@ -208,7 +208,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			a.door.tick(a.Now())
+			a.admitter.tick(a.Now())
 		}
 	}
 }
@@ -224,7 +224,7 @@
 		Zone:        a.Zone,
 		Address:     a.address().String(),
 		Incarnation: a.Incarnation,
-		Leaving:     a.door.leaving(),
+		Leaving:     a.admitter.draining(),
 	}
 
 	if t != nil {
@@ -251,8 +251,8 @@
 // address is where the agent listens, or is set to listen.
 func (a *Agent) address() netip.AddrPort {
 	select {
-	case <-a.listened:
-		return a.bound
+	case <-a.listening:
+		return a.listenAddress
 	default:
 		return a.Address
 	}
@@ -262,5 +262,5 @@
 func (a *Agent) Ready() <-chan struct{} {
 	a.prepare()
 
-	return a.listened
+	return a.listening
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,7 +13,7 @@
 // TestMain also looks for goroutines that the agents left behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestRelaysRequestAndAnswer(t *testing.T) {
+func TestRelaysRequestAndResponse(t *testing.T) {
 	t.Parallel()
 
 	target := httpTarget(t, func(w http.ResponseWriter, r *http.Request) {
@@ -26,10 +26,10 @@
 			w.(http.Flusher).Flush()
 		}
 	})
-	r := newRig(t, target, nil)
+	r := newFixture(t, target, nil)
 
 	a := r.do(r.request("/draft?x=1", "two staves leak"))
-	a.requireWhole(t, "two|staves|leak|")
+	a.requireComplete(t, "two|staves|leak|")
 	require.EqualValues(t, http.StatusOK, a.head.GetStatus())
 
 	got := map[string]string{}
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -11,11 +11,11 @@
 // Between two announcements this is the first that its agent hears of it.
 const ColdHeader = "Parsleygate-Target-Cold"
 
-// toldCold takes an engine's word from the head of an answer.
-func (a *Agent) toldCold() { a.door.toldCold(a.Now()) }
+// reportCold takes an engine's word from the head of an answer.
+func (a *Agent) reportCold() { a.admitter.reportCold(a.Now()) }
 
-// guarded returns the agent's routes behind Guard.
-func (a *Agent) guarded() http.Handler {
+// handler returns the agent's routes behind Guard.
+func (a *Agent) handler() http.Handler {
 	if a.Authorize == nil {
 		return a.routes()
 	}
@@ -33,11 +33,11 @@
 	r := chi.NewRouter()
 	r.Post(AnnouncePath, a.serveAnnounce)
 
-	web := &http.Server{Handler: r, ReadHeaderTimeout: a.Settings.ReadTimeout}
+	server := &http.Server{Handler: r, ReadHeaderTimeout: a.Settings.ReadTimeout}
 
-	go func() { _ = web.Serve(a.AnnounceListener) }()
+	go func() { _ = server.Serve(a.AnnounceListener) }()
 
-	return func() { _ = web.Close() }
+	return func() { _ = server.Close() }
 }
 
 // TargetAddress returns where the target takes requests; it is not valid before
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime is the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -29,31 +29,31 @@
 }
 
 // measure runs do at each concurrency, and reports time and processor time for one call.
-func measure(n, workers int, do func(worker int)) (each, used time.Duration) {
+func measure(calls, workers int, call func(worker int)) (latency, cpu time.Duration) {
 	var wg sync.WaitGroup
 
-	start, cpuStart := time.Now(), cpu()
+	start, cpuStart := time.Now(), cpuTime()
 
 	for w := range workers {
 		wg.Go(func() {
-			for range n / workers {
-				do(w)
+			for range calls / workers {
+				call(w)
 			}
 		})
 	}
 
 	wg.Wait()
 
-	calls := time.Duration(max(n/workers*workers, 1))
+	completed := time.Duration(max(calls/workers*workers, 1))
 
-	return time.Since(start) * time.Duration(workers) / calls, (cpu() - cpuStart) / calls
+	return time.Since(start) * time.Duration(workers) / completed, (cpuTime() - cpuStart) / completed
 }
 
-// BenchmarkAddedByAgent compares a call through the agent with a direct call to the
+// BenchmarkAgentOverhead compares a call through the agent with a direct call to the
 // same target, in the same run. The processor time counts client, agent and target.
-func BenchmarkAddedByAgent(b *testing.B) {
+func BenchmarkAgentOverhead(b *testing.B) {
 	target := httpTarget(b, ok)
-	r := newRig(b, target, func(a *Agent) {
+	r := newFixture(b, target, func(a *Agent) {
 		a.Settings.Admission.MaxAttempts = 1 << 20
 		a.View = func() admission.View {
 			return admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1024, WarmLimit: 1024}
@@ -70,7 +70,7 @@
 				direct := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers, DisableKeepAlives: kind == "booking"}}
 				defer direct.CloseIdleConnections()
 
-				plain := func(int) {
+				callDirect := func(int) {
 					hr, _ := http.NewRequest(http.MethodPost, "http://"+target.String()+"/x", bytes.NewReader(body))
 
 					resp, err := direct.Do(hr)
@@ -87,9 +87,9 @@
 					requests[w].Idempotent = kind == "idempotent"
 				}
 
-				through := func(w int) {
+				callAgent := func(w int) {
 					req := requests[w]
-					req.AttemptID = strconv.FormatUint(r.serial.Add(1), 10)
+					req.AttemptID = strconv.FormatUint(r.attempts.Add(1), 10)
 
 					a := r.do(req)
 					if a.end == nil {
@@ -100,18 +100,18 @@
 					req.Credit = a.end.GetLoad().GetCredit()
 				}
 
-				measure(workers*4, workers, plain)
+				measure(workers*4, workers, callDirect)
 				b.ResetTimer()
 
-				dEach, dCPU := measure(b.N, workers, plain)
-				tEach, tCPU := measure(b.N, workers, through)
+				directLatency, directCPU := measure(b.N, workers, callDirect)
+				agentLatency, agentCPU := measure(b.N, workers, callAgent)
 
-				b.ReportMetric(float64(dEach.Microseconds()), "direct-µs")
-				b.ReportMetric(float64(tEach.Microseconds()), "agent-µs")
-				b.ReportMetric(float64(tEach)/float64(dEach), "latency-ratio")
-				b.ReportMetric(float64(tCPU)/float64(dCPU), "cpu-ratio")
-				b.ReportMetric(float64(dCPU.Microseconds()), "direct-cpu-µs")
-				b.ReportMetric(float64(tCPU.Microseconds()), "agent-cpu-µs")
+				b.ReportMetric(float64(directLatency.Microseconds()), "direct-µs")
+				b.ReportMetric(float64(agentLatency.Microseconds()), "agent-µs")
+				b.ReportMetric(float64(agentLatency)/float64(directLatency), "latency-ratio")
+				b.ReportMetric(float64(agentCPU)/float64(directCPU), "cpu-ratio")
+				b.ReportMetric(float64(directCPU.Microseconds()), "direct-cpu-µs")
+				b.ReportMetric(float64(agentCPU.Microseconds()), "agent-cpu-µs")
 			})
 		}
 	}
@@ -123,37 +123,37 @@
 	const streams = 400
 
 	for range b.N {
-		g := newGate()
-		g.started = make(chan struct{}, 3*streams)
-		g.gone = make(chan struct{}, 3*streams)
-		target := httpTarget(b, g.serve("text/event-stream"))
-		r := newRig(b, target, func(a *Agent) {
+		bt := newBlockingTarget()
+		bt.started = make(chan struct{}, 3*streams)
+		bt.canceled = make(chan struct{}, 3*streams)
+		target := httpTarget(b, bt.serve("text/event-stream"))
+		r := newFixture(b, target, func(a *Agent) {
 			a.View = func() admission.View {
 				return admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1024, WarmLimit: 1024}
 			}
 		})
 		r.post(AnnouncePath, `{"BootID":"boot-1","Address":"`+target.String()+`","Service":"`+testService+`","Capacity":1024,"InFlight":0}`, 204)
 
-		direct := openMany(b, streams, g, func() io.Closer {
+		direct := measureOpen(b, streams, bt, func() io.Closer {
 			resp, err := http.Post("http://"+target.String(), "text/plain", nil)
 			require.NoError(b, err)
 
 			return resp.Body
 		})
-		through := openMany(b, streams, g, func() io.Closer {
+		viaAgent := measureOpen(b, streams, bt, func() io.Closer {
 			resp, _ := r.open(context.Background(), r.request("/x", "x"))
 			return resp.Body
 		})
 
-		b.ReportMetric(through.goroutines-direct.goroutines, "goroutines/stream")
-		b.ReportMetric(through.bytes-direct.bytes, "bytes/stream")
-		close(g.release)
+		b.ReportMetric(viaAgent.goroutines-direct.goroutines, "goroutines/stream")
+		b.ReportMetric(viaAgent.bytes-direct.bytes, "bytes/stream")
+		close(bt.release)
 	}
 }
 
-type use struct{ goroutines, bytes float64 }
+type streamCost struct{ goroutines, bytes float64 }
 
-func openMany(b *testing.B, n int, g *gate, open func() io.Closer) use {
+func measureOpen(b *testing.B, n int, bt *blockingTarget, open func() io.Closer) streamCost {
 	b.Helper()
 
 	sample := func() (int, uint64) {
@@ -164,26 +164,26 @@
 
 		return runtime.NumGoroutine(), m.HeapAlloc + m.StackInuse
 	}
-	g0, b0 := sample()
+	goroutinesBefore, bytesBefore := sample()
 
-	var cs []io.Closer
+	var closers []io.Closer
 	for range n {
-		cs = append(cs, open())
+		closers = append(closers, open())
 	}
 
 	for range n {
-		<-g.started
+		<-bt.started
 	}
 
-	g1, b1 := sample()
+	goroutinesAfter, bytesAfter := sample()
 
-	for _, c := range cs {
+	for _, c := range closers {
 		c.Close()
 	}
 
 	for range n {
-		<-g.gone
+		<-bt.canceled
 	}
 
-	return use{float64(g1-g0) / float64(n), float64(int64(b1)-int64(b0)) / float64(n)}
+	return streamCost{float64(goroutinesAfter-goroutinesBefore) / float64(n), float64(int64(bytesAfter)-int64(bytesBefore)) / float64(n)}
 }
--- a/internal/agent/cold_test.go
+++ b/internal/agent/cold_test.go
@@ -15,7 +15,7 @@
 
 // A target that turns cold would be filled by callers, and those who give up on it
 // would be replaced by others while it still works for them.
-func TestColdTarget(t *testing.T) {
+func TestColdTargetLimits(t *testing.T) {
 	t.Parallel()
 
 	t.Run("late first tokens drop the limit", func(t *testing.T) {
@@ -23,7 +23,7 @@
 
 		var cold atomic.Bool
 
-		r := newRig(t, httpTarget(t, func(w http.ResponseWriter, r *http.Request) {
+		r := newFixture(t, httpTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			if cold.Load() {
 				time.Sleep(150 * time.Millisecond)
 			}
@@ -52,17 +52,17 @@
 	t.Run("a cancelled request counts for a while", func(t *testing.T) {
 		t.Parallel()
 
-		g := newGate()
-		r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) { a.Settings.Admission.CanceledWorkTTL = time.Hour })
+		bt := newBlockingTarget()
+		r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) { a.Settings.Admission.CanceledWorkTTL = time.Hour })
 		r.view.Store(&admission.View{Version: 8, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1, WarmLimit: 2})
 		r.announce("boot-2")
 
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, _ := r.open(ctx, r.request("/draft", "x"))
-		<-g.started
+		<-bt.started
 		cancel()
 		resp.Body.Close()
-		<-g.gone
+		<-bt.canceled
 		require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
 
 		a := r.do(r.request("/draft", "x"))
--- a/internal/agent/conn_linux.go
+++ b/internal/agent/conn_linux.go
@@ -10,13 +10,13 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall leaves out.
 const tcpUserTimeout = 0x12
 
-// boundAcks closes a connection whose other end acknowledges nothing for timeout.
+// setUserTimeout closes a connection whose other end acknowledges nothing for timeout.
 //
 // It guards against a connection that has gone silent for good. Heartbeats are too
 // small to ever fill the socket's buffer, so writes go on without an error, and the
 // target would work for nobody until the deadline. Heartbeats make sure that there
 // is something to acknowledge each second.
-func boundAcks(timeout time.Duration) func(context.Context, net.Conn) context.Context {
+func setUserTimeout(timeout time.Duration) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, c net.Conn) context.Context {
 		tc, ok := c.(*net.TCPConn)
 		if !ok {
--- a/internal/agent/conn_linux_test.go
+++ b/internal/agent/conn_linux_test.go
@@ -12,7 +12,7 @@
 
 // A target would work on for an entry whose connection has gone silent. A silent
 // network can't be made on loopback; what is checked is that the kernel is told.
-func TestConnectionsBoundAcks(t *testing.T) {
+func TestUserTimeoutIsSet(t *testing.T) {
 	t.Parallel()
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 
 	defer in.Close()
 
-	boundAcks(7*time.Second)(context.Background(), in)
+	setUserTimeout(7*time.Second)(context.Background(), in)
 
 	raw, err := in.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -11,8 +11,8 @@
 // Run. An ended ctx gives up waiting and returns its error; Run goes on then.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.prepare()
-	a.door.leave()
-	a.desk.leave()
+	a.admitter.drain()
+	a.orders.drain()
 	a.Logger.Info("Agent is leaving.")
 
 	t := time.NewTicker(a.Settings.TickInterval)
@@ -28,8 +28,8 @@
 
 	var err error
 
-	a.leave.Do(func() {
-		<-a.listened
+	a.shutdownOnce.Do(func() {
+		<-a.listening
 
 		err = a.server.Shutdown(ctx)
 		close(a.drained)
@@ -46,15 +46,15 @@
 // left then, and a booking that ran was reported as one that may have run. An exchange
 // writes keepUntil before it closes, so that is read last.
 func (a *Agent) idle() bool {
-	_, order := a.desk.state()
+	_, runningOrder := a.orders.fencingNumbers()
 	now := a.Now()
 
-	return order == 0 && a.door.drained(now) && a.open.Load() == 0 && now.UnixNano() >= a.keepUntil.Load()
+	return runningOrder == 0 && a.admitter.drained(now) && a.openExchanges.Load() == 0 && now.UnixNano() >= a.answerQueriesUntil.Load()
 }
 
-// undelivered notes that an answer didn't reach its entry, which may ask for it
+// recordUndelivered notes that an answer didn't reach its entry, which may ask for it
 // over another connection. An agent that left at once would make a booking that
 // ran into one that may have run.
-func (a *Agent) undelivered(now time.Time) {
-	a.keepUntil.Store(now.Add(a.Settings.AttemptQueryWait).UnixNano())
+func (a *Agent) recordUndelivered(now time.Time) {
+	a.answerQueriesUntil.Store(now.Add(a.Settings.AttemptQueryWait).UnixNano())
 }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -19,62 +19,62 @@
 
 	const streams = 8
 
-	g := newGate()
-	r := newRig(t, httpTarget(t, g.serve("text/event-stream")), nil)
+	bt := newBlockingTarget()
+	r := newFixture(t, httpTarget(t, bt.serve("text/event-stream")), nil)
 	drained := make(chan error, 1)
 
-	type open struct {
+	type openStream struct {
 		resp   *http.Response
-		answer answer
-		read   func(a *answer)
+		answer response
+		read   func(a *response)
 	}
 
-	var opens []*open
+	var open []*openStream
 
-	late := r.booking("/book", "late")
+	refused := r.nonIdempotentRequest("/book", "late")
 
 	for range streams {
 		resp, frames := r.open(context.Background(), r.request("/draft", "x")) //nolint:bodyclose // closed below
-		opens = append(opens, &open{resp: resp, read: func(a *answer) { a.add(frames) }})
-		<-g.started
+		open = append(open, &openStream{resp: resp, read: func(a *response) { a.readFrame(frames) }})
+		<-bt.started
 	}
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
 	require.Eventually(t, func() bool { return r.agent.Node().GetLeaving() }, 5*time.Second, time.Millisecond)
-	a := r.do(late)
+	a := r.do(refused)
 	a.requireRefused(t, wire.Verdict_NotRun, "Stopping")
 	require.Zero(t, r.credit().GetSlots())
 	require.Empty(t, drained)
-	close(g.release)
+	close(bt.release)
 
-	for _, o := range opens {
-		for o.answer.end == nil && o.answer.err == nil {
-			o.read(&o.answer)
+	for _, s := range open {
+		for s.answer.end == nil && s.answer.err == nil {
+			s.read(&s.answer)
 		}
 
-		o.answer.requireWhole(t, "first last")
-		o.resp.Body.Close()
+		s.answer.requireComplete(t, "first last")
+		s.resp.Body.Close()
 	}
 
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-r.runErr)
 }
 
-// lineHandler calls seen at one line of the log.
-type lineHandler struct {
-	line string
-	seen func()
+// messageHandler calls seen at one line of the log.
+type messageHandler struct {
+	message   string
+	onMessage func()
 }
 
-func (h lineHandler) Enabled(context.Context, slog.Level) bool { return true }
-func (h lineHandler) WithAttrs([]slog.Attr) slog.Handler       { return h }
-func (h lineHandler) WithGroup(string) slog.Handler            { return h }
+func (h messageHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (h messageHandler) WithAttrs([]slog.Attr) slog.Handler       { return h }
+func (h messageHandler) WithGroup(string) slog.Handler            { return h }
 
-func (h lineHandler) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == h.line {
-		h.seen()
+func (h messageHandler) Handle(_ context.Context, r slog.Record) error {
+	if r.Message == h.message {
+		h.onMessage()
 	}
 
 	return nil
@@ -82,23 +82,23 @@
 
 // A booking that ran would be reported as one that may have run: its entry's
 // connection broke, and the agent left before the entry could ask.
-func TestDrainWaitsForAsks(t *testing.T) {
+func TestDrainWaitsForAttemptQueries(t *testing.T) {
 	t.Parallel()
 
-	g := newGate()
-	noticed := make(chan struct{})
-	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) {
-		a.Logger = slog.New(lineHandler{line: "The entry is gone.", seen: func() { close(noticed) }})
+	bt := newBlockingTarget()
+	disconnected := make(chan struct{})
+	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) {
+		a.Logger = slog.New(messageHandler{message: "The entry is gone.", onMessage: func() { close(disconnected) }})
 		a.Settings.AttemptQueryWait = 4 * time.Second
 		a.Settings.TickInterval = time.Millisecond
 	})
-	req := r.booking("/book", "x")
+	req := r.nonIdempotentRequest("/book", "x")
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, frames := r.open(ctx, req)
 
-	var a answer
-	a.add(frames)
-	<-g.started
+	var a response
+	a.readFrame(frames)
+	<-bt.started
 	cancel()
 	resp.Body.Close()
 
@@ -106,14 +106,14 @@
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
-	<-noticed
-	close(g.release)
+	<-disconnected
+	close(bt.release)
 	require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
 	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
-	require.Equal(t, "first last", string(r.ask(req, true).GetAnswer().GetBody()))
+	require.Equal(t, "first last", string(r.queryAttempt(req, true).GetAnswer().GetBody()))
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-r.runErr)
 }
 
 // A booking's entry is gone, and its agent is told to leave. The core has let go of
@@ -121,11 +121,11 @@
 func TestDrainWaitsForOpenExchanges(t *testing.T) {
 	t.Parallel()
 
-	r := newRig(t, httpTarget(t, newGate().serve("text/plain")), nil)
-	r.agent.door.leave()
+	r := newFixture(t, httpTarget(t, newBlockingTarget().serve("text/plain")), nil)
+	r.agent.admitter.drain()
 	require.True(t, r.agent.idle())
-	r.agent.open.Add(1)
+	r.agent.openExchanges.Add(1)
 	require.False(t, r.agent.idle())
-	r.agent.open.Add(-1)
+	r.agent.openExchanges.Add(-1)
 	require.True(t, r.agent.idle())
 }
--- a/internal/agent/entry_fault_test.go
+++ b/internal/agent/entry_fault_test.go
@@ -28,64 +28,64 @@
 // A booking would run on a message that isn't what the caller sent, or run twice.
 // The entry's message is too large, malformed, doubled, late, or for an agent
 // that is gone. Each refusal is told from the verdict alone.
-func TestEntryFaults(t *testing.T) {
+func TestInvalidRequestsAreNotRun(t *testing.T) {
 	t.Parallel()
 
-	const small = 1 << 10
+	const maxBytes = 1 << 10
 
 	cases := []struct {
-		name  string
-		spoil func(r *rig, req *wire.Request)
-		want  wire.Verdict
-		cause string
+		name   string
+		modify func(r *fixture, req *wire.Request)
+		want   wire.Verdict
+		cause  string
 	}{
-		{"body too large", func(_ *rig, req *wire.Request) {
-			req.Body = bytes.Repeat([]byte("x"), small+1)
+		{"body too large", func(_ *fixture, req *wire.Request) {
+			req.Body = bytes.Repeat([]byte("x"), maxBytes+1)
 			req.BodyDigest = xxhash.Sum64(req.GetBody())
 		}, wire.Verdict_NotRun, "TooLarge"},
-		{"message far too large", func(_ *rig, req *wire.Request) {
-			req.Body = bytes.Repeat([]byte("x"), 100*small)
+		{"message far too large", func(_ *fixture, req *wire.Request) {
+			req.Body = bytes.Repeat([]byte("x"), 100*maxBytes)
 		}, wire.Verdict_NotRun, "TooLarge"},
-		{"headers too large", func(_ *rig, req *wire.Request) {
-			req.Headers = []*wire.Header{{Name: "X", Value: strings.Repeat("x", small)}}
+		{"headers too large", func(_ *fixture, req *wire.Request) {
+			req.Headers = []*wire.Header{{Name: "X", Value: strings.Repeat("x", maxBytes)}}
 		}, wire.Verdict_NotRun, "TooLarge"},
-		{"body changed on the way", func(_ *rig, req *wire.Request) { req.Body[0]++ }, wire.Verdict_NotRun, "Malformed"},
-		{"header that smuggles another", func(_ *rig, req *wire.Request) {
+		{"body changed on the way", func(_ *fixture, req *wire.Request) { req.Body[0]++ }, wire.Verdict_NotRun, "Malformed"},
+		{"header that smuggles another", func(_ *fixture, req *wire.Request) {
 			req.Headers = []*wire.Header{{Name: "X", Value: "a\r\nY: b"}}
 		}, wire.Verdict_NotRun, "Malformed"},
-		{"header name with a space", func(_ *rig, req *wire.Request) {
+		{"header name with a space", func(_ *fixture, req *wire.Request) {
 			req.Headers = []*wire.Header{{Name: "X Y", Value: "a"}}
 		}, wire.Verdict_NotRun, "Malformed"},
-		{"method that smuggles a line", func(_ *rig, req *wire.Request) { req.Method = "GET / HTTP/1.1\r\n" }, wire.Verdict_NotRun, "Malformed"},
-		{"path of another host", func(_ *rig, req *wire.Request) { req.Path = "http://elsewhere/" }, wire.Verdict_NotRun, "Malformed"},
-		{"no attempt ID", func(_ *rig, req *wire.Request) { req.AttemptID = "" }, wire.Verdict_NotRun, "Malformed"},
-		{"attempt ID too long", func(_ *rig, req *wire.Request) {
+		{"method that smuggles a line", func(_ *fixture, req *wire.Request) { req.Method = "GET / HTTP/1.1\r\n" }, wire.Verdict_NotRun, "Malformed"},
+		{"path of another host", func(_ *fixture, req *wire.Request) { req.Path = "http://elsewhere/" }, wire.Verdict_NotRun, "Malformed"},
+		{"no attempt ID", func(_ *fixture, req *wire.Request) { req.AttemptID = "" }, wire.Verdict_NotRun, "Malformed"},
+		{"attempt ID too long", func(_ *fixture, req *wire.Request) {
 			req.AttemptID = strings.Repeat("x", maxIDBytes+1)
 		}, wire.Verdict_NotRun, "Malformed"},
-		{"deadline passed", func(_ *rig, req *wire.Request) { req.RemainingMillis = 0 }, wire.Verdict_NotRun, "DeadlinePassed"},
-		{"no credit", func(_ *rig, req *wire.Request) { req.Credit = nil }, wire.Verdict_NotRun, "EarlierIncarnation"},
-		{"earlier incarnation", func(_ *rig, req *wire.Request) { req.Credit.Incarnation-- }, wire.Verdict_NotRun, "EarlierIncarnation"},
-		{"expired credit", func(_ *rig, req *wire.Request) { req.Credit.ExpiresAtTick = 0 }, wire.Verdict_NotRun, "CreditExpired"},
-		{"another service", func(_ *rig, req *wire.Request) { req.Service = "desk" }, wire.Verdict_NotRun, "UnknownService"},
-		{"both views stale", func(r *rig, req *wire.Request) {
+		{"deadline passed", func(_ *fixture, req *wire.Request) { req.RemainingMillis = 0 }, wire.Verdict_NotRun, "DeadlinePassed"},
+		{"no credit", func(_ *fixture, req *wire.Request) { req.Credit = nil }, wire.Verdict_NotRun, "EarlierIncarnation"},
+		{"earlier incarnation", func(_ *fixture, req *wire.Request) { req.Credit.Incarnation-- }, wire.Verdict_NotRun, "EarlierIncarnation"},
+		{"expired credit", func(_ *fixture, req *wire.Request) { req.Credit.ExpiresAtTick = 0 }, wire.Verdict_NotRun, "CreditExpired"},
+		{"another service", func(_ *fixture, req *wire.Request) { req.Service = "desk" }, wire.Verdict_NotRun, "UnknownService"},
+		{"both views stale", func(r *fixture, req *wire.Request) {
 			r.view.Store(&admission.View{Version: 8, ColdLimit: 64, WarmLimit: 64})
 			req.ViewFresh = false
 		}, wire.Verdict_NotRun, "StaleConfiguration"},
-		{"zone out", func(r *rig, _ *wire.Request) {
+		{"zone out", func(r *fixture, _ *wire.Request) {
 			r.view.Store(&admission.View{Version: 8, FreshUntil: time.Now().Add(time.Hour), ZoneOut: true})
 		}, wire.Verdict_NotRun, "ZoneOut"},
-		{"closed before it arrives", func(r *rig, req *wire.Request) {
-			require.Equal(r.t, wire.AskState_AskClosed, r.ask(req, true).GetState())
+		{"closed before it arrives", func(r *fixture, req *wire.Request) {
+			require.Equal(r.t, wire.AskState_AskClosed, r.queryAttempt(req, true).GetState())
 		}, wire.Verdict_NotRun, "AttemptClosed"},
-		{"fit copy of an unfit message", func(r *rig, req *wire.Request) {
-			unfit := proto.CloneOf(req)
-			unfit.BodyDigest++
-			a := r.do(unfit)
+		{"fit copy of an unfit message", func(r *fixture, req *wire.Request) {
+			invalid := proto.CloneOf(req)
+			invalid.BodyDigest++
+			a := r.do(invalid)
 			a.requireRefused(r.t, wire.Verdict_NotRun, "Malformed")
 		}, wire.Verdict_NotRun, "AttemptClosed"},
-		{"doubled", func(r *rig, req *wire.Request) {
+		{"doubled", func(r *fixture, req *wire.Request) {
 			a := r.do(req)
-			a.requireWhole(r.t, string(req.GetBody()))
+			a.requireComplete(r.t, string(req.GetBody()))
 		}, wire.Verdict_Ran, "DuplicateAttempt"},
 	}
 
@@ -99,13 +99,13 @@
 				runs.Add(1)
 				ok(w, r)
 			})
-			r := newRig(t, target, func(a *Agent) {
-				a.Settings.MaxBodyBytes = small
-				a.Settings.MaxHeaderBytes = small
+			r := newFixture(t, target, func(a *Agent) {
+				a.Settings.MaxBodyBytes = maxBytes
+				a.Settings.MaxHeaderBytes = maxBytes
 			})
 
-			req := r.booking("/book", "kiln 3")
-			tc.spoil(r, req)
+			req := r.nonIdempotentRequest("/book", "kiln 3")
+			tc.modify(r, req)
 
 			before := runs.Load()
 			a := r.do(req)
@@ -117,43 +117,43 @@
 	t.Run("no message", func(t *testing.T) {
 		t.Parallel()
 
-		r := newRig(t, httpTarget(t, ok), nil)
+		r := newFixture(t, httpTarget(t, ok), nil)
 		resp, frames := r.openRaw(context.Background(), []byte("garbage"))
 		defer resp.Body.Close()
 
-		var a answer
-		a.add(frames)
+		var a response
+		a.readFrame(frames)
 		a.requireRefused(t, wire.Verdict_NotRun, "Malformed")
 	})
 }
 
-// gate is a target whose answer waits until it is let go on.
-type gate struct {
-	started chan struct{}
-	release chan struct{}
-	gone    chan struct{}
-	runs    atomic.Int64
+// blockingTarget is a target whose answer waits until it is let go on.
+type blockingTarget struct {
+	started  chan struct{}
+	release  chan struct{}
+	canceled chan struct{}
+	requests atomic.Int64
 }
 
-func newGate() *gate {
-	return &gate{started: make(chan struct{}, 16), release: make(chan struct{}), gone: make(chan struct{}, 16)}
+func newBlockingTarget() *blockingTarget {
+	return &blockingTarget{started: make(chan struct{}, 16), release: make(chan struct{}), canceled: make(chan struct{}, 16)}
 }
 
 // serve sends "first ", waits, and sends "last".
-func (g *gate) serve(contentType string) http.HandlerFunc {
+func (bt *blockingTarget) serve(contentType string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		g.runs.Add(1)
+		bt.requests.Add(1)
 		w.Header().Set("Content-Type", contentType)
 		_, _ = io.WriteString(w, "first ")
 		w.(http.Flusher).Flush()
-		g.started <- struct{}{}
+		bt.started <- struct{}{}
 
 		select {
-		case <-g.release:
+		case <-bt.release:
 			_, _ = io.WriteString(w, "last")
 		case <-r.Context().Done():
-			g.gone <- struct{}{}
+			bt.canceled <- struct{}{}
 		}
 	}
 }
@@ -161,7 +161,7 @@
 // A target would go on for a caller who has left, or a booking would be cut off
 // half-way because the entry's connection broke. The entry's connection ends while
 // the target works; a booking's entry asks for the answer over a new one.
-func TestEntryConnectionBreaks(t *testing.T) {
+func TestEntryDisconnects(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -179,27 +179,27 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			g := newGate()
-			r := newRig(t, httpTarget(t, g.serve(tc.kind)), nil)
-			req := r.booking("/book", "kiln 3")
+			bt := newBlockingTarget()
+			r := newFixture(t, httpTarget(t, bt.serve(tc.kind)), nil)
+			req := r.nonIdempotentRequest("/book", "kiln 3")
 			req.Idempotent = tc.idempotent
 
 			ctx, cancel := context.WithCancel(context.Background())
 			resp, frames := r.open(ctx, req)
 
-			var a answer
-			a.add(frames)
-			a.add(frames)
+			var a response
+			a.readFrame(frames)
+			a.readFrame(frames)
 			require.Equal(t, "first ", a.body)
-			require.Equal(t, wire.AskState_AskRunning, r.ask(req, true).GetState())
+			require.Equal(t, wire.AskState_AskRunning, r.queryAttempt(req, true).GetState())
 
 			cancel()
 			resp.Body.Close()
 
 			if tc.cancelled {
-				require.Eventually(t, func() bool { return len(g.gone) > 0 }, 5*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return len(bt.canceled) > 0 }, 5*time.Second, time.Millisecond)
 				require.Eventually(t, func() bool {
-					return r.ask(req, true).GetState() == wire.AskState_AskUnknown
+					return r.queryAttempt(req, true).GetState() == wire.AskState_AskUnknown
 				}, 5*time.Second, time.Millisecond)
 
 				return
@@ -207,13 +207,13 @@
 
 			a = r.do(req)
 			a.requireRefused(t, wire.Verdict_MayHaveRun, "DuplicateAttempt")
-			close(g.release)
+			close(bt.release)
 			require.Eventually(t, func() bool {
-				return r.ask(req, true).GetState() == wire.AskState_AskRan
+				return r.queryAttempt(req, true).GetState() == wire.AskState_AskRan
 			}, 5*time.Second, time.Millisecond)
-			require.Equal(t, "first last", string(r.ask(req, true).GetAnswer().GetBody()))
-			require.EqualValues(t, 200, r.ask(req, true).GetAnswer().GetStatus())
-			require.EqualValues(t, 1, g.runs.Load())
+			require.Equal(t, "first last", string(r.queryAttempt(req, true).GetAnswer().GetBody()))
+			require.EqualValues(t, 200, r.queryAttempt(req, true).GetAnswer().GetStatus())
+			require.EqualValues(t, 1, bt.requests.Load())
 		})
 	}
 }
@@ -221,10 +221,10 @@
 // A slot would be held for good by an entry whose connection is open one way only,
 // or has gone silent and takes nothing. The first closes its sending side, the
 // second stops reading a large answer.
-func TestEntryHalfGone(t *testing.T) {
+func TestUnreadableEntryReleasesSlot(t *testing.T) {
 	t.Parallel()
 
-	dial := func(t *testing.T, r *rig) net.Conn {
+	dial := func(t *testing.T, r *fixture) net.Conn {
 		t.Helper()
 
 		req := r.request("/draft", "x")
@@ -245,21 +245,21 @@
 	t.Run("half-closed", func(t *testing.T) {
 		t.Parallel()
 
-		g := newGate()
-		r := newRig(t, httpTarget(t, g.serve("text/plain")), nil)
+		bt := newBlockingTarget()
+		r := newFixture(t, httpTarget(t, bt.serve("text/plain")), nil)
 		c := dial(t, r)
-		<-g.started
+		<-bt.started
 		require.NoError(t, c.(*net.TCPConn).CloseWrite())
-		<-g.gone
+		<-bt.canceled
 	})
 	t.Run("takes nothing", func(t *testing.T) {
 		t.Parallel()
 
 		var sent atomic.Int64
 
-		gone := make(chan struct{})
+		disconnected := make(chan struct{})
 		target := httpTarget(t, func(w http.ResponseWriter, _ *http.Request) {
-			defer close(gone)
+			defer close(disconnected)
 
 			chunk := make([]byte, 64<<10)
 			for {
@@ -271,9 +271,9 @@
 				sent.Add(int64(n))
 			}
 		})
-		r := newRig(t, target, func(a *Agent) { a.Settings.WriteTimeout = 300 * time.Millisecond })
+		r := newFixture(t, target, func(a *Agent) { a.Settings.WriteTimeout = 300 * time.Millisecond })
 		dial(t, r)
-		<-gone
+		<-disconnected
 		// What the sockets on the way buffer is bounded; the agent must not add to it.
 		require.Less(t, sent.Load(), int64(64<<20))
 		require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
@@ -285,25 +285,25 @@
 func TestPendingBytesAreBounded(t *testing.T) {
 	t.Parallel()
 
-	g := newGate()
-	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) { a.Settings.MaxPendingBytes = 3000 })
+	bt := newBlockingTarget()
+	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) { a.Settings.MaxPendingBytes = 3000 })
 	large := strings.Repeat("x", 2000)
 	resp, frames := r.open(context.Background(), r.request("/draft", large))
 
 	defer resp.Body.Close()
 
-	<-g.started
+	<-bt.started
 
 	a := r.do(r.request("/draft", large))
 	a.requireRefused(t, wire.Verdict_NotRun, "Overload")
-	close(g.release)
+	close(bt.release)
 
-	var first answer
+	var first response
 	for first.end == nil && first.err == nil {
-		first.add(frames)
+		first.readFrame(frames)
 	}
 
-	first.requireWhole(t, "first last")
+	first.requireComplete(t, "first last")
 	require.Eventually(t, func() bool {
 		a := r.do(r.request("/draft", large))
 		return a.end != nil
@@ -312,67 +312,67 @@
 
 // A caller would take a slow target for a dead one, or a dead one for a slow one.
 // While the target says nothing, the entry hears heartbeats.
-func TestHeartbeats(t *testing.T) {
+func TestHeartbeatsWhileTargetIsIdle(t *testing.T) {
 	t.Parallel()
 
-	g := newGate()
-	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) {
+	bt := newBlockingTarget()
+	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) {
 		a.Settings.HeartbeatInterval = 5 * time.Millisecond
 	})
 	resp, frames := r.open(context.Background(), r.request("/draft", "x"))
 	defer resp.Body.Close()
 
-	var a answer
-	for a.beats < 3 {
-		a.add(frames)
+	var a response
+	for a.heartbeats < 3 {
+		a.readFrame(frames)
 		require.NoError(t, a.err)
 	}
 
-	close(g.release)
+	close(bt.release)
 
 	for a.end == nil && a.err == nil {
-		a.add(frames)
+		a.readFrame(frames)
 	}
 
-	a.requireWhole(t, "first last")
+	a.requireComplete(t, "first last")
 }
 
 // A booking that ran would be denied, or made again: the agent restarts while it
 // runs. Of the former incarnation nothing is known, and nothing of it is let in.
-func TestAgentRestartInTheMiddle(t *testing.T) {
+func TestAgentRestartDuringRequest(t *testing.T) {
 	t.Parallel()
 
-	g := newGate()
-	r := newRig(t, httpTarget(t, g.serve("text/plain")), nil)
-	req := r.booking("/book", "kiln 3")
+	bt := newBlockingTarget()
+	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), nil)
+	req := r.nonIdempotentRequest("/book", "kiln 3")
 	resp, frames := r.open(context.Background(), req)
 
-	var a answer
-	a.add(frames)
+	var a response
+	a.readFrame(frames)
 	r.stop()
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-r.runErr)
 
 	for a.err == nil && a.refusal == nil {
-		a.add(frames)
+		a.readFrame(frames)
 		require.Nil(t, a.end, "a cut answer was ended as whole")
 	}
 
 	resp.Body.Close()
 
-	old := r.agent
+	previous := r.agent
 	r.agent = &Agent{
-		ID: old.ID, Zone: old.Zone, Incarnation: old.Incarnation + 1, Address: old.Address, View: old.View,
+		ID: previous.ID, Zone: previous.Zone, Incarnation: previous.Incarnation + 1, Address: previous.Address, View: previous.View,
 		Settings: Settings{Admission: admission.Settings{AnnounceTimeout: time.Hour}},
 	}
 	r.start()
 
-	require.Equal(t, wire.AskState_AskUnknown, r.ask(req, true).GetState())
+	require.Equal(t, wire.AskState_AskUnknown, r.queryAttempt(req, true).GetState())
 
 	// An entry sends an attempt once; this is its next one, on a credit of the former agent.
 	next := proto.CloneOf(req)
 	next.AttemptID = "next"
 	a = r.do(next)
 	a.requireRefused(t, wire.Verdict_NotRun, "EarlierIncarnation")
-	require.EqualValues(t, 1, g.runs.Load())
-	close(g.release)
+	require.EqualValues(t, 1, bt.requests.Load())
+	close(bt.release)
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -24,81 +24,81 @@
 	req   *wire.Request
 	out   *frameWriter
 	call  call
-	// until is when the request ends, whatever its state.
-	until time.Time
-
-	// entryGone says that the entry takes no more frames.
-	entryGone bool
-	stream    bool
-	begun     bool
-	digest    xxhash.Digest
-	length    uint64
-	// record collects the answer of a request that must not be repeated; nil where it isn't kept.
-	record *wire.Answer
+	// deadline is when the request ends, whatever its state.
+	deadline time.Time
+
+	// disconnected says that the entry takes no more frames.
+	disconnected bool
+	stream       bool
+	gotData      bool
+	digest       xxhash.Digest
+	length       uint64
+	// recorded collects the answer of a request that must not be repeated; nil where it isn't kept.
+	recorded *wire.Answer
 }
 
 func newExchange(a *Agent, req *wire.Request, out *frameWriter, now time.Time) *exchange {
-	x := &exchange{agent: a, req: req, out: out, until: now.Add(a.Settings.MaxRequestDuration)}
+	x := &exchange{agent: a, req: req, out: out, deadline: now.Add(a.Settings.MaxRequestDuration)}
 	x.call.attemptID = req.GetAttemptID()
 	x.digest.Reset()
 
 	const maxMillis = uint64(1 << 40)
-	if left := req.GetRemainingMillis(); left < maxMillis {
-		if at := now.Add(time.Duration(left) * time.Millisecond); at.Before(x.until) {
-			x.until = at
+	if remaining := req.GetRemainingMillis(); remaining < maxMillis {
+		if at := now.Add(time.Duration(remaining) * time.Millisecond); at.Before(x.deadline) {
+			x.deadline = at
 		}
 	}
 
 	if !req.GetIdempotent() {
-		x.record = &wire.Answer{}
+		x.recorded = &wire.Answer{}
 	}
 
 	return x
 }
 
 // run relays until the request has ended. The entry's connection is gone when entry ends.
-func (x *exchange) run(entry context.Context) {
-	x.agent.open.Add(1)
-	defer x.agent.open.Add(-1)
+func (x *exchange) run(entryCtx context.Context) {
+	x.agent.openExchanges.Add(1)
+	defer x.agent.openExchanges.Add(-1)
 
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(entry), x.until)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(entryCtx), x.deadline)
 	defer cancel()
 
 	ctx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
 
-	r := newRelay(ctx, abort, x)
+	r := newResponseReader(ctx, abort, x)
 	defer r.release()
 
 	go r.read()
 
-	beat := time.NewTicker(x.agent.Settings.HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(x.agent.Settings.HeartbeatInterval)
+	defer heartbeat.Stop()
 
-	gone := entry.Done()
+	entryDone := entryCtx.Done()
 
 	for {
 		select {
-		case p := <-r.pieces:
-			beat.Reset(x.agent.Settings.HeartbeatInterval)
+		case p := <-r.parts:
+			heartbeat.Reset(x.agent.Settings.HeartbeatInterval)
 
 			// The last piece and the loss of the entry may be there at once: the answer is
 			// then to be kept for who asks for it.
-			if entry.Err() != nil {
-				x.entryLeft()
+			if entryCtx.Err() != nil {
+				x.markDisconnected()
 			}
 
-			if x.take(p) {
+			if x.handle(p) {
 				return
 			}
-		case <-beat.C:
+		case <-heartbeat.C:
 			x.send(&wire.Frame{Kind: &wire.Frame_Heartbeat{Heartbeat: &wire.Heartbeat{AttemptID: x.call.attemptID}}})
-		case <-gone:
-			gone = nil
-			x.entryLeft()
+		case <-entryDone:
+			entryDone = nil
+			x.markDisconnected()
 		}
 
-		if x.entryGone && x.mayCancel() {
+		if x.disconnected && x.mayCancel() {
 			abort(&verdict.Error{Cause: verdict.CauseCancelled})
 		}
 	}
@@ -115,8 +115,8 @@
 	return x.req.GetIdempotent() || x.stream
 }
 
-// take handles one piece from the target and reports whether it was the last.
-func (x *exchange) take(p piece) bool {
+// handle handles one piece from the target and reports whether it was the last.
+func (x *exchange) handle(p responsePart) bool {
 	switch {
 	case p.err != nil:
 		x.fail(p.err)
@@ -128,7 +128,7 @@
 	}
 
 	if p.end {
-		x.end()
+		x.complete()
 	}
 
 	return p.end
@@ -138,20 +138,20 @@
 	h := &wire.Head{AttemptID: x.call.attemptID, Status: int32(resp.StatusCode), Headers: answerHeaders(resp)}
 	x.stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 
-	if x.record != nil {
-		x.record.Status = h.Status
-		x.record.Headers = h.Headers
+	if x.recorded != nil {
+		x.recorded.Status = h.Status
+		x.recorded.Headers = h.Headers
 	}
 
 	// Of an answer with a length the body is there, or about to be.
-	x.sendSoon(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
+	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
 }
 
 // answerHeaders returns the headers that go back to the entry, in a fixed order.
 func answerHeaders(resp *http.Response) []*wire.Header {
 	h := resp.Header.Clone()
 	length := h.Get("Content-Length")
-	dropHopByHop(h)
+	removeHopByHop(h)
 
 	if length != "" {
 		h.Set("Content-Length", length)
@@ -170,48 +170,48 @@
 	return out
 }
 
-func (x *exchange) data(p piece) {
+func (x *exchange) data(p responsePart) {
 	b := p.data
 	if len(b) == 0 {
 		return
 	}
 
-	if !x.begun {
-		x.begun = true
-		x.agent.door.firstToken(x.agent.Now(), x.call.attemptID)
+	if !x.gotData {
+		x.gotData = true
+		x.agent.admitter.firstToken(x.agent.Now(), x.call.attemptID)
 	}
 
 	_, _ = x.digest.Write(b)
 	x.length += uint64(len(b))
-	x.keep(b)
-	x.sendSoon(&wire.Frame{Kind: &wire.Frame_Data{Data: b}}, p.end)
+	x.recordBody(b)
+	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Data{Data: b}}, p.end)
 }
 
-// keep records b, up to the bound of one recorded answer.
-func (x *exchange) keep(b []byte) {
-	if x.record == nil {
+// recordBody records b, up to the bound of one recorded answer.
+func (x *exchange) recordBody(b []byte) {
+	if x.recorded == nil {
 		return
 	}
 
-	if x.stream || len(x.record.GetBody())+len(b) > x.agent.Settings.MaxAnswerBytes {
-		x.record = nil
+	if x.stream || len(x.recorded.GetBody())+len(b) > x.agent.Settings.MaxAnswerBytes {
+		x.recorded = nil
 		return
 	}
 
-	x.record.Body = append(x.record.Body, b...)
+	x.recorded.Body = append(x.recorded.Body, b...)
 }
 
-// end closes a whole answer. The core hears of it first, so that the slot is free
+// complete closes a whole answer. The core hears of it first, so that the slot is free
 // and the entry's new credit counts it.
-func (x *exchange) end() {
+func (x *exchange) complete() {
 	a := x.agent
 	now := a.Now()
 
-	if !x.begun {
-		a.door.firstToken(now, x.call.attemptID)
+	if !x.gotData {
+		a.admitter.firstToken(now, x.call.attemptID)
 	}
 
-	load := x.finish(now, admission.Outcome{Verdict: verdict.Ran, Answer: x.record})
+	load := x.finish(now, admission.Outcome{Verdict: verdict.Ran, Answer: x.recorded})
 	a.counters.ran.Inc(1)
 	x.send(&wire.Frame{Kind: &wire.Frame_End{End: &wire.End{
 		AttemptID: x.call.attemptID,
@@ -220,8 +220,8 @@
 		Load:      load,
 	}}})
 
-	if x.record != nil && x.entryGone {
-		a.undelivered(now)
+	if x.recorded != nil && x.disconnected {
+		a.recordUndelivered(now)
 	}
 }
 
@@ -234,7 +234,7 @@
 
 	if errors.Is(e.Err, syscall.ECONNREFUSED) {
 		// Nobody listens: the target is gone, and will be cold when it is back.
-		a.door.targetDown(now)
+		a.admitter.targetDown(now)
 	}
 
 	if e.Cause == verdict.CauseCrossed {
@@ -246,37 +246,37 @@
 }
 
 func (x *exchange) finish(now time.Time, o admission.Outcome) *wire.Load {
-	g, l := x.agent.door.finish(now, x.call.attemptID, x.req.GetCredit().GetEntryID(), o)
+	g, l := x.agent.admitter.finish(now, x.call.attemptID, x.req.GetCredit().GetEntryID(), o)
 
 	return loadToWire(l, creditToWire(g, now))
 }
 
 // send writes a frame unless the entry is gone.
-func (x *exchange) send(f *wire.Frame) { x.sendSoon(f, false) }
+func (x *exchange) send(f *wire.Frame) { x.sendFrame(f, false) }
 
-// sendSoon writes a frame; with more, the next frame or heartbeat takes it along,
+// sendFrame writes a frame; with more, the next frame or heartbeat takes it along,
 // which saves a small answer two system calls of three.
-func (x *exchange) sendSoon(f *wire.Frame, more bool) {
-	if x.entryGone {
+func (x *exchange) sendFrame(f *wire.Frame, buffer bool) {
+	if x.disconnected {
 		return
 	}
 
 	write := x.out.write
-	if more {
-		write = x.out.add
+	if buffer {
+		write = x.out.buffer
 	}
 
 	if err := write(f); err != nil {
-		x.entryLeft()
+		x.markDisconnected()
 	}
 }
 
-// entryLeft notes that the entry's connection broke.
-func (x *exchange) entryLeft() {
-	if x.entryGone {
+// markDisconnected notes that the entry's connection broke.
+func (x *exchange) markDisconnected() {
+	if x.disconnected {
 		return
 	}
 
-	x.entryGone = true
+	x.disconnected = true
 	x.agent.Logger.Info("The entry is gone.", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
 }
--- a/internal/agent/fields.go
+++ b/internal/agent/fields.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// fieldMarks are the characters of an HTTP header name beside letters and digits.
-const fieldMarks = "!#$%&'*+-.^_`|~"
+// tokenPunctuation are the characters of an HTTP header name beside letters and digits.
+const tokenPunctuation = "!#$%&'*+-.^_`|~"
 
 // isToken reports whether s may be a header name or a method.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		if !isAlphanumeric(c) && strings.IndexByte(fieldMarks, c) < 0 {
+		if !isAlphanumeric(c) && strings.IndexByte(tokenPunctuation, c) < 0 {
 			return false
 		}
 	}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -30,26 +30,26 @@
 	testEntry   = "entry-1"
 )
 
-// rig is an agent with a target, and a client that acts as an entry.
-type rig struct {
-	t      testing.TB
-	agent  *Agent
-	client *http.Client
-	rpc    wire.Agent
-	view   atomic.Pointer[admission.View]
-	stop   context.CancelFunc
-	done   chan error
-	serial atomic.Uint64
+// fixture is an agent with a target, and a client that acts as an entry.
+type fixture struct {
+	t        testing.TB
+	agent    *Agent
+	client   *http.Client
+	rpc      wire.Agent
+	view     atomic.Pointer[admission.View]
+	stop     context.CancelFunc
+	runErr   chan error
+	attempts atomic.Uint64
 	// target is where the announcement points; announce repeats it.
 	target netip.AddrPort
 	bootID string
 }
 
-// newRig starts an agent before target. change may alter the agent before it runs.
-func newRig(t testing.TB, target netip.AddrPort, change func(*Agent)) *rig {
+// newFixture starts an agent before target. change may alter the agent before it runs.
+func newFixture(t testing.TB, target netip.AddrPort, configure func(*Agent)) *fixture {
 	t.Helper()
 
-	r := &rig{t: t, target: target, bootID: "boot-1", done: make(chan error, 1)}
+	r := &fixture{t: t, target: target, bootID: "boot-1", runErr: make(chan error, 1)}
 	r.view.Store(&admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 64, WarmLimit: 64})
 	r.agent = &Agent{
 		ID:          "agent-1",
@@ -60,8 +60,8 @@
 	}
 	r.agent.Settings.Admission.AnnounceTimeout = time.Hour
 
-	if change != nil {
-		change(r.agent)
+	if configure != nil {
+		configure(r.agent)
 	}
 
 	r.start()
@@ -69,18 +69,18 @@
 	return r
 }
 
-func (r *rig) start() {
+func (r *fixture) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	done := r.done
+	runErr := r.runErr
 	a := r.agent
 	ended := make(chan struct{})
 
 	go func() {
 		defer close(ended)
 
-		done <- a.Run(ctx)
+		runErr <- a.Run(ctx)
 	}()
 
 	<-a.Ready()
@@ -95,28 +95,28 @@
 	})
 }
 
-func (r *rig) url(path string) string { return "http://" + r.agent.address().String() + path }
+func (r *fixture) url(path string) string { return "http://" + r.agent.address().String() + path }
 
 // announce posts the target's word, with nothing in flight.
-func (r *rig) announce(bootID string) {
+func (r *fixture) announce(bootID string) {
 	r.t.Helper()
 	r.post(AnnouncePath, `{"BootID":"`+bootID+`","Address":"`+r.target.String()+`","Service":"`+testService+
 		`","Capacity":64,"InFlight":0}`, http.StatusNoContent)
 }
 
-func (r *rig) post(path, body string, status int) {
+func (r *fixture) post(path, body string, status int) {
 	r.t.Helper()
 
 	resp, err := r.client.Post(r.url(path), "application/json", strings.NewReader(body))
 	require.NoError(r.t, err)
 
-	said, _ := io.ReadAll(resp.Body)
+	respBody, _ := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
-	require.Equal(r.t, status, resp.StatusCode, "%s", said)
+	require.Equal(r.t, status, resp.StatusCode, "%s", respBody)
 }
 
 // credit asks for a credit with one slot or more.
-func (r *rig) credit() *wire.Credit {
+func (r *fixture) credit() *wire.Credit {
 	r.t.Helper()
 
 	g, err := r.rpc.Grant(context.Background(), &wire.GrantRequest{EntryID: testEntry, Wanted: 8})
@@ -126,12 +126,12 @@
 }
 
 // request makes an idempotent request with a fresh credit and a fresh attempt ID.
-func (r *rig) request(path, body string) *wire.Request {
+func (r *fixture) request(path, body string) *wire.Request {
 	r.t.Helper()
 
 	return &wire.Request{
 		ID:              "caller-id",
-		AttemptID:       "attempt-" + strconv.FormatUint(r.serial.Add(1), 10),
+		AttemptID:       "attempt-" + strconv.FormatUint(r.attempts.Add(1), 10),
 		Credit:          r.credit(),
 		Service:         testService,
 		Method:          http.MethodPost,
@@ -145,8 +145,8 @@
 	}
 }
 
-// booking makes a request that must not be repeated.
-func (r *rig) booking(path, body string) *wire.Request {
+// nonIdempotentRequest makes a request that must not be repeated.
+func (r *fixture) nonIdempotentRequest(path, body string) *wire.Request {
 	r.t.Helper()
 
 	req := r.request(path, body)
@@ -155,18 +155,18 @@
 	return req
 }
 
-// answer is what an entry made of an answer stream.
-type answer struct {
-	head    *wire.Head
-	body    string
-	beats   int
-	end     *wire.End
-	refusal *wire.Refusal
-	err     error
+// response is what an entry made of an answer stream.
+type response struct {
+	head       *wire.Head
+	body       string
+	heartbeats int
+	end        *wire.End
+	refusal    *wire.Refusal
+	err        error
 }
 
 // open sends req and returns a reader of its frames.
-func (r *rig) open(ctx context.Context, req *wire.Request) (*http.Response, *bufio.Reader) {
+func (r *fixture) open(ctx context.Context, req *wire.Request) (*http.Response, *bufio.Reader) {
 	r.t.Helper()
 
 	raw, err := proto.Marshal(req)
@@ -175,7 +175,7 @@
 	return r.openRaw(ctx, raw)
 }
 
-func (r *rig) openRaw(ctx context.Context, raw []byte) (*http.Response, *bufio.Reader) {
+func (r *fixture) openRaw(ctx context.Context, raw []byte) (*http.Response, *bufio.Reader) {
 	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url(RequestPath), bytes.NewReader(raw))
 	require.NoError(r.t, err)
 
@@ -186,22 +186,22 @@
 }
 
 // do sends req and collects its answer.
-func (r *rig) do(req *wire.Request) answer {
+func (r *fixture) do(req *wire.Request) response {
 	r.t.Helper()
 
 	resp, frames := r.open(context.Background(), req)
 	defer resp.Body.Close()
 
-	var a answer
+	var a response
 	for a.end == nil && a.refusal == nil && a.err == nil {
-		a.add(frames)
+		a.readFrame(frames)
 	}
 
 	return a
 }
 
-// add reads one frame.
-func (a *answer) add(frames *bufio.Reader) {
+// readFrame reads one frame.
+func (a *response) readFrame(frames *bufio.Reader) {
 	var f wire.Frame
 	if a.err = protodelim.UnmarshalFrom(frames, &f); a.err != nil {
 		return
@@ -213,7 +213,7 @@
 	case *wire.Frame_Data:
 		a.body += string(k.Data)
 	case *wire.Frame_Heartbeat:
-		a.beats++
+		a.heartbeats++
 	case *wire.Frame_End:
 		a.end = k.End
 	case *wire.Frame_Refusal:
@@ -221,8 +221,8 @@
 	}
 }
 
-// requireWhole checks that a is the whole answer body.
-func (a *answer) requireWhole(t testing.TB, body string) {
+// requireComplete checks that a is the whole answer body.
+func (a *response) requireComplete(t testing.TB, body string) {
 	t.Helper()
 	require.NotNil(t, a.end, "refusal %v, error %v", a.refusal, a.err)
 	require.Equal(t, body, a.body)
@@ -231,7 +231,7 @@
 }
 
 // requireRefused checks the verdict and cause of a refusal, and that the answer was not ended as whole.
-func (a *answer) requireRefused(t testing.TB, v wire.Verdict, cause string) {
+func (a *response) requireRefused(t testing.TB, v wire.Verdict, cause string) {
 	t.Helper()
 	require.NotNil(t, a.refusal, "answer %+v", a)
 	require.Nil(t, a.end)
@@ -239,15 +239,15 @@
 	require.Equal(t, v.String(), a.refusal.GetVerdict().String())
 }
 
-// ask asks what became of req.
-func (r *rig) ask(req *wire.Request, closeIt bool) *wire.AskResponse {
+// queryAttempt asks what became of req.
+func (r *fixture) queryAttempt(req *wire.Request, closeAttempt bool) *wire.AskResponse {
 	r.t.Helper()
 
 	resp, err := r.rpc.Ask(context.Background(), &wire.AskRequest{
 		AttemptID:           req.GetAttemptID(),
 		Incarnation:         req.GetCredit().GetIncarnation(),
 		CreditExpiresAtTick: req.GetCredit().GetExpiresAtTick(),
-		Close:               closeIt,
+		Close:               closeAttempt,
 	})
 	require.NoError(r.t, err)
 
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -24,8 +24,8 @@
 // causeEngineDown is of an order that never reached the engine.
 const causeEngineDown orders.Cause = "EngineDown"
 
-// maxEngineAnswer bounds the engine's answer to an order, in bytes.
-const maxEngineAnswer = 64 << 10
+// maxEngineAnswerBytes bounds the engine's answer to an order, in bytes.
+const maxEngineAnswerBytes = 64 << 10
 
 // EngineOrder is an order as the engine gets it, as JSON. The engine answers with
 // an EngineAnswer once it has carried it out.
@@ -58,12 +58,12 @@
 	orders.KindSwitchMap:   "SwitchMap",
 }
 
-// orderDesk takes the orders to the engine, one at a time.
-type orderDesk struct {
+// orderExecutor takes the orders to the engine, one at a time.
+type orderExecutor struct {
 	mu   sync.Mutex
 	core orders.Core
-	// run is the order at the engine, or nil.
-	run *orderRun
+	// current is the order at the engine, or nil.
+	current *orderRun
 }
 
 // orderRun is one order on its way; result is set when done is closed.
@@ -72,16 +72,16 @@
 	result orders.Result
 }
 
-// give carries o out or says why not. It returns when the engine has answered, or
+// submitOrder carries o out or says why not. It returns when the engine has answered, or
 // with ctx; the order then goes on, and a resend joins it.
-func (a *Agent) give(ctx context.Context, o orders.Order) (orders.Result, uint64, error) {
+func (a *Agent) submitOrder(ctx context.Context, o orders.Order) (orders.Result, uint64, error) {
 	d, run := a.decideOrder(o)
 
 	switch d.Action {
 	case orders.ActionSend:
 		a.counters.orders.Inc(1)
 
-		go a.carryOut(context.WithoutCancel(ctx), o, run)
+		go a.executeOrder(context.WithoutCancel(ctx), o, run)
 	case orders.ActionJoin:
 	default:
 		return d.Result, d.Highest, nil
@@ -96,27 +96,27 @@
 }
 
 func (a *Agent) decideOrder(o orders.Order) (orders.Decision, *orderRun) {
-	desk := &a.desk
+	executor := &a.orders
 
-	desk.mu.Lock()
-	defer desk.mu.Unlock()
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
 
 	if a.HighestOrder != nil {
 		if n, known := a.HighestOrder(); known {
-			desk.core.ObserveNumber(n)
+			executor.core.ObserveNumber(n)
 		}
 	}
 
-	d := desk.core.Submit(a.Now(), o)
+	d := executor.core.Submit(a.Now(), o)
 	if d.Action == orders.ActionSend {
-		desk.run = &orderRun{done: make(chan struct{})}
+		executor.current = &orderRun{done: make(chan struct{})}
 	}
 
-	return d, desk.run
+	return d, executor.current
 }
 
-// carryOut sends o to the engine and records its answer.
-func (a *Agent) carryOut(ctx context.Context, o orders.Order, run *orderRun) {
+// executeOrder sends o to the engine and records its answer.
+func (a *Agent) executeOrder(ctx context.Context, o orders.Order, run *orderRun) {
 	ctx, cancel := context.WithTimeout(ctx, a.Settings.OrderTimeout)
 	defer cancel()
 
@@ -130,33 +130,33 @@
 		err error
 	)
 
-	if an := a.target.load(); an != nil {
-		r, err = send(ctx, an.Address, o)
+	if announced := a.target.load(); announced != nil {
+		r, err = send(ctx, announced.Address, o)
 	} else {
 		err = verdict.Refuse(verdict.CauseTargetDown, time.Time{})
 	}
 
-	a.endOrder(o, run, r, err)
+	a.finishOrder(o, run, r, err)
 }
 
-// endOrder records the end of an order. Only one that never reached the engine
+// finishOrder records the end of an order. Only one that never reached the engine
 // failed for certain.
-func (a *Agent) endOrder(o orders.Order, run *orderRun, r orders.Result, err error) {
-	desk := &a.desk
+func (a *Agent) finishOrder(o orders.Order, run *orderRun, r orders.Result, err error) {
+	executor := &a.orders
 	now := a.Now()
 
-	desk.mu.Lock()
-	defer desk.mu.Unlock()
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
 
 	switch {
 	case err == nil:
-		desk.core.Completed(now, o.FencingNumber, r)
+		executor.core.Completed(now, o.FencingNumber, r)
 	case verdict.Of(err) == verdict.NotRun:
 		r = orders.Result{Cause: causeEngineDown, Detail: err.Error()}
-		desk.core.Completed(now, o.FencingNumber, r)
+		executor.core.Completed(now, o.FencingNumber, r)
 	default:
 		r = orders.Result{Cause: orders.CauseUnanswered, Detail: err.Error()}
-		desk.core.Unanswered(now, o.FencingNumber)
+		executor.core.Unanswered(now, o.FencingNumber)
 	}
 
 	a.Logger.Info("Order ended.", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
@@ -189,7 +189,7 @@
 	}
 	c := &call{attemptID: req.GetAttemptID()}
 
-	resp, err := a.dialer.do(ctx, to, req, c)
+	resp, err := a.client.do(ctx, to, req, c)
 	if err != nil {
 		return orders.Result{}, err
 	}
@@ -201,50 +201,50 @@
 
 // readEngineAnswer reads the answer to the order with this number; any other one says nothing about it.
 func readEngineAnswer(r io.Reader, number uint64) (orders.Result, error) {
-	var an EngineAnswer
-	if err := json.NewDecoder(io.LimitReader(r, maxEngineAnswer)).Decode(&an); err != nil {
+	var answer EngineAnswer
+	if err := json.NewDecoder(io.LimitReader(r, maxEngineAnswerBytes)).Decode(&answer); err != nil {
 		return orders.Result{}, eris.Wrap(err, "read the engine's answer")
 	}
 
-	if an.FencingNumber != number {
-		return orders.Result{}, eris.Errorf("engine answered order %d", an.FencingNumber)
+	if answer.FencingNumber != number {
+		return orders.Result{}, eris.Errorf("engine answered order %d", answer.FencingNumber)
 	}
 
-	if !an.Done && an.Cause == "" {
+	if !answer.Done && answer.Cause == "" {
 		return orders.Result{}, errors.New("engine's answer says nothing")
 	}
 
-	return orders.Result{Done: an.Done, Cause: orders.Cause(an.Cause)}, nil
+	return orders.Result{Done: answer.Done, Cause: orders.Cause(answer.Cause)}, nil
 }
 
-// report passes the target's word on to the core.
-func (d *orderDesk) report(now time.Time, an *Announcement) {
-	r := orders.Report{BootID: an.BootID, EnforcesFencing: an.Fences, Idle: an.OrdersIdle}
+// reportEngine passes the target's word on to the core.
+func (e *orderExecutor) reportEngine(now time.Time, ann *Announcement) {
+	r := orders.Report{BootID: ann.BootID, EnforcesFencing: ann.Fences, Idle: ann.OrdersIdle}
 
-	if an.FencingNumber != nil {
-		r.Highest = *an.FencingNumber
+	if ann.FencingNumber != nil {
+		r.Highest = *ann.FencingNumber
 		r.HasHighest = true
 	}
 
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 
-	d.core.Report(now, r)
+	e.core.Report(now, r)
 }
 
-func (d *orderDesk) leave() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (e *orderExecutor) drain() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 
-	d.core.Drain()
+	e.core.Drain()
 }
 
-// state is the highest number seen and that of the order at the engine.
-func (d *orderDesk) state() (highest, running uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// fencingNumbers is the highest number seen and that of the order at the engine.
+func (e *orderExecutor) fencingNumbers() (highest, running uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 
-	return d.core.Highest(), d.core.Running()
+	return e.core.Highest(), e.core.Running()
 }
 
 func orderFromWire(o *wire.Order) orders.Order {
--- a/internal/agent/order_test.go
+++ b/internal/agent/order_test.go
@@ -19,26 +19,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// engine carries orders out and remembers them.
-type engine struct {
-	mu  sync.Mutex
-	got []EngineOrder
-	// hold, if set, keeps each order until something is sent, or it is closed.
-	hold chan struct{}
+// fakeEngine carries orders out and remembers them.
+type fakeEngine struct {
+	mu       sync.Mutex
+	received []EngineOrder
+	// release, if set, keeps each order until something is sent, or it is closed.
+	release chan struct{}
 	// answer, if set, writes the answer.
 	answer func(w http.ResponseWriter, o EngineOrder)
 }
 
-func (e *engine) serve(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEngine) serve(w http.ResponseWriter, r *http.Request) {
 	var o EngineOrder
 	_ = json.NewDecoder(r.Body).Decode(&o)
 
 	e.mu.Lock()
-	e.got = append(e.got, o)
+	e.received = append(e.received, o)
 	e.mu.Unlock()
 
-	if e.hold != nil {
-		<-e.hold
+	if e.release != nil {
+		<-e.release
 	}
 
 	if e.answer != nil {
@@ -49,17 +49,17 @@
 	_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber, Done: true})
 }
 
-func (e *engine) orders() []EngineOrder {
+func (e *fakeEngine) orders() []EngineOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return append([]EngineOrder(nil), e.got...)
+	return append([]EngineOrder(nil), e.received...)
 }
 
-func orderRig(t *testing.T, e *engine) *rig {
+func newOrderFixture(t *testing.T, e *fakeEngine) *fixture {
 	t.Helper()
 
-	return newRig(t, httpTarget(t, e.serve), func(a *Agent) {
+	return newFixture(t, httpTarget(t, e.serve), func(a *Agent) {
 		a.HighestOrder = func() (uint64, bool) { return 4, true }
 		a.Settings.UnsettledOrderTimeout = time.Nanosecond
 		a.Settings.OrderTimeout = time.Second
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *rig) give(o *wire.Order) *wire.OrderResponse {
+func (r *fixture) submitOrder(o *wire.Order) *wire.OrderResponse {
 	r.t.Helper()
 
 	resp, err := r.rpc.Give(context.Background(), o)
@@ -85,26 +85,26 @@
 
 // An engine that ignores fencing numbers would load an old adapter. Orders come
 // again, late, and for an earlier incarnation; the engine sees each at most once.
-func TestOrdersReachTheEngineOnce(t *testing.T) {
+func TestOrdersReachEngineOnce(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{}
-	r := orderRig(t, e)
+	e := &fakeEngine{}
+	r := newOrderFixture(t, e)
 
 	var known atomic.Uint64
 
 	r.agent.HighestOrder = func() (uint64, bool) { return known.Load(), true }
 
-	require.True(t, r.give(loadOrder(5, "v5")).GetDone())
-	require.True(t, r.give(loadOrder(5, "v5")).GetDone(), "the first answer again")
+	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone())
+	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone(), "the first answer again")
 
-	require.Equal(t, "FencedOff", r.give(loadOrder(4, "v4")).GetCause())
+	require.Equal(t, "FencedOff", r.submitOrder(loadOrder(4, "v4")).GetCause())
 	known.Store(6)
-	require.Equal(t, "AnswerLost", r.give(loadOrder(6, "v6")).GetCause())
+	require.Equal(t, "AnswerLost", r.submitOrder(loadOrder(6, "v6")).GetCause())
 
-	former := loadOrder(7, "v7")
-	former.Incarnation = 2
-	require.Equal(t, "EarlierIncarnation", r.give(former).GetCause())
+	earlier := loadOrder(7, "v7")
+	earlier.Incarnation = 2
+	require.Equal(t, "EarlierIncarnation", r.submitOrder(earlier).GetCause())
 
 	got := e.orders()
 	require.Len(t, got, 1)
@@ -116,8 +116,8 @@
 func TestOrdersAreSerialised(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{hold: make(chan struct{})}
-	r := orderRig(t, e)
+	e := &fakeEngine{release: make(chan struct{})}
+	r := newOrderFixture(t, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan error, 1)
 
@@ -130,57 +130,57 @@
 	cancel()
 	require.Error(t, <-first)
 
-	again := make(chan *wire.OrderResponse, 1)
+	resent := make(chan *wire.OrderResponse, 1)
 
-	go func() { again <- r.give(loadOrder(5, "v5")) }()
+	go func() { resent <- r.submitOrder(loadOrder(5, "v5")) }()
 
-	require.Equal(t, "FencingConflict", r.give(loadOrder(5, "v6")).GetCause())
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone(), "the order went on without its giver")
+	require.Equal(t, "FencingConflict", r.submitOrder(loadOrder(5, "v6")).GetCause())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone(), "the order went on without its giver")
 
-	go func() { again <- r.give(loadOrder(6, "v6")) }()
+	go func() { resent <- r.submitOrder(loadOrder(6, "v6")) }()
 
 	require.Eventually(t, func() bool { return len(e.orders()) == 2 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "Busy", r.give(loadOrder(7, "v7")).GetCause())
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone())
-	require.Equal(t, "FencedOff", r.give(loadOrder(6, "v6")).GetCause())
+	require.Equal(t, "Busy", r.submitOrder(loadOrder(7, "v7")).GetCause())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone())
+	require.Equal(t, "FencedOff", r.submitOrder(loadOrder(6, "v6")).GetCause())
 
-	go func() { again <- r.give(loadOrder(7, "v7")) }()
+	go func() { resent <- r.submitOrder(loadOrder(7, "v7")) }()
 
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone())
 	require.Len(t, e.orders(), 3)
 }
 
 // An engine would be left half-way through an order by a planned stop.
-func TestDrainWaitsForAnOrder(t *testing.T) {
+func TestDrainWaitsForOrder(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{hold: make(chan struct{})}
-	r := orderRig(t, e)
-	given := make(chan *wire.OrderResponse, 1)
+	e := &fakeEngine{release: make(chan struct{})}
+	r := newOrderFixture(t, e)
+	answered := make(chan *wire.OrderResponse, 1)
 	drained := make(chan error, 1)
 
-	go func() { given <- r.give(loadOrder(5, "v5")) }()
+	go func() { answered <- r.submitOrder(loadOrder(5, "v5")) }()
 
 	require.Eventually(t, func() bool { return len(e.orders()) == 1 }, 5*time.Second, time.Millisecond)
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
 	require.Eventually(t, func() bool { return r.agent.Node().GetLeaving() }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "Leaving", r.give(loadOrder(6, "v6")).GetCause())
+	require.Equal(t, "Leaving", r.submitOrder(loadOrder(6, "v6")).GetCause())
 	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
 	require.Empty(t, drained)
-	close(e.hold)
-	require.True(t, (<-given).GetDone())
+	close(e.release)
+	require.True(t, (<-answered).GetDone())
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
 }
 
 // An order would count as done that wasn't, or be given up for good. The engine's
 // answer is lost, crossed, half or empty, or the engine is gone.
-func TestEngineAnswerFaults(t *testing.T) {
+func TestFaultyEngineAnswers(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -209,9 +209,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			e := &engine{answer: tc.answer}
-			r := orderRig(t, e)
-			resp := r.give(loadOrder(5, "v5"))
+			e := &fakeEngine{answer: tc.answer}
+			r := newOrderFixture(t, e)
+			resp := r.submitOrder(loadOrder(5, "v5"))
 			require.False(t, resp.GetDone())
 			require.True(t, strings.HasPrefix(resp.GetCause(), tc.cause), resp.GetCause())
 			require.EqualValues(t, 5, resp.GetHighestFencingNumber())
@@ -221,29 +221,29 @@
 	t.Run("takes too long", func(t *testing.T) {
 		t.Parallel()
 
-		e := &engine{hold: make(chan struct{})}
-		r := orderRig(t, e)
+		e := &fakeEngine{release: make(chan struct{})}
+		r := newOrderFixture(t, e)
 
-		require.Contains(t, r.give(loadOrder(5, "v5")).GetCause(), "EngineSilent")
-		close(e.hold)
+		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineSilent")
+		close(e.release)
 	})
 	t.Run("engine gone", func(t *testing.T) {
 		t.Parallel()
 
-		r := orderRig(t, &engine{})
-		nobody, err := loopback.Address()
+		r := newOrderFixture(t, &fakeEngine{})
+		unused, err := loopback.Address()
 		require.NoError(t, err)
 
 		gone := *r.agent.target.load()
-		gone.Address = nobody
-		r.agent.target.p.Store(&gone)
-		require.Contains(t, r.give(loadOrder(5, "v5")).GetCause(), "EngineDown")
+		gone.Address = unused
+		r.agent.target.latest.Store(&gone)
+		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineDown")
 	})
 	t.Run("number not known after a restart", func(t *testing.T) {
 		t.Parallel()
 
-		r := newRig(t, httpTarget(t, ok), nil)
-		require.Equal(t, "HighestNumberUnknown", r.give(loadOrder(5, "v5")).GetCause())
+		r := newFixture(t, httpTarget(t, ok), nil)
+		require.Equal(t, "HighestNumberUnknown", r.submitOrder(loadOrder(5, "v5")).GetCause())
 	})
 }
 
@@ -251,11 +251,11 @@
 func TestAnnouncements(t *testing.T) {
 	t.Parallel()
 
-	r := newRig(t, httpTarget(t, ok), nil)
+	r := newFixture(t, httpTarget(t, ok), nil)
 
 	for _, body := range []string{
 		"", "no JSON", `{"BootID":"b"}`, `{"BootID":"b","Service":"s","Address":"elsewhere:80"}`,
-		`{"BootID":"b","Service":"s","Address":"127.0.0.1:0"}`, `{"BootID":"` + strings.Repeat("x", maxAnnouncement) + `"}`,
+		`{"BootID":"b","Service":"s","Address":"127.0.0.1:0"}`, `{"BootID":"` + strings.Repeat("x", maxAnnouncementBytes) + `"}`,
 	} {
 		r.post(AnnouncePath, body, http.StatusBadRequest)
 	}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -27,33 +27,33 @@
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request) {
 	out := newFrameWriter(w, a.Settings.WriteTimeout)
 
-	size := a.maxMessage()
+	size := a.maxMessageBytes()
 	if r.ContentLength >= 0 {
 		size = min(size, r.ContentLength)
 	}
 
 	// Many large requests at once would take the VM's memory from its target.
-	if !a.pending.TryAcquire(size) {
+	if !a.pendingBytes.TryAcquire(size) {
 		a.refuse(out, &wire.Request{}, refusal{verdict: verdict.NotRun, cause: verdict.CauseOverload})
 		return
 	}
 
-	defer a.pending.Release(size)
+	defer a.pendingBytes.Release(size)
 
-	req, bad := a.readRequest(w, r)
+	req, refused := a.readRequest(w, r)
 	if req == nil {
-		a.refuse(out, &wire.Request{}, *bad)
+		a.refuse(out, &wire.Request{}, *refused)
 		return
 	}
 
-	arrival := arrivalOf(req)
+	admissionReq := admissionRequest(req)
 	now := a.Now()
 
 	var d admission.Decision
-	if bad != nil {
-		d = a.door.reject(now, arrival, bad)
+	if refused != nil {
+		d = a.admitter.reject(now, admissionReq, refused)
 	} else {
-		d = a.door.arrive(now, arrival)
+		d = a.admitter.admit(now, admissionReq)
 	}
 
 	if !d.Admitted {
@@ -67,34 +67,34 @@
 
 // refuse ends a request without an answer. Its entry gets a new credit, so that
 // one that came with an expired credit need not ask for one.
-func (a *Agent) refuse(out *frameWriter, req *wire.Request, f refusal) {
+func (a *Agent) refuse(out *frameWriter, req *wire.Request, reason refusal) {
 	now := a.Now()
 	a.counters.refused.Inc(1)
 
-	load, credit := a.door.load(now), (*wire.Credit)(nil)
+	load, credit := a.admitter.load(now), (*wire.Credit)(nil)
 
 	if id := req.GetCredit().GetEntryID(); id != "" {
 		var g admission.Grant
 
-		g, load = a.door.renew(now, id)
+		g, load = a.admitter.renew(now, id)
 		credit = creditToWire(g, now)
 	}
 
-	_ = out.write(refusalFrame(req.GetAttemptID(), f, now, loadToWire(load, credit)))
+	_ = out.write(refusalFrame(req.GetAttemptID(), reason, now, loadToWire(load, credit)))
 }
 
-func refusalFrame(attemptID string, f refusal, now time.Time, load *wire.Load) *wire.Frame {
+func refusalFrame(attemptID string, reason refusal, now time.Time, load *wire.Load) *wire.Frame {
 	return &wire.Frame{Kind: &wire.Frame_Refusal{Refusal: &wire.Refusal{
 		AttemptID:        attemptID,
-		Verdict:          wire.Verdict(f.verdict),
-		Cause:            string(f.cause),
-		RetryAfterMillis: millisUntil(f.retryAt, now),
+		Verdict:          wire.Verdict(reason.verdict),
+		Cause:            string(reason.cause),
+		RetryAfterMillis: millisUntil(reason.retryAt, now),
 		Load:             load,
 	}}}
 }
 
-// maxMessage bounds a request's message, in bytes.
-func (a *Agent) maxMessage() int64 {
+// maxMessageBytes bounds a request's message, in bytes.
+func (a *Agent) maxMessageBytes() int64 {
 	return int64(a.Settings.MaxBodyBytes + a.Settings.MaxHeaderBytes)
 }
 
@@ -102,7 +102,7 @@
 // that can be named; with both, the request is known and unfit.
 func (a *Agent) readRequest(w http.ResponseWriter, r *http.Request) (*wire.Request, *refusal) {
 	s := a.Settings
-	limit := a.maxMessage()
+	limit := a.maxMessageBytes()
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.ReadTimeout))
 
@@ -120,7 +120,7 @@
 
 	_ = rc.SetReadDeadline(time.Time{})
 
-	if cause := unfit(req, s); cause != "" {
+	if cause := checkRequest(req, s); cause != "" {
 		return req, &refusal{cause: cause}
 	}
 
@@ -139,8 +139,8 @@
 	return raw, err //nolint:wrapcheck // the caller looks at the type only
 }
 
-// unfit says why a request can't go to a target, or "".
-func unfit(req *wire.Request, s Settings) verdict.Cause {
+// checkRequest says why a request can't go to a target, or "".
+func checkRequest(req *wire.Request, s Settings) verdict.Cause {
 	if len(req.GetBody()) > s.MaxBodyBytes {
 		return verdict.CauseTooLarge
 	}
@@ -158,7 +158,7 @@
 		return verdict.CauseTooLarge
 	}
 
-	if xxhash.Sum64(req.GetBody()) != req.GetBodyDigest() || !fitTarget(req) || !fitID(req.GetAttemptID()) {
+	if xxhash.Sum64(req.GetBody()) != req.GetBodyDigest() || !validRequestLine(req) || !validAttemptID(req.GetAttemptID()) {
 		return verdict.CauseMalformed
 	}
 
@@ -169,8 +169,8 @@
 	return ""
 }
 
-// fitTarget reports whether method and path can be put on a request line.
-func fitTarget(req *wire.Request) bool {
+// validRequestLine reports whether method and path can be put on a request line.
+func validRequestLine(req *wire.Request) bool {
 	if !isToken(req.GetMethod()) || req.GetMethod() == http.MethodConnect {
 		return false
 	}
@@ -183,11 +183,11 @@
 // maxIDBytes bounds the ID of an attempt, which is kept in memory.
 const maxIDBytes = 128
 
-func fitID(id string) bool {
+func validAttemptID(id string) bool {
 	return len(id) <= maxIDBytes && isFieldValue(id)
 }
 
-func arrivalOf(req *wire.Request) admission.Request {
+func admissionRequest(req *wire.Request) admission.Request {
 	return admission.Request{
 		AttemptID:   req.GetAttemptID(),
 		Credit:      creditFromWire(req.GetCredit()),
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -19,8 +19,8 @@
 	DumpPath     = "/v1/dump"
 )
 
-// maxAnnouncement bounds the body of an announcement, in bytes.
-const maxAnnouncement = 4 << 10
+// maxAnnouncementBytes bounds the body of an announcement, in bytes.
+const maxAnnouncementBytes = 4 << 10
 
 // Announcement is what the target posts about itself once a second, as JSON.
 type Announcement struct {
@@ -49,10 +49,10 @@
 
 // targetState holds the latest announcement.
 type targetState struct {
-	p atomic.Pointer[Announcement]
+	latest atomic.Pointer[Announcement]
 }
 
-func (t *targetState) load() *Announcement { return t.p.Load() }
+func (t *targetState) load() *Announcement { return t.latest.Load() }
 
 func (a *Agent) routes() http.Handler {
 	r := chi.NewRouter()
@@ -77,45 +77,45 @@
 		return
 	}
 
-	var an Announcement
+	var ann Announcement
 
-	body := http.MaxBytesReader(w, r.Body, maxAnnouncement)
-	if err := json.NewDecoder(body).Decode(&an); err != nil {
+	body := http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)
+	if err := json.NewDecoder(body).Decode(&ann); err != nil {
 		http.Error(w, "announcement is no JSON: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 
-	if an.BootID == "" || an.Service == "" || !an.Address.IsValid() || an.Address.Port() == 0 {
+	if ann.BootID == "" || ann.Service == "" || !ann.Address.IsValid() || ann.Address.Port() == 0 {
 		http.Error(w, "BootID, Service and Address (IP:port) are needed", http.StatusBadRequest)
 		return
 	}
 
-	a.announce(&an)
+	a.announce(&ann)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (a *Agent) announce(an *Announcement) {
-	old := a.target.p.Swap(an)
-	if old == nil || old.BootID != an.BootID {
-		a.Logger.Info("Target announced itself.", "boot", an.BootID, "service", an.Service, "address", an.Address)
+func (a *Agent) announce(ann *Announcement) {
+	previous := a.target.latest.Swap(ann)
+	if previous == nil || previous.BootID != ann.BootID {
+		a.Logger.Info("Target announced itself.", "boot", ann.BootID, "service", ann.Service, "address", ann.Address)
 		a.counters.boots.Inc(1)
 	}
 
-	ev := admission.Announcement{
-		BootID:   an.BootID,
-		Service:  an.Service,
-		Capacity: an.Capacity,
-		Cold:     an.Cold,
+	event := admission.Announcement{
+		BootID:   ann.BootID,
+		Service:  ann.Service,
+		Capacity: ann.Capacity,
+		Cold:     ann.Cold,
 	}
 
-	if an.InFlight != nil {
-		ev.InFlight = *an.InFlight
-		ev.InFlightKnown = true
+	if ann.InFlight != nil {
+		event.InFlight = *ann.InFlight
+		event.InFlightKnown = true
 	}
 
 	now := a.Now()
-	a.door.announce(now, ev)
-	a.desk.report(now, an)
+	a.admitter.announce(now, event)
+	a.orders.reportEngine(now, ann)
 }
 
 // Dump is the agent's state as GET /v1/dump shows it.
@@ -148,8 +148,8 @@
 func (a *Agent) Dump() Dump {
 	a.prepare()
 
-	highest, running := a.desk.state()
-	load, memory := a.door.state(a.Now())
+	highest, running := a.orders.fencingNumbers()
+	load, memory := a.admitter.state(a.Now())
 
 	return Dump{
 		ID:           a.ID,
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -23,7 +23,7 @@
 
 	a := s.agent
 	now := a.Now()
-	g, l := a.door.grant(now, admission.GrantRequest{EntryID: r.GetEntryID(), Wanted: r.GetWanted()})
+	g, l := a.admitter.grant(now, admission.GrantRequest{EntryID: r.GetEntryID(), Wanted: r.GetWanted()})
 	a.counters.granted.Inc(1)
 
 	credit := creditToWire(g, now)
@@ -43,19 +43,19 @@
 
 	a := s.agent
 	a.counters.asked.Inc(1)
-	f := a.door.ask(a.Now(), admission.AttemptQuery{
+	status := a.admitter.queryAttempt(a.Now(), admission.AttemptQuery{
 		AttemptID:           r.GetAttemptID(),
 		Incarnation:         r.GetIncarnation(),
 		CreditExpiresAtTick: r.GetCreditExpiresAtTick(),
 		Close:               r.GetClose(),
 	})
 
-	return &wire.AskResponse{State: f.State, Incarnation: a.Incarnation, Answer: f.Answer}, nil
+	return &wire.AskResponse{State: status.State, Incarnation: a.Incarnation, Answer: status.Answer}, nil
 }
 
 // Give passes an order on to the engine and answers when it has been carried out.
 func (s *service) Give(ctx context.Context, o *wire.Order) (*wire.OrderResponse, error) {
-	r, highest, err := s.agent.give(ctx, orderFromWire(o))
+	r, highest, err := s.agent.submitOrder(ctx, orderFromWire(o))
 	if err != nil {
 		return nil, twirp.NewError(twirp.DeadlineExceeded, err.Error()) //nolint:wrapcheck // the caller of twirp gets it as it is
 	}
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -65,8 +65,8 @@
 	DefaultAttemptQueryWait      = 5 * time.Second
 )
 
-// fill puts the defaults into zero fields.
-func (s *Settings) fill() {
+// applyDefaults puts the defaults into zero fields.
+func (s *Settings) applyDefaults() {
 	s.MaxBodyBytes = cmp.Or(s.MaxBodyBytes, DefaultMaxBodyBytes)
 	s.MaxHeaderBytes = cmp.Or(s.MaxHeaderBytes, DefaultMaxHeaderBytes)
 	s.MaxAnswerBytes = cmp.Or(s.MaxAnswerBytes, DefaultMaxAnswerBytes)
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -19,7 +19,7 @@
 
 // A caller would get another caller's answer, or half of one that looks whole.
 // The target answers, but not this request, or not to the end.
-func TestTargetAnswerFaults(t *testing.T) {
+func TestFaultyTargetResponses(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -60,7 +60,7 @@
 			t.Parallel()
 
 			target := newRawTarget(t, tc.script)
-			r := newRig(t, target.addr(), nil)
+			r := newFixture(t, target.addr(), nil)
 
 			a := r.do(r.request("/draft", "x"))
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
@@ -70,25 +70,25 @@
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
 			require.EqualValues(t, 2, target.conns.Load())
 
-			req := r.booking("/book", "x")
+			req := r.nonIdempotentRequest("/book", "x")
 			a = r.do(req)
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
-			require.Equal(t, wire.AskState_AskUnknown, r.ask(req, true).GetState())
+			require.Equal(t, wire.AskState_AskUnknown, r.queryAttempt(req, true).GetState())
 		})
 	}
 }
 
 // A caller would wait for good, or be told "not run" of a request that ran. The
 // target is gone, or takes the request and stays silent, or answers past the deadline.
-func TestTargetSilence(t *testing.T) {
+func TestUnresponsiveTarget(t *testing.T) {
 	t.Parallel()
 
 	hang := func(c net.Conn, _ string) { _, _ = io.Copy(io.Discard, c) }
-	half := func(c net.Conn, id string) {
+	partial := func(c net.Conn, id string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", RequestIDHeader, id)
 		hang(c, id)
 	}
-	silence := func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second }
+	shortIdleTimeout := func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second }
 
 	cases := []struct {
 		name   string
@@ -97,10 +97,10 @@
 		millis uint64
 		cause  string
 	}{
-		{"silent", hang, silence, 20_000, "ConnectionSilent"},
-		{"silent after half an answer", half, silence, 20_000, "ConnectionSilent"},
+		{"silent", hang, shortIdleTimeout, 20_000, "ConnectionSilent"},
+		{"silent after half an answer", partial, shortIdleTimeout, 20_000, "ConnectionSilent"},
 		{"past the deadline", hang, nil, 1000, "DeadlinePassed"},
-		{"past the deadline with half an answer", half, nil, 1000, "DeadlinePassed"},
+		{"past the deadline with half an answer", partial, nil, 1000, "DeadlinePassed"},
 		{"deadline too far away", hang, func(a *Agent) { a.Settings.MaxRequestDuration = time.Second }, 1 << 62, "DeadlinePassed"},
 	}
 
@@ -108,12 +108,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := newRig(t, newRawTarget(t, tc.script).addr(), tc.change)
-			req := r.booking("/book", "x")
+			r := newFixture(t, newRawTarget(t, tc.script).addr(), tc.change)
+			req := r.nonIdempotentRequest("/book", "x")
 			req.RemainingMillis = tc.millis
 			a := r.do(req)
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
-			require.Equal(t, wire.AskState_AskUnknown, r.ask(req, true).GetState())
+			require.Equal(t, wire.AskState_AskUnknown, r.queryAttempt(req, true).GetState())
 		})
 	}
 
@@ -123,58 +123,58 @@
 		addr, err := loopback.Address()
 		require.NoError(t, err)
 
-		r := newRig(t, addr, nil)
-		req := r.booking("/book", "x")
+		r := newFixture(t, addr, nil)
+		req := r.nonIdempotentRequest("/book", "x")
 		a := r.do(req)
 		a.requireRefused(t, wire.Verdict_NotRun, "TargetDown")
-		require.Equal(t, wire.AskState_AskClosed, r.ask(req, false).GetState())
+		require.Equal(t, wire.AskState_AskClosed, r.queryAttempt(req, false).GetState())
 		require.Zero(t, r.agent.Dump().Load.Limit, "nothing more is sent there until it announces itself")
 	})
 	t.Run("announcements stop", func(t *testing.T) {
 		t.Parallel()
 
-		r := newRig(t, httpTarget(t, ok), func(a *Agent) { a.Settings.Admission.AnnounceTimeout = time.Millisecond })
+		r := newFixture(t, httpTarget(t, ok), func(a *Agent) { a.Settings.Admission.AnnounceTimeout = time.Millisecond })
 		time.Sleep(2 * time.Millisecond)
 
-		a := r.do(r.booking("/book", "x"))
+		a := r.do(r.nonIdempotentRequest("/book", "x"))
 		a.requireRefused(t, wire.Verdict_NotRun, "TargetDown")
 	})
 }
 
 // A slow caller would lose a good answer: it pauses for longer than the target may
 // be silent, while the target has more to send.
-func TestSlowReaderIsNoSilentTarget(t *testing.T) {
+func TestSlowEntryIsNotTargetTimeout(t *testing.T) {
 	t.Parallel()
 
 	body := strings.Repeat("0123456789abcdef", 1<<19)
 	target := httpTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
-	r := newRig(t, target, func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second })
+	r := newFixture(t, target, func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second })
 	resp, frames := r.open(context.Background(), r.request("/draft", "x"))
 
 	defer resp.Body.Close()
 
 	var (
-		a    answer
+		a    response
 		text strings.Builder
 	)
 
-	a.add(frames)
+	a.readFrame(frames)
 	time.Sleep(3 * time.Second)
 
 	for a.end == nil && a.err == nil && a.refusal == nil {
 		a.body = ""
-		a.add(frames)
+		a.readFrame(frames)
 		text.WriteString(a.body)
 	}
 
 	a.body = text.String()
-	a.requireWhole(t, body)
+	a.requireComplete(t, body)
 }
 
 // A booking would be made twice: the service closes a kept connection as the
 // booking is written, and the HTTP client sends it again by itself, all the more
 // with an Idempotency-Key header.
-func TestBookingIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -202,12 +202,12 @@
 
 				c.Close()
 			})
-			r := newRig(t, target.addr(), nil)
+			r := newFixture(t, target.addr(), nil)
 
 			a := r.do(r.request("/draft", "x")) // leaves a kept connection
-			a.requireWhole(t, "ok")
+			a.requireComplete(t, "ok")
 
-			req := r.booking("/book", tc.body)
+			req := r.nonIdempotentRequest("/book", tc.body)
 			req.Method = tc.method
 			req.Idempotent = tc.idempotent
 			req.Headers = []*wire.Header{{Name: "Idempotency-Key", Value: "k"}}
@@ -220,26 +220,26 @@
 
 // A booking's answer would be lost to an entry that asks, or a large one would
 // fill the agent's memory. What is kept is whole, or not kept at all.
-func TestRecordedAnswers(t *testing.T) {
+func TestRecordedResponses(t *testing.T) {
 	t.Parallel()
 
-	r := newRig(t, httpTarget(t, ok), func(a *Agent) { a.Settings.MaxAnswerBytes = 64 })
+	r := newFixture(t, httpTarget(t, ok), func(a *Agent) { a.Settings.MaxAnswerBytes = 64 })
 
-	small := r.booking("/book", "slot 4")
+	small := r.nonIdempotentRequest("/book", "slot 4")
 	a := r.do(small)
-	a.requireWhole(t, "slot 4")
-	require.Equal(t, "slot 4", string(r.ask(small, false).GetAnswer().GetBody()))
+	a.requireComplete(t, "slot 4")
+	require.Equal(t, "slot 4", string(r.queryAttempt(small, false).GetAnswer().GetBody()))
 
-	large := r.booking("/book", strings.Repeat("x", 65))
+	large := r.nonIdempotentRequest("/book", strings.Repeat("x", 65))
 	a = r.do(large)
-	a.requireWhole(t, strings.Repeat("x", 65))
-	require.Equal(t, wire.AskState_AskRan, r.ask(large, false).GetState())
-	require.Nil(t, r.ask(large, false).GetAnswer())
+	a.requireComplete(t, strings.Repeat("x", 65))
+	require.Equal(t, wire.AskState_AskRan, r.queryAttempt(large, false).GetState())
+	require.Nil(t, r.queryAttempt(large, false).GetAnswer())
 
 	draft := r.request("/draft", "x")
 	a = r.do(draft)
-	a.requireWhole(t, "x")
-	require.Nil(t, r.ask(draft, false).GetAnswer(), "a draft may be repeated, it isn't kept")
+	a.requireComplete(t, "x")
+	require.Nil(t, r.queryAttempt(draft, false).GetAnswer(), "a draft may be repeated, it isn't kept")
 }
 
 // A target or a caller would read headers that were meant for one connection, and
@@ -257,7 +257,7 @@
 		w.Header().Set("Keep-Alive", "c")
 		ok(w, r)
 	})
-	r := newRig(t, target, nil)
+	r := newFixture(t, target, nil)
 	req := r.request("/draft", "body")
 	req.Headers = []*wire.Header{
 		{Name: "Connection", Value: "x-secret, close"},
@@ -270,7 +270,7 @@
 		{Name: "X-Kept", Value: "c"},
 	}
 	a := r.do(req)
-	a.requireWhole(t, "body")
+	a.requireComplete(t, "body")
 
 	hr := got.Load()
 	require.Equal(t, []string{"b", "c"}, hr.Header["X-Kept"])
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -73,58 +73,58 @@
 	Logger      *slog.Logger
 
 	events chan func(now time.Time)
-	// latest are the newest states, as the log's goroutine gave them. lost is set
+	// latestStates are the newest states, as the log's goroutine gave them. lost is set
 	// where it found no room for an event.
-	latest   atomic.Pointer[[]*wire.GroupState]
-	lost     atomic.Bool
-	units    map[string]*unit
-	states   map[string]*wire.GroupState
-	leading  bool
-	asking   bool
-	switches atomic.Int64
+	latestStates      atomic.Pointer[[]*wire.GroupState]
+	missedEvents      atomic.Bool
+	controllers       map[string]*groupController
+	states            map[string]*wire.GroupState
+	leading           bool
+	awaitingBarrier   bool
+	committedSwitches atomic.Int64
 }
 
-// eventBuffer is how many events wait for the director's goroutine.
-const eventBuffer = 4096
+// eventQueueSize is how many events wait for the director's goroutine.
+const eventQueueSize = 4096
 
 // Init prepares the director. It is called once, before Applied and Run.
 func (d *Director) Init() {
-	d.events = make(chan func(time.Time), eventBuffer)
-	d.units = make(map[string]*unit)
+	d.events = make(chan func(time.Time), eventQueueSize)
+	d.controllers = make(map[string]*groupController)
 	d.states = make(map[string]*wire.GroupState)
 }
 
 // CommittedSwitches returns how many switches this VM has led to their commit.
-func (d *Director) CommittedSwitches() int64 { return d.switches.Load() }
+func (d *Director) CommittedSwitches() int64 { return d.committedSwitches.Load() }
 
 // OnApplied takes in an entry of the log, or with a nil one a restored snapshot.
 // The goroutine of the log calls it, and it does not wait.
 func (d *Director) OnApplied(index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
-	d.latest.Store(&states)
+	d.latestStates.Store(&states)
 
 	select {
-	case d.events <- func(now time.Time) { d.apply(now, index, e, states) }:
+	case d.events <- func(now time.Time) { d.handleApplied(now, index, e, states) }:
 	default:
-		d.lost.Store(true)
+		d.missedEvents.Store(true)
 	}
 }
 
-func (d *Director) apply(now time.Time, index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
-	d.keep(states)
+func (d *Director) handleApplied(now time.Time, index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
+	d.mergeStates(states)
 
 	if e == nil {
-		d.follow()
+		d.stepDown()
 
 		return
 	}
 
-	if u := d.units[e.GetGroup()]; u != nil {
-		u.do(u.coordinator.Apply(now, expertmap.Fence(index), expertmap.EntryFromWire(e)))
+	if c := d.controllers[e.GetGroup()]; c != nil {
+		c.execute(c.coordinator.Apply(now, expertmap.Fence(index), expertmap.EntryFromWire(e)))
 	}
 }
 
-// keep takes in states. After a resync those of queued events are older.
-func (d *Director) keep(states []*wire.GroupState) {
+// mergeStates takes in states. After a resync those of queued events are older.
+func (d *Director) mergeStates(states []*wire.GroupState) {
 	for _, s := range states {
 		if s.GetRecord().GetAsOf() >= d.states[s.GetGroup()].GetRecord().GetAsOf() {
 			d.states[s.GetGroup()] = s
@@ -136,13 +136,13 @@
 // an old map to rule, and would tell so to a rank that asks: two ranks would run
 // by two maps. So all units end, and new ones begin from the newest states.
 func (d *Director) resync() {
-	if !d.lost.Swap(false) {
+	if !d.missedEvents.Swap(false) {
 		return
 	}
 
 	d.Logger.Warn("fell behind the log")
-	d.keep(*d.latest.Load())
-	d.follow()
+	d.mergeStates(*d.latestStates.Load())
+	d.stepDown()
 }
 
 // post hands an event of a call to the director's goroutine, and waits for room.
@@ -173,11 +173,11 @@
 }
 
 func (d *Director) tick(ctx context.Context, now time.Time) {
-	switch leads := d.IsLeader(); {
-	case !leads && d.leading:
-		d.follow()
-	case leads && !d.leading && !d.asking:
-		d.askBarrier(ctx)
+	switch leader := d.IsLeader(); {
+	case !leader && d.leading:
+		d.stepDown()
+	case leader && !d.leading && !d.awaitingBarrier:
+		d.startBarrier(ctx)
 	}
 
 	if !d.leading {
@@ -188,26 +188,26 @@
 
 	for _, g := range d.Groups() {
 		declared[g.GetName()] = true
-		d.unit(ctx, now, g).tick(now)
+		d.controller(ctx, now, g).tick(now)
 	}
 
-	for name, u := range d.units {
+	for name, c := range d.controllers {
 		if !declared[name] {
-			d.end(u)
+			d.stopController(c)
 		}
 	}
 }
 
-// askBarrier takes the lead of the groups only behind the entries of earlier
+// startBarrier takes the lead of the groups only behind the entries of earlier
 // leaders: a switch that one of them committed must not be begun anew.
-func (d *Director) askBarrier(ctx context.Context) {
-	d.asking = true
+func (d *Director) startBarrier(ctx context.Context) {
+	d.awaitingBarrier = true
 
 	go func() {
 		err := d.barrier(ctx)
 
 		d.post(ctx, func(time.Time) {
-			d.asking = false
+			d.awaitingBarrier = false
 			d.leading = err == nil && d.IsLeader()
 		})
 	}()
@@ -220,37 +220,37 @@
 	return d.Barrier(ctx)
 }
 
-func (d *Director) follow() {
+func (d *Director) stepDown() {
 	d.leading = false
-	for _, u := range d.units {
-		d.end(u)
+	for _, c := range d.controllers {
+		d.stopController(c)
 	}
 }
 
-// end ends a unit. Answers that come later find it no longer leading.
-func (d *Director) end(u *unit) {
-	u.coordinator.Follow()
-	delete(d.units, u.name)
+// stopController ends a unit. Answers that come later find it no longer leading.
+func (d *Director) stopController(c *groupController) {
+	c.coordinator.Follow()
+	delete(d.controllers, c.name)
 }
 
-// unit returns the group's unit, which begins to lead when it is made.
-func (d *Director) unit(ctx context.Context, now time.Time, g *wire.Group) *unit {
-	if u := d.units[g.GetName()]; u != nil && ShapeOf(g) == u.shape {
-		return u
-	} else if u != nil {
-		d.end(u)
+// controller returns the group's unit, which begins to lead when it is made.
+func (d *Director) controller(ctx context.Context, now time.Time, g *wire.Group) *groupController {
+	if c := d.controllers[g.GetName()]; c != nil && ShapeOf(g) == c.shape {
+		return c
+	} else if c != nil {
+		d.stopController(c)
 	}
 
-	u := newUnit(ctx, d, g)
-	d.units[g.GetName()] = u
+	c := newGroupController(ctx, d, g)
+	d.controllers[g.GetName()] = c
 
 	record := ledger.FirstRecord()
 	if s := d.states[g.GetName()]; s != nil {
 		record = expertmap.RecordFromWire(s.GetRecord())
 	}
 
-	u.coordinator.Start(record)
-	u.do(u.coordinator.Lead(now))
+	c.coordinator.Start(record)
+	c.execute(c.coordinator.Lead(now))
 
-	return u
+	return c
 }
--- a/internal/expertgroup/resync_test.go
+++ b/internal/expertgroup/resync_test.go
@@ -19,13 +19,13 @@
 // director has no room for the last ones, among them the commit of a new map.
 // Then it leads, and a rank that has restarted asks which map rules. Told the
 // former one, the rank would garble the drafts of the whole group.
-func TestFallenBehind(t *testing.T) {
+func TestMissedLogEntriesCauseResync(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const entries = 6000
 
-		asked := &wire.RankStatus{Incarnation: 7}
-		told := make(chan *wire.RankOrder, 1)
+		status := &wire.RankStatus{Incarnation: 7}
+		confirmations := make(chan *wire.RankOrder, 1)
 
 		d := &expertgroup.Director{
 			IsLeader: func() bool { return true },
@@ -36,10 +36,10 @@
 			},
 			SendOrder: func(_ context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 				if o.GetKind() == wire.RankOrderKind_RankOrderConfirm {
-					told <- o
+					confirmations <- o
 				}
 
-				return asked, nil
+				return status, nil
 			},
 			FetchReport: func(context.Context, netip.AddrPort, *wire.RankQuestion) (*wire.RankReport, error) {
 				return nil, errLost
@@ -82,7 +82,7 @@
 		}()
 
 		select {
-		case o := <-told:
+		case o := <-confirmations:
 			require.Equal(t, uint64(entries), o.GetRecord().GetRulingVersion())
 		case <-time.After(time.Minute):
 			t.Error("the rank is never told")
--- a/internal/expertgroup/switch_test.go
+++ b/internal/expertgroup/switch_test.go
@@ -13,13 +13,13 @@
 )
 
 // statuses returns what the agents say of themselves.
-func (w *world) statuses() []*wire.RankStatus {
+func (w *simulation) statuses() []*wire.RankStatus {
 	var out []*wire.RankStatus
 
-	for _, p := range w.places() {
+	for _, p := range w.rankAgents() {
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 
-		s, err := w.at(p.Address).Order(ctx, &wire.RankOrder{Group: groupName, Rank: uint32(p.Rank)})
+		s, err := w.rankAt(p.Address).Order(ctx, &wire.RankOrder{Group: groupName, Rank: uint32(p.Rank)})
 
 		cancel()
 
@@ -31,12 +31,12 @@
 	return out
 }
 
-func (w *world) count(is func(s *wire.RankStatus, open uint64) bool) int {
+func (w *simulation) countRanks(match func(s *wire.RankStatus, open uint64) bool) int {
 	open := w.record().GetOpenFence()
 	n := 0
 
 	for _, s := range w.statuses() {
-		if open != 0 && is(s, open) {
+		if open != 0 && match(s, open) {
 			n++
 		}
 	}
@@ -44,95 +44,95 @@
 	return n
 }
 
-func staged(s *wire.RankStatus, open uint64) bool   { return s.GetStaged() == open }
-func promised(s *wire.RankStatus, open uint64) bool { return s.GetPromised() == open }
+func isStaged(s *wire.RankStatus, open uint64) bool   { return s.GetStaged() == open }
+func isPromised(s *wire.RankStatus, open uint64) bool { return s.GetPromised() == open }
 
 // phases are the moments of a switch at which something goes wrong.
 var phases = []struct {
-	name string
-	at   func(w *world, ruling uint64) bool
+	name    string
+	reached func(w *simulation, ruling uint64) bool
 }{
-	{"no switch", func(*world, uint64) bool { return true }},
-	{"begun", func(w *world, _ uint64) bool { return w.record().GetOpenFence() != 0 }},
-	{"one rank staged", func(w *world, _ uint64) bool { return w.count(staged) > 0 }},
-	{"one rank promised", func(w *world, _ uint64) bool { return w.count(promised) > 0 }},
-	{"all ranks promised", func(w *world, _ uint64) bool { return w.count(promised) == ranks }},
-	{"committed", func(w *world, ruling uint64) bool { return w.record().GetRulingVersion() != ruling }},
-	{"all ranks switched", func(w *world, ruling uint64) bool { return w.followed(ruling) }},
+	{"no switch", func(*simulation, uint64) bool { return true }},
+	{"begun", func(w *simulation, _ uint64) bool { return w.record().GetOpenFence() != 0 }},
+	{"one rank staged", func(w *simulation, _ uint64) bool { return w.countRanks(isStaged) > 0 }},
+	{"one rank promised", func(w *simulation, _ uint64) bool { return w.countRanks(isPromised) > 0 }},
+	{"all ranks promised", func(w *simulation, _ uint64) bool { return w.countRanks(isPromised) == ranks }},
+	{"committed", func(w *simulation, ruling uint64) bool { return w.record().GetRulingVersion() != ruling }},
+	{"all ranks switched", func(w *simulation, ruling uint64) bool { return w.allRanksNewerThan(ruling) }},
 }
 
-func (w *world) cutOff(i int, d time.Duration) {
+func (w *simulation) partition(i int, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.nodes[i].cut, w.nodes[i].believes = time.Now().Add(d), time.Now().Add(d)
+	w.controlVMs[i].partitionedUntil, w.controlVMs[i].assumesLeadershipUntil = time.Now().Add(d), time.Now().Add(d)
 }
 
-func (w *world) believe(i int, d time.Duration) {
+func (w *simulation) assumeLeadership(i int, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.nodes[i].believes = time.Now().Add(d)
+	w.controlVMs[i].assumesLeadershipUntil = time.Now().Add(d)
 }
 
-func (w *world) stall(n int, d time.Duration) {
+func (w *simulation) stallEngine(n int, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.stalled[n] = time.Now().Add(d)
+	w.stalledUntil[n] = time.Now().Add(d)
 }
 
-func (w *world) logDown(d time.Duration) {
+func (w *simulation) dropProposalsFor(d time.Duration) {
 	w.mu.Lock()
-	w.logLoses = true
+	w.dropProposals = true
 	w.mu.Unlock()
-	w.run(d, nil)
+	w.waitFor(d, nil)
 	w.mu.Lock()
-	w.logLoses = false
+	w.dropProposals = false
 	w.mu.Unlock()
 }
 
 // faults are what goes wrong there.
 var faults = []struct {
-	name string
-	do   func(w *world)
+	name   string
+	inject func(w *simulation)
 }{
-	{"the leader changes", func(w *world) { w.lead(1) }},
-	{"the leader is cut off and does not know", func(w *world) { w.cutOff(0, 5*time.Second); w.lead(1) }},
-	{"two control VMs lead and both propose", func(w *world) { w.believe(0, 5*time.Second); w.lead(1) }},
-	{"nobody leads for long", func(w *world) { w.lead(-1); w.run(6*time.Second, nil); w.lead(2) }},
-	{"an agent restarts", func(w *world) { w.startAgent(1) }},
-	{"an agent restarts twice within a second", func(w *world) { w.startAgent(1); w.run(300*time.Millisecond, nil); w.startAgent(1) }},
-	{"all agents restart", func(w *world) {
+	{"the leader changes", func(w *simulation) { w.setLeader(1) }},
+	{"the leader is cut off and does not know", func(w *simulation) { w.partition(0, 5*time.Second); w.setLeader(1) }},
+	{"two control VMs lead and both propose", func(w *simulation) { w.assumeLeadership(0, 5*time.Second); w.setLeader(1) }},
+	{"nobody leads for long", func(w *simulation) { w.setLeader(-1); w.waitFor(6*time.Second, nil); w.setLeader(2) }},
+	{"an agent restarts", func(w *simulation) { w.startAgent(1) }},
+	{"an agent restarts twice within a second", func(w *simulation) { w.startAgent(1); w.waitFor(300*time.Millisecond, nil); w.startAgent(1) }},
+	{"all agents restart", func(w *simulation) {
 		for n := range ranks {
 			w.startAgent(n)
 		}
 	}},
-	{"an engine restarts", func(w *world) { w.group.RestartRank(2) }},
-	{"an engine and its agent restart, and the engine is slow to answer", func(w *world) {
-		w.stall(2, 3*time.Second)
+	{"an engine restarts", func(w *simulation) { w.group.RestartRank(2) }},
+	{"an engine and its agent restart, and the engine is slow to answer", func(w *simulation) {
+		w.stallEngine(2, 3*time.Second)
 		w.group.RestartRank(2)
 		w.startAgent(2)
 	}},
-	{"an engine takes nothing for long", func(w *world) { w.stall(3, 5*time.Second) }},
-	{"an engine takes nothing, then restarts", func(w *world) {
-		w.stall(3, 3*time.Second)
-		w.run(time.Second, nil)
+	{"an engine takes nothing for long", func(w *simulation) { w.stallEngine(3, 5*time.Second) }},
+	{"an engine takes nothing, then restarts", func(w *simulation) {
+		w.stallEngine(3, 3*time.Second)
+		w.waitFor(time.Second, nil)
 		w.group.RestartRank(3)
 	}},
-	{"the log loses all proposals", func(w *world) { w.logDown(4 * time.Second) }},
-	{"all orders come again", func(w *world) { w.replay() }},
-	{"leader cut off, engine restarts, all orders come again", func(w *world) {
-		w.cutOff(0, 5*time.Second)
-		w.lead(1)
+	{"the log loses all proposals", func(w *simulation) { w.dropProposalsFor(4 * time.Second) }},
+	{"all orders come again", func(w *simulation) { w.replayOrders() }},
+	{"leader cut off, engine restarts, all orders come again", func(w *simulation) {
+		w.partition(0, 5*time.Second)
+		w.setLeader(1)
 		w.group.RestartRank(0)
-		w.run(700*time.Millisecond, nil)
-		w.replay()
+		w.waitFor(700*time.Millisecond, nil)
+		w.replayOrders()
 	}},
-	{"agent restarts and the leader changes", func(w *world) { w.startAgent(0); w.lead(1) }},
-	{"two engines restart, one after the other", func(w *world) {
+	{"agent restarts and the leader changes", func(w *simulation) { w.startAgent(0); w.setLeader(1) }},
+	{"two engines restart, one after the other", func(w *simulation) {
 		w.group.RestartRank(0)
-		w.run(400*time.Millisecond, nil)
+		w.waitFor(400*time.Millisecond, nil)
 		w.group.RestartRank(3)
 	}},
 }
@@ -141,7 +141,7 @@
 // maps, and none at all if the group waited for good. A leader, an agent, an
 // engine or the log fails somewhere in a switch, two of them together, or old
 // orders come again; then all is well again, and the next map must come to rule.
-func TestEveryPhase(t *testing.T) {
+func TestFaultsInEachSwitchPhase(t *testing.T) {
 	t.Parallel()
 
 	for _, phase := range phases {
@@ -149,15 +149,15 @@
 			t.Run(phase.name+"/"+fault.name, func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, uint64(i))
-					w.requireAlive()
+					w := newSimulation(t, uint64(i))
+					w.requireProgress()
 
 					ruling := w.record().GetRulingVersion()
-					require.True(t, w.run(2*time.Minute, func() bool { return phase.at(w, ruling) }), "the phase is reached")
-					fault.do(w)
-					w.run(6*time.Second, nil)
-					w.heal()
-					w.requireAlive()
+					require.True(t, w.waitFor(2*time.Minute, func() bool { return phase.reached(w, ruling) }), "the phase is reached")
+					fault.inject(w)
+					w.waitFor(6*time.Second, nil)
+					w.clearFaults()
+					w.requireProgress()
 				})
 			})
 		}
@@ -173,23 +173,23 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, seed)
+				w := newSimulation(t, seed)
 				w.mu.Lock()
-				w.lose, w.double, w.late = 0.1*w.rnd.Float64(), 0.2*w.rnd.Float64(), 0.1*w.rnd.Float64()
+				w.lossRate, w.duplicateRate, w.delayRate = 0.1*w.rng.Float64(), 0.2*w.rng.Float64(), 0.1*w.rng.Float64()
 				w.mu.Unlock()
 
 				for range 12 {
 					w.mu.Lock()
-					d := time.Duration(w.rnd.Int64N(int64(3 * time.Second)))
-					n := w.rnd.IntN(len(faults))
+					d := time.Duration(w.rng.Int64N(int64(3 * time.Second)))
+					n := w.rng.IntN(len(faults))
 					w.mu.Unlock()
-					w.run(d, nil)
-					faults[n].do(w)
+					w.waitFor(d, nil)
+					faults[n].inject(w)
 				}
 
-				w.heal()
-				w.lead(0)
-				w.requireAlive()
+				w.clearFaults()
+				w.setLeader(0)
+				w.requireProgress()
 			})
 		})
 	}
