--- a/internal/agent/admitter.go
+++ b/internal/agent/admitter.go
@@ -7,9 +7,8 @@
 	"github.com/parsleygate/parsleygate/internal/admission"
 )
 
-// admitter serialises the events of the admission core. Each takes about a
-// microsecond, so a mutex is cheaper than a goroutine of its own. The view is
-// taken afresh before each event.
+// admitter serialises access to the admission core. An event takes about a microsecond, so a
+// mutex costs less than a dedicated goroutine. The current view is read before each event.
 type admitter struct {
 	mu   sync.Mutex
 	core admission.Core
@@ -18,9 +17,9 @@
 	lastEvent time.Time
 }
 
-// begin opens the core for one event at about now, and returns its time; the caller
-// unlocks mu. Goroutines read the clock before they wait for mu, so that an event
-// could come with a time before the last one's; the core gets times in order.
+// begin locks mu, applies the current view, and returns the core and the event's time. The
+// caller unlocks mu. Goroutines read the clock before they wait for mu, so their times may be
+// out of order; begin raises now to lastEvent because the core needs ascending times.
 func (adm *admitter) begin(now time.Time) (*admission.Core, time.Time) {
 	v := adm.view()
 
@@ -82,7 +81,7 @@
 	c.FirstToken(now, attemptID)
 }
 
-// finish ends an attempt and renews its entry's credit in one step.
+// finish ends an attempt and renews its entry's credit in one critical section.
 func (adm *admitter) finish(now time.Time, attemptID, entryID string, o admission.Outcome) (admission.Grant, admission.Load) {
 	defer adm.mu.Unlock()
 
@@ -129,7 +128,7 @@
 	return c.Load()
 }
 
-// state is what a dump shows of the core.
+// state returns the core's state for a dump.
 func (adm *admitter) state(now time.Time) (admission.Load, admission.MemoryUse) {
 	defer adm.mu.Unlock()
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside each target: its single door. It lets
-// requests through to the target, relays their answers, remembers attempts, and
-// passes orders on to the engine.
+// Package agent is the process beside each target through which all requests to the target
+// pass. It admits requests, relays the responses, keeps the outcomes of attempts, and forwards
+// orders to the engine.
 package agent
 
 import (
@@ -24,37 +24,36 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Agent is the single door of one target. Set the exported fields before Run.
+// Agent is the proxy of one target. Set the exported fields before Run.
 type Agent struct {
-	// ID names the agent and its target; it outlives restarts.
+	// ID identifies the agent and its target, across restarts.
 	ID   string
 	Zone string
-	// Incarnation is fresh at each start, and higher than any earlier one.
+	// Incarnation is unique to each start, and higher than any earlier one.
 	Incarnation uint64
-	// Address is where the agent listens, unless Listener is set.
+	// Address is the listen address if Listener is nil.
 	Address  netip.AddrPort
 	Listener net.Listener
-	// AnnounceListener takes announcements only, beside Listener; nil for none.
+	// AnnounceListener accepts announcements only, in addition to Listener. It may be nil.
 	AnnounceListener net.Listener
-	// Mount adds further services to the routes of Listener; nil for none.
+	// Mount adds further services to the routes of Listener. It may be nil.
 	Mount func(chi.Router)
-	// Authorize, if set, decides who may use the paths of Listener.
+	// Authorize, if set, wraps the handler of Listener and decides who may use which paths.
 	Authorize func(http.Handler) http.Handler
-	// View returns what the control configuration says now. It is called for each
-	// request, from many goroutines, and must not block.
+	// View returns the current control configuration. It is called for each request, from many
+	// goroutines, and must not block.
 	View func() admission.View
-	// HighestOrder returns the highest fencing number that the control configuration
-	// knows to have been given to this target before; nil where it keeps none.
+	// HighestOrder returns the highest fencing number that the control configuration has
+	// recorded for this target. It is nil if the configuration does not record it.
 	HighestOrder func() (number uint64, known bool)
-	// SendOrder carries an order to the engine; nil posts it as JSON. An error whose
-	// verdict is NotRun says that the order never reached the engine.
+	// SendOrder sends an order to the engine. If nil, the order is posted as JSON. An error
+	// with the verdict NotRun means that the order never reached the engine.
 	SendOrder func(ctx context.Context, to netip.AddrPort, o orders.Order) (orders.Result, error)
-	// Logger is optional.
-	Logger *slog.Logger
-	// Metrics is optional.
+	// Logger and Metrics are optional.
+	Logger   *slog.Logger
 	Metrics  metrics.Registry
 	Settings Settings
-	// Now is the clock; nil means time.Now.
+	// Now is the clock. The default is time.Now.
 	Now func() time.Time
 
 	prepareOnce sync.Once
@@ -63,20 +62,21 @@
 	target      targetState
 	counters    counters
 	client      targetClient
-	// pendingBytes counts the bytes of requests that are read or in flight.
+	// pendingBytes limits the total size of the requests that are being read or in flight.
 	pendingBytes  *semaphore.Weighted
 	server        *http.Server
 	listenAddress netip.AddrPort
 	listening     chan struct{}
 	drained       chan struct{}
-	// answerQueriesUntil is until when a leaving agent still answers asks, in Unix nanoseconds.
+	// answerQueriesUntil is the time, in Unix nanoseconds, until which a draining agent stays
+	// up for queries about undelivered responses.
 	answerQueriesUntil atomic.Int64
-	// openExchanges counts the exchanges whose last frame is not out yet.
+	// openExchanges counts the exchanges whose last frame has not been written yet.
 	openExchanges atomic.Int64
 	shutdownOnce  sync.Once
 }
 
-// prepare fills what the caller left out.
+// prepare sets defaults and creates the internal state.
 func (a *Agent) prepare() {
 	a.prepareOnce.Do(func() {
 		if a.Now == nil {
@@ -110,7 +110,8 @@
 	})
 }
 
-// Run serves until Drain has finished or ctx ends. An ended ctx cuts off what is in flight.
+// Run serves until Drain has finished or ctx ends. The end of ctx cancels all requests in
+// flight.
 func (a *Agent) Run(ctx context.Context) error {
 	a.prepare()
 
@@ -132,7 +133,7 @@
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 	close(a.listening)
-	a.Logger.Info("Agent listens.", "address", a.listenAddress, "incarnation", a.Incarnation)
+	a.Logger.Info("agent is listening", "address", a.listenAddress, "incarnation", a.Incarnation)
 
 	stopAnnounce := a.serveAnnouncements()
 	defer stopAnnounce()
@@ -156,7 +157,7 @@
 	return err
 }
 
-// wait returns when the server has ended, by Drain, by ctx or by a fault.
+// wait returns when the server has ended because of Drain, ctx or an error.
 func (a *Agent) wait(ctx context.Context, serveErr <-chan error) error {
 	select {
 	case err := <-serveErr:
@@ -198,7 +199,7 @@
 	return ln, nil
 }
 
-// tick lets the core look at the time.
+// tick passes the time to the admission core once per TickInterval.
 func (a *Agent) tick(ctx context.Context) {
 	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
@@ -213,7 +214,7 @@
 	}
 }
 
-// Node reports the agent for the membership.
+// Node returns the agent's membership record.
 func (a *Agent) Node() *wire.Node {
 	a.prepare()
 
@@ -238,8 +239,8 @@
 	return n
 }
 
-// Service is what the target carries; empty while none has announced itself. It is
-// cheap enough to be called by View.
+// Service returns the service of the target, or "" before the first announcement. It is cheap
+// enough to be called by View.
 func (a *Agent) Service() string {
 	if t := a.target.load(); t != nil {
 		return t.Service
@@ -248,7 +249,7 @@
 	return ""
 }
 
-// address is where the agent listens, or is set to listen.
+// address returns the actual listen address, or the configured one before the agent listens.
 func (a *Agent) address() netip.AddrPort {
 	select {
 	case <-a.listening:
@@ -258,7 +259,7 @@
 	}
 }
 
-// Ready is closed once the agent listens and its address is known.
+// Ready returns a channel that is closed once the agent listens and its address is known.
 func (a *Agent) Ready() <-chan struct{} {
 	a.prepare()
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain also looks for goroutines that the agents left behind.
+// TestMain also checks that the agents leave no goroutines behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestRelaysRequestAndResponse(t *testing.T) {
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -7,14 +7,13 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// ColdHeader is set to true by an engine that is cold, on the head of an answer.
-// Between two announcements this is the first that its agent hears of it.
+// ColdHeader is a response header that a cold engine sets to "true". It tells the agent sooner
+// than the next announcement would.
 const ColdHeader = "Parsleygate-Target-Cold"
 
-// reportCold takes an engine's word from the head of an answer.
 func (a *Agent) reportCold() { a.admitter.reportCold(a.Now()) }
 
-// handler returns the agent's routes behind Guard.
+// handler returns the agent's routes, behind Authorize if it is set.
 func (a *Agent) handler() http.Handler {
 	if a.Authorize == nil {
 		return a.routes()
@@ -23,8 +22,8 @@
 	return a.Authorize(a.routes())
 }
 
-// serveAnnouncements takes announcements on a listener of their own. Targets
-// speak no TLS, and nothing but their word on themselves is heard there.
+// serveAnnouncements serves AnnounceListener, in plaintext because targets do not use TLS. It
+// accepts nothing but announcements.
 func (a *Agent) serveAnnouncements() (stop func()) {
 	if a.AnnounceListener == nil {
 		return func() {}
@@ -40,7 +39,7 @@
 	return func() { _ = server.Close() }
 }
 
-// TargetAddress returns where the target takes requests; it is not valid before
+// TargetAddress returns the address at which the target serves requests. It is invalid before
 // the first announcement.
 func (a *Agent) TargetAddress() netip.AddrPort {
 	if t := a.target.load(); t != nil {
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -28,7 +28,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measure runs do at each concurrency, and reports time and processor time for one call.
+// measure makes calls from a number of workers, and returns the mean latency and CPU time of
+// one call.
 func measure(calls, workers int, call func(worker int)) (latency, cpu time.Duration) {
 	var wg sync.WaitGroup
 
@@ -49,8 +50,8 @@
 	return time.Since(start) * time.Duration(workers) / completed, (cpuTime() - cpuStart) / completed
 }
 
-// BenchmarkAgentOverhead compares a call through the agent with a direct call to the
-// same target, in the same run. The processor time counts client, agent and target.
+// BenchmarkAgentOverhead compares calls through the agent with direct calls to the same
+// target, in one run. The CPU time includes client, agent and target.
 func BenchmarkAgentOverhead(b *testing.B) {
 	target := httpTarget(b, ok)
 	r := newFixture(b, target, func(a *Agent) {
@@ -79,8 +80,8 @@
 						resp.Body.Close()
 					}
 				}
-				// Each worker has a connection and a credit of its own, and goes on with
-				// the credit that rode on the last answer, as an entry does.
+				// Each worker has its own connection and credit. Like an entry, it uses the
+				// credit from the last response for the next request.
 				requests := make([]*wire.Request, workers)
 				for w := range requests {
 					requests[w] = r.request("/x", string(body))
@@ -93,7 +94,7 @@
 
 					a := r.do(req)
 					if a.end == nil {
-						b.Errorf("no whole answer: %v", a.refusal)
+						b.Errorf("response is incomplete: refusal %v", a.refusal)
 						return
 					}
 
@@ -117,8 +118,9 @@
 	}
 }
 
-// BenchmarkOpenStream reports goroutines and bytes of one open stream. The process
-// holds client, agent and target; the same streams opened directly are taken off.
+// BenchmarkOpenStream reports the goroutines and bytes that one open stream needs in the
+// agent. As the process also contains client and target, the cost of the same streams without
+// the agent is subtracted.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 400
 
--- a/internal/agent/cold_test.go
+++ b/internal/agent/cold_test.go
@@ -13,12 +13,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A target that turns cold would be filled by callers, and those who give up on it
-// would be replaced by others while it still works for them.
+// Guards against overloading a target that turns cold: its concurrency limit must drop, and a
+// canceled request must keep counting because the target may still work on it.
 func TestColdTargetLimits(t *testing.T) {
 	t.Parallel()
 
-	t.Run("late first tokens drop the limit", func(t *testing.T) {
+	t.Run("late first tokens lower the limit", func(t *testing.T) {
 		t.Parallel()
 
 		var cold atomic.Bool
@@ -49,7 +49,7 @@
 
 		require.EqualValues(t, 1, r.agent.Dump().Load.Limit)
 	})
-	t.Run("a cancelled request counts for a while", func(t *testing.T) {
+	t.Run("a canceled request still counts against the cold limit", func(t *testing.T) {
 		t.Parallel()
 
 		bt := newBlockingTarget()
--- a/internal/agent/conn_linux.go
+++ b/internal/agent/conn_linux.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall leaves out.
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-// setUserTimeout closes a connection whose other end acknowledges nothing for timeout.
+// setUserTimeout returns a ConnContext hook that closes a connection whose peer has
+// acknowledged no data for timeout.
 //
-// It guards against a connection that has gone silent for good. Heartbeats are too
-// small to ever fill the socket's buffer, so writes go on without an error, and the
-// target would work for nobody until the deadline. Heartbeats make sure that there
-// is something to acknowledge each second.
+// It detects a peer that has become unreachable without closing the connection. Heartbeats are
+// too small to ever fill the socket's send buffer, so writes continue to succeed, and the
+// target would work until the deadline for a caller that can't be reached. Heartbeats ensure that there
+// is data to acknowledge each second.
 func setUserTimeout(timeout time.Duration) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, c net.Conn) context.Context {
 		tc, ok := c.(*net.TCPConn)
@@ -28,7 +29,7 @@
 			return ctx
 		}
 
-		// Without the option the deadline of the request still ends it.
+		// If the option can't be set, the request's deadline still applies.
 		_ = raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
--- a/internal/agent/conn_linux_test.go
+++ b/internal/agent/conn_linux_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A target would work on for an entry whose connection has gone silent. A silent
-// network can't be made on loopback; what is checked is that the kernel is told.
+// Guards against a target that keeps working for an entry that has become unreachable.
+// Loopback can't simulate that, so the test checks only that the socket option is set.
 func TestUserTimeoutIsSet(t *testing.T) {
 	t.Parallel()
 
--- a/internal/agent/conn_other.go
+++ b/internal/agent/conn_other.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// boundAcks does nothing here: the deadline of a request ends it.
+// setUserTimeout does nothing on this platform. An unreachable peer is detected at the
+// request's deadline.
 func boundAcks(time.Duration) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, _ net.Conn) context.Context { return ctx }
 }
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -7,13 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Drain refuses new work as not run, lets all in flight finish, and then ends
-// Run. An ended ctx gives up waiting and returns its error; Run goes on then.
+// Drain refuses new requests as not run, waits for those in flight and then makes Run return.
+// If ctx ends first, Drain returns its error and Run continues.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.prepare()
 	a.admitter.drain()
 	a.orders.drain()
-	a.Logger.Info("Agent is leaving.")
+	a.Logger.Info("agent is draining")
 
 	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
@@ -21,7 +21,7 @@
 	for !a.idle() {
 		select {
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "requests are still in flight")
+			return eris.Wrap(ctx.Err(), "drain ended with requests or orders still in flight")
 		case <-t.C:
 		}
 	}
@@ -35,16 +35,16 @@
 		close(a.drained)
 	})
 
-	return eris.Wrap(err, "shut the server down")
+	return eris.Wrap(err, "shut down the HTTP server")
 }
 
-// idle reports whether a leaving agent may go: nothing is in flight, no order is at
-// the engine, and no entry may still ask for an answer that didn't reach it.
+// idle reports whether a draining agent may stop: no request is in flight, no order is at the
+// engine, and no entry may still query a response that it did not receive.
 //
-// A request leaves the core before its answer has gone out. Between the two, only the
-// exchange knows that the answer may not arrive: an agent that looked at the core alone
-// left then, and a booking that ran was reported as one that may have run. An exchange
-// writes keepUntil before it closes, so that is read last.
+// The admission core releases a request before its response has been written. In between, only
+// the exchange shows that the response may not arrive. If the agent stopped then, a request
+// that ran would be reported as one that may have run. An exchange sets answerQueriesUntil
+// before it decrements openExchanges, so answerQueriesUntil must be read last.
 func (a *Agent) idle() bool {
 	_, runningOrder := a.orders.fencingNumbers()
 	now := a.Now()
@@ -52,9 +52,9 @@
 	return runningOrder == 0 && a.admitter.drained(now) && a.openExchanges.Load() == 0 && now.UnixNano() >= a.answerQueriesUntil.Load()
 }
 
-// recordUndelivered notes that an answer didn't reach its entry, which may ask for it
-// over another connection. An agent that left at once would make a booking that
-// ran into one that may have run.
+// recordUndelivered keeps a draining agent up for AttemptQueryWait, so that the entry that did
+// not receive a response can query it over another connection. Otherwise a request that ran
+// would be reported as one that may have run.
 func (a *Agent) recordUndelivered(now time.Time) {
 	a.answerQueriesUntil.Store(now.Add(a.Settings.AttemptQueryWait).UnixNano())
 }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -12,8 +12,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A caller would be cut off by a planned stop. Streams are open when the agent is
-// told to leave; new work is refused as not run, and the agent goes when all are done.
+// Guards against a planned stop that breaks streams. With streams open, a draining agent must
+// refuse new requests as not run and stop only when all streams are complete.
 func TestDrainFinishesStreams(t *testing.T) {
 	t.Parallel()
 
@@ -62,7 +62,7 @@
 	require.NoError(t, <-r.runErr)
 }
 
-// messageHandler calls seen at one line of the log.
+// messageHandler calls onMessage for each log record with the given message.
 type messageHandler struct {
 	message   string
 	onMessage func()
@@ -80,15 +80,15 @@
 	return nil
 }
 
-// A booking that ran would be reported as one that may have run: its entry's
-// connection broke, and the agent left before the entry could ask.
+// Guards against a request that ran being reported as one that may have run, because its
+// entry's connection broke and the agent stopped before the entry could query the outcome.
 func TestDrainWaitsForAttemptQueries(t *testing.T) {
 	t.Parallel()
 
 	bt := newBlockingTarget()
 	disconnected := make(chan struct{})
 	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) {
-		a.Logger = slog.New(messageHandler{message: "The entry is gone.", onMessage: func() { close(disconnected) }})
+		a.Logger = slog.New(messageHandler{message: "entry disconnected", onMessage: func() { close(disconnected) }})
 		a.Settings.AttemptQueryWait = 4 * time.Second
 		a.Settings.TickInterval = time.Millisecond
 	})
@@ -109,15 +109,15 @@
 	<-disconnected
 	close(bt.release)
 	require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
-	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
+	time.Sleep(20 * time.Millisecond) // time in which an agent that does not wait would stop
 	require.Equal(t, "first last", string(r.queryAttempt(req, true).GetAnswer().GetBody()))
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
 	require.NoError(t, <-r.runErr)
 }
 
-// A booking's entry is gone, and its agent is told to leave. The core has let go of
-// the request, and its answer is not out yet: an agent that goes now cannot be asked.
+// Guards against stopping between the release of a request by the admission core and the end
+// of its exchange. If its entry has disconnected, it could not query the response any more.
 func TestDrainWaitsForOpenExchanges(t *testing.T) {
 	t.Parallel()
 
--- a/internal/agent/entry_fault_test.go
+++ b/internal/agent/entry_fault_test.go
@@ -19,15 +19,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ok answers each request with its own body.
+// ok responds to each request with the request's body.
 func ok(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = w.Write(body)
 }
 
-// A booking would run on a message that isn't what the caller sent, or run twice.
-// The entry's message is too large, malformed, doubled, late, or for an agent
-// that is gone. Each refusal is told from the verdict alone.
+// Guards against a request that runs in another form than the caller sent it, or twice. The
+// request is too large, malformed, duplicated, late, or meant for an earlier incarnation; the
+// refusal's verdict must say whether it ran.
 func TestInvalidRequestsAreNotRun(t *testing.T) {
 	t.Parallel()
 
@@ -43,21 +43,21 @@
 			req.Body = bytes.Repeat([]byte("x"), maxBytes+1)
 			req.BodyDigest = xxhash.Sum64(req.GetBody())
 		}, wire.Verdict_NotRun, "TooLarge"},
-		{"message far too large", func(_ *fixture, req *wire.Request) {
+		{"message larger than the read limit", func(_ *fixture, req *wire.Request) {
 			req.Body = bytes.Repeat([]byte("x"), 100*maxBytes)
 		}, wire.Verdict_NotRun, "TooLarge"},
 		{"headers too large", func(_ *fixture, req *wire.Request) {
 			req.Headers = []*wire.Header{{Name: "X", Value: strings.Repeat("x", maxBytes)}}
 		}, wire.Verdict_NotRun, "TooLarge"},
-		{"body changed on the way", func(_ *fixture, req *wire.Request) { req.Body[0]++ }, wire.Verdict_NotRun, "Malformed"},
-		{"header that smuggles another", func(_ *fixture, req *wire.Request) {
+		{"body corrupted in transit", func(_ *fixture, req *wire.Request) { req.Body[0]++ }, wire.Verdict_NotRun, "Malformed"},
+		{"header value with a line break", func(_ *fixture, req *wire.Request) {
 			req.Headers = []*wire.Header{{Name: "X", Value: "a\r\nY: b"}}
 		}, wire.Verdict_NotRun, "Malformed"},
 		{"header name with a space", func(_ *fixture, req *wire.Request) {
 			req.Headers = []*wire.Header{{Name: "X Y", Value: "a"}}
 		}, wire.Verdict_NotRun, "Malformed"},
-		{"method that smuggles a line", func(_ *fixture, req *wire.Request) { req.Method = "GET / HTTP/1.1\r\n" }, wire.Verdict_NotRun, "Malformed"},
-		{"path of another host", func(_ *fixture, req *wire.Request) { req.Path = "http://elsewhere/" }, wire.Verdict_NotRun, "Malformed"},
+		{"method with a line break", func(_ *fixture, req *wire.Request) { req.Method = "GET / HTTP/1.1\r\n" }, wire.Verdict_NotRun, "Malformed"},
+		{"path with a host", func(_ *fixture, req *wire.Request) { req.Path = "http://elsewhere/" }, wire.Verdict_NotRun, "Malformed"},
 		{"no attempt ID", func(_ *fixture, req *wire.Request) { req.AttemptID = "" }, wire.Verdict_NotRun, "Malformed"},
 		{"attempt ID too long", func(_ *fixture, req *wire.Request) {
 			req.AttemptID = strings.Repeat("x", maxIDBytes+1)
@@ -67,23 +67,23 @@
 		{"earlier incarnation", func(_ *fixture, req *wire.Request) { req.Credit.Incarnation-- }, wire.Verdict_NotRun, "EarlierIncarnation"},
 		{"expired credit", func(_ *fixture, req *wire.Request) { req.Credit.ExpiresAtTick = 0 }, wire.Verdict_NotRun, "CreditExpired"},
 		{"another service", func(_ *fixture, req *wire.Request) { req.Service = "desk" }, wire.Verdict_NotRun, "UnknownService"},
-		{"both views stale", func(r *fixture, req *wire.Request) {
+		{"views of agent and entry expired", func(r *fixture, req *wire.Request) {
 			r.view.Store(&admission.View{Version: 8, ColdLimit: 64, WarmLimit: 64})
 			req.ViewFresh = false
 		}, wire.Verdict_NotRun, "StaleConfiguration"},
-		{"zone out", func(r *fixture, _ *wire.Request) {
+		{"zone out of service", func(r *fixture, _ *wire.Request) {
 			r.view.Store(&admission.View{Version: 8, FreshUntil: time.Now().Add(time.Hour), ZoneOut: true})
 		}, wire.Verdict_NotRun, "ZoneOut"},
-		{"closed before it arrives", func(r *fixture, req *wire.Request) {
+		{"attempt closed before its request arrives", func(r *fixture, req *wire.Request) {
 			require.Equal(r.t, wire.AskState_AskClosed, r.queryAttempt(req, true).GetState())
 		}, wire.Verdict_NotRun, "AttemptClosed"},
-		{"fit copy of an unfit message", func(r *fixture, req *wire.Request) {
+		{"valid request after an invalid one with the same attempt ID", func(r *fixture, req *wire.Request) {
 			invalid := proto.CloneOf(req)
 			invalid.BodyDigest++
 			a := r.do(invalid)
 			a.requireRefused(r.t, wire.Verdict_NotRun, "Malformed")
 		}, wire.Verdict_NotRun, "AttemptClosed"},
-		{"doubled", func(r *fixture, req *wire.Request) {
+		{"duplicate of a completed request", func(r *fixture, req *wire.Request) {
 			a := r.do(req)
 			a.requireComplete(r.t, string(req.GetBody()))
 		}, wire.Verdict_Ran, "DuplicateAttempt"},
@@ -110,11 +110,11 @@
 			before := runs.Load()
 			a := r.do(req)
 			a.requireRefused(t, tc.want, tc.cause)
-			require.Equal(t, before, runs.Load(), "a refused request ran")
+			require.Equal(t, before, runs.Load(), "the target received a refused request")
 		})
 	}
 
-	t.Run("no message", func(t *testing.T) {
+	t.Run("not a request message", func(t *testing.T) {
 		t.Parallel()
 
 		r := newFixture(t, httpTarget(t, ok), nil)
@@ -127,7 +127,7 @@
 	})
 }
 
-// blockingTarget is a target whose answer waits until it is let go on.
+// blockingTarget is a target that sends the rest of its response only after release is closed.
 type blockingTarget struct {
 	started  chan struct{}
 	release  chan struct{}
@@ -139,7 +139,7 @@
 	return &blockingTarget{started: make(chan struct{}, 16), release: make(chan struct{}), canceled: make(chan struct{}, 16)}
 }
 
-// serve sends "first ", waits, and sends "last".
+// serve sends "first ", waits for release, and sends "last".
 func (bt *blockingTarget) serve(contentType string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -158,9 +158,10 @@
 	}
 }
 
-// A target would go on for a caller who has left, or a booking would be cut off
-// half-way because the entry's connection broke. The entry's connection ends while
-// the target works; a booking's entry asks for the answer over a new one.
+// Guards against a target that keeps working for a disconnected caller, and against canceling
+// a non-idempotent request when its entry's connection breaks. The connection ends while the
+// target works; the entry of a non-idempotent request then queries the response over a new
+// connection.
 func TestEntryDisconnects(t *testing.T) {
 	t.Parallel()
 
@@ -170,9 +171,9 @@
 		kind       string
 		cancelled  bool
 	}{
-		{"repeatable request", true, "text/plain", true},
+		{"idempotent request", true, "text/plain", true},
 		{"stream", false, "text/event-stream", true},
-		{"booking", false, "text/plain", false},
+		{"non-idempotent request", false, "text/plain", false},
 	}
 
 	for _, tc := range cases {
@@ -218,10 +219,9 @@
 	}
 }
 
-// A slot would be held for good by an entry whose connection is open one way only,
-// or has gone silent and takes nothing. The first closes its sending side, the
-// second stops reading a large answer.
-func TestUnreadableEntryReleasesSlot(t *testing.T) {
+// Guards against an entry that holds a slot forever. One entry closes the sending side of its
+// connection, another stops reading a large response.
+func TestHalfOpenConnectionReleasesSlot(t *testing.T) {
 	t.Parallel()
 
 	dial := func(t *testing.T, r *fixture) net.Conn {
@@ -242,7 +242,7 @@
 		return c
 	}
 
-	t.Run("half-closed", func(t *testing.T) {
+	t.Run("entry closes its sending side", func(t *testing.T) {
 		t.Parallel()
 
 		bt := newBlockingTarget()
@@ -252,7 +252,7 @@
 		require.NoError(t, c.(*net.TCPConn).CloseWrite())
 		<-bt.canceled
 	})
-	t.Run("takes nothing", func(t *testing.T) {
+	t.Run("entry stops reading", func(t *testing.T) {
 		t.Parallel()
 
 		var sent atomic.Int64
@@ -274,14 +274,14 @@
 		r := newFixture(t, target, func(a *Agent) { a.Settings.WriteTimeout = 300 * time.Millisecond })
 		dial(t, r)
 		<-disconnected
-		// What the sockets on the way buffer is bounded; the agent must not add to it.
+		// The socket buffers in between are bounded, and the agent must not add to them.
 		require.Less(t, sent.Load(), int64(64<<20))
 		require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
 	})
 }
 
-// A target's VM would run out of memory: many entries send large requests at once.
-// Past the bound they are refused before they are read.
+// Guards against running out of memory when many entries send large requests at once. Beyond
+// the limit, requests must be refused before they are read.
 func TestPendingBytesAreBounded(t *testing.T) {
 	t.Parallel()
 
@@ -307,11 +307,11 @@
 	require.Eventually(t, func() bool {
 		a := r.do(r.request("/draft", large))
 		return a.end != nil
-	}, 5*time.Second, time.Millisecond, "the room is free again")
+	}, 5*time.Second, time.Millisecond, "pending bytes are not released")
 }
 
-// A caller would take a slow target for a dead one, or a dead one for a slow one.
-// While the target says nothing, the entry hears heartbeats.
+// Guards against an entry that takes a slow target for a dead one, or the reverse. While the
+// target sends nothing, the entry must receive heartbeats.
 func TestHeartbeatsWhileTargetIsIdle(t *testing.T) {
 	t.Parallel()
 
@@ -337,8 +337,9 @@
 	a.requireComplete(t, "first last")
 }
 
-// A booking that ran would be denied, or made again: the agent restarts while it
-// runs. Of the former incarnation nothing is known, and nothing of it is let in.
+// Guards against a request being reported as not run, or run again, because the agent
+// restarted while it ran. The new incarnation has no state of the earlier one and must refuse
+// its credits.
 func TestAgentRestartDuringRequest(t *testing.T) {
 	t.Parallel()
 
@@ -354,7 +355,7 @@
 
 	for a.err == nil && a.refusal == nil {
 		a.readFrame(frames)
-		require.Nil(t, a.end, "a cut answer was ended as whole")
+		require.Nil(t, a.end, "a truncated response was marked as complete")
 	}
 
 	resp.Body.Close()
@@ -368,7 +369,8 @@
 
 	require.Equal(t, wire.AskState_AskUnknown, r.queryAttempt(req, true).GetState())
 
-	// An entry sends an attempt once; this is its next one, on a credit of the former agent.
+	// An entry sends an attempt only once. This is its next attempt, with a credit of the
+	// previous incarnation.
 	next := proto.CloneOf(req)
 	next.AttemptID = "next"
 	a = r.do(next)
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -16,9 +16,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// exchange relays one admitted request and its answer. One goroutine reads the
-// target (relay); run, on the goroutine of the entry's connection, writes frames.
-// Between them goes one piece at a time, so that a slow entry slows the target.
+// exchange relays one admitted request and its response. One goroutine (responseReader) reads
+// from the target; run writes frames on the goroutine of the entry's connection. They hand
+// over one part at a time, so that a slow entry applies backpressure to the target.
 type exchange struct {
 	agent *Agent
 	req   *wire.Request
@@ -27,13 +27,14 @@
 	// deadline is when the request ends, whatever its state.
 	deadline time.Time
 
-	// disconnected says that the entry takes no more frames.
+	// disconnected is set once the entry accepts no more frames.
 	disconnected bool
 	stream       bool
 	gotData      bool
 	digest       xxhash.Digest
 	length       uint64
-	// recorded collects the answer of a request that must not be repeated; nil where it isn't kept.
+	// recorded collects the response of a non-idempotent request. It is nil if the response is
+	// not kept.
 	recorded *wire.Answer
 }
 
@@ -56,7 +57,8 @@
 	return x
 }
 
-// run relays until the request has ended. The entry's connection is gone when entry ends.
+// run relays until the request has ended. The end of entryCtx means that the entry has
+// disconnected.
 func (x *exchange) run(entryCtx context.Context) {
 	x.agent.openExchanges.Add(1)
 	defer x.agent.openExchanges.Add(-1)
@@ -82,8 +84,8 @@
 		case p := <-r.parts:
 			heartbeat.Reset(x.agent.Settings.HeartbeatInterval)
 
-			// The last piece and the loss of the entry may be there at once: the answer is
-			// then to be kept for who asks for it.
+			// The last part and the disconnect may be pending at once. The response must then
+			// be kept for the entry's query.
 			if entryCtx.Err() != nil {
 				x.markDisconnected()
 			}
@@ -104,18 +106,17 @@
 	}
 }
 
-// mayCancel reports whether the request may be cut off once its entry is gone.
+// mayCancel reports whether the request may be canceled once its entry has disconnected.
 //
-// An entry that is gone may have given up, or its connection may have broken; the
-// agent can't tell. A request that may be repeated, and a stream, which nobody can
-// pick up later, are cancelled, so that the target is free. Any other runs on to
-// its deadline and its answer is kept: cut off, nobody could tell whether a booking
-// was made.
+// The agent can't tell whether the caller canceled or the entry's connection broke. An
+// idempotent request is canceled to free the target, and so is a stream, which can't be
+// resumed later. Any other request runs until its deadline and its response is kept: if it
+// were canceled, nobody could tell whether it had taken effect.
 func (x *exchange) mayCancel() bool {
 	return x.req.GetIdempotent() || x.stream
 }
 
-// handle handles one piece from the target and reports whether it was the last.
+// handle processes one part of the response and reports whether it was the last.
 func (x *exchange) handle(p responsePart) bool {
 	switch {
 	case p.err != nil:
@@ -135,7 +136,7 @@
 }
 
 func (x *exchange) head(resp *http.Response) {
-	h := &wire.Head{AttemptID: x.call.attemptID, Status: int32(resp.StatusCode), Headers: answerHeaders(resp)}
+	h := &wire.Head{AttemptID: x.call.attemptID, Status: int32(resp.StatusCode), Headers: responseHeaders(resp)}
 	x.stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 
 	if x.recorded != nil {
@@ -143,12 +144,12 @@
 		x.recorded.Headers = h.Headers
 	}
 
-	// Of an answer with a length the body is there, or about to be.
+	// With a known length, the body follows at once, so the head need not be flushed alone.
 	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
 }
 
-// answerHeaders returns the headers that go back to the entry, in a fixed order.
-func answerHeaders(resp *http.Response) []*wire.Header {
+// responseHeaders returns the response headers for the entry, sorted by name.
+func responseHeaders(resp *http.Response) []*wire.Header {
 	h := resp.Header.Clone()
 	length := h.Get("Content-Length")
 	removeHopByHop(h)
@@ -187,7 +188,8 @@
 	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Data{Data: b}}, p.end)
 }
 
-// recordBody records b, up to the bound of one recorded answer.
+// recordBody appends b to the recorded response. Streams and responses larger than
+// MaxAnswerBytes are not recorded.
 func (x *exchange) recordBody(b []byte) {
 	if x.recorded == nil {
 		return
@@ -201,8 +203,8 @@
 	x.recorded.Body = append(x.recorded.Body, b...)
 }
 
-// complete closes a whole answer. The core hears of it first, so that the slot is free
-// and the entry's new credit counts it.
+// complete ends a request whose response is complete. The admission core is updated before the
+// last frame is sent, so that the slot is free and the credit in that frame accounts for it.
 func (x *exchange) complete() {
 	a := x.agent
 	now := a.Now()
@@ -225,7 +227,7 @@
 	}
 }
 
-// fail ends a request that got no answer, or a cut one.
+// fail ends a request whose response is missing or truncated.
 func (x *exchange) fail(e *verdict.Error) {
 	a := x.agent
 	now := a.Now()
@@ -233,7 +235,8 @@
 	a.counters.broken.Inc(1)
 
 	if errors.Is(e.Err, syscall.ECONNREFUSED) {
-		// Nobody listens: the target is gone, and will be cold when it is back.
+		// Nothing listens at the target's address: it is down, and will be cold when it
+		// returns.
 		a.admitter.targetDown(now)
 	}
 
@@ -241,7 +244,7 @@
 		a.counters.crossed.Inc(1)
 	}
 
-	a.Logger.Warn("Request got no whole answer.", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
+	a.Logger.Warn("request failed", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
 	x.send(refusalFrame(x.call.attemptID, refusal{verdict: e.Verdict, cause: e.Cause, retryAt: e.RetryAt}, now, load))
 }
 
@@ -251,11 +254,12 @@
 	return loadToWire(l, creditToWire(g, now))
 }
 
-// send writes a frame unless the entry is gone.
+// send writes and flushes a frame unless the entry has disconnected.
 func (x *exchange) send(f *wire.Frame) { x.sendFrame(f, false) }
 
-// sendFrame writes a frame; with more, the next frame or heartbeat takes it along,
-// which saves a small answer two system calls of three.
+// sendFrame writes a frame unless the entry has disconnected. With buffer set, the frame is
+// flushed with the next frame or heartbeat, which saves two of three system calls for a small
+// response.
 func (x *exchange) sendFrame(f *wire.Frame, buffer bool) {
 	if x.disconnected {
 		return
@@ -271,12 +275,12 @@
 	}
 }
 
-// markDisconnected notes that the entry's connection broke.
+// markDisconnected records that the entry's connection broke.
 func (x *exchange) markDisconnected() {
 	if x.disconnected {
 		return
 	}
 
 	x.disconnected = true
-	x.agent.Logger.Info("The entry is gone.", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
+	x.agent.Logger.Info("entry disconnected", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
 }
--- a/internal/agent/fields.go
+++ b/internal/agent/fields.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// tokenPunctuation are the characters of an HTTP header name beside letters and digits.
+// tokenPunctuation lists the characters of an HTTP token other than letters and digits.
 const tokenPunctuation = "!#$%&'*+-.^_`|~"
 
-// isToken reports whether s may be a header name or a method.
+// isToken reports whether s is valid as a header name or a method.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -21,7 +21,8 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
 
-// isFieldValue reports whether s may be a header's value: no control characters but tabs.
+// isFieldValue reports whether s is valid as a header value: it contains no control characters
+// other than tabs.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -40,12 +40,12 @@
 	stop     context.CancelFunc
 	runErr   chan error
 	attempts atomic.Uint64
-	// target is where the announcement points; announce repeats it.
+	// target is the address that announce announces.
 	target netip.AddrPort
 	bootID string
 }
 
-// newFixture starts an agent before target. change may alter the agent before it runs.
+// newFixture starts an agent for target. configure may modify the agent before it runs.
 func newFixture(t testing.TB, target netip.AddrPort, configure func(*Agent)) *fixture {
 	t.Helper()
 
@@ -87,7 +87,7 @@
 
 	r.rpc = wire.NewAgentProtobufClient(r.url(""), r.client)
 	r.announce(r.bootID)
-	r.announce(r.bootID) // the first count isn't relied on
+	r.announce(r.bootID) // the core ignores InFlight in the first announcement
 	r.t.Cleanup(func() {
 		cancel()
 		r.client.CloseIdleConnections()
@@ -97,7 +97,7 @@
 
 func (r *fixture) url(path string) string { return "http://" + r.agent.address().String() + path }
 
-// announce posts the target's word, with nothing in flight.
+// announce posts an announcement of the target, with no requests in flight.
 func (r *fixture) announce(bootID string) {
 	r.t.Helper()
 	r.post(AnnouncePath, `{"BootID":"`+bootID+`","Address":"`+r.target.String()+`","Service":"`+testService+
@@ -115,7 +115,7 @@
 	require.Equal(r.t, status, resp.StatusCode, "%s", respBody)
 }
 
-// credit asks for a credit with one slot or more.
+// credit requests a credit of up to 8 slots.
 func (r *fixture) credit() *wire.Credit {
 	r.t.Helper()
 
@@ -125,7 +125,7 @@
 	return g.GetCredit()
 }
 
-// request makes an idempotent request with a fresh credit and a fresh attempt ID.
+// request returns an idempotent request with a new credit and a new attempt ID.
 func (r *fixture) request(path, body string) *wire.Request {
 	r.t.Helper()
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// nonIdempotentRequest makes a request that must not be repeated.
+// nonIdempotentRequest returns a request that must not be repeated.
 func (r *fixture) nonIdempotentRequest(path, body string) *wire.Request {
 	r.t.Helper()
 
@@ -155,7 +155,7 @@
 	return req
 }
 
-// response is what an entry made of an answer stream.
+// response is a response as decoded from frames.
 type response struct {
 	head       *wire.Head
 	body       string
@@ -185,7 +185,7 @@
 	return resp, bufio.NewReader(resp.Body)
 }
 
-// do sends req and collects its answer.
+// do sends req and reads its response to the end.
 func (r *fixture) do(req *wire.Request) response {
 	r.t.Helper()
 
@@ -200,7 +200,6 @@
 	return a
 }
 
-// readFrame reads one frame.
 func (a *response) readFrame(frames *bufio.Reader) {
 	var f wire.Frame
 	if a.err = protodelim.UnmarshalFrom(frames, &f); a.err != nil {
@@ -221,7 +220,7 @@
 	}
 }
 
-// requireComplete checks that a is the whole answer body.
+// requireComplete checks that the response is complete and has this body.
 func (a *response) requireComplete(t testing.TB, body string) {
 	t.Helper()
 	require.NotNil(t, a.end, "refusal %v, error %v", a.refusal, a.err)
@@ -230,7 +229,8 @@
 	require.Equal(t, xxhash.Sum64String(body), a.end.GetDigest())
 }
 
-// requireRefused checks the verdict and cause of a refusal, and that the answer was not ended as whole.
+// requireRefused checks the verdict and cause of a refusal, and that the response was not
+// marked as complete.
 func (a *response) requireRefused(t testing.TB, v wire.Verdict, cause string) {
 	t.Helper()
 	require.NotNil(t, a.refusal, "answer %+v", a)
@@ -239,7 +239,8 @@
 	require.Equal(t, v.String(), a.refusal.GetVerdict().String())
 }
 
-// queryAttempt asks what became of req.
+// queryAttempt queries the state of req's attempt, and closes the attempt if closeAttempt is
+// set.
 func (r *fixture) queryAttempt(req *wire.Request, closeAttempt bool) *wire.AskResponse {
 	r.t.Helper()
 
@@ -254,7 +255,7 @@
 	return resp
 }
 
-// httpTarget serves h as the target, with the echo of the request ID.
+// httpTarget serves h as the target, and echoes the request ID.
 func httpTarget(t testing.TB, h http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 
@@ -267,7 +268,8 @@
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-// rawTarget speaks bytes: script gets each connection and the request ID read from it.
+// rawTarget is a target whose responses are written byte by byte by script, which gets the
+// connection and the request ID.
 type rawTarget struct {
 	ln    net.Listener
 	conns atomic.Int64
--- a/internal/agent/frames.go
+++ b/internal/agent/frames.go
@@ -10,11 +10,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// FramesContentType is the content type of an answer stream: wire.Frame messages, each
-// behind its length as a varint.
+// FramesContentType is the content type of a response stream: a sequence of wire.Frame
+// messages, each preceded by its length as a varint.
 const FramesContentType = "application/x-parsleygate-frames"
 
-// frameWriter writes frames to an entry. It is used by one goroutine at a time.
+// frameWriter writes frames to an entry. It is not safe for concurrent use.
 type frameWriter struct {
 	w             http.ResponseWriter
 	rc            *http.ResponseController
@@ -26,18 +26,18 @@
 	return &frameWriter{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// write sends one frame, and what add kept back. It blocks while the entry reads
-// slowly, which is what slows the target down; an entry that takes nothing for
-// stall is given up.
+// write sends a frame and any buffered ones. It blocks while the entry reads slowly, which
+// applies backpressure to the target, and fails once the entry has read nothing for
+// writeTimeout.
 func (f *frameWriter) write(frame *wire.Frame) error {
 	if err := f.buffer(frame); err != nil {
 		return err
 	}
 
-	return eris.Wrap(f.rc.Flush(), "flush a frame")
+	return eris.Wrap(f.rc.Flush(), "flush a frame to the entry")
 }
 
-// buffer writes one frame that may wait for the next one.
+// buffer writes a frame without flushing it.
 func (f *frameWriter) buffer(frame *wire.Frame) error {
 	if !f.headerWritten {
 		f.headerWritten = true
@@ -51,5 +51,5 @@
 
 	_, err := protodelim.MarshalTo(f.w, frame)
 
-	return eris.Wrap(err, "write a frame")
+	return eris.Wrap(err, "write a frame to the entry")
 }
--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -18,17 +18,17 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// OrderPath is where the engine takes orders.
+// OrderPath is the engine's path for orders.
 const OrderPath = "/v1/order"
 
-// causeEngineDown is of an order that never reached the engine.
+// causeEngineDown is the cause for an order that never reached the engine.
 const causeEngineDown orders.Cause = "EngineDown"
 
-// maxEngineAnswerBytes bounds the engine's answer to an order, in bytes.
+// maxEngineAnswerBytes bounds the engine's answer to an order.
 const maxEngineAnswerBytes = 64 << 10
 
-// EngineOrder is an order as the engine gets it, as JSON. The engine answers with
-// an EngineAnswer once it has carried it out.
+// EngineOrder is the JSON form of an order for the engine. The engine replies with an
+// EngineAnswer once it has carried out the order.
 type EngineOrder struct {
 	FencingNumber uint64
 	// Kind is LoadModel, LoadAdapter, ChangeRole, StageMap or SwitchMap.
@@ -42,14 +42,14 @@
 
 // EngineAnswer is the engine's answer to an order.
 type EngineAnswer struct {
-	// FencingNumber repeats the order's.
+	// FencingNumber is the fencing number of the order.
 	FencingNumber uint64
 	Done          bool
-	// Cause says why it isn't done.
+	// Cause says why the order was not carried out.
 	Cause string `json:",omitempty"`
 }
 
-// kindNames are the kinds as the engine reads them.
+// kindNames maps the kinds to their names in an EngineOrder.
 var kindNames = map[orders.Kind]string{
 	orders.KindLoadModel:   "LoadModel",
 	orders.KindLoadAdapter: "LoadAdapter",
@@ -58,7 +58,7 @@
 	orders.KindSwitchMap:   "SwitchMap",
 }
 
-// orderExecutor takes the orders to the engine, one at a time.
+// orderExecutor sends orders to the engine, one at a time.
 type orderExecutor struct {
 	mu   sync.Mutex
 	core orders.Core
@@ -66,14 +66,15 @@
 	current *orderRun
 }
 
-// orderRun is one order on its way; result is set when done is closed.
+// orderRun is an order being carried out. Its result is valid once done is closed.
 type orderRun struct {
 	done   chan struct{}
 	result orders.Result
 }
 
-// submitOrder carries o out or says why not. It returns when the engine has answered, or
-// with ctx; the order then goes on, and a resend joins it.
+// submitOrder carries out o or returns why it was refused. It returns when the engine has
+// answered or ctx has ended. In the latter case the order continues, and a resend of it waits
+// for the same result.
 func (a *Agent) submitOrder(ctx context.Context, o orders.Order) (orders.Result, uint64, error) {
 	d, run := a.decideOrder(o)
 
@@ -91,7 +92,7 @@
 	case <-run.done:
 		return run.result, d.Highest, nil
 	case <-ctx.Done():
-		return orders.Result{}, d.Highest, eris.Wrap(ctx.Err(), "the engine works on the order still")
+		return orders.Result{}, d.Highest, eris.Wrap(ctx.Err(), "engine has not answered yet; the order continues")
 	}
 }
 
@@ -139,8 +140,8 @@
 	a.finishOrder(o, run, r, err)
 }
 
-// finishOrder records the end of an order. Only one that never reached the engine
-// failed for certain.
+// finishOrder records the result of an order. Without an answer, only an order that never
+// reached the engine is known to have failed.
 func (a *Agent) finishOrder(o orders.Order, run *orderRun, r orders.Result, err error) {
 	executor := &a.orders
 	now := a.Now()
@@ -159,13 +160,13 @@
 		executor.core.Unanswered(now, o.FencingNumber)
 	}
 
-	a.Logger.Info("Order ended.", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
+	a.Logger.Info("order finished", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
 
 	run.result = r
 	close(run.done)
 }
 
-// postOrder sends o over HTTP.
+// postOrder sends o to the engine over HTTP.
 func (a *Agent) postOrder(ctx context.Context, to netip.AddrPort, o orders.Order) (orders.Result, error) {
 	body, err := json.Marshal(EngineOrder{
 		FencingNumber: o.FencingNumber,
@@ -177,7 +178,7 @@
 		Payload:       []byte(o.Payload),
 	})
 	if err != nil {
-		return orders.Result{}, eris.Wrap(err, "write the order")
+		return orders.Result{}, eris.Wrap(err, "encode the order")
 	}
 
 	req := &wire.Request{
@@ -199,25 +200,26 @@
 	return readEngineAnswer(resp.Body, o.FencingNumber)
 }
 
-// readEngineAnswer reads the answer to the order with this number; any other one says nothing about it.
+// readEngineAnswer reads the engine's answer and checks that it is for the order with this
+// fencing number.
 func readEngineAnswer(r io.Reader, number uint64) (orders.Result, error) {
 	var answer EngineAnswer
 	if err := json.NewDecoder(io.LimitReader(r, maxEngineAnswerBytes)).Decode(&answer); err != nil {
-		return orders.Result{}, eris.Wrap(err, "read the engine's answer")
+		return orders.Result{}, eris.Wrap(err, "decode the engine's answer")
 	}
 
 	if answer.FencingNumber != number {
-		return orders.Result{}, eris.Errorf("engine answered order %d", answer.FencingNumber)
+		return orders.Result{}, eris.Errorf("engine answered another order, number %d", answer.FencingNumber)
 	}
 
 	if !answer.Done && answer.Cause == "" {
-		return orders.Result{}, errors.New("engine's answer says nothing")
+		return orders.Result{}, errors.New("engine's answer reports neither success nor a cause")
 	}
 
 	return orders.Result{Done: answer.Done, Cause: orders.Cause(answer.Cause)}, nil
 }
 
-// reportEngine passes the target's word on to the core.
+// reportEngine passes the engine's state from an announcement to the core.
 func (e *orderExecutor) reportEngine(now time.Time, ann *Announcement) {
 	r := orders.Report{BootID: ann.BootID, EnforcesFencing: ann.Fences, Idle: ann.OrdersIdle}
 
@@ -239,7 +241,7 @@
 	e.core.Drain()
 }
 
-// fencingNumbers is the highest number seen and that of the order at the engine.
+// fencingNumbers returns the highest number seen and that of the order at the engine.
 func (e *orderExecutor) fencingNumbers() (highest, running uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/agent/order_test.go
+++ b/internal/agent/order_test.go
@@ -19,13 +19,13 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// fakeEngine carries orders out and remembers them.
+// fakeEngine records the orders that it receives.
 type fakeEngine struct {
 	mu       sync.Mutex
 	received []EngineOrder
-	// release, if set, keeps each order until something is sent, or it is closed.
+	// release, if set, blocks each order until it receives a value or is closed.
 	release chan struct{}
-	// answer, if set, writes the answer.
+	// answer, if set, writes the answer to an order.
 	answer func(w http.ResponseWriter, o EngineOrder)
 }
 
@@ -83,8 +83,9 @@
 	return resp
 }
 
-// An engine that ignores fencing numbers would load an old adapter. Orders come
-// again, late, and for an earlier incarnation; the engine sees each at most once.
+// Guards against an engine that ignores fencing numbers and loads an outdated adapter. Orders
+// are repeated, late, or for an earlier incarnation; the engine must receive each at most
+// once.
 func TestOrdersReachEngineOnce(t *testing.T) {
 	t.Parallel()
 
@@ -96,7 +97,7 @@
 	r.agent.HighestOrder = func() (uint64, bool) { return known.Load(), true }
 
 	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone())
-	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone(), "the first answer again")
+	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone(), "a resent order gets the recorded answer")
 
 	require.Equal(t, "FencedOff", r.submitOrder(loadOrder(4, "v4")).GetCause())
 	known.Store(6)
@@ -111,8 +112,8 @@
 	require.Equal(t, EngineOrder{FencingNumber: 5, Kind: "LoadAdapter", Subject: "staves", Version: "v5", Payload: []byte{0, 1}}, got[0])
 }
 
-// Two orders would overlap at the engine, or a resend would be carried out again,
-// while the first takes long and its giver has lost patience.
+// Guards against two orders that overlap at the engine, and against a resent order that is
+// executed again. The first order takes long, and its sender cancels the call.
 func TestOrdersAreSerialised(t *testing.T) {
 	t.Parallel()
 
@@ -136,7 +137,7 @@
 
 	require.Equal(t, "FencingConflict", r.submitOrder(loadOrder(5, "v6")).GetCause())
 	e.release <- struct{}{}
-	require.True(t, (<-resent).GetDone(), "the order went on without its giver")
+	require.True(t, (<-resent).GetDone(), "the order continues after its sender canceled the call")
 
 	go func() { resent <- r.submitOrder(loadOrder(6, "v6")) }()
 
@@ -153,7 +154,7 @@
 	require.Len(t, e.orders(), 3)
 }
 
-// An engine would be left half-way through an order by a planned stop.
+// Guards against a planned stop that interrupts an order at the engine.
 func TestDrainWaitsForOrder(t *testing.T) {
 	t.Parallel()
 
@@ -170,7 +171,7 @@
 
 	require.Eventually(t, func() bool { return r.agent.Node().GetLeaving() }, 5*time.Second, time.Millisecond)
 	require.Equal(t, "Leaving", r.submitOrder(loadOrder(6, "v6")).GetCause())
-	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
+	time.Sleep(20 * time.Millisecond) // time in which an agent that does not wait would stop
 	require.Empty(t, drained)
 	close(e.release)
 	require.True(t, (<-answered).GetDone())
@@ -178,8 +179,9 @@
 	require.NoError(t, <-drained)
 }
 
-// An order would count as done that wasn't, or be given up for good. The engine's
-// answer is lost, crossed, half or empty, or the engine is gone.
+// Guards against an order that is reported as done but is not, or as failed for certain if it
+// may still be carried out. The engine's answer is lost, truncated, empty or for another
+// order, or the engine is down.
 func TestFaultyEngineAnswers(t *testing.T) {
 	t.Parallel()
 
@@ -198,11 +200,11 @@
 			w.Header().Set(RequestIDHeader, "other")
 			_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber, Done: true})
 		}, "EngineSilent"},
-		{"half an answer", func(w http.ResponseWriter, _ EngineOrder) { _, _ = io.WriteString(w, `{"FencingNumber":5,"Do`) }, "EngineSilent"},
-		{"empty answer", func(w http.ResponseWriter, o EngineOrder) {
+		{"truncated answer", func(w http.ResponseWriter, _ EngineOrder) { _, _ = io.WriteString(w, `{"FencingNumber":5,"Do`) }, "EngineSilent"},
+		{"answer without a result", func(w http.ResponseWriter, o EngineOrder) {
 			fmt.Fprintf(w, `{"FencingNumber":%d}`, o.FencingNumber)
 		}, "EngineSilent"},
-		{"cut off", func(http.ResponseWriter, EngineOrder) { panic(http.ErrAbortHandler) }, "EngineSilent"},
+		{"connection closed without an answer", func(http.ResponseWriter, EngineOrder) { panic(http.ErrAbortHandler) }, "EngineSilent"},
 	}
 
 	for _, tc := range cases {
@@ -218,7 +220,7 @@
 		})
 	}
 
-	t.Run("takes too long", func(t *testing.T) {
+	t.Run("engine exceeds the order timeout", func(t *testing.T) {
 		t.Parallel()
 
 		e := &fakeEngine{release: make(chan struct{})}
@@ -227,19 +229,19 @@
 		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineSilent")
 		close(e.release)
 	})
-	t.Run("engine gone", func(t *testing.T) {
+	t.Run("engine down", func(t *testing.T) {
 		t.Parallel()
 
 		r := newOrderFixture(t, &fakeEngine{})
 		unused, err := loopback.Address()
 		require.NoError(t, err)
 
-		gone := *r.agent.target.load()
-		gone.Address = unused
-		r.agent.target.latest.Store(&gone)
+		down := *r.agent.target.load()
+		down.Address = unused
+		r.agent.target.latest.Store(&down)
 		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineDown")
 	})
-	t.Run("number not known after a restart", func(t *testing.T) {
+	t.Run("highest number unknown after a restart", func(t *testing.T) {
 		t.Parallel()
 
 		r := newFixture(t, httpTarget(t, ok), nil)
@@ -247,7 +249,7 @@
 	})
 }
 
-// Somebody else would speak for the target, or a broken announcement would count.
+// Guards against announcements from another host and against invalid announcements.
 func TestAnnouncements(t *testing.T) {
 	t.Parallel()
 
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -16,14 +16,14 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// refusal is why a request gets no answer, and what the caller may conclude.
+// refusal says why a request gets no response, and whether it may have run.
 type refusal struct {
 	verdict verdict.Verdict
 	cause   verdict.Cause
 	retryAt time.Time
 }
 
-// serveRequest takes one request of an entry and answers with frames.
+// serveRequest handles one request of an entry and responds with frames.
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request) {
 	out := newFrameWriter(w, a.Settings.WriteTimeout)
 
@@ -32,7 +32,7 @@
 		size = min(size, r.ContentLength)
 	}
 
-	// Many large requests at once would take the VM's memory from its target.
+	// Many large requests at once would take memory that the target on this VM needs.
 	if !a.pendingBytes.TryAcquire(size) {
 		a.refuse(out, &wire.Request{}, refusal{verdict: verdict.NotRun, cause: verdict.CauseOverload})
 		return
@@ -65,8 +65,8 @@
 	newExchange(a, req, out, now).run(r.Context())
 }
 
-// refuse ends a request without an answer. Its entry gets a new credit, so that
-// one that came with an expired credit need not ask for one.
+// refuse ends a request without a response. The entry gets a new credit with it, so that an
+// entry whose credit has expired need not request one.
 func (a *Agent) refuse(out *frameWriter, req *wire.Request, reason refusal) {
 	now := a.Now()
 	a.counters.refused.Inc(1)
@@ -93,13 +93,14 @@
 	}}}
 }
 
-// maxMessageBytes bounds a request's message, in bytes.
+// maxMessageBytes bounds the encoded request.
 func (a *Agent) maxMessageBytes() int64 {
 	return int64(a.Settings.MaxBodyBytes + a.Settings.MaxHeaderBytes)
 }
 
-// readRequest reads a request within its limits. Without a request there is none
-// that can be named; with both, the request is known and unfit.
+// readRequest reads a request within its limits. It returns no request if the message has no
+// readable attempt ID, and both a request and a refusal if the request was decoded but is
+// invalid.
 func (a *Agent) readRequest(w http.ResponseWriter, r *http.Request) (*wire.Request, *refusal) {
 	s := a.Settings
 	limit := a.maxMessageBytes()
@@ -127,19 +128,19 @@
 	return req, nil
 }
 
-// readBody reads all of r; size is the announced length or -1.
+// readBody reads all of r. The announced size is -1 if it is unknown.
 func readBody(r io.Reader, size, limit int64) ([]byte, error) {
 	if size < 0 || size > limit {
-		return io.ReadAll(r) //nolint:wrapcheck // the caller looks at the type only
+		return io.ReadAll(r) //nolint:wrapcheck // the caller checks only the type
 	}
 
 	raw := make([]byte, size)
 	_, err := io.ReadFull(r, raw)
 
-	return raw, err //nolint:wrapcheck // the caller looks at the type only
+	return raw, err //nolint:wrapcheck // the caller checks only the type
 }
 
-// checkRequest says why a request can't go to a target, or "".
+// checkRequest returns the cause for which a request can't be sent to a target, or "".
 func checkRequest(req *wire.Request, s Settings) verdict.Cause {
 	if len(req.GetBody()) > s.MaxBodyBytes {
 		return verdict.CauseTooLarge
@@ -169,7 +170,7 @@
 	return ""
 }
 
-// validRequestLine reports whether method and path can be put on a request line.
+// validRequestLine reports whether method and path can be written on a request line.
 func validRequestLine(req *wire.Request) bool {
 	if !isToken(req.GetMethod()) || req.GetMethod() == http.MethodConnect {
 		return false
@@ -180,7 +181,7 @@
 	return err == nil && strings.HasPrefix(req.GetPath(), "/")
 }
 
-// maxIDBytes bounds the ID of an attempt, which is kept in memory.
+// maxIDBytes bounds an attempt ID, because IDs are kept in memory.
 const maxIDBytes = 128
 
 func validAttemptID(id string) bool {
--- a/internal/agent/response_reader.go
+++ b/internal/agent/response_reader.go
@@ -11,14 +11,15 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// maxDataBytes bounds one Data frame. Two such buffers are all that is held of an answer.
+// maxDataBytes bounds the data of one Data frame. Two buffers of this size are the only memory
+// used for a response in transit.
 const maxDataBytes = 8 << 10
 
-// bufferPool holds the buffers of ended relays.
+// bufferPool holds the buffers of finished readers.
 var bufferPool = sync.Pool{New: func() any { return new([2 * maxDataBytes]byte) }}
 
-// responsePart is one step of an answer: its head, some data, its end, both of these, or
-// its failure.
+// responsePart is one part of a response: its head, data, its end, data with the end, or an
+// error.
 type responsePart struct {
 	head *http.Response
 	data []byte
@@ -26,7 +27,7 @@
 	err  *verdict.Error
 }
 
-// responseReader reads one answer from the target.
+// responseReader reads one response from the target.
 type responseReader struct {
 	ctx      context.Context
 	abort    context.CancelCauseFunc
@@ -42,14 +43,14 @@
 	}
 }
 
-// release gives the buffer back, once the receiver is done with the last piece.
+// release returns the buffer to the pool. The receiver must be done with the last part.
 func (r *responseReader) release() { bufferPool.Put(r.buf) }
 
-// read sends the pieces of the answer; the last has end or err set. The receiver
-// takes them all.
+// read sends the parts of the response. The last part has end or err set, and the receiver
+// must accept all parts.
 func (r *responseReader) read() {
-	// A target that takes the request and then stays silent holds its caller until
-	// the deadline; the watch ends that earlier, without calling it "not run".
+	// A target that accepts the request and then sends nothing would hold its caller until the
+	// deadline. The timer ends the request earlier, as one that may have run.
 	idleTimer := time.AfterFunc(r.exchange.agent.Settings.TargetIdleTimeout, func() {
 		r.abort(&verdict.Error{Cause: verdict.CauseSilent})
 	})
@@ -61,7 +62,7 @@
 		return
 	}
 
-	resp, err := r.exchange.agent.client.do(r.ctx, announced.Address, r.exchange.req, &r.exchange.call) //nolint:bodyclose // body closes it
+	resp, err := r.exchange.agent.client.do(r.ctx, announced.Address, r.exchange.req, &r.exchange.call) //nolint:bodyclose // closed by readBody
 	if err != nil {
 		var e *verdict.Error
 		if !errors.As(err, &e) {
@@ -81,10 +82,10 @@
 	r.parts <- r.readBody(resp.Body, idleTimer)
 }
 
-// readBody sends the data of the answer and returns the last piece. Of the two halves
-// of the buffer one is read into while the other is being written to the entry.
+// readBody sends the body of the response and returns the last part. It reads into one half of
+// the buffer while the other half is being written to the entry.
 func (r *responseReader) readBody(body io.ReadCloser, idleTimer *time.Timer) responsePart {
-	// A body that isn't read to its end closes its connection, so nobody reuses it.
+	// A body that is closed before its end closes the connection, which is then not reused.
 	defer func() { _ = body.Close() }()
 
 	buf := r.buf
@@ -116,7 +117,7 @@
 	}
 }
 
-// truncated gives the verdict on an answer that broke off.
+// truncated returns the error for a response that broke off.
 func (r *responseReader) truncated(err error) *verdict.Error {
 	e := &verdict.Error{Cause: verdict.CauseBroken, Err: err}
 	if cause := contextCause(r.ctx); cause != "" {
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -12,42 +12,41 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Paths of the agent's interface, beside those of the twirp service.
+// Paths of the agent's HTTP interface, in addition to those of the twirp service.
 const (
 	RequestPath  = "/v1/request"
 	AnnouncePath = "/v1/announce"
 	DumpPath     = "/v1/dump"
 )
 
-// maxAnnouncementBytes bounds the body of an announcement, in bytes.
+// maxAnnouncementBytes bounds the body of an announcement.
 const maxAnnouncementBytes = 4 << 10
 
-// Announcement is what the target posts about itself once a second, as JSON.
+// Announcement is the JSON message in which the target reports its state once a second.
 type Announcement struct {
-	// BootID is fresh at each start of the target.
+	// BootID is unique to each start of the target.
 	BootID string
-	// Address is where the target takes requests.
+	// Address is where the target serves requests.
 	Address netip.AddrPort
 	Service string
-	// Capacity is how many requests the warm target bears at once.
+	// Capacity is how many concurrent requests the warm target can handle.
 	Capacity uint32
-	// Cold is the engine's own word.
+	// Cold is set while the engine considers itself cold.
 	Cold bool
-	// InFlight is how many requests the target holds. A target that leaves it out
-	// waits longer for its first work after the agent restarts.
+	// InFlight is the number of requests in the target. A target that omits it waits longer
+	// for its first request after a restart of the agent.
 	InFlight *uint32 `json:",omitempty"`
 	// Group and Rank are set for a target in an expert group.
 	Group string `json:",omitempty"`
 	Rank  uint32 `json:",omitempty"`
-	// FencingNumber is the highest that the engine has seen, where it keeps one.
+	// FencingNumber is the highest one that the engine has seen, or nil if it keeps none.
 	FencingNumber *uint64 `json:",omitempty"`
-	// Fences says that the engine itself refuses an old fencing number.
+	// Fences reports that the engine itself rejects old fencing numbers.
 	Fences bool `json:",omitempty"`
-	// OrdersIdle says that the engine works on no order.
+	// OrdersIdle reports that the engine is not carrying out any order.
 	OrdersIdle bool `json:",omitempty"`
 }
 
-// targetState holds the latest announcement.
 type targetState struct {
 	latest atomic.Pointer[Announcement]
 }
@@ -68,12 +67,12 @@
 	return r
 }
 
-// serveAnnounce takes the target's word on itself. Only a process on the same VM
-// may speak for the target.
+// serveAnnounce handles an announcement. Only processes on the same VM may announce the
+// target.
 func (a *Agent) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	from, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil || !from.Addr().Unmap().IsLoopback() {
-		http.Error(w, "announcements come over loopback only", http.StatusForbidden)
+		http.Error(w, "announcements are accepted over loopback only", http.StatusForbidden)
 		return
 	}
 
@@ -81,12 +80,12 @@
 
 	body := http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)
 	if err := json.NewDecoder(body).Decode(&ann); err != nil {
-		http.Error(w, "announcement is no JSON: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "announcement is not valid JSON: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 
 	if ann.BootID == "" || ann.Service == "" || !ann.Address.IsValid() || ann.Address.Port() == 0 {
-		http.Error(w, "BootID, Service and Address (IP:port) are needed", http.StatusBadRequest)
+		http.Error(w, "BootID, Service and Address (IP:port) are required", http.StatusBadRequest)
 		return
 	}
 
@@ -97,7 +96,7 @@
 func (a *Agent) announce(ann *Announcement) {
 	previous := a.target.latest.Swap(ann)
 	if previous == nil || previous.BootID != ann.BootID {
-		a.Logger.Info("Target announced itself.", "boot", ann.BootID, "service", ann.Service, "address", ann.Address)
+		a.Logger.Info("target announced a new boot", "boot", ann.BootID, "service", ann.Service, "address", ann.Address)
 		a.counters.boots.Inc(1)
 	}
 
@@ -118,7 +117,7 @@
 	a.orders.reportEngine(now, ann)
 }
 
-// Dump is the agent's state as GET /v1/dump shows it.
+// Dump is the agent's state as returned by GET /v1/dump.
 type Dump struct {
 	ID          string
 	Zone        string
@@ -128,7 +127,8 @@
 	View        admission.View
 	Load        admission.Load
 	Memory      admission.MemoryUse
-	// HighestOrder is the highest fencing number seen, RunningOrder that of the order at the engine.
+	// HighestOrder is the highest fencing number seen, RunningOrder that of the order at the
+	// engine.
 	HighestOrder uint64
 	RunningOrder uint64
 }
@@ -140,11 +140,10 @@
 	enc.SetIndent("", "  ")
 
 	if err := enc.Encode(a.Dump()); err != nil {
-		a.Logger.Debug("Dump was not taken.", "err", err)
+		a.Logger.Debug("dump not written", "err", err)
 	}
 }
 
-// Dump returns the state of the agent.
 func (a *Agent) Dump() Dump {
 	a.prepare()
 
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -10,15 +10,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// service is the agent's twirp interface.
+// service implements the agent's twirp service.
 type service struct {
 	agent *Agent
 }
 
-// Grant gives an entry a credit.
+// Grant grants a credit to an entry.
 func (s *service) Grant(_ context.Context, r *wire.GrantRequest) (*wire.GrantResponse, error) {
 	if r.GetEntryID() == "" {
-		return nil, twirp.RequiredArgumentError("EntryID") //nolint:wrapcheck // the caller of twirp gets it as it is
+		return nil, twirp.RequiredArgumentError("EntryID") //nolint:wrapcheck // twirp returns it to the client unchanged
 	}
 
 	a := s.agent
@@ -35,10 +35,10 @@
 	}, nil
 }
 
-// Ask says what became of an attempt.
+// Ask returns the state of an attempt.
 func (s *service) Ask(_ context.Context, r *wire.AskRequest) (*wire.AskResponse, error) {
 	if r.GetAttemptID() == "" {
-		return nil, twirp.RequiredArgumentError("AttemptID") //nolint:wrapcheck // the caller of twirp gets it as it is
+		return nil, twirp.RequiredArgumentError("AttemptID") //nolint:wrapcheck // twirp returns it to the client unchanged
 	}
 
 	a := s.agent
@@ -53,11 +53,11 @@
 	return &wire.AskResponse{State: status.State, Incarnation: a.Incarnation, Answer: status.Answer}, nil
 }
 
-// Give passes an order on to the engine and answers when it has been carried out.
+// Give forwards an order to the engine and returns when it has been carried out.
 func (s *service) Give(ctx context.Context, o *wire.Order) (*wire.OrderResponse, error) {
 	r, highest, err := s.agent.submitOrder(ctx, orderFromWire(o))
 	if err != nil {
-		return nil, twirp.NewError(twirp.DeadlineExceeded, err.Error()) //nolint:wrapcheck // the caller of twirp gets it as it is
+		return nil, twirp.NewError(twirp.DeadlineExceeded, err.Error()) //nolint:wrapcheck // twirp returns it to the client unchanged
 	}
 
 	cause := string(r.Cause)
@@ -68,7 +68,8 @@
 	return &wire.OrderResponse{Done: r.Done, Cause: cause, HighestFencingNumber: highest}, nil
 }
 
-// millisUntil is the time from now to at, rounded up; 0 for an instant that has passed.
+// millisUntil returns the time from now to at in milliseconds, rounded up, or 0 if at has
+// passed.
 func millisUntil(at, now time.Time) uint64 {
 	if !at.After(now) {
 		return 0
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -8,40 +8,44 @@
 	"github.com/parsleygate/parsleygate/internal/orders"
 )
 
-// Settings tune an Agent. Zero fields take their defaults.
+// Settings configure an Agent. Zero fields take their defaults.
 type Settings struct {
 	Admission admission.Settings
-	// MaxBodyBytes bounds a request's body, MaxHeaderBytes the headers of requests and answers.
+	// MaxBodyBytes bounds a request's body, MaxHeaderBytes the headers of requests and
+	// responses.
 	MaxBodyBytes   int
 	MaxHeaderBytes int
-	// MaxAnswerBytes bounds one recorded answer.
+	// MaxAnswerBytes bounds one recorded response.
 	MaxAnswerBytes int
-	// ReadTimeout is how long an entry may take to send a request whole.
+	// ReadTimeout bounds the time in which an entry must send a complete request.
 	ReadTimeout time.Duration
-	// IdleTimeout closes an entry's connection that carries nothing.
+	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// AckTimeout is how long an entry's end may acknowledge nothing of what was sent.
+	// AckTimeout is how long sent data may remain unacknowledged by an entry before its
+	// connection is closed.
 	AckTimeout time.Duration
-	// MaxPendingBytes bounds the requests that are read or in flight, in bytes.
+	// MaxPendingBytes bounds the total size of the requests that are being read or in flight.
 	MaxPendingBytes int
-	// WriteTimeout is how long an entry may take nothing of an answer.
+	// WriteTimeout is how long a write to an entry may block before the entry counts as
+	// disconnected.
 	WriteTimeout time.Duration
-	// DialTimeout bounds a connect to the target.
+	// DialTimeout bounds connecting to the target.
 	DialTimeout time.Duration
-	// TargetIdleTimeout is how long the target may send nothing of an answer.
+	// TargetIdleTimeout is how long the target may send nothing before its response fails.
 	TargetIdleTimeout time.Duration
 	// MaxRequestDuration bounds a request, whatever its deadline.
 	MaxRequestDuration time.Duration
-	// HeartbeatInterval is how often the entry hears of a request while there is nothing to relay.
+	// HeartbeatInterval is the interval of heartbeats to the entry while the target sends
+	// nothing.
 	HeartbeatInterval time.Duration
-	// TickInterval is how often the core looks at the time.
+	// TickInterval is the interval at which the admission core checks for expired state.
 	TickInterval time.Duration
-	// OrderTimeout bounds one order to the engine; OrderSettle is how long an order
-	// without an answer bars the next one at an engine that ignores fencing numbers.
+	// OrderTimeout bounds one order to the engine. UnsettledOrderTimeout is how long an
+	// unanswered order blocks the next one at an engine that ignores fencing numbers.
 	OrderTimeout          time.Duration
 	UnsettledOrderTimeout time.Duration
-	// AttemptQueryWait is how long a leaving agent waits to be asked for an answer that didn't
-	// reach its entry.
+	// AttemptQueryWait is how long a draining agent stays up for an entry to query a response
+	// that it did not receive.
 	AttemptQueryWait time.Duration
 }
 
@@ -65,7 +69,7 @@
 	DefaultAttemptQueryWait      = 5 * time.Second
 )
 
-// applyDefaults puts the defaults into zero fields.
+// applyDefaults sets zero fields to their defaults.
 func (s *Settings) applyDefaults() {
 	s.MaxBodyBytes = cmp.Or(s.MaxBodyBytes, DefaultMaxBodyBytes)
 	s.MaxHeaderBytes = cmp.Or(s.MaxHeaderBytes, DefaultMaxHeaderBytes)
--- a/internal/agent/target.go
+++ b/internal/agent/target.go
@@ -22,18 +22,18 @@
 
 // Headers between the agent and its target.
 const (
-	// RequestIDHeader names the attempt. The target must send it back with its answer.
+	// RequestIDHeader identifies the attempt. The target must echo it in its response.
 	RequestIDHeader = "Parsleygate-Request-Id"
-	// RemainingHeader is what is left of the caller's deadline, in milliseconds.
+	// RemainingHeader is the time until the caller's deadline, in milliseconds.
 	RemainingHeader = "Parsleygate-Remaining-Ms"
 )
 
 // maxIdleConns bounds the idle connections to the target.
 const maxIdleConns = 64
 
-// targetClient calls the target. A request that must not be repeated gets a
-// connection of its own: on a kept one it could meet the target closing it, and
-// then nobody knows whether it was read.
+// targetClient sends requests to the target. A non-idempotent request gets a new connection:
+// the target might be closing a pooled one, and then it would be unknown whether the target
+// read the request.
 type targetClient struct {
 	pooled    *http.Transport
 	singleUse *http.Transport
@@ -55,20 +55,20 @@
 	return targetClient{pooled: pooled, singleUse: singleUse}
 }
 
-// closeIdle closes the connections that wait for a next request.
 func (tc targetClient) closeIdle() { tc.pooled.CloseIdleConnections() }
 
 // call is one request to the target.
 type call struct {
 	attemptID string
-	// gotConn says that a connection was there, so that bytes may have reached the target.
+	// gotConn is set once a connection was available, so that the target may have received
+	// data.
 	gotConn atomic.Bool
-	// conn is the connection that the call went out on.
+	// conn is the connection on which the request was sent.
 	conn atomic.Pointer[net.Conn]
 }
 
-// do sends req and returns the target's answer once its headers are there. Its
-// errors are *verdict.Error.
+// do sends req and returns the target's response once its headers have arrived. Its errors are
+// of type *verdict.Error.
 func (tc targetClient) do(ctx context.Context, to netip.AddrPort, req *wire.Request, c *call) (*http.Response, error) {
 	hr, err := tc.newRequest(ctx, to, req)
 	if err != nil {
@@ -94,7 +94,8 @@
 	if mismatch := c.checkResponse(req, resp); mismatch != nil {
 		_ = resp.Body.Close()
 		c.closeConn()
-		// An answer without a body has put its connection back before it was checked.
+		// The transport has already returned the connection of a response without a body to
+		// its pool.
 		tc.closeIdle()
 
 		return nil, mismatch
@@ -103,7 +104,7 @@
 	return resp, nil
 }
 
-// roundTripError gives the verdict on a call without an answer.
+// roundTripError returns the error for a call without a response.
 func (c *call) roundTripError(ctx context.Context, err error) *verdict.Error {
 	e := &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 
@@ -119,7 +120,7 @@
 	return e
 }
 
-// contextCause says why ctx ended, or "" while it hasn't.
+// contextCause returns why ctx ended, or "" if it has not.
 func contextCause(ctx context.Context) verdict.Cause {
 	cause := context.Cause(ctx)
 
@@ -137,14 +138,16 @@
 	}
 }
 
-// checkResponse refuses an answer that isn't the one to this call, or whose end can't be told.
+// checkResponse rejects a response that does not belong to this call or whose end can't be
+// detected.
 //
-// An answer to another request shows by its echoed ID: a target that answered
-// late or mixed two requests up would else give one caller the other's answer.
-// An answer that only ends with its connection looks whole when it was cut.
+// A response to another request is detected by its echoed ID. Otherwise a target that responds
+// late or confuses two requests could send one caller the response of another. A response that
+// is delimited only by the end of its connection would look complete even if it were
+// truncated.
 func (c *call) checkResponse(req *wire.Request, resp *http.Response) *verdict.Error {
 	if echo := resp.Header.Get(RequestIDHeader); echo != c.attemptID {
-		return &verdict.Error{Cause: verdict.CauseCrossed, Err: eris.Errorf("answer echoes ID %q", echo)}
+		return &verdict.Error{Cause: verdict.CauseCrossed, Err: eris.Errorf("response echoes request ID %q", echo)}
 	}
 
 	if resp.StatusCode == http.StatusSwitchingProtocols {
@@ -153,13 +156,13 @@
 
 	bodyless := req.GetMethod() == http.MethodHead || resp.ContentLength == 0
 	if !bodyless && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return &verdict.Error{Cause: verdict.CauseBroken, Err: eris.New("answer has no length")}
+		return &verdict.Error{Cause: verdict.CauseBroken, Err: eris.New("response has neither a length nor chunked encoding")}
 	}
 
 	return nil
 }
 
-// closeConn closes the connection of the call, so that nobody reuses it.
+// closeConn closes the connection of the call, so that it is not reused.
 func (c *call) closeConn() {
 	if conn := c.conn.Load(); conn != nil {
 		_ = (*conn).Close()
@@ -185,20 +188,22 @@
 	return hr, nil
 }
 
-// unreplayableBody returns the body of req and hides from the transport that it could be
-// read again. The transport would else send a request anew by itself when a kept
-// connection breaks, also one with an Idempotency-Key header, and it could run twice.
+// unreplayableBody returns the body of req in a form that the transport can't replay.
+// Otherwise the transport itself would resend a request when a pooled connection breaks, even
+// a non-idempotent one with an Idempotency-Key header, and the request could run twice.
 func unreplayableBody(req *wire.Request) io.Reader {
 	if len(req.GetBody()) == 0 && !bodylessMethods[req.GetMethod()] {
-		// Hidden, no body would go out as an empty chunked one. On a connection of its
-		// own such a request isn't sent anew, and on a kept one it may be.
+		// An empty body of an unknown type would be sent as an empty chunked body. The
+		// transport can replay NoBody, but it never does on a new connection, and a request on
+		// a pooled connection is idempotent.
 		return http.NoBody
 	}
 
 	return struct{ io.Reader }{bytes.NewReader(req.GetBody())}
 }
 
-// bodylessMethods are the methods for which the transport looks whether there is a body.
+// bodylessMethods are the methods for which the transport itself checks whether the body is
+// empty.
 var bodylessMethods = map[string]bool{
 	http.MethodGet:     true,
 	http.MethodHead:    true,
@@ -208,7 +213,8 @@
 	"SEARCH":           true,
 }
 
-// hopByHopHeaders are the headers that end at each connection, and those that the agent sets itself.
+// hopByHopHeaders are the headers that apply to a single connection, and those that the agent
+// sets itself.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -226,7 +232,7 @@
 	RemainingHeader:       true,
 }
 
-// forwardedHeaders returns the headers that go on to the target.
+// forwardedHeaders returns the headers to send to the target.
 func forwardedHeaders(hs []*wire.Header) http.Header {
 	out := make(http.Header, len(hs)+2)
 	for _, h := range hs {
@@ -238,7 +244,7 @@
 	return out
 }
 
-// removeHopByHop removes the headers that end here, and those that Connection names.
+// removeHopByHop removes the headers in hopByHopHeaders and those that Connection lists.
 func removeHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -17,8 +17,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A caller would get another caller's answer, or half of one that looks whole.
-// The target answers, but not this request, or not to the end.
+// Guards against a caller that receives the response of another request, or a truncated one
+// that looks complete.
 func TestFaultyTargetResponses(t *testing.T) {
 	t.Parallel()
 
@@ -27,29 +27,29 @@
 		script func(c net.Conn, id string)
 		cause  string
 	}{
-		{"answer to another request", func(c net.Conn, _ string) {
+		{"response to another request", func(c net.Conn, _ string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nok", RequestIDHeader)
 		}, "AnswerCrossed"},
-		{"bodyless answer to another request", func(c net.Conn, _ string) {
+		{"bodyless response to another request", func(c net.Conn, _ string) {
 			fmt.Fprintf(c, "HTTP/1.1 204 No Content\r\n%s: other\r\n\r\n", RequestIDHeader)
 		}, "AnswerCrossed"},
-		{"answer without an ID", func(c net.Conn, _ string) {
+		{"response without a request ID", func(c net.Conn, _ string) {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}, "AnswerCrossed"},
-		{"content length cut short", func(c net.Conn, id string) {
+		{"body shorter than Content-Length", func(c net.Conn, id string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", RequestIDHeader, id)
 			c.Close()
 		}, "AnswerBroken"},
-		{"chunks cut short", func(c net.Conn, id string) {
+		{"truncated chunked body", func(c net.Conn, id string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", RequestIDHeader, id)
 			c.Close()
 		}, "AnswerBroken"},
-		{"answer without a length", func(c net.Conn, id string) {
+		{"response without a length", func(c net.Conn, id string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\nhalf", RequestIDHeader, id)
 			c.Close()
 		}, "AnswerBroken"},
-		{"closed without an answer", func(c net.Conn, _ string) { c.Close() }, "AnswerBroken"},
-		{"no HTTP", func(c net.Conn, _ string) {
+		{"closed without a response", func(c net.Conn, _ string) { c.Close() }, "AnswerBroken"},
+		{"not HTTP", func(c net.Conn, _ string) {
 			fmt.Fprint(c, "garbage\r\n\r\n")
 			c.Close()
 		}, "AnswerBroken"},
@@ -65,7 +65,7 @@
 			a := r.do(r.request("/draft", "x"))
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
 
-			// The connection of the bad answer must not carry the next request.
+			// The connection of the faulty response must not be reused.
 			a = r.do(r.request("/draft", "x"))
 			a.requireRefused(t, wire.Verdict_MayHaveRun, tc.cause)
 			require.EqualValues(t, 2, target.conns.Load())
@@ -78,8 +78,9 @@
 	}
 }
 
-// A caller would wait for good, or be told "not run" of a request that ran. The
-// target is gone, or takes the request and stays silent, or answers past the deadline.
+// Guards against a caller that waits forever, and against a verdict "not run" for a request
+// that ran. The target is down, accepts the request and sends nothing, or responds after the
+// deadline.
 func TestUnresponsiveTarget(t *testing.T) {
 	t.Parallel()
 
@@ -97,11 +98,11 @@
 		millis uint64
 		cause  string
 	}{
-		{"silent", hang, shortIdleTimeout, 20_000, "ConnectionSilent"},
-		{"silent after half an answer", partial, shortIdleTimeout, 20_000, "ConnectionSilent"},
-		{"past the deadline", hang, nil, 1000, "DeadlinePassed"},
-		{"past the deadline with half an answer", partial, nil, 1000, "DeadlinePassed"},
-		{"deadline too far away", hang, func(a *Agent) { a.Settings.MaxRequestDuration = time.Second }, 1 << 62, "DeadlinePassed"},
+		{"sends nothing", hang, shortIdleTimeout, 20_000, "ConnectionSilent"},
+		{"sends nothing more after a partial response", partial, shortIdleTimeout, 20_000, "ConnectionSilent"},
+		{"sends nothing until the deadline", hang, nil, 1000, "DeadlinePassed"},
+		{"partial response until the deadline", partial, nil, 1000, "DeadlinePassed"},
+		{"deadline beyond the maximum duration", hang, func(a *Agent) { a.Settings.MaxRequestDuration = time.Second }, 1 << 62, "DeadlinePassed"},
 	}
 
 	for _, tc := range cases {
@@ -117,7 +118,7 @@
 		})
 	}
 
-	t.Run("gone", func(t *testing.T) {
+	t.Run("down", func(t *testing.T) {
 		t.Parallel()
 
 		addr, err := loopback.Address()
@@ -128,9 +129,9 @@
 		a := r.do(req)
 		a.requireRefused(t, wire.Verdict_NotRun, "TargetDown")
 		require.Equal(t, wire.AskState_AskClosed, r.queryAttempt(req, false).GetState())
-		require.Zero(t, r.agent.Dump().Load.Limit, "nothing more is sent there until it announces itself")
+		require.Zero(t, r.agent.Dump().Load.Limit, "a target that is down must get no requests until its next announcement")
 	})
-	t.Run("announcements stop", func(t *testing.T) {
+	t.Run("announcements time out", func(t *testing.T) {
 		t.Parallel()
 
 		r := newFixture(t, httpTarget(t, ok), func(a *Agent) { a.Settings.Admission.AnnounceTimeout = time.Millisecond })
@@ -141,8 +142,8 @@
 	})
 }
 
-// A slow caller would lose a good answer: it pauses for longer than the target may
-// be silent, while the target has more to send.
+// Guards against failing the response of a slow caller. The caller stops reading for longer
+// than TargetIdleTimeout while the target has more data to send.
 func TestSlowEntryIsNotTargetTimeout(t *testing.T) {
 	t.Parallel()
 
@@ -171,9 +172,9 @@
 	a.requireComplete(t, body)
 }
 
-// A booking would be made twice: the service closes a kept connection as the
-// booking is written, and the HTTP client sends it again by itself, all the more
-// with an Idempotency-Key header.
+// Guards against running a non-idempotent request twice. The target closes a pooled connection
+// while the request is being written, and Go's HTTP client would resend it, in particular with
+// an Idempotency-Key header.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	t.Parallel()
 
@@ -204,7 +205,7 @@
 			})
 			r := newFixture(t, target.addr(), nil)
 
-			a := r.do(r.request("/draft", "x")) // leaves a kept connection
+			a := r.do(r.request("/draft", "x")) // leaves a pooled connection
 			a.requireComplete(t, "ok")
 
 			req := r.nonIdempotentRequest("/book", tc.body)
@@ -213,13 +214,14 @@
 			req.Headers = []*wire.Header{{Name: "Idempotency-Key", Value: "k"}}
 			a = r.do(req)
 			a.requireRefused(t, wire.Verdict_MayHaveRun, "AnswerBroken")
-			require.EqualValues(t, 2, reads.Load(), "the request was read more than once")
+			require.EqualValues(t, 2, reads.Load(), "the target read the request more than once")
 		})
 	}
 }
 
-// A booking's answer would be lost to an entry that asks, or a large one would
-// fill the agent's memory. What is kept is whole, or not kept at all.
+// Guards against losing the response of a non-idempotent request that its entry queries, and
+// against large responses filling the agent's memory. A response must be kept as a whole or
+// not at all.
 func TestRecordedResponses(t *testing.T) {
 	t.Parallel()
 
@@ -239,11 +241,11 @@
 	draft := r.request("/draft", "x")
 	a = r.do(draft)
 	a.requireComplete(t, "x")
-	require.Nil(t, r.queryAttempt(draft, false).GetAnswer(), "a draft may be repeated, it isn't kept")
+	require.Nil(t, r.queryAttempt(draft, false).GetAnswer(), "the response of an idempotent request is not recorded")
 }
 
-// A target or a caller would read headers that were meant for one connection, and
-// mistake the bounds of a message.
+// Guards against forwarding headers that are meant for a single connection, and against
+// misread message lengths.
 func TestHopByHopHeaders(t *testing.T) {
 	t.Parallel()
 
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -1,8 +1,8 @@
-// Package expertgroup is the control VM's shell around the cores that keep the
-// expert maps of lock-step groups: it gathers the ranks' reports, lets the
-// planner decide, and drives the switch to a new map while its VM leads. One
-// goroutine owns all of it; calls to ranks and to the log run beside it and
-// come back as events.
+// Package expertgroup manages the expert maps of lock-step groups on a control VM. The leading
+// VM collects reports from the ranks, lets the planner decide about a new map and drives the
+// switch to it. It does the I/O for packages expertmap, placement and popularity, which have
+// none. All state belongs to one goroutine. Calls to ranks and to the log run in goroutines of
+// their own and return their results to it as events.
 package expertgroup
 
 import (
@@ -18,31 +18,32 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// RankAgent is the agent of one rank.
+// RankAgent is the address of one rank's agent.
 type RankAgent struct {
 	Rank    int
 	Address netip.AddrPort
 }
 
-// Settings are the intervals and costs of all groups.
+// Settings are the intervals, timeouts and costs for all groups.
 type Settings struct {
-	// PlanInterval is how often the ranks' reports are gathered and a new map is weighed.
+	// PlanInterval is the interval at which the ranks' reports are collected and a new map is
+	// considered.
 	PlanInterval time.Duration
-	// TickInterval is how often switches are moved on.
+	// TickInterval is the interval at which the switch coordinators are ticked.
 	TickInterval time.Duration
 	// CallTimeout bounds one call to a rank or to the log.
 	CallTimeout time.Duration
-	// StageTimeout, PrepareFor and ResendEvery are the coordinator's.
+	// StageTimeout, PrepareTimeout and ResendInterval are passed to expertmap.Coordinator.
 	StageTimeout   time.Duration
 	PrepareTimeout time.Duration
 	ResendInterval time.Duration
-	// SwitchLead is how many steps ahead a switch is named.
+	// SwitchLead is how many steps ahead of the current one a switch is scheduled.
 	SwitchLead expertmap.Step
-	// Planner holds the costs of a change.
+	// Planner holds the costs of a map change.
 	Planner placement.Planner
 }
 
-// DefaultSettings returns the settings for the size that parsleygate is designed for.
+// DefaultSettings returns the settings for the group sizes that parsleygate is designed for.
 func DefaultSettings() Settings {
 	return Settings{
 		PlanInterval: 30 * time.Second, TickInterval: 50 * time.Millisecond, CallTimeout: time.Second,
@@ -54,27 +55,29 @@
 	}
 }
 
-// Director keeps the maps of all groups while its VM leads. Its exported fields
-// are set before Run.
+// Director manages the expert maps of all groups while its VM leads. Set the exported fields
+// before Run.
 type Director struct {
-	// IsLeader reports whether this VM leads the log. Barrier returns once all entries
-	// that earlier leaders committed have been passed to Applied.
+	// IsLeader reports whether this VM leads the log. Barrier returns once all entries that
+	// earlier leaders committed have been passed to OnApplied.
 	IsLeader func() bool
 	Barrier  func(ctx context.Context) error
-	// Propose appends an entry; it may be lost, and is then proposed again.
+	// Propose appends an entry to the log. An entry may be lost; the coordinator then proposes
+	// it again.
 	Propose func(ctx context.Context, e *wire.GroupEntry) error
-	// Groups returns the groups that the operators declare, Ranks the agents of one.
+	// Groups returns the groups that the operators declared. RankAgents returns the agents of
+	// one group's ranks.
 	Groups     func() []*wire.Group
 	RankAgents func(group string) []RankAgent
-	// SendOrder and Report call a rank's agent.
+	// SendOrder and FetchReport call a rank's agent.
 	SendOrder   func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error)
 	FetchReport func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error)
 	Settings    Settings
 	Logger      *slog.Logger
 
 	events chan func(now time.Time)
-	// latestStates are the newest states, as the log's goroutine gave them. lost is set
-	// where it found no room for an event.
+	// latestStates holds the states most recently passed to OnApplied. missedEvents is set
+	// when the event queue was full and an event was dropped.
 	latestStates      atomic.Pointer[[]*wire.GroupState]
 	missedEvents      atomic.Bool
 	controllers       map[string]*groupController
@@ -84,21 +87,21 @@
 	committedSwitches atomic.Int64
 }
 
-// eventQueueSize is how many events wait for the director's goroutine.
+// eventQueueSize is the capacity of the director's event queue.
 const eventQueueSize = 4096
 
-// Init prepares the director. It is called once, before Applied and Run.
+// Init prepares the director. Call it once, before OnApplied and Run.
 func (d *Director) Init() {
 	d.events = make(chan func(time.Time), eventQueueSize)
 	d.controllers = make(map[string]*groupController)
 	d.states = make(map[string]*wire.GroupState)
 }
 
-// CommittedSwitches returns how many switches this VM has led to their commit.
+// CommittedSwitches returns how many switches were committed while this VM led them.
 func (d *Director) CommittedSwitches() int64 { return d.committedSwitches.Load() }
 
-// OnApplied takes in an entry of the log, or with a nil one a restored snapshot.
-// The goroutine of the log calls it, and it does not wait.
+// OnApplied handles an applied log entry, or a restored snapshot if e is nil. The log's
+// goroutine calls it; it does not block.
 func (d *Director) OnApplied(index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
 	d.latestStates.Store(&states)
 
@@ -123,7 +126,8 @@
 	}
 }
 
-// mergeStates takes in states. After a resync those of queued events are older.
+// mergeStates stores states unless newer ones are known: after a resync, queued events carry
+// older states.
 func (d *Director) mergeStates(states []*wire.GroupState) {
 	for _, s := range states {
 		if s.GetRecord().GetAsOf() >= d.states[s.GetGroup()].GetRecord().GetAsOf() {
@@ -132,20 +136,22 @@
 	}
 }
 
-// resync makes up for lost events. A coordinator that missed an entry believes
-// an old map to rule, and would tell so to a rank that asks: two ranks would run
-// by two maps. So all units end, and new ones begin from the newest states.
+// resync restores consistency after dropped events. A coordinator that missed an entry may
+// consider an old map current and report it to a rank that asks, so that two ranks would use
+// different maps. Therefore all controllers are stopped, and new ones start from the latest
+// states.
 func (d *Director) resync() {
 	if !d.missedEvents.Swap(false) {
 		return
 	}
 
-	d.Logger.Warn("fell behind the log")
+	d.Logger.Warn("event queue overflowed; restarting all group controllers from the latest state")
 	d.mergeStates(*d.latestStates.Load())
 	d.stepDown()
 }
 
-// post hands an event of a call to the director's goroutine, and waits for room.
+// post queues the result of a call for the director's goroutine, and blocks while the queue is
+// full.
 func (d *Director) post(ctx context.Context, event func(now time.Time)) {
 	select {
 	case d.events <- event:
@@ -153,7 +159,7 @@
 	}
 }
 
-// Run directs until ctx ends.
+// Run processes events until ctx ends.
 func (d *Director) Run(ctx context.Context) error {
 	tick := time.NewTicker(d.Settings.TickInterval)
 	defer tick.Stop()
@@ -198,8 +204,8 @@
 	}
 }
 
-// startBarrier takes the lead of the groups only behind the entries of earlier
-// leaders: a switch that one of them committed must not be begun anew.
+// startBarrier makes this VM lead the groups once it has applied all entries of earlier
+// leaders. Otherwise it could start a switch again that an earlier leader committed.
 func (d *Director) startBarrier(ctx context.Context) {
 	d.awaitingBarrier = true
 
@@ -227,13 +233,15 @@
 	}
 }
 
-// stopController ends a unit. Answers that come later find it no longer leading.
+// stopController stops the group's controller. Its coordinator ignores answers that arrive
+// later, as it no longer leads.
 func (d *Director) stopController(c *groupController) {
 	c.coordinator.Follow()
 	delete(d.controllers, c.name)
 }
 
-// controller returns the group's unit, which begins to lead when it is made.
+// controller returns the group's controller. It creates one that starts to lead if there is
+// none or the group's shape has changed.
 func (d *Director) controller(ctx context.Context, now time.Time, g *wire.Group) *groupController {
 	if c := d.controllers[g.GetName()]; c != nil && ShapeOf(g) == c.shape {
 		return c
--- a/internal/expertgroup/errors.go
+++ b/internal/expertgroup/errors.go
@@ -2,13 +2,12 @@
 
 import "fmt"
 
-// MissingMapError says that the state lacks a map that its record names.
+// MissingMapError reports that the state lacks a map that its record refers to.
 type MissingMapError struct {
 	Group   string
 	Version uint64
 }
 
-// Error implements error.
 func (e *MissingMapError) Error() string {
-	return fmt.Sprintf("group %s: the state lacks map %d", e.Group, e.Version)
+	return fmt.Sprintf("group %s: map %d is missing from the replicated state", e.Group, e.Version)
 }
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// trackerGain and speedGain are the tracker's weights of new windows.
+	// trackerGain and speedGain are the weights that the tracker gives to a new window, for
+	// token shares and rank speeds.
 	trackerGain = 0.3
 	speedGain   = 0.3
-	// pollInterval is how often ranks are asked for their status.
+	// pollInterval is the interval at which ranks are polled for their status.
 	pollInterval = time.Second
-	// maxPopularityLife bounds how long popularity is thought to stay as it is.
+	// maxPopularityLife bounds for how long the current expert popularity is assumed to last.
 	maxPopularityLife = time.Hour
 )
 
-// groupController keeps the map of one group.
+// groupController manages the map of one group.
 type groupController struct {
-	ctx           context.Context //nolint:containedctx // of the director's Run
+	ctx           context.Context //nolint:containedctx // the context of Director.Run
 	director      *Director
 	name          string
 	shape         placement.Shape
@@ -34,11 +35,12 @@
 	nextPlan      time.Time
 	nextPoll      time.Time
 	orderInFlight map[int]bool
-	// proposed is the map of the switch that is under way.
+	// proposed is the map of the switch in progress, or nil.
 	proposed *wire.GroupMap
 }
 
-// ShapeOf returns the shape that a declaration gives.
+// ShapeOf returns the shape of a declared group. Without declared slots a rank gets one more
+// than it needs to hold its share of the experts.
 func ShapeOf(g *wire.Group) placement.Shape {
 	slots := int(g.GetSlots())
 	if slots == 0 && g.GetRanks() > 0 {
@@ -85,8 +87,8 @@
 	c.collectReports()
 }
 
-// poll asks every rank for its status now and then: a rank that has restarted
-// is heard of by that alone.
+// poll asks every rank for its status once per pollInterval. It is the only way to detect that
+// a rank has restarted.
 func (c *groupController) poll(now time.Time) {
 	if now.Before(c.nextPoll) {
 		return
@@ -99,7 +101,7 @@
 	}
 }
 
-// execute carries out what the coordinator asks for.
+// execute carries out the coordinator's actions.
 func (c *groupController) execute(actions []expertmap.Action) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -125,12 +127,13 @@
 		defer cancel()
 
 		if err := c.director.Propose(ctx, entry); err != nil {
-			c.director.Logger.Debug("entry not appended", "group", c.name, "error", err)
+			c.director.Logger.Debug("log entry not appended", "group", c.name, "error", err)
 		}
 	}()
 }
 
-// sendOrder sends an order to a rank, one at a time; the coordinator repeats it.
+// sendOrder sends an order to a rank unless another one is in flight there; the coordinator
+// repeats it.
 func (c *groupController) sendOrder(o expertmap.Order) {
 	if c.orderInFlight[o.Rank] {
 		return
@@ -163,7 +166,7 @@
 		c.orderInFlight[o.Rank] = false
 
 		if err != nil {
-			c.director.Logger.Debug("order not answered", "group", c.name, "rank", o.Rank, "error", err)
+			c.director.Logger.Debug("rank did not answer an order", "group", c.name, "rank", o.Rank, "error", err)
 
 			return
 		}
@@ -172,9 +175,9 @@
 	})
 }
 
-// needsMaps reports whether the rank may have to load a map because of an order.
-// A map weighs 20 KB and more: with each status ask, once a second, that would be
-// most of what the leader says.
+// needsMaps reports whether the rank may have to load a map to follow an order. A map takes 20
+// KB or more; sent with each status poll, once a second, maps would be most of the leader's
+// traffic.
 func needsMaps(k expertmap.OrderKind) bool {
 	return k == expertmap.OrderStage || k == expertmap.OrderInform || k == expertmap.OrderConfirm
 }
@@ -189,8 +192,8 @@
 	c.director.Logger.Info("switch ended", "group", c.name, "version", a.Version, "committed", a.Outcome == expertmap.Committed)
 }
 
-// collectReports asks every rank for its counts, and weighs a new map once all have
-// answered or failed to.
+// collectReports asks every rank for its report, and considers a new map once all ranks have
+// answered or failed.
 func (c *groupController) collectReports() {
 	agents := c.director.RankAgents(c.name)
 	reports := make(chan *wire.RankReport, len(agents))
@@ -204,7 +207,7 @@
 				Group: c.name, Rank: uint32(n.Rank), Tokens: c.needsTokenCounts(n.Rank),
 			})
 			if err != nil {
-				c.director.Logger.Debug("no report", "group", c.name, "rank", n.Rank, "error", err)
+				c.director.Logger.Debug("rank did not return a report", "group", c.name, "rank", n.Rank, "error", err)
 			}
 
 			reports <- r
@@ -223,9 +226,10 @@
 	}()
 }
 
-// needsTokenCounts reports whether the rank's counts of each expert are asked for. Its
-// routing is a sample of the group's: two ranks count for all, the second in
-// case the first is away, where all 32 would say 16 times as much.
+// needsTokenCounts reports whether the rank is asked for token counts per expert. The routing
+// of one rank is a sample of the whole group's, so the counts of two ranks are enough; the
+// second covers a failure of the first. Counts of all 32 ranks would take 16 times the
+// traffic.
 func (c *groupController) needsTokenCounts(rank int) bool {
 	return rank == 0 || rank == c.shape.Ranks/2
 }
@@ -237,7 +241,7 @@
 			Busy: time.Duration(r.GetBusyMicros()) * time.Microsecond, Work: r.GetWork(), Tokens: r.GetTokens(),
 		})
 		if err != nil {
-			c.director.Logger.Warn("report ignored", "group", c.name, "rank", r.GetRank(), "error", err)
+			c.director.Logger.Warn("rank report rejected", "group", c.name, "rank", r.GetRank(), "error", err)
 		}
 	}
 
@@ -248,7 +252,7 @@
 	}
 
 	if err := c.propose(now); err != nil {
-		c.director.Logger.Debug("no new map", "group", c.name, "error", err)
+		c.director.Logger.Debug("new map not proposed", "group", c.name, "error", err)
 	}
 }
 
@@ -266,7 +270,7 @@
 		return err
 	}
 
-	c.director.Logger.Info("new map", "group", c.name, "why", d.Why.String(), "moves", len(d.Moves),
+	c.director.Logger.Info("proposing a new map", "group", c.name, "why", d.Why.String(), "moves", len(d.Moves),
 		"bytes", d.Bytes, "skewBefore", d.Before.Skew(), "skewAfter", d.After.Skew(), "saved", d.Saved, "cost", d.Cost)
 
 	version := nextVersion(c.coordinator.Record().AsOf, d.Map)
@@ -284,19 +288,18 @@
 	return nil
 }
 
-// digestBits is how many low bits of a version are of its map's content.
+// digestBits is how many low bits of a version are taken from the map's digest.
 const digestBits = 32
 
-// nextVersion numbers a map by how far the log is, and by its content. One more
-// than the ruling version would not do: a switch that was aborted, or a proposal
-// of another leader that comes late, leaves ranks with a map of that number, and
-// a rank that has it loads no other. They would compute a step with that map,
-// and the others with the one proposed next under the same number.
+// nextVersion derives a map's version from the log position and the map's content. The current
+// version plus one is not unique: an aborted switch, or a late proposal of another leader,
+// leaves ranks with a different map of that version, and a rank that has a version does not
+// load it again. Ranks would then compute a step with different maps.
 func nextVersion(asOf expertmap.Fence, m *placement.Map) expertmap.Version {
 	return expertmap.Version((uint64(asOf)+1)<<digestBits | m.Digest()&(1<<digestBits-1))
 }
 
-// currentMap returns the map that rules.
+// currentMap returns the map in force.
 func (c *groupController) currentMap() (*placement.Map, error) {
 	version := uint64(c.coordinator.Record().Ruling.Version)
 	if version == ledger.FirstMap {
--- a/internal/expertgroup/hold_test.go
+++ b/internal/expertgroup/hold_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Engines hold for a switch, but their answers are lost, so the ranks refuse the
-// switch and it is aborted. Nothing was promised, so nothing would lift the
-// holds, and coopers would get no drafts any more.
+// Guards against holds that outlive an aborted switch and stall the group. The engines hold
+// for a switch, but their answers are lost, so the ranks refuse the switch and it is aborted.
+// As no rank has promised the switch, the abort alone does not release the holds.
 func TestUnansweredHoldsAreReleased(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -22,7 +22,7 @@
 		w.waitFor(10*time.Second, nil)
 
 		steps := w.group.State().Steps
-		require.True(t, w.waitFor(10*time.Second, func() bool { return w.group.State().Steps > steps+100 }), "the group steps")
+		require.True(t, w.waitFor(10*time.Second, func() bool { return w.group.State().Steps > steps+100 }), "the group must continue to compute steps")
 		w.clearFaults()
 		w.requireProgress()
 	})
--- a/internal/expertgroup/resync_test.go
+++ b/internal/expertgroup/resync_test.go
@@ -15,10 +15,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A control VM stalls while thousands of entries are applied, so that its
-// director has no room for the last ones, among them the commit of a new map.
-// Then it leads, and a rank that has restarted asks which map rules. Told the
-// former one, the rank would garble the drafts of the whole group.
+// Guards against a stale map being confirmed to a restarted rank, which would corrupt the
+// responses of the whole group. A control VM stalls while thousands of entries are applied, so
+// that its director's event queue overflows and drops the last ones, among them the commit of
+// a new map. Then the VM becomes the leader, and the rank asks which map is in force.
 func TestMissedLogEntriesCauseResync(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,7 +85,7 @@
 		case o := <-confirmations:
 			require.Equal(t, uint64(entries), o.GetRecord().GetRulingVersion())
 		case <-time.After(time.Minute):
-			t.Error("the rank is never told")
+			t.Error("the rank got no confirmation within a minute")
 		}
 
 		stop()
--- a/internal/expertgroup/simulation_test.go
+++ b/internal/expertgroup/simulation_test.go
@@ -31,21 +31,21 @@
 	groupName      = "g"
 	ranks          = 4
 	controlVMCount = 3
-	// maxMessageDelay is the longest way of a message when nothing is wrong.
+	// maxMessageDelay bounds the delay of a message unless a fault delays it.
 	maxMessageDelay = 8 * time.Millisecond
 	stepTime        = 10 * time.Millisecond
 )
 
 var (
 	errLost    = errors.New("message lost")
-	errStalled = errors.New("engine takes nothing")
+	errStalled = errors.New("engine stalled")
 )
 
-// simulation is three control VMs with a log in memory, and a lock-step group whose
+// simulation is a group of control VMs with an in-memory log, and a lock-step group whose
 // ranks have agents. It runs in a synctest bubble.
 type simulation struct {
 	t          *testing.T
-	ctx        context.Context //nolint:containedctx // ends everything that runs
+	ctx        context.Context //nolint:containedctx // ends all goroutines of the simulation
 	group      *standin.Lockstep
 	shape      placement.Shape
 	routers    [ranks]http.Handler
@@ -58,12 +58,13 @@
 	leader    int
 	agents    [ranks]*agentInstance
 	orders    []*wire.RankOrder
-	// faults: the share of messages that are lost, doubled or very late, whether
-	// proposals are lost, and until when an engine takes nothing.
+	// lossRate, duplicateRate and delayRate are the fractions of messages that are lost,
+	// duplicated and delayed for long. dropProposals loses all proposals. An engine rejects
+	// all calls before its stalledUntil.
 	lossRate, duplicateRate, delayRate float64
 	dropProposals                      bool
 	stalledUntil                       [ranks]time.Time
-	// dropHoldAnswers says that engines hold and their answers are lost.
+	// dropHoldAnswers makes engines hold as ordered but loses their answers.
 	dropHoldAnswers bool
 }
 
@@ -72,12 +73,12 @@
 	director *expertgroup.Director
 	ledger   *ledger.Ledger
 	applied  int
-	// partitionedUntil is until when it gets no entries and its proposals go nowhere, and
-	// believes until when it takes itself for the leader.
+	// Before partitionedUntil the VM receives no entries and its proposals are lost. Before
+	// assumesLeadershipUntil it considers itself the leader.
 	partitionedUntil, assumesLeadershipUntil time.Time
 }
 
-// agentInstance is one life of a rank's agent.
+// agentInstance is a rank's agent from one start to the next.
 type agentInstance struct {
 	rank *rank.Rank
 	stop context.CancelFunc
@@ -119,7 +120,7 @@
 	t.Cleanup(func() {
 		stop()
 		wg.Wait()
-		time.Sleep(time.Minute) // late messages end
+		time.Sleep(time.Minute) // until all delayed messages have arrived
 	})
 
 	return w
@@ -161,7 +162,7 @@
 	return out
 }
 
-// startAgent starts an agent, in place of the former one.
+// startAgent starts the agent of rank n and stops its predecessor.
 func (w *simulation) startAgent(n int) {
 	first, err := placement.NewMap(w.shape)
 	require.NoError(w.t, err)
@@ -214,7 +215,7 @@
 	w.leader = i
 }
 
-// isLeader reports whether control VM i takes itself for the leader.
+// isLeader reports whether control VM i considers itself the leader.
 func (w *simulation) isLeader(i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -265,13 +266,13 @@
 	}
 
 	if w.rng.Float64() < w.lossRate {
-		return errLost // the answer
+		return errLost // appended, but the answer is lost
 	}
 
 	return nil
 }
 
-// deliverLog hands the log's entries to the control VMs that are not cut off.
+// deliverLog applies the log's entries on the control VMs that are not partitioned.
 func (w *simulation) deliverLog(ctx context.Context) {
 	for sleep(ctx, 5*time.Millisecond) {
 		w.mu.Lock()
@@ -290,7 +291,8 @@
 	}
 }
 
-// messageDelay is how long a message is under way; some take very long.
+// messageDelay returns a random message delay, which is 500 times as long for the fraction
+// delayRate.
 func (w *simulation) messageDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -325,7 +327,7 @@
 	}
 
 	return transmit(ctx, w, func() (*wire.RankStatus, error) {
-		// A call that the caller gave up may still arrive.
+		// A call that the caller has abandoned may still arrive.
 		late, cancel := context.WithTimeout(w.ctx, time.Second)
 		defer cancel()
 
@@ -333,7 +335,7 @@
 	})
 }
 
-// redeliver delivers an order once more, after d, to whichever agent then lives.
+// redeliver delivers an order again after d, to the agent that runs by then.
 func (w *simulation) redeliver(o *wire.RankOrder, d time.Duration) {
 	go func() {
 		if sleep(w.ctx, d) {
@@ -345,7 +347,7 @@
 	}()
 }
 
-// replayOrders delivers the last orders again.
+// replayOrders delivers the last 200 orders again.
 func (w *simulation) replayOrders() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -363,7 +365,7 @@
 	return transmit(ctx, w, func() (*wire.RankAnswer, error) { return w.rankAt(to).Ask(ctx, q) })
 }
 
-// transmit carries a call and its answer, either of which may be lost or late.
+// transmit makes a call. The request and the answer may each be lost or delayed.
 func transmit[A any](ctx context.Context, w *simulation, call func() (A, error)) (A, error) {
 	type result struct {
 		answer A
@@ -444,7 +446,9 @@
 	}
 }
 
-// waitFor waits until ok, at most for d. No two ranks may ever use two maps.
+// waitFor runs the simulation until ok returns true, but at most for d, and reports whether it
+// did. With a nil ok it runs for d. It fails the test if two ranks use different maps in one
+// step.
 func (w *simulation) waitFor(d time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		require.Zero(w.t, w.group.State().Mixed, "two ranks used different maps in a step")
@@ -457,7 +461,7 @@
 	return false
 }
 
-// record returns what the whole log says of the group.
+// record returns the group's record after all entries of the log.
 func (w *simulation) record() *wire.GroupRecord {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -473,7 +477,7 @@
 	return &wire.GroupRecord{RulingVersion: ledger.FirstMap}
 }
 
-// apply applies the next entry of log to l.
+// apply applies the log's next entry to l.
 func apply(t *testing.T, l *ledger.Ledger, log []*wire.GroupEntry) {
 	i := l.Index()
 	data, err := proto.Marshal(&wire.Command{Kind: &wire.Command_GroupEntry{GroupEntry: log[i]}})
@@ -495,17 +499,17 @@
 	}
 }
 
-// requireProgress checks that the group steps again and that a next map comes to
-// rule on every rank.
+// requireProgress checks that the group computes steps and that a newer map comes into force
+// on all ranks.
 func (w *simulation) requireProgress() {
 	steps := w.group.State().Steps
-	require.True(w.t, w.waitFor(30*time.Second, func() bool { return w.group.State().Steps > steps+30 }), "the group steps")
+	require.True(w.t, w.waitFor(30*time.Second, func() bool { return w.group.State().Steps > steps+30 }), "the group must continue to compute steps")
 
-	ruling := w.record().GetRulingVersion()
-	require.True(w.t, w.waitFor(2*time.Minute, func() bool { return w.allRanksNewerThan(ruling) }), "a next map rules on all ranks")
+	current := w.record().GetRulingVersion()
+	require.True(w.t, w.waitFor(2*time.Minute, func() bool { return w.allRanksNewerThan(current) }), "a newer map must come into force on all ranks")
 }
 
-// allRanksNewerThan reports whether all ranks use a map that is newer than former.
+// allRanksNewerThan reports whether all ranks use a map newer than version.
 func (w *simulation) allRanksNewerThan(version uint64) bool {
 	for _, v := range w.group.State().Versions {
 		if v <= version {
--- a/internal/expertgroup/switch_test.go
+++ b/internal/expertgroup/switch_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// statuses returns what the agents say of themselves.
+// statuses returns the statuses that the agents report.
 func (w *simulation) statuses() []*wire.RankStatus {
 	var out []*wire.RankStatus
 
@@ -47,18 +47,18 @@
 func isStaged(s *wire.RankStatus, open uint64) bool   { return s.GetStaged() == open }
 func isPromised(s *wire.RankStatus, open uint64) bool { return s.GetPromised() == open }
 
-// phases are the moments of a switch at which something goes wrong.
+// phases are the points of a switch at which a fault is injected.
 var phases = []struct {
 	name    string
-	reached func(w *simulation, ruling uint64) bool
+	reached func(w *simulation, current uint64) bool
 }{
 	{"no switch", func(*simulation, uint64) bool { return true }},
-	{"begun", func(w *simulation, _ uint64) bool { return w.record().GetOpenFence() != 0 }},
+	{"switch begun", func(w *simulation, _ uint64) bool { return w.record().GetOpenFence() != 0 }},
 	{"one rank staged", func(w *simulation, _ uint64) bool { return w.countRanks(isStaged) > 0 }},
 	{"one rank promised", func(w *simulation, _ uint64) bool { return w.countRanks(isPromised) > 0 }},
 	{"all ranks promised", func(w *simulation, _ uint64) bool { return w.countRanks(isPromised) == ranks }},
-	{"committed", func(w *simulation, ruling uint64) bool { return w.record().GetRulingVersion() != ruling }},
-	{"all ranks switched", func(w *simulation, ruling uint64) bool { return w.allRanksNewerThan(ruling) }},
+	{"switch committed", func(w *simulation, current uint64) bool { return w.record().GetRulingVersion() != current }},
+	{"all ranks switched", func(w *simulation, current uint64) bool { return w.allRanksNewerThan(current) }},
 }
 
 func (w *simulation) partition(i int, d time.Duration) {
@@ -92,15 +92,15 @@
 	w.mu.Unlock()
 }
 
-// faults are what goes wrong there.
+// faults are the faults to inject.
 var faults = []struct {
 	name   string
 	inject func(w *simulation)
 }{
 	{"the leader changes", func(w *simulation) { w.setLeader(1) }},
-	{"the leader is cut off and does not know", func(w *simulation) { w.partition(0, 5*time.Second); w.setLeader(1) }},
+	{"the leader is partitioned and still considers itself leader", func(w *simulation) { w.partition(0, 5*time.Second); w.setLeader(1) }},
 	{"two control VMs lead and both propose", func(w *simulation) { w.assumeLeadership(0, 5*time.Second); w.setLeader(1) }},
-	{"nobody leads for long", func(w *simulation) { w.setLeader(-1); w.waitFor(6*time.Second, nil); w.setLeader(2) }},
+	{"no leader for 6 seconds", func(w *simulation) { w.setLeader(-1); w.waitFor(6*time.Second, nil); w.setLeader(2) }},
 	{"an agent restarts", func(w *simulation) { w.startAgent(1) }},
 	{"an agent restarts twice within a second", func(w *simulation) { w.startAgent(1); w.waitFor(300*time.Millisecond, nil); w.startAgent(1) }},
 	{"all agents restart", func(w *simulation) {
@@ -114,22 +114,22 @@
 		w.group.RestartRank(2)
 		w.startAgent(2)
 	}},
-	{"an engine takes nothing for long", func(w *simulation) { w.stallEngine(3, 5*time.Second) }},
-	{"an engine takes nothing, then restarts", func(w *simulation) {
+	{"an engine stalls", func(w *simulation) { w.stallEngine(3, 5*time.Second) }},
+	{"an engine stalls, then restarts", func(w *simulation) {
 		w.stallEngine(3, 3*time.Second)
 		w.waitFor(time.Second, nil)
 		w.group.RestartRank(3)
 	}},
 	{"the log loses all proposals", func(w *simulation) { w.dropProposalsFor(4 * time.Second) }},
-	{"all orders come again", func(w *simulation) { w.replayOrders() }},
-	{"leader cut off, engine restarts, all orders come again", func(w *simulation) {
+	{"old orders are delivered again", func(w *simulation) { w.replayOrders() }},
+	{"leader partitioned, engine restarts, old orders are delivered again", func(w *simulation) {
 		w.partition(0, 5*time.Second)
 		w.setLeader(1)
 		w.group.RestartRank(0)
 		w.waitFor(700*time.Millisecond, nil)
 		w.replayOrders()
 	}},
-	{"agent restarts and the leader changes", func(w *simulation) { w.startAgent(0); w.setLeader(1) }},
+	{"an agent restarts and the leader changes", func(w *simulation) { w.startAgent(0); w.setLeader(1) }},
 	{"two engines restart, one after the other", func(w *simulation) {
 		w.group.RestartRank(0)
 		w.waitFor(400*time.Millisecond, nil)
@@ -137,10 +137,10 @@
 	}},
 }
 
-// Coopers would see garbled drafts if two ranks computed a step with different
-// maps, and none at all if the group waited for good. A leader, an agent, an
-// engine or the log fails somewhere in a switch, two of them together, or old
-// orders come again; then all is well again, and the next map must come to rule.
+// Guards against ranks that compute a step with different maps, which corrupts responses, and
+// against a group that stops for good. In each phase of a switch a leader, an agent, an engine
+// or the log fails, some of them together, or old orders are delivered again. After the faults
+// end, the next map must come into force.
 func TestFaultsInEachSwitchPhase(t *testing.T) {
 	t.Parallel()
 
@@ -152,8 +152,8 @@
 					w := newSimulation(t, uint64(i))
 					w.requireProgress()
 
-					ruling := w.record().GetRulingVersion()
-					require.True(t, w.waitFor(2*time.Minute, func() bool { return phase.reached(w, ruling) }), "the phase is reached")
+					current := w.record().GetRulingVersion()
+					require.True(t, w.waitFor(2*time.Minute, func() bool { return phase.reached(w, current) }), "the phase must be reached")
 					fault.inject(w)
 					w.waitFor(6*time.Second, nil)
 					w.clearFaults()
@@ -164,8 +164,8 @@
 	}
 }
 
-// Any fault may come at any moment, together or twice, while messages are lost,
-// doubled and seconds late. The same must hold as after single faults.
+// The guarantees of TestFaultsInEachSwitchPhase must also hold for random faults that overlap
+// and repeat, while messages are lost, duplicated and delayed by seconds.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 
