--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -66,9 +66,9 @@
 	body := bytes.Repeat([]byte("x"), 512)
 
 	for _, workers := range []int{1, 16, 64} {
-		for _, kind := range []string{"idempotent", "booking"} {
+		for _, kind := range []string{"idempotent", "non-idempotent"} {
 			b.Run(kind+"/workers="+strconv.Itoa(workers), func(b *testing.B) {
-				direct := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers, DisableKeepAlives: kind == "booking"}}
+				direct := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers, DisableKeepAlives: kind == "non-idempotent"}}
 				defer direct.CloseIdleConnections()
 
 				callDirect := func(int) {
--- a/internal/agent/conn_linux.go
+++ b/internal/agent/conn_linux.go
@@ -15,8 +15,8 @@
 //
 // It detects a peer that has become unreachable without closing the connection. Heartbeats are
 // too small to ever fill the socket's send buffer, so writes continue to succeed, and the
-// target would work until the deadline for a caller that can't be reached. Heartbeats ensure that there
-// is data to acknowledge each second.
+// target would work until the deadline for a caller that can't be reached. Heartbeats ensure
+// that there is data to acknowledge each second.
 func setUserTimeout(timeout time.Duration) func(context.Context, net.Conn) context.Context {
 	return func(ctx context.Context, c net.Conn) context.Context {
 		tc, ok := c.(*net.TCPConn)
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -117,7 +117,7 @@
 }
 
 // Guards against stopping between the release of a request by the admission core and the end
-// of its exchange. If its entry has disconnected, it could not query the response any more.
+// of its exchange. A disconnected entry could then no longer query the response.
 func TestDrainWaitsForOpenExchanges(t *testing.T) {
 	t.Parallel()
 
--- a/internal/agent/fields.go
+++ b/internal/agent/fields.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// tokenPunctuation lists the characters of an HTTP token other than letters and digits.
-const tokenPunctuation = "!#$%&'*+-.^_`|~"
+// headerNamePunctuation lists the characters of a header name other than letters and digits.
+const headerNamePunctuation = "!#$%&'*+-.^_`|~"
 
 // isToken reports whether s is valid as a header name or a method.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		if !isAlphanumeric(c) && strings.IndexByte(tokenPunctuation, c) < 0 {
+		if !isAlphanumeric(c) && strings.IndexByte(headerNamePunctuation, c) < 0 {
 			return false
 		}
 	}
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -144,6 +144,7 @@
 	}
 }
 
+// Dump returns the agent's current state.
 func (a *Agent) Dump() Dump {
 	a.prepare()
 
