--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -252,7 +252,7 @@
 	c := newGroupController(ctx, d, g)
 	d.controllers[g.GetName()] = c
 
-	record := ledger.FirstRecord()
+	record := ledger.InitialRecord()
 	if s := d.states[g.GetName()]; s != nil {
 		record = expertmap.RecordFromWire(s.GetRecord())
 	}
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -59,11 +59,11 @@
 	return &groupController{
 		ctx: ctx, director: d, name: g.GetName(), shape: shape, orderInFlight: make(map[int]bool),
 		coordinator: &expertmap.Coordinator{
-			Ranks: shape.Ranks, Margin: s.SwitchLead, StageFor: s.StageTimeout, PrepareFor: s.PrepareTimeout, ResendEvery: s.ResendInterval,
+			Ranks: shape.Ranks, Margin: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
-			Gain: trackerGain, SpeedGain: speedGain, MaxLife: maxPopularityLife,
+			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: maxPopularityLife,
 		},
 		planner: s.Planner,
 	}
@@ -245,7 +245,7 @@
 		}
 	}
 
-	c.tracker.Close(now)
+	c.tracker.CloseWindow(now)
 
 	if c.director.controllers[c.name] != c || c.proposed != nil || len(reports) < c.shape.Ranks {
 		return
@@ -263,14 +263,14 @@
 	}
 
 	d, err := c.planner.Decide(now, &placement.Group{
-		Map: current, Life: c.tracker.Life(),
-		Load: placement.Load{Tokens: c.tracker.Tokens(), Speed: c.tracker.Speeds(), Volatility: c.tracker.Volatility()},
+		Map: current, PopularityDecay: c.tracker.Decay(),
+		Load: placement.Load{Tokens: c.tracker.TokenShares(), Speed: c.tracker.Speeds(), Volatility: c.tracker.Volatility()},
 	})
 	if err != nil || d.Map == nil {
 		return err
 	}
 
-	c.director.Logger.Info("proposing a new map", "group", c.name, "why", d.Why.String(), "moves", len(d.Moves),
+	c.director.Logger.Info("proposing a new map", "group", c.name, "why", d.Reason.String(), "moves", len(d.Moves),
 		"bytes", d.Bytes, "skewBefore", d.Before.Skew(), "skewAfter", d.After.Skew(), "saved", d.Saved, "cost", d.Cost)
 
 	version := nextVersion(c.coordinator.Record().AsOf, d.Map)
@@ -301,8 +301,8 @@
 
 // currentMap returns the map in force.
 func (c *groupController) currentMap() (*placement.Map, error) {
-	version := uint64(c.coordinator.Record().Ruling.Version)
-	if version == ledger.FirstMap {
+	version := uint64(c.coordinator.Record().Current.Version)
+	if version == ledger.InitialMapVersion {
 		return placement.NewMap(c.shape)
 	}
 
--- a/internal/expertgroup/simulation_test.go
+++ b/internal/expertgroup/simulation_test.go
@@ -148,7 +148,7 @@
 		Logger:      slog.New(slog.NewTextHandler(w.t.Output(), nil)),
 	}
 	vm.director.Init()
-	vm.ledger.OnGroup = func(index uint64, e *wire.GroupEntry) { vm.director.OnApplied(index, e, vm.ledger.Groups()) }
+	vm.ledger.OnGroupEntry = func(index uint64, e *wire.GroupEntry) { vm.director.OnApplied(index, e, vm.ledger.Groups()) }
 
 	return vm
 }
@@ -474,7 +474,7 @@
 		return g[0].GetRecord()
 	}
 
-	return &wire.GroupRecord{RulingVersion: ledger.FirstMap}
+	return &wire.GroupRecord{RulingVersion: ledger.InitialMapVersion}
 }
 
 // apply applies the log's next entry to l.
