--- a/internal/control/fault.go
+++ b/internal/control/fault.go
@@ -2,28 +2,30 @@
 
 import "github.com/twitchtv/twirp"
 
-// The values of the twirp error metadata FateKey: what became of a proposal.
+// OutcomeKey is the key of the twirp error metadata that holds the outcome of a proposal.
+// The other constants are its values.
 const (
 	OutcomeKey     = "Fate"
 	OutcomeUnknown = "Unknown"
 	OutcomeNotDone = "NotDone"
 )
 
-// fault is an error as callers of this VM's services get it.
-type fault struct{ twirpError }
+// rpcError is an error as clients of this VM's services receive it.
+type rpcError struct{ twirpError }
 
-// twirpError renames the interface, so that embedding it leaves Error a method.
+// twirpError is an alias under which the interface can be embedded: a field named Error
+// would hide the method Error.
 type twirpError = twirp.Error
 
-func newFault(code twirp.ErrorCode, text string) fault {
-	return fault{twirpError: twirp.NewError(code, text)}
+func newRPCError(code twirp.ErrorCode, text string) rpcError {
+	return rpcError{twirpError: twirp.NewError(code, text)}
 }
 
-// proposalFault is a fault that says what became of the proposed command.
-func proposalFault(code twirp.ErrorCode, text, fate string) fault {
-	return fault{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, fate)}
+// newProposalError returns an error with the outcome of the proposed command.
+func newProposalError(code twirp.ErrorCode, text, outcome string) rpcError {
+	return rpcError{twirpError: twirp.NewError(code, text).WithMeta(OutcomeKey, outcome)}
 }
 
-func missing(field string) fault {
-	return fault{twirpError: twirp.RequiredArgumentError(field)}
+func missingField(field string) rpcError {
+	return rpcError{twirpError: twirp.RequiredArgumentError(field)}
 }
--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/draft_fault_test.go
@@ -13,109 +13,109 @@
 
 const eventStream = "text/event-stream"
 
-func drafted(_ *fakeAgent, s *sender) {
+func answerDraft(_ *fakeAgent, s *answerWriter) {
 	s.head(http.StatusOK, eventStream)
-	s.data(events(1, 4))
+	s.data(draftEvents(1, 4))
 	s.end()
 }
 
-// resumed goes on after the event that the entry names.
-func resumed(_ *fakeAgent, s *sender) {
+// resumeDraft continues after the event in the Last-Event-ID header.
+func resumeDraft(_ *fakeAgent, s *answerWriter) {
 	first := 1
 
 	for _, h := range s.request.GetHeaders() {
-		if h.GetName() == lastEventID {
+		if h.GetName() == headerLastEventID {
 			first = int(h.GetValue()[0]-'0') + 1
 		}
 	}
 
 	s.head(http.StatusOK, eventStream)
-	s.data(events(first, 4))
+	s.data(draftEvents(first, 4))
 	s.end()
 }
 
-// A cooper reads a draft as it is written, and the stream fails in every way it
-// can. The cooper must get the whole draft, each word once, or see it break off.
-func TestDraftFaults(t *testing.T) {
+// The connection to the agent fails in different ways while an event stream is relayed.
+// The caller must receive every event exactly once, or see that the answer is cut off.
+func TestStreamUnderConnectionFaults(t *testing.T) {
 	t.Parallel()
 
-	whole := said{status: 200, verdict: "Ran", body: events(1, 4)}
+	complete := callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}
 	cases := []struct {
-		name   string
-		script []behaviour
-		// change, if set, alters the entry.
+		name       string
+		behaviours []behaviour
+		// change, if not nil, is applied to the entry.
 		change func(*Entry)
-		want   said
+		want   callerResult
 	}{
-		{name: "whole", script: []behaviour{drafted}, want: whole},
+		{name: "complete answer", behaviours: []behaviour{answerDraft}, want: complete},
 		{
-			name: "silent after two words", want: whole, change: impatient,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "unresponsive after two events", want: complete, change: withShortReadTimeout,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
-				s.silent()
-			}, resumed},
+				s.data(draftEvents(1, 2))
+				s.stall()
+			}, resumeDraft},
 		},
 		{
-			name: "cut inside the third word", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "connection broken inside the third event", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2) + "id: 3\ndata: wo")
-				s.cut()
-			}, resumed},
+				s.data(draftEvents(1, 2) + "id: 3\ndata: wo")
+				s.breakConnection()
+			}, resumeDraft},
 		},
 		{
-			name: "crossed after two words: nothing of the other's answer is passed on", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "another request's answer after two events", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
+				s.data(draftEvents(1, 2))
 				s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{AttemptID: "other", Status: 200}}})
-			}, resumed},
+			}, resumeDraft},
 		},
 		{
-			name: "cut before the first word", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "connection broken before the first event", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.cut()
-			}, resumed},
+				s.breakConnection()
+			}, resumeDraft},
 		},
 		{
-			name: "ended without the closing frame", want: whole,
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "no end frame", want: complete,
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 4))
-			}, resumed},
+				s.data(draftEvents(1, 4))
+			}, resumeDraft},
 		},
 		{
-			name: "the next target answers with an error page, not the rest",
-			want: said{status: 200, verdict: "Ran", body: events(1, 2), cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "next target returns an error instead of resuming",
+			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), cutOff: true},
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(events(1, 2))
-				s.cut()
-			}, func(_ *fakeAgent, s *sender) {
+				s.data(draftEvents(1, 2))
+				s.breakConnection()
+			}, func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusInternalServerError, "text/plain")
 				s.data("broken")
 				s.end()
 			}},
 		},
 		{
-			name: "no event stream: it cannot be continued",
-			want: said{status: 200, verdict: "Ran", body: "half", cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "not an event stream, cannot be resumed",
+			want: callerResult{status: 200, verdict: "Ran", body: "half", cutOff: true},
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, "application/json")
 				s.data("half")
-				s.cut()
-			}, drafted},
+				s.breakConnection()
+			}, answerDraft},
 		},
 		{
-			name: "events without ids: they cannot be continued",
-			want: said{status: 200, verdict: "Ran", body: "data: one\n\n", cut: true},
-			script: []behaviour{func(_ *fakeAgent, s *sender) {
+			name: "events without IDs, cannot be resumed",
+			want: callerResult{status: 200, verdict: "Ran", body: "data: one\n\n", cutOff: true},
+			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.data("data: one\n\n")
-				s.cut()
-			}, drafted},
+				s.breakConnection()
+			}, answerDraft},
 		},
 	}
 
@@ -123,87 +123,86 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			a := newFakeAgent(t, "agent-1", c.script...)
-			r := newRig(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
-			require.Equal(t, c.want, r.draft())
+			a := newFakeAgent(t, "agent-1", c.behaviours...)
+			f := newFixture(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+			require.Equal(t, c.want, f.draft())
 		})
 	}
 }
 
-// A cooper has half of a draft as a zone loses its power, and the control VMs have no
-// leader for a moment. Until they have one every other agent refuses new work, since it
-// cannot know that it is still in use. That is no fault of theirs: the draft goes on at
-// one of them afterwards, while its caller still waits. It was cut once each had
-// refused it.
-func TestDraftOutlivesALostLeader(t *testing.T) {
+// A stream breaks while the control VMs have no leader, as after a power failure of a
+// zone. The leases of the agents' views have expired, so every other agent refuses new
+// requests until there is a leader. The stream must resume at one of them afterwards.
+// It must not be cut off as soon as each of them has refused it once.
+func TestStreamResumesAfterAllTargetsRefusedAsStale(t *testing.T) {
 	t.Parallel()
 
-	refused := refusing(verdict.NotRun, verdict.CauseStale)
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	refuseStale := refuseWith(verdict.NotRun, verdict.CauseStale)
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 2))
-		s.cut()
-	}, refused, refused, refused, refused, refused, resumed)
-	r := newRig(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+		s.data(draftEvents(1, 2))
+		s.breakConnection()
+	}, refuseStale, refuseStale, refuseStale, refuseStale, refuseStale, resumeDraft)
+	f := newFixture(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
 
-	require.Equal(t, said{status: 200, verdict: "Ran", body: events(1, 4)}, r.draft())
-	require.Len(t, a.got(), 7)
+	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}, f.draft())
+	require.Len(t, a.received(), 7)
 }
 
-// A trader closes the page while the answer is being written. The engine must
-// learn of it, or it goes on computing for nobody.
+// A caller disconnects while its answer is generated. The agent must see this, or the
+// engine continues to generate an answer that nobody reads.
 func TestCallerDisconnectReachesAgent(t *testing.T) {
 	t.Parallel()
 
-	gone := make(chan struct{})
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	canceled := make(chan struct{})
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 1))
+		s.data(draftEvents(1, 1))
 
 		<-s.r.Context().Done()
-		close(gone)
+		close(canceled)
 	})
-	r := newRig(t, draftService, nil, a)
+	f := newFixture(t, draftService, nil, a)
 
-	resp, err := http.Post(r.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
+	resp, err := http.Post(f.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
 	require.NoError(t, err)
 
 	_, err = resp.Body.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
-	<-gone
+	<-canceled
 }
 
-// An entry is stopped while a cooper's draft is being written. New requests are
-// refused as not run; the draft is written to its end before the entry ends.
+// An entry is stopped while it relays a stream. New requests must be refused as NotRun,
+// and the stream must end completely before the entry does.
 func TestStopFinishesStreams(t *testing.T) {
 	t.Parallel()
 
 	begun := make(chan struct{})
-	goOn := make(chan struct{})
-	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *sender) {
+	resume := make(chan struct{})
+	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(events(1, 2))
+		s.data(draftEvents(1, 2))
 		close(begun)
-		<-goOn
-		s.data(events(3, 4))
+		<-resume
+		s.data(draftEvents(3, 4))
 		s.end()
 	})
-	r := newRig(t, draftService, nil, a)
-	answer := make(chan said, 1)
+	f := newFixture(t, draftService, nil, a)
+	answer := make(chan callerResult, 1)
 
-	go func() { answer <- r.draft() }()
+	go func() { answer <- f.draft() }()
 
 	<-begun
-	r.entry.stopping.Store(true)
+	f.entry.stopping.Store(true)
 
-	refused := r.draft()
+	refused := f.draft()
 	require.Equal(t, "NotRun", refused.verdict)
 	require.Equal(t, "Stopping", refused.cause)
-	require.Equal(t, "1", refused.retry)
+	require.Equal(t, "1", refused.retryAfter)
 
-	r.stop()
-	close(goOn)
-	require.Equal(t, events(1, 4), (<-answer).body)
-	require.NoError(t, <-r.done)
+	f.stop()
+	close(resume)
+	require.Equal(t, draftEvents(1, 4), (<-answer).body)
+	require.NoError(t, <-f.done)
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -9,8 +9,9 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// stoppingRetry is when a caller refused by a leaving entry may try another.
-const stoppingRetry = time.Second
+// stoppingRetryAfter is the time after which a caller refused by a stopping entry may
+// retry at another one.
+const stoppingRetryAfter = time.Second
 
 func (e *Entry) handler() http.Handler {
 	r := chi.NewRouter()
@@ -22,7 +23,7 @@
 	return r
 }
 
-// ready tells the platform's balancer whether to send callers here.
+// ready reports to the platform's balancer whether this entry accepts requests.
 func (e *Entry) ready(w http.ResponseWriter, _ *http.Request) {
 	if e.stopping.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -40,24 +41,24 @@
 	e.counters.begin()
 	defer e.counters.end()
 
-	c, refused := e.read(w, r)
-	if refused == nil && e.stopping.Load() {
-		refused = e.refuseStopping(w)
+	c, refusal := e.readCall(w, r)
+	if refusal == nil && e.stopping.Load() {
+		refusal = e.refuseWhileStopping(w)
 	}
 
-	if refused != nil {
-		e.counters.refused(refused)
-		writeRefusal(w, c.id, refused)
+	if refusal != nil {
+		e.counters.countRefusal(refusal)
+		writeRefusal(w, c.id, refusal)
 
 		return
 	}
 
 	e.Budget.RecordRequest(time.Now())
-	e.run(w, r, c)
+	e.execute(w, r, c)
 }
 
-func (e *Entry) refuseStopping(w http.ResponseWriter) *verdict.Error {
+func (e *Entry) refuseWhileStopping(w http.ResponseWriter) *verdict.Error {
 	w.Header().Set("Connection", "close")
 
-	return verdict.Refuse(verdict.CauseStopping, time.Now().Add(stoppingRetry))
+	return verdict.Refuse(verdict.CauseStopping, time.Now().Add(stoppingRetryAfter))
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Names within the data folder.
+// Names of the files in the data folder.
 const (
 	lockName     = "lock"
 	identityName = "identity"
@@ -21,53 +21,54 @@
 	tmpSuffix    = ".tmp"
 )
 
-// Stats count what was made durable since Open.
+// Stats counts what was made durable since Open.
 type Stats struct {
 	Syncs uint64
 	Bytes uint64
 }
 
-// Journal is one replica's data folder. Its methods are not safe for concurrent use.
+// Journal is the data folder of one replica. Its methods are not safe for concurrent use.
 type Journal struct {
 	Dir     string
 	Cluster string
 	ID      string
-	// NewCreationID returns a random number other than 0, for an empty data folder.
+	// NewCreationID returns a random number other than 0. It is called for a new data
+	// folder.
 	NewCreationID func() uint64
-	// Files are the file operations; the zero value stands for OSFiles.
+	// Files are the file operations. The zero value stands for OSFiles.
 	Files Files
 
-	birth   uint64
-	hard    quorum.HardState
-	log     *File
-	seq     uint64
-	failed  error
-	release func() error
-	stats   Stats
+	creationID uint64
+	hardState  quorum.HardState
+	logFile    *File
+	seq        uint64
+	writeErr   error
+	unlock     func() error
+	stats      Stats
 }
 
-// Open reads the data folder, or fills an empty one. The log is written anew
-// and synced: after a failed sync the operating system may show what the disk
-// does not hold, and a replica that restarts must not vouch for that.
+// Open reads the data folder, or initializes a new one. It rewrites and syncs the log:
+// after a failed sync the operating system may return data from its cache that the disk
+// does not hold, and a restarted replica must not acknowledge such data.
 func (j *Journal) Open() (quorum.StoredState, error) {
 	if j.Files.Read == nil {
 		j.Files = OSFiles()
 	}
 
 	if err := j.Files.MakeDir(j.Dir); err != nil {
-		return quorum.StoredState{}, &WriteError{Op: "make data folder", Err: err}
+		return quorum.StoredState{}, &WriteError{Op: "create data folder", Err: err}
 	}
 
-	release, err := j.Files.Lock(j.path(lockName))
+	unlock, err := j.Files.Lock(j.path(lockName))
 	if err != nil {
 		return quorum.StoredState{}, &WriteError{Op: "lock data folder", Err: err}
 	}
 
-	j.release = release
+	j.unlock = unlock
 
 	stored, err := j.load()
 	if err == nil {
-		j.hard = stored.State
+		j.hardState = stored.State
 		err = j.rewriteLog(stored.Entries)
 	}
 
@@ -82,33 +83,34 @@
 	return stored, nil
 }
 
-// CreationID returns the random number made with the data folder. It is known after Open.
-func (j *Journal) CreationID() uint64 { return j.birth }
+// CreationID returns the random number that was generated when the data folder was
+// created. It is valid after Open.
+func (j *Journal) CreationID() uint64 { return j.creationID }
 
-// Stats returns what was made durable since Open.
+// Stats returns the counters since Open.
 func (j *Journal) Stats() Stats { return j.stats }
 
-// Close releases the data folder. It makes nothing durable.
+// Close releases the data folder. It does not make anything durable.
 func (j *Journal) Close() error {
 	var errs []error
 
-	if j.log != nil {
-		errs = append(errs, j.log.Close())
-		j.log = nil
+	if j.logFile != nil {
+		errs = append(errs, j.logFile.Close())
+		j.logFile = nil
 	}
 
-	if j.release != nil {
-		errs = append(errs, j.release())
-		j.release = nil
+	if j.unlock != nil {
+		errs = append(errs, j.unlock())
+		j.unlock = nil
 	}
 
 	return errors.Join(errs...)
 }
 
-// Write makes p durable. After an error the journal refuses all further writes.
+// Write makes p durable. After an error the journal rejects all further writes.
 func (j *Journal) Write(p quorum.Persist) error {
-	if j.failed != nil {
-		return j.failed
+	if j.writeErr != nil {
+		return j.writeErr
 	}
 
 	if p.Empty() {
@@ -116,38 +118,38 @@
 	}
 
 	if p.State != nil {
-		j.hard = *p.State
+		j.hardState = *p.State
 	}
 
 	if p.Snapshot == nil {
-		j.failed = j.appendLog(p.Entries)
+		j.writeErr = j.appendLog(p.Entries)
 
-		return j.failed
+		return j.writeErr
 	}
 
-	j.failed = j.writeSnapshot(*p.Snapshot)
-	if j.failed == nil {
-		j.failed = j.rewriteLog(p.Entries)
+	j.writeErr = j.writeSnapshot(*p.Snapshot)
+	if j.writeErr == nil {
+		j.writeErr = j.rewriteLog(p.Entries)
 	}
 
-	return j.failed
+	return j.writeErr
 }
 
 func (j *Journal) appendLog(entries []quorum.Entry) error {
-	b, err := j.batch(nil, entries)
+	b, err := j.appendBatch(nil, entries)
 	if err != nil {
 		return err
 	}
 
-	return j.writeSynced(j.log, b)
+	return j.writeAndSync(j.logFile, b)
 }
 
-// batch appends to b the next frame of the log.
-func (j *Journal) batch(b []byte, entries []quorum.Entry) ([]byte, error) {
+// appendBatch appends the next frame of the log to b.
+func (j *Journal) appendBatch(b []byte, entries []quorum.Entry) ([]byte, error) {
 	j.seq++
 
 	payload, err := proto.Marshal(&wire.JournalBatch{
-		Term: j.hard.Term, Vote: j.hard.Vote, VoteBirth: j.hard.VoteCreationID, Entries: quorum.EntriesToWire(entries),
+		Term: j.hardState.Term, Vote: j.hardState.Vote, VoteBirth: j.hardState.VoteCreationID, Entries: quorum.EntriesToWire(entries),
 	})
 	if err != nil {
 		return nil, &WriteError{Op: "encode batch", Err: err}
@@ -156,11 +158,11 @@
 	return appendFrame(b, j.seq, payload), nil
 }
 
-// rewriteLog replaces the log by one that holds just entries.
+// rewriteLog replaces the log by one that only holds the given entries.
 func (j *Journal) rewriteLog(entries []quorum.Entry) error {
 	j.seq = 0
 
-	b, err := j.batch(fileHead(kindLog, j.birth), entries)
+	b, err := j.appendBatch(fileHeader(kindLog, j.creationID), entries)
 	if err != nil {
 		return err
 	}
@@ -170,15 +172,15 @@
 		return err
 	}
 
-	old := j.log
-	j.log = f
+	old := j.logFile
+	j.logFile = f
 
 	if old == nil {
 		return nil
 	}
 
 	if err := old.Close(); err != nil {
-		return &WriteError{Op: "close former log", Err: err}
+		return &WriteError{Op: "close previous log", Err: err}
 	}
 
 	return nil
@@ -192,33 +194,33 @@
 		return &WriteError{Op: "encode snapshot", Err: err}
 	}
 
-	return j.replaceClosed(snapshotName, appendFrame(fileHead(kindSnapshot, j.birth), 1, payload))
+	return j.replaceAndClose(snapshotName, appendFrame(fileHeader(kindSnapshot, j.creationID), 1, payload))
 }
 
-// writeIdentity comes last for an empty data folder, so that a folder with an
-// identity and without a log has lost it.
+// writeIdentity writes the identity file if there is none. In a new data folder it is
+// written last: a folder with an identity and without a log has lost its log.
 func (j *Journal) writeIdentity() error {
 	if _, err := j.Files.Read(j.path(identityName)); !errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 
-	payload, err := proto.Marshal(&wire.JournalIdentity{Cluster: j.Cluster, ID: j.ID, Birth: j.birth})
+	payload, err := proto.Marshal(&wire.JournalIdentity{Cluster: j.Cluster, ID: j.ID, Birth: j.creationID})
 	if err != nil {
 		return &WriteError{Op: "encode identity", Err: err}
 	}
 
-	return j.replaceClosed(identityName, appendFrame(fileHead(kindIdentity, j.birth), 1, payload))
+	return j.replaceAndClose(identityName, appendFrame(fileHeader(kindIdentity, j.creationID), 1, payload))
 }
 
-// replace puts a file that holds b under name, in one step and durably, and
-// returns it open for appending.
+// replace atomically and durably replaces the named file by one that holds b. It returns
+// the new file, open for appending.
 func (j *Journal) replace(name string, b []byte) (*File, error) {
 	f, err := j.Files.Create(j.path(name + tmpSuffix))
 	if err != nil {
 		return nil, &WriteError{Op: "create " + name, Err: err}
 	}
 
-	err = j.writeSynced(f, b)
+	err = j.writeAndSync(f, b)
 	if err == nil {
 		err = j.Files.Rename(j.path(name+tmpSuffix), j.path(name))
 	}
@@ -234,7 +236,7 @@
 	return f, nil
 }
 
-func (j *Journal) replaceClosed(name string, b []byte) error {
+func (j *Journal) replaceAndClose(name string, b []byte) error {
 	f, err := j.replace(name, b)
 	if err != nil {
 		return err
@@ -247,7 +249,7 @@
 	return nil
 }
 
-func (j *Journal) writeSynced(f *File, b []byte) error {
+func (j *Journal) writeAndSync(f *File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
 		err = errShortWrite
--- a/internal/quorum/receive.go
+++ b/internal/quorum/receive.go
@@ -1,6 +1,6 @@
 package quorum
 
-// receive takes in one message.
+// receive processes one message.
 func (c *Core) receive(m Message) {
 	if !c.accepts(m) {
 		return
@@ -8,35 +8,35 @@
 
 	switch body := m.Body.(type) {
 	case Hello:
-		c.hello(m)
+		c.handleHello(m)
 	case HelloAnswer:
-		c.helloAnswer(m, body)
+		c.handleHelloAnswer(m, body)
 	case ReadIndex:
-		c.read(m, body)
+		c.handleReadIndex(m, body)
 	case ReadIndexAnswer:
-		c.readAnswer(body)
+		c.handleReadIndexAnswer(body)
 	default:
-		if c.forming == nil || isFromLeader(m) {
-			c.receiveTermed(m)
+		if c.bootstrap == nil || isFromLeader(m) {
+			c.receiveInTerm(m)
 		}
 	}
 }
 
-// accepts guards against replicas that lost their disk and, with it, their
-// votes: they answer under the same ID with another birth. Counting such a
-// replica as the voter it was could elect a leader without committed entries.
-// Who asks or leads is not compared: a member that lags behind may know it by
-// the name only, and its own log made it a voter with the birth that it has.
+// accepts rejects answers of replicas that lost their disk and with it their votes. Such a
+// replica answers under the same ID with another creation ID. Counting it as the previous
+// voter could elect a leader that lacks committed entries. The creation IDs of candidates
+// and leaders are not compared: a member that lags behind may only know the ID of such a
+// replica, whose own log made it a voter with its current creation ID.
 func (c *Core) accepts(m Message) bool {
 	if m.ToCreationID != 0 && m.ToCreationID != c.cfg.CreationID {
-		c.misaddressed()
+		c.handleMisaddressed()
 
 		return false
 	}
 
 	switch m.Body.(type) {
 	case VoteAnswer, AppendAnswer, ChunkAnswer:
-		known, ok := c.ruling().Find(m.From)
+		known, ok := c.currentMembers().Find(m.From)
 
 		return ok && (known.Birth == 0 || known.Birth == m.FromCreationID)
 	default:
@@ -53,42 +53,42 @@
 	}
 }
 
-// receiveTermed takes in a message that belongs to a term.
-func (c *Core) receiveTermed(m Message) {
+// receiveInTerm processes a message that carries a term.
+func (c *Core) receiveInTerm(m Message) {
 	switch {
-	case m.Term > c.hard.Term:
+	case m.Term > c.hardState.Term:
 		if !c.enterTerm(m) {
 			return
 		}
-	case m.Term < c.hard.Term:
-		c.outdated(m)
+	case m.Term < c.hardState.Term:
+		c.replyToStaleMessage(m)
 
 		return
 	}
 
 	switch body := m.Body.(type) {
 	case Vote:
-		c.vote(m, body)
+		c.handleVote(m, body)
 	case VoteAnswer:
-		c.voteAnswer(m, body)
+		c.handleVoteAnswer(m, body)
 	case Append:
 		c.followLeader(m)
-		c.append(m, body)
+		c.handleAppend(m, body)
 	case AppendAnswer:
-		c.appendAnswer(m, body)
+		c.handleAppendAnswer(m, body)
 	case Chunk:
 		c.followLeader(m)
-		c.chunk(m, body)
+		c.handleChunk(m, body)
 	case ChunkAnswer:
-		c.chunkAnswer(m, body)
+		c.handleChunkAnswer(m, body)
 	case TimeoutNow:
-		if c.ruling().isVoter(c.cfg.ID, c.cfg.CreationID) && m.From == c.leader {
+		if c.currentMembers().isVoter(c.cfg.ID, c.cfg.CreationID) && m.From == c.leaderID {
 			c.campaign(false, true)
 		}
 	}
 }
 
-// enterTerm takes over the higher term of m, and reports whether m still counts.
+// enterTerm adopts the higher term of m. It reports whether m is to be processed.
 func (c *Core) enterTerm(m Message) bool {
 	switch body := m.Body.(type) {
 	case Vote:
@@ -96,9 +96,9 @@
 			return true
 		}
 
-		// A voter that cannot hear the leader must not unseat it while this
-		// replica hears it well.
-		if !body.Transfer && c.hearsLeader() {
+		// A voter that can't receive from the leader must not depose it while this replica
+		// still receives its messages.
+		if !body.Transfer && c.hasLeaderLease() {
 			return false
 		}
 	case VoteAnswer:
@@ -112,49 +112,50 @@
 	return true
 }
 
-// outdated answers a message of an earlier term, so that its sender learns the
-// present one. Otherwise a leader that was replaced while it could not hear
-// would go on for ever.
-func (c *Core) outdated(m Message) {
+// replyToStaleMessage answers a message of an earlier term, so that its sender receives
+// the current term. Otherwise a leader that was replaced while it received no messages
+// would continue indefinitely.
+func (c *Core) replyToStaleMessage(m Message) {
 	switch body := m.Body.(type) {
 	case Vote:
-		c.reply(m, c.hard.Term, VoteAnswer{Pre: body.Pre})
+		c.reply(m, c.hardState.Term, VoteAnswer{Pre: body.Pre})
 	case Append, Chunk:
-		c.reply(m, c.hard.Term, AppendAnswer{Rejected: true, Index: c.commit})
+		c.reply(m, c.hardState.Term, AppendAnswer{Rejected: true, Index: c.commit})
 	}
 }
 
-// followLeader notes that the leader of this term was heard from.
+// followLeader records that the leader of this term sent a message.
 func (c *Core) followLeader(m Message) {
 	if c.state != follower {
 		c.becomeFollower(m.Term)
 	}
 
-	c.forming = nil
-	c.leader = m.From
-	c.leaderUntil = c.now.Add(c.cfg.ElectionTimeout)
-	c.resetElection()
+	c.bootstrap = nil
+	c.leaderID = m.From
+	c.leaderLeaseUntil = c.now.Add(c.cfg.ElectionTimeout)
+	c.resetElectionDeadline()
 }
 
-// becomeFollower gives up any office and enters term.
+// becomeFollower ends a candidacy or leadership and enters the given term.
 func (c *Core) becomeFollower(term uint64) {
-	if c.lead != nil {
-		c.loseLeadership()
+	if c.leaderState != nil {
+		c.endLeadership()
 	}
 
 	c.state = follower
-	c.leader = ""
+	c.leaderID = ""
 	c.votes = nil
 
-	if term > c.hard.Term {
-		c.hard = HardState{Term: term}
+	if term > c.hardState.Term {
+		c.hardState = HardState{Term: term}
 		c.hardDirty = true
 	}
 
-	c.resetElection()
+	c.resetElectionDeadline()
 }
 
-// hearsLeader reports whether a leader was heard from lately, or is this replica.
-func (c *Core) hearsLeader() bool {
-	return c.state == leader || (c.leader != "" && c.now.Before(c.leaderUntil))
+// hasLeaderLease reports whether this replica is the leader or recently received a message
+// from the leader.
+func (c *Core) hasLeaderLease() bool {
+	return c.state == leader || (c.leaderID != "" && c.now.Before(c.leaderLeaseUntil))
 }
--- a/internal/quorum/round.go
+++ b/internal/quorum/round.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// round is one question to all members whether this replica still leads.
+// round is one heartbeat to all members, by which the leader confirms its leadership.
 type round struct {
 	number uint64
 	sent   time.Time
 	commit uint64
 }
 
-// beginRound asks all members whether this replica still leads.
+// beginRound starts a round by sending a heartbeat to all members.
 func (c *Core) beginRound() {
-	l := c.lead
+	l := c.leaderState
 	l.heartbeatAt = c.now.Add(c.cfg.HeartbeatInterval)
-	l.rounds = append(l.rounds, round{number: l.present() + 1, sent: c.now, commit: c.commit})
+	l.rounds = append(l.rounds, round{number: l.currentRound() + 1, sent: c.now, commit: c.commit})
 
 	for len(l.rounds) > 2 && c.now.Sub(l.rounds[0].sent) > c.cfg.ElectionTimeout {
 		l.rounds = l.rounds[1:]
 	}
 
-	c.roundReads()
+	c.addReadsToRound()
 
 	for _, p := range c.sortedPeers() {
-		p.waiting = false
+		p.probeInFlight = false
 		c.sendAppend(p, true)
 	}
 
 	c.confirmReads()
 }
 
-func (l *leadership) present() uint64 {
+func (l *leaderState) currentRound() uint64 {
 	return l.rounds[len(l.rounds)-1].number
 }
 
-// answered notes that p answered the round n.
-func (c *Core) answered(p *progress, n uint64) {
-	p.round = max(p.round, n)
+// recordRoundAnswer records that p answered the given round.
+func (c *Core) recordRoundAnswer(p *progress, roundNumber uint64) {
+	p.round = max(p.round, roundNumber)
 
-	r, ok := c.lead.roundOf(n)
+	r, ok := c.leaderState.findRound(roundNumber)
 	if !ok {
 		return
 	}
@@ -51,24 +51,24 @@
 		p.activeUntil = until
 	}
 
-	if p.match >= r.commit && until.After(p.currentUntil) {
-		p.currentUntil = until
+	if p.match >= r.commit && until.After(p.upToDateUntil) {
+		p.upToDateUntil = until
 	}
 }
 
-// roundOf returns the round n, unless it was long ago.
-func (l *leadership) roundOf(n uint64) (round, bool) {
+// findRound returns the round with the given number, unless it has expired.
+func (l *leaderState) findRound(number uint64) (round, bool) {
 	first := l.rounds[0].number
-	if n < first || n > l.present() {
+	if number < first || number > l.currentRound() {
 		return round{}, false
 	}
 
-	return l.rounds[n-first], true
+	return l.rounds[number-first], true
 }
 
-// commitAt returns what was committed when the round n began.
-func (l *leadership) commitAt(n uint64) uint64 {
-	r, ok := l.roundOf(n)
+// roundCommit returns the commit index at the start of the given round.
+func (l *leaderState) roundCommit(number uint64) uint64 {
+	r, ok := l.findRound(number)
 	if !ok {
 		return math.MaxUint64
 	}
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -2,22 +2,24 @@
 
 import "fmt"
 
-// MemberStatus is what a leader knows of a member. On a follower only Member is set.
+// MemberStatus is the state of a member as known to the leader. On a follower only Member
+// is set.
 type MemberStatus struct {
 	Member Member
-	// Match is the last entry that it is known to have synced, Lag how many
-	// committed ones it lacks.
+	// Match is the last entry that the member is known to have synced. Lag is the number
+	// of committed entries that it lacks.
 	Match uint64
 	Lag   uint64
-	// Active says that it answered lately, UpToDate that it then lacked nothing.
+	// Active is set if the member answered recently, UpToDate if it also held all
+	// committed entries at that time.
 	Active   bool
 	UpToDate bool
 }
 
-// Status is a core's state for dumps.
+// Status is the state of a core for status dumps.
 type Status struct {
 	ID       string
-	Birth    uint64
+	Birth    uint64 // creation ID, see Member.Birth
 	State    string
 	Term     uint64
 	Leader   string
@@ -25,23 +27,24 @@
 	Last     uint64
 	Snapshot uint64
 	Members  []MemberStatus
-	// SafeToStop says that any one more voter may be stopped; Reason says why not.
+	// SafeToStop is set if any one more voter may be stopped. Otherwise Reason gives the
+	// cause.
 	SafeToStop bool
 	Reason     string
 }
 
-// Status returns the state for dumps. Only a leader can say that a stop is safe.
+// Status returns the state for status dumps. Only a leader can report that a stop is safe.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hard.Term, Leader: c.leader,
+		ID: c.cfg.ID, Birth: c.cfg.CreationID, State: c.state.String(), Term: c.hardState.Term, Leader: c.leaderID,
 		Commit: c.commit, Last: c.log.last(), Snapshot: c.snap.Index,
 	}
 
-	for _, m := range c.ruling() {
+	for _, m := range c.currentMembers() {
 		s.Members = append(s.Members, c.memberStatus(m))
 	}
 
-	s.Reason = c.unsafeReason()
+	s.Reason = c.stopUnsafeReason()
 	s.SafeToStop = s.Reason == ""
 
 	return s
@@ -53,8 +56,8 @@
 	switch {
 	case m.ID == c.cfg.ID:
 		s.Match, s.Active, s.UpToDate = c.stable, true, true
-	case c.lead != nil:
-		p := c.lead.peers[m.ID]
+	case c.leaderState != nil:
+		p := c.leaderState.peers[m.ID]
 		s.Match, s.Active, s.UpToDate = p.match, c.now.Before(p.activeUntil), c.isUpToDate(p)
 	}
 
@@ -65,35 +68,35 @@
 	return s
 }
 
-// unsafeReason says why another voter must not be stopped now, or nothing.
-func (c *Core) unsafeReason() string {
+// stopUnsafeReason returns why no further voter may be stopped now, or an empty string.
+func (c *Core) stopUnsafeReason() string {
 	switch {
 	case c.fault != nil:
 		return c.fault.Error()
-	case c.forming != nil && c.forming.lost:
+	case c.bootstrap != nil && c.bootstrap.diskLost:
 		return "this replica lost its disk: remove it and add it again"
-	case c.forming != nil:
+	case c.bootstrap != nil:
 		return "waiting for all founders"
 	case c.state != leader:
 		return "only the leader can tell"
-	case c.commit < c.lead.first:
+	case c.commit < c.leaderState.firstIndex:
 		return "the term has committed nothing yet"
 	}
 
 	current := c.countVoters(c.isUpToDate)
-	if need := c.ruling().Quorum(); current-1 < need {
-		return fmt.Sprintf("%d of %d voters are up to date, and %d must remain", current, c.ruling().Voters(), need)
+	if need := c.currentMembers().Quorum(); current-1 < need {
+		return fmt.Sprintf("%d of %d voters are up to date, and %d must remain", current, c.currentMembers().Voters(), need)
 	}
 
 	return ""
 }
 
-// Members returns the members that rule now. They must not be changed.
+// Members returns the members in effect. The caller must not modify them.
 func (c *Core) Members() Members {
-	return c.ruling()
+	return c.currentMembers()
 }
 
-// Leading reports whether this replica leads, and in which term.
+// Leading reports whether this replica is the leader, and the current term.
 func (c *Core) Leading() (term uint64, ok bool) {
-	return c.hard.Term, c.state == leader
+	return c.hardState.Term, c.state == leader
 }
