--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -28,32 +28,33 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measure runs do at each concurrency, and reports time and processor time for one call.
-func measure(n, workers int, do func(worker int)) (each, used time.Duration) {
+// measure makes calls from a number of workers, and returns the mean latency and CPU time of
+// one call.
+func measure(calls, workers int, call func(worker int)) (latency, cpu time.Duration) {
 	var wg sync.WaitGroup
 
-	start, cpuStart := time.Now(), cpu()
+	start, cpuStart := time.Now(), cpuTime()
 
 	for w := range workers {
 		wg.Go(func() {
-			for range n / workers {
-				do(w)
+			for range calls / workers {
+				call(w)
 			}
 		})
 	}
 
 	wg.Wait()
 
-	calls := time.Duration(max(n/workers*workers, 1))
+	completed := time.Duration(max(calls/workers*workers, 1))
 
-	return time.Since(start) * time.Duration(workers) / calls, (cpu() - cpuStart) / calls
+	return time.Since(start) * time.Duration(workers) / completed, (cpuTime() - cpuStart) / completed
 }
 
-// BenchmarkAddedByAgent compares a call through the agent with a direct call to the
-// same target, in the same run. The processor time counts client, agent and target.
-func BenchmarkAddedByAgent(b *testing.B) {
+// BenchmarkAgentOverhead compares calls through the agent with direct calls to the same
+// target, in one run. The CPU time includes client, agent and target.
+func BenchmarkAgentOverhead(b *testing.B) {
 	target := httpTarget(b, ok)
-	r := newRig(b, target, func(a *Agent) {
+	r := newFixture(b, target, func(a *Agent) {
 		a.Settings.Admission.MaxAttempts = 1 << 20
 		a.View = func() admission.View {
 			return admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1024, WarmLimit: 1024}
@@ -65,12 +66,12 @@
 	body := bytes.Repeat([]byte("x"), 512)
 
 	for _, workers := range []int{1, 16, 64} {
-		for _, kind := range []string{"idempotent", "booking"} {
+		for _, kind := range []string{"idempotent", "non-idempotent"} {
 			b.Run(kind+"/workers="+strconv.Itoa(workers), func(b *testing.B) {
-				direct := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers, DisableKeepAlives: kind == "booking"}}
+				direct := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers, DisableKeepAlives: kind == "non-idempotent"}}
 				defer direct.CloseIdleConnections()
 
-				plain := func(int) {
+				callDirect := func(int) {
 					hr, _ := http.NewRequest(http.MethodPost, "http://"+target.String()+"/x", bytes.NewReader(body))
 
 					resp, err := direct.Do(hr)
@@ -79,81 +80,82 @@
 						resp.Body.Close()
 					}
 				}
-				// Each worker has a connection and a credit of its own, and goes on with
-				// the credit that rode on the last answer, as an entry does.
+				// Each worker has its own connection and credit. Like an entry, it uses the
+				// credit from the last response for the next request.
 				requests := make([]*wire.Request, workers)
 				for w := range requests {
 					requests[w] = r.request("/x", string(body))
 					requests[w].Idempotent = kind == "idempotent"
 				}
 
-				through := func(w int) {
+				callAgent := func(w int) {
 					req := requests[w]
-					req.AttemptID = strconv.FormatUint(r.serial.Add(1), 10)
+					req.AttemptID = strconv.FormatUint(r.attempts.Add(1), 10)
 
 					a := r.do(req)
 					if a.end == nil {
-						b.Errorf("no whole answer: %v", a.refusal)
+						b.Errorf("response is incomplete: refusal %v", a.refusal)
 						return
 					}
 
 					req.Credit = a.end.GetLoad().GetCredit()
 				}
 
-				measure(workers*4, workers, plain)
+				measure(workers*4, workers, callDirect)
 				b.ResetTimer()
 
-				dEach, dCPU := measure(b.N, workers, plain)
-				tEach, tCPU := measure(b.N, workers, through)
+				directLatency, directCPU := measure(b.N, workers, callDirect)
+				agentLatency, agentCPU := measure(b.N, workers, callAgent)
 
-				b.ReportMetric(float64(dEach.Microseconds()), "direct-µs")
-				b.ReportMetric(float64(tEach.Microseconds()), "agent-µs")
-				b.ReportMetric(float64(tEach)/float64(dEach), "latency-ratio")
-				b.ReportMetric(float64(tCPU)/float64(dCPU), "cpu-ratio")
-				b.ReportMetric(float64(dCPU.Microseconds()), "direct-cpu-µs")
-				b.ReportMetric(float64(tCPU.Microseconds()), "agent-cpu-µs")
+				b.ReportMetric(float64(directLatency.Microseconds()), "direct-µs")
+				b.ReportMetric(float64(agentLatency.Microseconds()), "agent-µs")
+				b.ReportMetric(float64(agentLatency)/float64(directLatency), "latency-ratio")
+				b.ReportMetric(float64(agentCPU)/float64(directCPU), "cpu-ratio")
+				b.ReportMetric(float64(directCPU.Microseconds()), "direct-cpu-µs")
+				b.ReportMetric(float64(agentCPU.Microseconds()), "agent-cpu-µs")
 			})
 		}
 	}
 }
 
-// BenchmarkOpenStream reports goroutines and bytes of one open stream. The process
-// holds client, agent and target; the same streams opened directly are taken off.
+// BenchmarkOpenStream reports the goroutines and bytes that one open stream needs in the
+// agent. As the process also contains client and target, the cost of the same streams without
+// the agent is subtracted.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 400
 
 	for range b.N {
-		g := newGate()
-		g.started = make(chan struct{}, 3*streams)
-		g.gone = make(chan struct{}, 3*streams)
-		target := httpTarget(b, g.serve("text/event-stream"))
-		r := newRig(b, target, func(a *Agent) {
+		bt := newBlockingTarget()
+		bt.started = make(chan struct{}, 3*streams)
+		bt.canceled = make(chan struct{}, 3*streams)
+		target := httpTarget(b, bt.serve("text/event-stream"))
+		r := newFixture(b, target, func(a *Agent) {
 			a.View = func() admission.View {
 				return admission.View{Version: 7, FreshUntil: time.Now().Add(time.Hour), ColdLimit: 1024, WarmLimit: 1024}
 			}
 		})
 		r.post(AnnouncePath, `{"BootID":"boot-1","Address":"`+target.String()+`","Service":"`+testService+`","Capacity":1024,"InFlight":0}`, 204)
 
-		direct := openMany(b, streams, g, func() io.Closer {
+		direct := measureOpen(b, streams, bt, func() io.Closer {
 			resp, err := http.Post("http://"+target.String(), "text/plain", nil)
 			require.NoError(b, err)
 
 			return resp.Body
 		})
-		through := openMany(b, streams, g, func() io.Closer {
+		viaAgent := measureOpen(b, streams, bt, func() io.Closer {
 			resp, _ := r.open(context.Background(), r.request("/x", "x"))
 			return resp.Body
 		})
 
-		b.ReportMetric(through.goroutines-direct.goroutines, "goroutines/stream")
-		b.ReportMetric(through.bytes-direct.bytes, "bytes/stream")
-		close(g.release)
+		b.ReportMetric(viaAgent.goroutines-direct.goroutines, "goroutines/stream")
+		b.ReportMetric(viaAgent.bytes-direct.bytes, "bytes/stream")
+		close(bt.release)
 	}
 }
 
-type use struct{ goroutines, bytes float64 }
+type streamCost struct{ goroutines, bytes float64 }
 
-func openMany(b *testing.B, n int, g *gate, open func() io.Closer) use {
+func measureOpen(b *testing.B, n int, bt *blockingTarget, open func() io.Closer) streamCost {
 	b.Helper()
 
 	sample := func() (int, uint64) {
@@ -164,26 +166,26 @@
 
 		return runtime.NumGoroutine(), m.HeapAlloc + m.StackInuse
 	}
-	g0, b0 := sample()
+	goroutinesBefore, bytesBefore := sample()
 
-	var cs []io.Closer
+	var closers []io.Closer
 	for range n {
-		cs = append(cs, open())
+		closers = append(closers, open())
 	}
 
 	for range n {
-		<-g.started
+		<-bt.started
 	}
 
-	g1, b1 := sample()
+	goroutinesAfter, bytesAfter := sample()
 
-	for _, c := range cs {
+	for _, c := range closers {
 		c.Close()
 	}
 
 	for range n {
-		<-g.gone
+		<-bt.canceled
 	}
 
-	return use{float64(g1-g0) / float64(n), float64(int64(b1)-int64(b0)) / float64(n)}
+	return streamCost{float64(goroutinesAfter-goroutinesBefore) / float64(n), float64(int64(bytesAfter)-int64(bytesBefore)) / float64(n)}
 }
--- a/internal/agent/conn_linux_test.go
+++ b/internal/agent/conn_linux_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A target would work on for an entry whose connection has gone silent. A silent
-// network can't be made on loopback; what is checked is that the kernel is told.
-func TestConnectionsBoundAcks(t *testing.T) {
+// Guards against a target that keeps working for an entry that has become unreachable.
+// Loopback can't simulate that, so the test checks only that the socket option is set.
+func TestUserTimeoutIsSet(t *testing.T) {
 	t.Parallel()
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 
 	defer in.Close()
 
-	boundAcks(7*time.Second)(context.Background(), in)
+	setUserTimeout(7*time.Second)(context.Background(), in)
 
 	raw, err := in.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -16,107 +16,108 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// exchange relays one admitted request and its answer. One goroutine reads the
-// target (relay); run, on the goroutine of the entry's connection, writes frames.
-// Between them goes one piece at a time, so that a slow entry slows the target.
+// exchange relays one admitted request and its response. One goroutine (responseReader) reads
+// from the target; run writes frames on the goroutine of the entry's connection. They hand
+// over one part at a time, so that a slow entry applies backpressure to the target.
 type exchange struct {
 	agent *Agent
 	req   *wire.Request
 	out   *frameWriter
 	call  call
-	// until is when the request ends, whatever its state.
-	until time.Time
-
-	// entryGone says that the entry takes no more frames.
-	entryGone bool
-	stream    bool
-	begun     bool
-	digest    xxhash.Digest
-	length    uint64
-	// record collects the answer of a request that must not be repeated; nil where it isn't kept.
-	record *wire.Answer
+	// deadline is when the request ends, whatever its state.
+	deadline time.Time
+
+	// disconnected is set once the entry accepts no more frames.
+	disconnected bool
+	stream       bool
+	gotData      bool
+	digest       xxhash.Digest
+	length       uint64
+	// recorded collects the response of a non-idempotent request. It is nil if the response is
+	// not kept.
+	recorded *wire.Answer
 }
 
 func newExchange(a *Agent, req *wire.Request, out *frameWriter, now time.Time) *exchange {
-	x := &exchange{agent: a, req: req, out: out, until: now.Add(a.Settings.MaxRequestDuration)}
+	x := &exchange{agent: a, req: req, out: out, deadline: now.Add(a.Settings.MaxRequestDuration)}
 	x.call.attemptID = req.GetAttemptID()
 	x.digest.Reset()
 
 	const maxMillis = uint64(1 << 40)
-	if left := req.GetRemainingMillis(); left < maxMillis {
-		if at := now.Add(time.Duration(left) * time.Millisecond); at.Before(x.until) {
-			x.until = at
+	if remaining := req.GetRemainingMillis(); remaining < maxMillis {
+		if at := now.Add(time.Duration(remaining) * time.Millisecond); at.Before(x.deadline) {
+			x.deadline = at
 		}
 	}
 
 	if !req.GetIdempotent() {
-		x.record = &wire.Answer{}
+		x.recorded = &wire.Answer{}
 	}
 
 	return x
 }
 
-// run relays until the request has ended. The entry's connection is gone when entry ends.
-func (x *exchange) run(entry context.Context) {
-	x.agent.open.Add(1)
-	defer x.agent.open.Add(-1)
+// run relays until the request has ended. The end of entryCtx means that the entry has
+// disconnected.
+func (x *exchange) run(entryCtx context.Context) {
+	x.agent.openExchanges.Add(1)
+	defer x.agent.openExchanges.Add(-1)
 
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(entry), x.until)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(entryCtx), x.deadline)
 	defer cancel()
 
 	ctx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
 
-	r := newRelay(ctx, abort, x)
+	r := newResponseReader(ctx, abort, x)
 	defer r.release()
 
 	go r.read()
 
-	beat := time.NewTicker(x.agent.Settings.HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(x.agent.Settings.HeartbeatInterval)
+	defer heartbeat.Stop()
 
-	gone := entry.Done()
+	entryDone := entryCtx.Done()
 
 	for {
 		select {
-		case p := <-r.pieces:
-			beat.Reset(x.agent.Settings.HeartbeatInterval)
+		case p := <-r.parts:
+			heartbeat.Reset(x.agent.Settings.HeartbeatInterval)
 
-			// The last piece and the loss of the entry may be there at once: the answer is
-			// then to be kept for who asks for it.
-			if entry.Err() != nil {
-				x.entryLeft()
+			// The last part and the disconnect may be pending at once. The response must then
+			// be kept for the entry's query.
+			if entryCtx.Err() != nil {
+				x.markDisconnected()
 			}
 
-			if x.take(p) {
+			if x.handle(p) {
 				return
 			}
-		case <-beat.C:
+		case <-heartbeat.C:
 			x.send(&wire.Frame{Kind: &wire.Frame_Heartbeat{Heartbeat: &wire.Heartbeat{AttemptID: x.call.attemptID}}})
-		case <-gone:
-			gone = nil
-			x.entryLeft()
+		case <-entryDone:
+			entryDone = nil
+			x.markDisconnected()
 		}
 
-		if x.entryGone && x.mayCancel() {
+		if x.disconnected && x.mayCancel() {
 			abort(&verdict.Error{Cause: verdict.CauseCancelled})
 		}
 	}
 }
 
-// mayCancel reports whether the request may be cut off once its entry is gone.
+// mayCancel reports whether the request may be canceled once its entry has disconnected.
 //
-// An entry that is gone may have given up, or its connection may have broken; the
-// agent can't tell. A request that may be repeated, and a stream, which nobody can
-// pick up later, are cancelled, so that the target is free. Any other runs on to
-// its deadline and its answer is kept: cut off, nobody could tell whether a booking
-// was made.
+// The agent can't tell whether the caller canceled or the entry's connection broke. An
+// idempotent request is canceled to free the target, and so is a stream, which can't be
+// resumed later. Any other request runs until its deadline and its response is kept: if it
+// were canceled, nobody could tell whether it had taken effect.
 func (x *exchange) mayCancel() bool {
 	return x.req.GetIdempotent() || x.stream
 }
 
-// take handles one piece from the target and reports whether it was the last.
-func (x *exchange) take(p piece) bool {
+// handle processes one part of the response and reports whether it was the last.
+func (x *exchange) handle(p responsePart) bool {
 	switch {
 	case p.err != nil:
 		x.fail(p.err)
@@ -128,30 +129,30 @@
 	}
 
 	if p.end {
-		x.end()
+		x.complete()
 	}
 
 	return p.end
 }
 
 func (x *exchange) head(resp *http.Response) {
-	h := &wire.Head{AttemptID: x.call.attemptID, Status: int32(resp.StatusCode), Headers: answerHeaders(resp)}
+	h := &wire.Head{AttemptID: x.call.attemptID, Status: int32(resp.StatusCode), Headers: responseHeaders(resp)}
 	x.stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 
-	if x.record != nil {
-		x.record.Status = h.Status
-		x.record.Headers = h.Headers
+	if x.recorded != nil {
+		x.recorded.Status = h.Status
+		x.recorded.Headers = h.Headers
 	}
 
-	// Of an answer with a length the body is there, or about to be.
-	x.sendSoon(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
+	// With a known length, the body follows at once, so the head need not be flushed alone.
+	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
 }
 
-// answerHeaders returns the headers that go back to the entry, in a fixed order.
-func answerHeaders(resp *http.Response) []*wire.Header {
+// responseHeaders returns the response headers for the entry, sorted by name.
+func responseHeaders(resp *http.Response) []*wire.Header {
 	h := resp.Header.Clone()
 	length := h.Get("Content-Length")
-	dropHopByHop(h)
+	removeHopByHop(h)
 
 	if length != "" {
 		h.Set("Content-Length", length)
@@ -170,48 +171,49 @@
 	return out
 }
 
-func (x *exchange) data(p piece) {
+func (x *exchange) data(p responsePart) {
 	b := p.data
 	if len(b) == 0 {
 		return
 	}
 
-	if !x.begun {
-		x.begun = true
-		x.agent.door.firstToken(x.agent.Now(), x.call.attemptID)
+	if !x.gotData {
+		x.gotData = true
+		x.agent.admitter.firstToken(x.agent.Now(), x.call.attemptID)
 	}
 
 	_, _ = x.digest.Write(b)
 	x.length += uint64(len(b))
-	x.keep(b)
-	x.sendSoon(&wire.Frame{Kind: &wire.Frame_Data{Data: b}}, p.end)
+	x.recordBody(b)
+	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Data{Data: b}}, p.end)
 }
 
-// keep records b, up to the bound of one recorded answer.
-func (x *exchange) keep(b []byte) {
-	if x.record == nil {
+// recordBody appends b to the recorded response. Streams and responses larger than
+// MaxAnswerBytes are not recorded.
+func (x *exchange) recordBody(b []byte) {
+	if x.recorded == nil {
 		return
 	}
 
-	if x.stream || len(x.record.GetBody())+len(b) > x.agent.Settings.MaxAnswerBytes {
-		x.record = nil
+	if x.stream || len(x.recorded.GetBody())+len(b) > x.agent.Settings.MaxAnswerBytes {
+		x.recorded = nil
 		return
 	}
 
-	x.record.Body = append(x.record.Body, b...)
+	x.recorded.Body = append(x.recorded.Body, b...)
 }
 
-// end closes a whole answer. The core hears of it first, so that the slot is free
-// and the entry's new credit counts it.
-func (x *exchange) end() {
+// complete ends a request whose response is complete. The admission core is updated before the
+// last frame is sent, so that the slot is free and the credit in that frame accounts for it.
+func (x *exchange) complete() {
 	a := x.agent
 	now := a.Now()
 
-	if !x.begun {
-		a.door.firstToken(now, x.call.attemptID)
+	if !x.gotData {
+		a.admitter.firstToken(now, x.call.attemptID)
 	}
 
-	load := x.finish(now, admission.Outcome{Verdict: verdict.Ran, Answer: x.record})
+	load := x.finish(now, admission.Outcome{Verdict: verdict.Ran, Answer: x.recorded})
 	a.counters.ran.Inc(1)
 	x.send(&wire.Frame{Kind: &wire.Frame_End{End: &wire.End{
 		AttemptID: x.call.attemptID,
@@ -220,12 +222,12 @@
 		Load:      load,
 	}}})
 
-	if x.record != nil && x.entryGone {
-		a.undelivered(now)
+	if x.recorded != nil && x.disconnected {
+		a.recordUndelivered(now)
 	}
 }
 
-// fail ends a request that got no answer, or a cut one.
+// fail ends a request whose response is missing or truncated.
 func (x *exchange) fail(e *verdict.Error) {
 	a := x.agent
 	now := a.Now()
@@ -233,50 +235,52 @@
 	a.counters.broken.Inc(1)
 
 	if errors.Is(e.Err, syscall.ECONNREFUSED) {
-		// Nobody listens: the target is gone, and will be cold when it is back.
-		a.door.targetDown(now)
+		// Nothing listens at the target's address: it is down, and will be cold when it
+		// returns.
+		a.admitter.targetDown(now)
 	}
 
 	if e.Cause == verdict.CauseCrossed {
 		a.counters.crossed.Inc(1)
 	}
 
-	a.Logger.Warn("Request got no whole answer.", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
+	a.Logger.Warn("request failed", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
 	x.send(refusalFrame(x.call.attemptID, refusal{verdict: e.Verdict, cause: e.Cause, retryAt: e.RetryAt}, now, load))
 }
 
 func (x *exchange) finish(now time.Time, o admission.Outcome) *wire.Load {
-	g, l := x.agent.door.finish(now, x.call.attemptID, x.req.GetCredit().GetEntryID(), o)
+	g, l := x.agent.admitter.finish(now, x.call.attemptID, x.req.GetCredit().GetEntryID(), o)
 
 	return loadToWire(l, creditToWire(g, now))
 }
 
-// send writes a frame unless the entry is gone.
-func (x *exchange) send(f *wire.Frame) { x.sendSoon(f, false) }
+// send writes and flushes a frame unless the entry has disconnected.
+func (x *exchange) send(f *wire.Frame) { x.sendFrame(f, false) }
 
-// sendSoon writes a frame; with more, the next frame or heartbeat takes it along,
-// which saves a small answer two system calls of three.
-func (x *exchange) sendSoon(f *wire.Frame, more bool) {
-	if x.entryGone {
+// sendFrame writes a frame unless the entry has disconnected. With buffer set, the frame is
+// flushed with the next frame or heartbeat, which saves two of three system calls for a small
+// response.
+func (x *exchange) sendFrame(f *wire.Frame, buffer bool) {
+	if x.disconnected {
 		return
 	}
 
 	write := x.out.write
-	if more {
-		write = x.out.add
+	if buffer {
+		write = x.out.buffer
 	}
 
 	if err := write(f); err != nil {
-		x.entryLeft()
+		x.markDisconnected()
 	}
 }
 
-// entryLeft notes that the entry's connection broke.
-func (x *exchange) entryLeft() {
-	if x.entryGone {
+// markDisconnected records that the entry's connection broke.
+func (x *exchange) markDisconnected() {
+	if x.disconnected {
 		return
 	}
 
-	x.entryGone = true
-	x.agent.Logger.Info("The entry is gone.", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
+	x.disconnected = true
+	x.agent.Logger.Info("entry disconnected", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
 }
--- a/internal/agent/order_test.go
+++ b/internal/agent/order_test.go
@@ -19,26 +19,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// engine carries orders out and remembers them.
-type engine struct {
-	mu  sync.Mutex
-	got []EngineOrder
-	// hold, if set, keeps each order until something is sent, or it is closed.
-	hold chan struct{}
-	// answer, if set, writes the answer.
+// fakeEngine records the orders that it receives.
+type fakeEngine struct {
+	mu       sync.Mutex
+	received []EngineOrder
+	// release, if set, blocks each order until it receives a value or is closed.
+	release chan struct{}
+	// answer, if set, writes the answer to an order.
 	answer func(w http.ResponseWriter, o EngineOrder)
 }
 
-func (e *engine) serve(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEngine) serve(w http.ResponseWriter, r *http.Request) {
 	var o EngineOrder
 	_ = json.NewDecoder(r.Body).Decode(&o)
 
 	e.mu.Lock()
-	e.got = append(e.got, o)
+	e.received = append(e.received, o)
 	e.mu.Unlock()
 
-	if e.hold != nil {
-		<-e.hold
+	if e.release != nil {
+		<-e.release
 	}
 
 	if e.answer != nil {
@@ -49,17 +49,17 @@
 	_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber, Done: true})
 }
 
-func (e *engine) orders() []EngineOrder {
+func (e *fakeEngine) orders() []EngineOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return append([]EngineOrder(nil), e.got...)
+	return append([]EngineOrder(nil), e.received...)
 }
 
-func orderRig(t *testing.T, e *engine) *rig {
+func newOrderFixture(t *testing.T, e *fakeEngine) *fixture {
 	t.Helper()
 
-	return newRig(t, httpTarget(t, e.serve), func(a *Agent) {
+	return newFixture(t, httpTarget(t, e.serve), func(a *Agent) {
 		a.HighestOrder = func() (uint64, bool) { return 4, true }
 		a.Settings.UnsettledOrderTimeout = time.Nanosecond
 		a.Settings.OrderTimeout = time.Second
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *rig) give(o *wire.Order) *wire.OrderResponse {
+func (r *fixture) submitOrder(o *wire.Order) *wire.OrderResponse {
 	r.t.Helper()
 
 	resp, err := r.rpc.Give(context.Background(), o)
@@ -83,41 +83,42 @@
 	return resp
 }
 
-// An engine that ignores fencing numbers would load an old adapter. Orders come
-// again, late, and for an earlier incarnation; the engine sees each at most once.
-func TestOrdersReachTheEngineOnce(t *testing.T) {
+// Guards against an engine that ignores fencing numbers and loads an outdated adapter. Orders
+// are repeated, late, or for an earlier incarnation; the engine must receive each at most
+// once.
+func TestOrdersReachEngineOnce(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{}
-	r := orderRig(t, e)
+	e := &fakeEngine{}
+	r := newOrderFixture(t, e)
 
 	var known atomic.Uint64
 
 	r.agent.HighestOrder = func() (uint64, bool) { return known.Load(), true }
 
-	require.True(t, r.give(loadOrder(5, "v5")).GetDone())
-	require.True(t, r.give(loadOrder(5, "v5")).GetDone(), "the first answer again")
+	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone())
+	require.True(t, r.submitOrder(loadOrder(5, "v5")).GetDone(), "a resent order gets the recorded answer")
 
-	require.Equal(t, "FencedOff", r.give(loadOrder(4, "v4")).GetCause())
+	require.Equal(t, "FencedOff", r.submitOrder(loadOrder(4, "v4")).GetCause())
 	known.Store(6)
-	require.Equal(t, "AnswerLost", r.give(loadOrder(6, "v6")).GetCause())
+	require.Equal(t, "AnswerLost", r.submitOrder(loadOrder(6, "v6")).GetCause())
 
-	former := loadOrder(7, "v7")
-	former.Incarnation = 2
-	require.Equal(t, "EarlierIncarnation", r.give(former).GetCause())
+	earlier := loadOrder(7, "v7")
+	earlier.Incarnation = 2
+	require.Equal(t, "EarlierIncarnation", r.submitOrder(earlier).GetCause())
 
 	got := e.orders()
 	require.Len(t, got, 1)
 	require.Equal(t, EngineOrder{FencingNumber: 5, Kind: "LoadAdapter", Subject: "staves", Version: "v5", Payload: []byte{0, 1}}, got[0])
 }
 
-// Two orders would overlap at the engine, or a resend would be carried out again,
-// while the first takes long and its giver has lost patience.
+// Guards against two orders that overlap at the engine, and against a resent order that is
+// executed again. The first order takes long, and its sender cancels the call.
 func TestOrdersAreSerialised(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{hold: make(chan struct{})}
-	r := orderRig(t, e)
+	e := &fakeEngine{release: make(chan struct{})}
+	r := newOrderFixture(t, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan error, 1)
 
@@ -130,57 +131,58 @@
 	cancel()
 	require.Error(t, <-first)
 
-	again := make(chan *wire.OrderResponse, 1)
+	resent := make(chan *wire.OrderResponse, 1)
 
-	go func() { again <- r.give(loadOrder(5, "v5")) }()
+	go func() { resent <- r.submitOrder(loadOrder(5, "v5")) }()
 
-	require.Equal(t, "FencingConflict", r.give(loadOrder(5, "v6")).GetCause())
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone(), "the order went on without its giver")
+	require.Equal(t, "FencingConflict", r.submitOrder(loadOrder(5, "v6")).GetCause())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone(), "the order continues after its sender canceled the call")
 
-	go func() { again <- r.give(loadOrder(6, "v6")) }()
+	go func() { resent <- r.submitOrder(loadOrder(6, "v6")) }()
 
 	require.Eventually(t, func() bool { return len(e.orders()) == 2 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "Busy", r.give(loadOrder(7, "v7")).GetCause())
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone())
-	require.Equal(t, "FencedOff", r.give(loadOrder(6, "v6")).GetCause())
+	require.Equal(t, "Busy", r.submitOrder(loadOrder(7, "v7")).GetCause())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone())
+	require.Equal(t, "FencedOff", r.submitOrder(loadOrder(6, "v6")).GetCause())
 
-	go func() { again <- r.give(loadOrder(7, "v7")) }()
+	go func() { resent <- r.submitOrder(loadOrder(7, "v7")) }()
 
-	e.hold <- struct{}{}
-	require.True(t, (<-again).GetDone())
+	e.release <- struct{}{}
+	require.True(t, (<-resent).GetDone())
 	require.Len(t, e.orders(), 3)
 }
 
-// An engine would be left half-way through an order by a planned stop.
-func TestDrainWaitsForAnOrder(t *testing.T) {
+// Guards against a planned stop that interrupts an order at the engine.
+func TestDrainWaitsForOrder(t *testing.T) {
 	t.Parallel()
 
-	e := &engine{hold: make(chan struct{})}
-	r := orderRig(t, e)
-	given := make(chan *wire.OrderResponse, 1)
+	e := &fakeEngine{release: make(chan struct{})}
+	r := newOrderFixture(t, e)
+	answered := make(chan *wire.OrderResponse, 1)
 	drained := make(chan error, 1)
 
-	go func() { given <- r.give(loadOrder(5, "v5")) }()
+	go func() { answered <- r.submitOrder(loadOrder(5, "v5")) }()
 
 	require.Eventually(t, func() bool { return len(e.orders()) == 1 }, 5*time.Second, time.Millisecond)
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
 	require.Eventually(t, func() bool { return r.agent.Node().GetLeaving() }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "Leaving", r.give(loadOrder(6, "v6")).GetCause())
-	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
+	require.Equal(t, "Leaving", r.submitOrder(loadOrder(6, "v6")).GetCause())
+	time.Sleep(20 * time.Millisecond) // time in which an agent that does not wait would stop
 	require.Empty(t, drained)
-	close(e.hold)
-	require.True(t, (<-given).GetDone())
+	close(e.release)
+	require.True(t, (<-answered).GetDone())
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
 }
 
-// An order would count as done that wasn't, or be given up for good. The engine's
-// answer is lost, crossed, half or empty, or the engine is gone.
-func TestEngineAnswerFaults(t *testing.T) {
+// Guards against an order that is reported as done but is not, or as failed for certain if it
+// may still be carried out. The engine's answer is lost, truncated, empty or for another
+// order, or the engine is down.
+func TestFaultyEngineAnswers(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
@@ -198,64 +200,64 @@
 			w.Header().Set(RequestIDHeader, "other")
 			_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber, Done: true})
 		}, "EngineSilent"},
-		{"half an answer", func(w http.ResponseWriter, _ EngineOrder) { _, _ = io.WriteString(w, `{"FencingNumber":5,"Do`) }, "EngineSilent"},
-		{"empty answer", func(w http.ResponseWriter, o EngineOrder) {
+		{"truncated answer", func(w http.ResponseWriter, _ EngineOrder) { _, _ = io.WriteString(w, `{"FencingNumber":5,"Do`) }, "EngineSilent"},
+		{"answer without a result", func(w http.ResponseWriter, o EngineOrder) {
 			fmt.Fprintf(w, `{"FencingNumber":%d}`, o.FencingNumber)
 		}, "EngineSilent"},
-		{"cut off", func(http.ResponseWriter, EngineOrder) { panic(http.ErrAbortHandler) }, "EngineSilent"},
+		{"connection closed without an answer", func(http.ResponseWriter, EngineOrder) { panic(http.ErrAbortHandler) }, "EngineSilent"},
 	}
 
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 
-			e := &engine{answer: tc.answer}
-			r := orderRig(t, e)
-			resp := r.give(loadOrder(5, "v5"))
+			e := &fakeEngine{answer: tc.answer}
+			r := newOrderFixture(t, e)
+			resp := r.submitOrder(loadOrder(5, "v5"))
 			require.False(t, resp.GetDone())
 			require.True(t, strings.HasPrefix(resp.GetCause(), tc.cause), resp.GetCause())
 			require.EqualValues(t, 5, resp.GetHighestFencingNumber())
 		})
 	}
 
-	t.Run("takes too long", func(t *testing.T) {
+	t.Run("engine exceeds the order timeout", func(t *testing.T) {
 		t.Parallel()
 
-		e := &engine{hold: make(chan struct{})}
-		r := orderRig(t, e)
+		e := &fakeEngine{release: make(chan struct{})}
+		r := newOrderFixture(t, e)
 
-		require.Contains(t, r.give(loadOrder(5, "v5")).GetCause(), "EngineSilent")
-		close(e.hold)
+		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineSilent")
+		close(e.release)
 	})
-	t.Run("engine gone", func(t *testing.T) {
+	t.Run("engine down", func(t *testing.T) {
 		t.Parallel()
 
-		r := orderRig(t, &engine{})
-		nobody, err := loopback.Address()
+		r := newOrderFixture(t, &fakeEngine{})
+		unused, err := loopback.Address()
 		require.NoError(t, err)
 
-		gone := *r.agent.target.load()
-		gone.Address = nobody
-		r.agent.target.p.Store(&gone)
-		require.Contains(t, r.give(loadOrder(5, "v5")).GetCause(), "EngineDown")
+		down := *r.agent.target.load()
+		down.Address = unused
+		r.agent.target.latest.Store(&down)
+		require.Contains(t, r.submitOrder(loadOrder(5, "v5")).GetCause(), "EngineDown")
 	})
-	t.Run("number not known after a restart", func(t *testing.T) {
+	t.Run("highest number unknown after a restart", func(t *testing.T) {
 		t.Parallel()
 
-		r := newRig(t, httpTarget(t, ok), nil)
-		require.Equal(t, "HighestNumberUnknown", r.give(loadOrder(5, "v5")).GetCause())
+		r := newFixture(t, httpTarget(t, ok), nil)
+		require.Equal(t, "HighestNumberUnknown", r.submitOrder(loadOrder(5, "v5")).GetCause())
 	})
 }
 
-// Somebody else would speak for the target, or a broken announcement would count.
+// Guards against announcements from another host and against invalid announcements.
 func TestAnnouncements(t *testing.T) {
 	t.Parallel()
 
-	r := newRig(t, httpTarget(t, ok), nil)
+	r := newFixture(t, httpTarget(t, ok), nil)
 
 	for _, body := range []string{
 		"", "no JSON", `{"BootID":"b"}`, `{"BootID":"b","Service":"s","Address":"elsewhere:80"}`,
-		`{"BootID":"b","Service":"s","Address":"127.0.0.1:0"}`, `{"BootID":"` + strings.Repeat("x", maxAnnouncement) + `"}`,
+		`{"BootID":"b","Service":"s","Address":"127.0.0.1:0"}`, `{"BootID":"` + strings.Repeat("x", maxAnnouncementBytes) + `"}`,
 	} {
 		r.post(AnnouncePath, body, http.StatusBadRequest)
 	}
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -1,8 +1,8 @@
-// Package expertgroup is the control VM's shell around the cores that keep the
-// expert maps of lock-step groups: it gathers the ranks' reports, lets the
-// planner decide, and drives the switch to a new map while its VM leads. One
-// goroutine owns all of it; calls to ranks and to the log run beside it and
-// come back as events.
+// Package expertgroup manages the expert maps of lock-step groups on a control VM. The leading
+// VM collects reports from the ranks, lets the planner decide about a new map and drives the
+// switch to it. It does the I/O for packages expertmap, placement and popularity, which have
+// none. All state belongs to one goroutine. Calls to ranks and to the log run in goroutines of
+// their own and return their results to it as events.
 package expertgroup
 
 import (
@@ -18,31 +18,32 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// RankAgent is the agent of one rank.
+// RankAgent is the address of one rank's agent.
 type RankAgent struct {
 	Rank    int
 	Address netip.AddrPort
 }
 
-// Settings are the intervals and costs of all groups.
+// Settings are the intervals, timeouts and costs for all groups.
 type Settings struct {
-	// PlanInterval is how often the ranks' reports are gathered and a new map is weighed.
+	// PlanInterval is the interval at which the ranks' reports are collected and a new map is
+	// considered.
 	PlanInterval time.Duration
-	// TickInterval is how often switches are moved on.
+	// TickInterval is the interval at which the switch coordinators are ticked.
 	TickInterval time.Duration
 	// CallTimeout bounds one call to a rank or to the log.
 	CallTimeout time.Duration
-	// StageTimeout, PrepareFor and ResendEvery are the coordinator's.
+	// StageTimeout, PrepareTimeout and ResendInterval are passed to expertmap.Coordinator.
 	StageTimeout   time.Duration
 	PrepareTimeout time.Duration
 	ResendInterval time.Duration
-	// SwitchLead is how many steps ahead a switch is named.
+	// SwitchLead is how many steps ahead of the current one a switch is scheduled.
 	SwitchLead expertmap.Step
-	// Planner holds the costs of a change.
+	// Planner holds the costs of a map change.
 	Planner placement.Planner
 }
 
-// DefaultSettings returns the settings for the size that parsleygate is designed for.
+// DefaultSettings returns the settings for the group sizes that parsleygate is designed for.
 func DefaultSettings() Settings {
 	return Settings{
 		PlanInterval: 30 * time.Second, TickInterval: 50 * time.Millisecond, CallTimeout: time.Second,
@@ -54,77 +55,80 @@
 	}
 }
 
-// Director keeps the maps of all groups while its VM leads. Its exported fields
-// are set before Run.
+// Director manages the expert maps of all groups while its VM leads. Set the exported fields
+// before Run.
 type Director struct {
-	// IsLeader reports whether this VM leads the log. Barrier returns once all entries
-	// that earlier leaders committed have been passed to Applied.
+	// IsLeader reports whether this VM leads the log. Barrier returns once all entries that
+	// earlier leaders committed have been passed to OnApplied.
 	IsLeader func() bool
 	Barrier  func(ctx context.Context) error
-	// Propose appends an entry; it may be lost, and is then proposed again.
+	// Propose appends an entry to the log. An entry may be lost; the coordinator then proposes
+	// it again.
 	Propose func(ctx context.Context, e *wire.GroupEntry) error
-	// Groups returns the groups that the operators declare, Ranks the agents of one.
+	// Groups returns the groups that the operators declared. RankAgents returns the agents of
+	// one group's ranks.
 	Groups     func() []*wire.Group
 	RankAgents func(group string) []RankAgent
-	// SendOrder and Report call a rank's agent.
+	// SendOrder and FetchReport call a rank's agent.
 	SendOrder   func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error)
 	FetchReport func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankReport, error)
 	Settings    Settings
 	Logger      *slog.Logger
 
 	events chan func(now time.Time)
-	// latest are the newest states, as the log's goroutine gave them. lost is set
-	// where it found no room for an event.
-	latest   atomic.Pointer[[]*wire.GroupState]
-	lost     atomic.Bool
-	units    map[string]*unit
-	states   map[string]*wire.GroupState
-	leading  bool
-	asking   bool
-	switches atomic.Int64
+	// latestStates holds the states most recently passed to OnApplied. missedEvents is set
+	// when the event queue was full and an event was dropped.
+	latestStates      atomic.Pointer[[]*wire.GroupState]
+	missedEvents      atomic.Bool
+	controllers       map[string]*groupController
+	states            map[string]*wire.GroupState
+	leading           bool
+	awaitingBarrier   bool
+	committedSwitches atomic.Int64
 }
 
-// eventBuffer is how many events wait for the director's goroutine.
-const eventBuffer = 4096
+// eventQueueSize is the capacity of the director's event queue.
+const eventQueueSize = 4096
 
-// Init prepares the director. It is called once, before Applied and Run.
+// Init prepares the director. Call it once, before OnApplied and Run.
 func (d *Director) Init() {
-	d.events = make(chan func(time.Time), eventBuffer)
-	d.units = make(map[string]*unit)
+	d.events = make(chan func(time.Time), eventQueueSize)
+	d.controllers = make(map[string]*groupController)
 	d.states = make(map[string]*wire.GroupState)
 }
 
-// CommittedSwitches returns how many switches this VM has led to their commit.
-func (d *Director) CommittedSwitches() int64 { return d.switches.Load() }
+// CommittedSwitches returns how many switches were committed while this VM led them.
+func (d *Director) CommittedSwitches() int64 { return d.committedSwitches.Load() }
 
-// OnApplied takes in an entry of the log, or with a nil one a restored snapshot.
-// The goroutine of the log calls it, and it does not wait.
+// OnApplied handles an applied log entry, or a restored snapshot if e is nil. The log's
+// goroutine calls it; it does not block.
 func (d *Director) OnApplied(index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
-	d.latest.Store(&states)
+	d.latestStates.Store(&states)
 
 	select {
-	case d.events <- func(now time.Time) { d.apply(now, index, e, states) }:
+	case d.events <- func(now time.Time) { d.handleApplied(now, index, e, states) }:
 	default:
-		d.lost.Store(true)
+		d.missedEvents.Store(true)
 	}
 }
 
-func (d *Director) apply(now time.Time, index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
-	d.keep(states)
+func (d *Director) handleApplied(now time.Time, index uint64, e *wire.GroupEntry, states []*wire.GroupState) {
+	d.mergeStates(states)
 
 	if e == nil {
-		d.follow()
+		d.stepDown()
 
 		return
 	}
 
-	if u := d.units[e.GetGroup()]; u != nil {
-		u.do(u.coordinator.Apply(now, expertmap.Fence(index), expertmap.EntryFromWire(e)))
+	if c := d.controllers[e.GetGroup()]; c != nil {
+		c.execute(c.coordinator.Apply(now, expertmap.Fence(index), expertmap.EntryFromWire(e)))
 	}
 }
 
-// keep takes in states. After a resync those of queued events are older.
-func (d *Director) keep(states []*wire.GroupState) {
+// mergeStates stores states unless newer ones are known: after a resync, queued events carry
+// older states.
+func (d *Director) mergeStates(states []*wire.GroupState) {
 	for _, s := range states {
 		if s.GetRecord().GetAsOf() >= d.states[s.GetGroup()].GetRecord().GetAsOf() {
 			d.states[s.GetGroup()] = s
@@ -132,20 +136,22 @@
 	}
 }
 
-// resync makes up for lost events. A coordinator that missed an entry believes
-// an old map to rule, and would tell so to a rank that asks: two ranks would run
-// by two maps. So all units end, and new ones begin from the newest states.
+// resync restores consistency after dropped events. A coordinator that missed an entry may
+// consider an old map current and report it to a rank that asks, so that two ranks would use
+// different maps. Therefore all controllers are stopped, and new ones start from the latest
+// states.
 func (d *Director) resync() {
-	if !d.lost.Swap(false) {
+	if !d.missedEvents.Swap(false) {
 		return
 	}
 
-	d.Logger.Warn("fell behind the log")
-	d.keep(*d.latest.Load())
-	d.follow()
+	d.Logger.Warn("event queue overflowed; restarting all group controllers from the latest state")
+	d.mergeStates(*d.latestStates.Load())
+	d.stepDown()
 }
 
-// post hands an event of a call to the director's goroutine, and waits for room.
+// post queues the result of a call for the director's goroutine, and blocks while the queue is
+// full.
 func (d *Director) post(ctx context.Context, event func(now time.Time)) {
 	select {
 	case d.events <- event:
@@ -153,7 +159,7 @@
 	}
 }
 
-// Run directs until ctx ends.
+// Run processes events until ctx ends.
 func (d *Director) Run(ctx context.Context) error {
 	tick := time.NewTicker(d.Settings.TickInterval)
 	defer tick.Stop()
@@ -173,11 +179,11 @@
 }
 
 func (d *Director) tick(ctx context.Context, now time.Time) {
-	switch leads := d.IsLeader(); {
-	case !leads && d.leading:
-		d.follow()
-	case leads && !d.leading && !d.asking:
-		d.askBarrier(ctx)
+	switch leader := d.IsLeader(); {
+	case !leader && d.leading:
+		d.stepDown()
+	case leader && !d.leading && !d.awaitingBarrier:
+		d.startBarrier(ctx)
 	}
 
 	if !d.leading {
@@ -188,26 +194,26 @@
 
 	for _, g := range d.Groups() {
 		declared[g.GetName()] = true
-		d.unit(ctx, now, g).tick(now)
+		d.controller(ctx, now, g).tick(now)
 	}
 
-	for name, u := range d.units {
+	for name, c := range d.controllers {
 		if !declared[name] {
-			d.end(u)
+			d.stopController(c)
 		}
 	}
 }
 
-// askBarrier takes the lead of the groups only behind the entries of earlier
-// leaders: a switch that one of them committed must not be begun anew.
-func (d *Director) askBarrier(ctx context.Context) {
-	d.asking = true
+// startBarrier makes this VM lead the groups once it has applied all entries of earlier
+// leaders. Otherwise it could start a switch again that an earlier leader committed.
+func (d *Director) startBarrier(ctx context.Context) {
+	d.awaitingBarrier = true
 
 	go func() {
 		err := d.barrier(ctx)
 
 		d.post(ctx, func(time.Time) {
-			d.asking = false
+			d.awaitingBarrier = false
 			d.leading = err == nil && d.IsLeader()
 		})
 	}()
@@ -220,37 +226,39 @@
 	return d.Barrier(ctx)
 }
 
-func (d *Director) follow() {
+func (d *Director) stepDown() {
 	d.leading = false
-	for _, u := range d.units {
-		d.end(u)
+	for _, c := range d.controllers {
+		d.stopController(c)
 	}
 }
 
-// end ends a unit. Answers that come later find it no longer leading.
-func (d *Director) end(u *unit) {
-	u.coordinator.Follow()
-	delete(d.units, u.name)
+// stopController stops the group's controller. Its coordinator ignores answers that arrive
+// later, as it no longer leads.
+func (d *Director) stopController(c *groupController) {
+	c.coordinator.Follow()
+	delete(d.controllers, c.name)
 }
 
-// unit returns the group's unit, which begins to lead when it is made.
-func (d *Director) unit(ctx context.Context, now time.Time, g *wire.Group) *unit {
-	if u := d.units[g.GetName()]; u != nil && ShapeOf(g) == u.shape {
-		return u
-	} else if u != nil {
-		d.end(u)
+// controller returns the group's controller. It creates one that starts to lead if there is
+// none or the group's shape has changed.
+func (d *Director) controller(ctx context.Context, now time.Time, g *wire.Group) *groupController {
+	if c := d.controllers[g.GetName()]; c != nil && ShapeOf(g) == c.shape {
+		return c
+	} else if c != nil {
+		d.stopController(c)
 	}
 
-	u := newUnit(ctx, d, g)
-	d.units[g.GetName()] = u
+	c := newGroupController(ctx, d, g)
+	d.controllers[g.GetName()] = c
 
 	record := ledger.InitialRecord()
 	if s := d.states[g.GetName()]; s != nil {
 		record = expertmap.RecordFromWire(s.GetRecord())
 	}
 
-	u.coordinator.Start(record)
-	u.do(u.coordinator.Lead(now))
+	c.coordinator.Start(record)
+	c.execute(c.coordinator.Lead(now))
 
-	return u
+	return c
 }
