--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -19,17 +19,17 @@
 	// ResendInterval is how often unanswered orders and entries are repeated.
 	ResendInterval time.Duration
 
-	record  Record
-	leading bool
-	ranks   []rankView
-	job     job
-	tickAt  time.Time
+	record   Record
+	leading  bool
+	ranks    []rankView
+	progress switchProgress
+	resendAt time.Time
 }
 
 // rankView is what the leader has heard of a rank. It is empty after a change of lead.
 type rankView struct {
-	heard  bool
-	status Status
+	reported bool
+	status   Status
 	// confirming is the incarnation for which a confirming entry is under way.
 	confirming uint64
 }
@@ -46,13 +46,13 @@
 	phaseAborting
 )
 
-// job is the switch that this leader drives.
-type job struct {
-	phase   phase
-	version Version
-	fence   Fence
-	step    Step
-	by      time.Time
+// switchProgress is the switch that this leader drives.
+type switchProgress struct {
+	phase    phase
+	version  Version
+	fence    Fence
+	step     Step
+	deadline time.Time
 }
 
 // ProposeError says why a proposal was not taken up.
@@ -79,10 +79,10 @@
 func (c *Coordinator) Lead(now time.Time) []Action {
 	c.leading = true
 	c.ranks = make([]rankView, c.Ranks)
-	c.job = job{}
-	c.tickAt = now
+	c.progress = switchProgress{}
+	c.resendAt = now
 	if c.record.Open.Fence != 0 {
-		c.job = job{phase: phaseAborting, version: c.record.Open.Version, fence: c.record.Open.Fence}
+		c.progress = switchProgress{phase: phaseAborting, version: c.record.Open.Version, fence: c.record.Open.Fence}
 	}
 
 	return c.Tick(now)
@@ -92,11 +92,11 @@
 func (c *Coordinator) Follow() []Action {
 	c.leading = false
 	c.ranks = nil
-	if c.job.phase == phaseIdle {
+	if c.progress.phase == phaseIdle {
 		return nil
 	}
-	v := c.job.version
-	c.job = job{}
+	v := c.progress.version
+	c.progress = switchProgress{}
 
 	return []Action{{Kind: ActionDone, Version: v, Outcome: Unknown}}
 }
@@ -106,71 +106,71 @@
 	switch {
 	case !c.leading:
 		return nil, &ProposeError{Version: v, Reason: "this VM does not lead"}
-	case c.job.phase != phaseIdle || c.record.Open.Fence != 0:
+	case c.progress.phase != phaseIdle || c.record.Open.Fence != 0:
 		return nil, &ProposeError{Version: v, Reason: "another switch is open"}
 	case v <= c.record.Current.Version:
 		return nil, &ProposeError{Version: v, Reason: "not newer than the ruling map"}
 	}
-	c.job = job{phase: phaseBeginning, version: v, by: now.Add(c.StageTimeout)}
-	c.tickAt = now
+	c.progress = switchProgress{phase: phaseBeginning, version: v, deadline: now.Add(c.StageTimeout)}
+	c.resendAt = now
 
 	return c.Tick(now), nil
 }
 
 // Apply takes in the entry at index of the log, on every VM, in order.
 func (c *Coordinator) Apply(now time.Time, index Fence, e Entry) []Action {
-	was := c.record
+	previous := c.record
 	c.record.Apply(index, e)
 	if !c.leading {
 		return nil
 	}
 
 	var out []Action
-	if was.Open != c.record.Open {
-		out = c.moved(now, was)
+	if previous.Open != c.record.Open {
+		out = c.onSwitchChanged(now, previous)
 	}
 	if e.Kind == EntryConfirm && e.Rank < len(c.ranks) {
-		out = c.confirmed(index, e, out)
+		out = c.onConfirmEntry(index, e, out)
 	}
 
 	return out
 }
 
-// moved follows a switch that opened or ended in the log.
-func (c *Coordinator) moved(now time.Time, was Record) []Action {
+// onSwitchChanged follows a switch that opened or ended in the log.
+func (c *Coordinator) onSwitchChanged(now time.Time, previous Record) []Action {
 	open := c.record.Open
-	c.tickAt = now
+	c.resendAt = now
 	switch {
-	case open.Fence != 0 && c.job.phase == phaseBeginning && c.job.version == open.Version:
-		c.job.phase, c.job.fence = phaseStaging, open.Fence
+	case open.Fence != 0 && c.progress.phase == phaseBeginning && c.progress.version == open.Version:
+		c.progress.phase, c.progress.fence = phaseStaging, open.Fence
 	case open.Fence != 0:
 		// An entry of an earlier lead arrived late. Nobody waits for it.
-		c.job = job{phase: phaseAborting, version: open.Version, fence: open.Fence}
+		c.progress = switchProgress{phase: phaseAborting, version: open.Version, fence: open.Fence}
 	default:
-		return c.ended(now, was.Open)
+		return c.onSwitchEnded(now, previous.Open)
 	}
 
 	return c.Tick(now)
 }
 
-func (c *Coordinator) ended(now time.Time, open Switch) []Action {
+func (c *Coordinator) onSwitchEnded(now time.Time, open Switch) []Action {
 	outcome := Aborted
 	if c.record.Current.Fence == open.Fence {
 		outcome = Committed
 	}
 	var out []Action
-	if c.job.fence == open.Fence {
-		c.job = job{}
+	if c.progress.fence == open.Fence {
+		c.progress = switchProgress{}
 		out = append(out, Action{Kind: ActionDone, Version: open.Version, Outcome: outcome})
 	}
 
 	return append(out, c.Tick(now)...)
 }
 
-// confirmed tells a rank which map rules. That the entry was applied shows that
+// onConfirmEntry tells a rank which map rules. That the entry was applied shows that
 // this VM led after the rank asked. A deposed leader cannot get here, so what it
 // believes to rule never reaches a rank that could not know better.
-func (c *Coordinator) confirmed(index Fence, e Entry, out []Action) []Action {
+func (c *Coordinator) onConfirmEntry(index Fence, e Entry, out []Action) []Action {
 	v := &c.ranks[e.Rank]
 	if v.confirming == e.Incarnation {
 		v.confirming = 0
@@ -179,7 +179,7 @@
 		return out
 	}
 
-	return append(out, c.order(OrderConfirm, e.Rank, index))
+	return append(out, c.newOrder(OrderConfirm, e.Rank, index))
 }
 
 // Receive takes in a rank's status.
@@ -188,7 +188,7 @@
 		return nil
 	}
 	v := &c.ranks[s.Rank]
-	if v.heard && s.Incarnation < v.status.Incarnation {
+	if v.reported && s.Incarnation < v.status.Incarnation {
 		return nil
 	}
 	if s.Incarnation > v.status.Incarnation {
@@ -201,8 +201,8 @@
 
 // merge takes the newer of each field: statuses may overtake each other.
 func (v *rankView) merge(s Status) {
-	if !v.heard {
-		v.heard, v.status = true, s
+	if !v.reported {
+		v.reported, v.status = true, s
 
 		return
 	}
@@ -218,32 +218,32 @@
 
 // advance moves the switch on as far as the ranks' statuses allow.
 func (c *Coordinator) advance(now time.Time) []Action {
-	switch c.job.phase {
+	switch c.progress.phase {
 	case phaseStaging, phasePreparing:
-		if c.lost() {
-			c.job.phase = phaseAborting
-			c.tickAt = now
+		if c.mustAbort() {
+			c.progress.phase = phaseAborting
+			c.resendAt = now
 		}
 	case phaseIdle, phaseBeginning, phaseCommitting, phaseAborting:
 	}
-	if c.job.phase == phaseStaging && c.all(func(s *Status) bool { return s.Staged == c.job.fence }) {
-		c.job.phase, c.job.by = phasePreparing, now.Add(c.PrepareTimeout)
-		c.job.step = c.joined() + max(1, c.Margin)
-		c.tickAt = now
+	if c.progress.phase == phaseStaging && c.allRanks(func(s *Status) bool { return s.Staged == c.progress.fence }) {
+		c.progress.phase, c.progress.deadline = phasePreparing, now.Add(c.PrepareTimeout)
+		c.progress.step = c.latestStep() + max(1, c.Margin)
+		c.resendAt = now
 	}
-	if c.job.phase == phasePreparing && c.all(func(s *Status) bool { return s.Promised == c.job.fence }) {
-		c.job.phase = phaseCommitting
-		c.tickAt = now
+	if c.progress.phase == phasePreparing && c.allRanks(func(s *Status) bool { return s.Promised == c.progress.fence }) {
+		c.progress.phase = phaseCommitting
+		c.resendAt = now
 	}
 
 	return c.Tick(now)
 }
 
-// lost reports whether a rank refused the switch or forgot what it staged.
-func (c *Coordinator) lost() bool {
+// mustAbort reports whether a rank refused the switch or forgot what it staged.
+func (c *Coordinator) mustAbort() bool {
 	for i := range c.ranks {
 		s := &c.ranks[i].status
-		if s.Refused == c.job.fence || (c.ranks[i].heard && !s.Confirmed) {
+		if s.Refused == c.progress.fence || (c.ranks[i].reported && !s.Confirmed) {
 			return true
 		}
 	}
@@ -251,9 +251,9 @@
 	return false
 }
 
-func (c *Coordinator) all(done func(*Status) bool) bool {
+func (c *Coordinator) allRanks(done func(*Status) bool) bool {
 	for i := range c.ranks {
-		if !c.ranks[i].heard || !done(&c.ranks[i].status) {
+		if !c.ranks[i].reported || !done(&c.ranks[i].status) {
 			return false
 		}
 	}
@@ -261,9 +261,9 @@
 	return true
 }
 
-// joined returns the latest step that any rank is known to have begun, or that
+// latestStep returns the latest step that any rank is known to have begun, or that
 // the present ruling begins at.
-func (c *Coordinator) joined() Step {
+func (c *Coordinator) latestStep() Step {
 	s := c.record.Current.Step
 	for i := range c.ranks {
 		s = max(s, c.ranks[i].status.Joined)
--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -18,21 +18,21 @@
 	// promised before it asks its peers.
 	PeerQueryInterval time.Duration
 
-	// known says that record is good enough to run by.
-	known  bool
-	record Record
-	// highest is the highest fencing number of an accepted order.
-	highest Fence
-	joined  Step
+	// confirmed says that record is good enough to run by.
+	confirmed bool
+	record    Record
+	// highestFence is the highest fencing number of an accepted order.
+	highestFence Fence
+	joined       Step
 	// loaded are the versions that the engine holds, wanted those asked for.
-	loaded, wanted versions
+	loaded, loading versionSet
 	// promise is the switch whose hold the engine was asked for.
 	promise promise
 	refused Fence
-	// running is the ruling that the engine was given last.
-	running  Activation
-	statusAt time.Time
-	askAt    time.Time
+	// engineActivation is the ruling that the engine was given last.
+	engineActivation Activation
+	nextStatus       time.Time
+	nextPeerQuery    time.Time
 }
 
 // promise is a hold that the engine stands by once Held.
@@ -43,8 +43,8 @@
 	Held    bool
 }
 
-// kept reports whether r came from the switch that was promised.
-func (m promise) kept(r Activation) bool {
+// matches reports whether r came from the switch that was promised.
+func (m promise) matches(r Activation) bool {
 	return m.Held && r.Fence == m.Fence && r.Version == m.Version && r.Step == m.Step
 }
 
@@ -57,17 +57,17 @@
 	// A lower number comes from a leader that has been replaced or from a
 	// message that was under way for long. Engines that ignore fencing numbers
 	// would obey it, so it ends here.
-	if o.Fence < p.highest {
+	if o.Fence < p.highestFence {
 		return p.report(now, nil)
 	}
-	p.highest = o.Fence
+	p.highestFence = o.Fence
 
 	var out []Action
 	if o.Kind == OrderConfirm {
 		out = p.confirm(o, out)
 	}
-	out = p.absorb(o.Record, out)
-	if !p.known {
+	out = p.mergeRecord(o.Record, out)
+	if !p.confirmed {
 		return p.report(now, out)
 	}
 	switch o.Kind {
@@ -85,38 +85,38 @@
 // record. The record is as new as the confirming entry, which was proposed
 // after this incarnation asked; no switch can have passed this rank since.
 func (p *Participant) confirm(o Order, out []Action) []Action {
-	if p.known || o.Record.AsOf < o.Fence || o.Record.Open.Fence != 0 {
+	if p.confirmed || o.Record.AsOf < o.Fence || o.Record.Open.Fence != 0 {
 		return out
 	}
-	p.known, p.record = true, o.Record
+	p.confirmed, p.record = true, o.Record
 
 	return p.run(out)
 }
 
 // run hands the ruling to the engine, which keeps no other maps.
 func (p *Participant) run(out []Action) []Action {
-	p.running = p.record.Current
-	p.wanted.keep(p.running.Version, p.running.Previous)
-	p.loaded.keep(p.running.Version, p.running.Previous)
+	p.engineActivation = p.record.Current
+	p.loading.retain(p.engineActivation.Version, p.engineActivation.Previous)
+	p.loaded.retain(p.engineActivation.Version, p.engineActivation.Previous)
 
-	return append(out, Action{Kind: ActionRun, Fence: p.highest, Activation: p.running})
+	return append(out, Action{Kind: ActionRun, Fence: p.highestFence, Activation: p.engineActivation})
 }
 
-// absorb takes in a newer record, and with it the end of a promised switch.
-func (p *Participant) absorb(r Record, out []Action) []Action {
-	if !p.known || r.AsOf <= p.record.AsOf {
+// mergeRecord takes in a newer record, and with it the end of a promised switch.
+func (p *Participant) mergeRecord(r Record, out []Action) []Action {
+	if !p.confirmed || r.AsOf <= p.record.AsOf {
 		return out
 	}
 	promised := p.promise
-	if r.Current != p.record.Current && !promised.kept(r.Current) {
+	if r.Current != p.record.Current && !promised.matches(r.Current) {
 		// No switch commits without this rank's promise. That one did means that
 		// this rank's memory is not to be trusted: it must not go on by it.
-		p.known, p.promise = false, promise{}
+		p.confirmed, p.promise = false, promise{}
 
-		return append(out, Action{Kind: ActionHold, Fence: p.highest})
+		return append(out, Action{Kind: ActionHold, Fence: p.highestFence})
 	}
 	p.record = r
-	if promised.Fence == 0 || !r.settled(promised.Fence) {
+	if promised.Fence == 0 || !r.decided(promised.Fence) {
 		return out
 	}
 	p.promise = promise{}
@@ -125,7 +125,7 @@
 }
 
 func (p *Participant) stage(o Order, out []Action) []Action {
-	if p.record.Open.Fence != o.Fence || p.loaded.has(o.Version) || p.wanted.has(o.Version) {
+	if p.record.Open.Fence != o.Fence || p.loaded.has(o.Version) || p.loading.has(o.Version) {
 		return out
 	}
 
@@ -133,13 +133,13 @@
 }
 
 func (p *Participant) load(v Version, out []Action) []Action {
-	p.wanted.add(v)
+	p.loading.add(v)
 
-	return append(out, Action{Kind: ActionLoad, Fence: p.highest, Version: v})
+	return append(out, Action{Kind: ActionLoad, Fence: p.highestFence, Version: v})
 }
 
 func (p *Participant) drop(v Version, out []Action) []Action {
-	p.wanted.remove(v)
+	p.loading.remove(v)
 	if !p.loaded.has(v) {
 		return out
 	}
@@ -160,7 +160,7 @@
 		return out
 	}
 	p.promise = promise{Fence: o.Fence, Version: open.Version, Step: o.Step}
-	p.askAt = now.Add(p.PeerQueryInterval)
+	p.nextPeerQuery = now.Add(p.PeerQueryInterval)
 
 	return append(out, Action{Kind: ActionHold, Fence: o.Fence, Step: o.Step})
 }
@@ -182,7 +182,7 @@
 
 // Loaded takes in whether the engine has fetched v.
 func (p *Participant) Loaded(now time.Time, v Version, ok bool) []Action {
-	if !p.wanted.has(v) {
+	if !p.loading.has(v) {
 		// It was dropped while it was being fetched.
 		if ok && !p.loaded.has(v) {
 			return []Action{{Kind: ActionDrop, Version: v}}
@@ -190,7 +190,7 @@
 
 		return nil
 	}
-	p.wanted.remove(v)
+	p.loading.remove(v)
 	if ok {
 		p.loaded.add(v)
 	}
@@ -201,7 +201,7 @@
 // Missing takes in that the engine's next step needs v, which it has not loaded.
 func (p *Participant) Missing(v Version) []Action {
 	p.loaded.remove(v)
-	if !p.known || p.wanted.has(v) {
+	if !p.confirmed || p.loading.has(v) {
 		return nil
 	}
 
@@ -211,11 +211,11 @@
 // Joined takes in that the engine has begun step s with the map that rules there.
 func (p *Participant) Joined(s Step) []Action {
 	p.joined = max(p.joined, s)
-	if !p.known {
+	if !p.confirmed {
 		return nil
 	}
-	p.loaded.add(p.running.VersionAt(s))
-	if before := p.running.Previous; before != 0 && s >= p.running.Step && before != p.running.Version {
+	p.loaded.add(p.engineActivation.VersionAt(s))
+	if before := p.engineActivation.Previous; before != 0 && s >= p.engineActivation.Step && before != p.engineActivation.Version {
 		return p.drop(before, nil)
 	}
 
@@ -235,7 +235,7 @@
 
 // HandlePeerQuery answers a peer that waits for the end of a switch.
 func (p *Participant) HandlePeerQuery(peer int) []Action {
-	if !p.known {
+	if !p.confirmed {
 		return nil
 	}
 
@@ -245,7 +245,7 @@
 // HandlePeerRecord takes in a peer's answer. It may end a promised switch, but never tells
 // a rank that does not know which map rules: the peer's word may be old.
 func (p *Participant) HandlePeerRecord(now time.Time, r Record) []Action {
-	if out := p.absorb(r, nil); out != nil {
+	if out := p.mergeRecord(r, nil); out != nil {
 		return p.report(now, out)
 	}
 
@@ -255,11 +255,11 @@
 // Tick reports when it is time, and asks the peers while a promised switch stays open.
 func (p *Participant) Tick(now time.Time) []Action {
 	var out []Action
-	if p.promise.Fence != 0 && !now.Before(p.askAt) {
-		p.askAt = now.Add(p.PeerQueryInterval)
+	if p.promise.Fence != 0 && !now.Before(p.nextPeerQuery) {
+		p.nextPeerQuery = now.Add(p.PeerQueryInterval)
 		out = append(out, Action{Kind: ActionQueryPeers, Fence: p.promise.Fence})
 	}
-	if now.Before(p.statusAt) {
+	if now.Before(p.nextStatus) {
 		return out
 	}
 
@@ -268,10 +268,10 @@
 
 // report adds the rank's status to out.
 func (p *Participant) report(now time.Time, out []Action) []Action {
-	p.statusAt = now.Add(p.StatusInterval)
+	p.nextStatus = now.Add(p.StatusInterval)
 	s := Status{
-		Rank: p.Rank, Incarnation: p.Incarnation, Confirmed: p.known,
-		Joined: p.joined, Refused: p.refused, AsOf: p.record.AsOf, HighestFence: p.highest,
+		Rank: p.Rank, Incarnation: p.Incarnation, Confirmed: p.confirmed,
+		Joined: p.joined, Refused: p.refused, AsOf: p.record.AsOf, HighestFence: p.highestFence,
 	}
 	if open := p.record.Open; open.Fence != 0 && p.loaded.has(open.Version) {
 		s.Staged = open.Fence
--- a/internal/expertmap/participant_test.go
+++ b/internal/expertmap/participant_test.go
@@ -10,30 +10,30 @@
 )
 
 var (
-	start  = time.Unix(0, 0)
-	first  = Record{AsOf: 5, Current: Activation{Version: 1, Previous: 1}}
-	opened = Record{AsOf: 8, Current: first.Current, Open: Switch{Fence: 8, Version: 2}}
+	startTime   = time.Unix(0, 0)
+	firstRecord = Record{AsOf: 5, Current: Activation{Version: 1, Previous: 1}}
+	openRecord  = Record{AsOf: 8, Current: firstRecord.Current, Open: Switch{Fence: 8, Version: 2}}
 )
 
-func order(k OrderKind, f Fence, r Record) Order {
+func newTestOrder(k OrderKind, f Fence, r Record) Order {
 	return Order{Kind: k, Rank: 3, Incarnation: 1 << 32, Fence: f, Version: r.Open.Version, Step: 100, Record: r}
 }
 
-// member returns a rank that runs map 1.
-func member() *Participant {
+// confirmedRank returns a rank that runs map 1.
+func confirmedRank() *Participant {
 	p := &Participant{Rank: 3, Incarnation: 1 << 32}
-	p.Receive(start, order(OrderConfirm, 5, first))
+	p.Receive(startTime, newTestOrder(OrderConfirm, 5, firstRecord))
 
 	return p
 }
 
-// holding returns a rank whose engine holds at step 100 for the switch to map 2.
-func holding() *Participant {
-	p := member()
-	p.Receive(start, order(OrderStage, 8, opened))
-	p.Loaded(start, 2, true)
-	p.Receive(start, order(OrderPrepare, 8, opened))
-	p.Held(start, 8, true)
+// holdingRank returns a rank whose engine holds at step 100 for the switch to map 2.
+func holdingRank() *Participant {
+	p := confirmedRank()
+	p.Receive(startTime, newTestOrder(OrderStage, 8, openRecord))
+	p.Loaded(startTime, 2, true)
+	p.Receive(startTime, newTestOrder(OrderPrepare, 8, openRecord))
+	p.Held(startTime, 8, true)
 
 	return p
 }
@@ -50,10 +50,10 @@
 	t.Parallel()
 
 	committed := Record{AsOf: 9, Current: Activation{Version: 2, Step: 100, Previous: 1, Fence: 8}}
-	foreign := Record{AsOf: 9, Current: Activation{Version: 2, Step: 100, Previous: 1, Fence: 7}}
-	aborted := Record{AsOf: 9, Current: first.Current}
-	other := order(OrderInform, 9, committed)
-	other.Incarnation++
+	otherSwitch := Record{AsOf: 9, Current: Activation{Version: 2, Step: 100, Previous: 1, Fence: 7}}
+	aborted := Record{AsOf: 9, Current: firstRecord.Current}
+	otherIncarnation := newTestOrder(OrderInform, 9, committed)
+	otherIncarnation.Incarnation++
 	cases := []struct {
 		name string
 		p    *Participant
@@ -61,23 +61,23 @@
 		want []ActionKind
 		v    Version // that rules at step 100 afterwards, 0 for none known
 	}{
-		{"stage", member(), order(OrderStage, 8, opened), []ActionKind{ActionLoad, ActionStatus}, 1},
-		{"stage again", holding(), order(OrderStage, 8, opened), []ActionKind{ActionStatus}, 1},
-		{"prepare before staged", member(), order(OrderPrepare, 8, opened), []ActionKind{ActionStatus}, 1},
-		{"prepare again", holding(), order(OrderPrepare, 8, opened), []ActionKind{ActionStatus}, 1},
-		{"committed", holding(), order(OrderInform, 9, committed), []ActionKind{ActionRun, ActionStatus}, 2},
-		{"aborted", holding(), order(OrderInform, 9, aborted), []ActionKind{ActionRun, ActionStatus}, 1},
-		{"still open, later log", holding(), order(OrderPrepare, 8, Record{AsOf: 9, Current: first.Current, Open: opened.Open}), []ActionKind{ActionStatus}, 1},
-		{"committed without this rank", member(), order(OrderInform, 9, committed), []ActionKind{ActionHold, ActionStatus}, 0},
-		{"another switch committed", holding(), order(OrderInform, 9, foreign), []ActionKind{ActionHold, ActionStatus}, 0},
-		{"old fencing number", holding(), order(OrderInform, 7, committed), []ActionKind{ActionStatus}, 1},
-		{"other incarnation", holding(), other, []ActionKind{ActionStatus}, 1},
-		{"confirm from an open switch", &Participant{Rank: 3, Incarnation: 1 << 32}, order(OrderConfirm, 8, opened), []ActionKind{ActionStatus}, 0},
-		{"inform a rank that knows nothing", &Participant{Rank: 3, Incarnation: 1 << 32}, order(OrderInform, 9, committed), []ActionKind{ActionStatus}, 0},
+		{"stage", confirmedRank(), newTestOrder(OrderStage, 8, openRecord), []ActionKind{ActionLoad, ActionStatus}, 1},
+		{"stage again", holdingRank(), newTestOrder(OrderStage, 8, openRecord), []ActionKind{ActionStatus}, 1},
+		{"prepare before staged", confirmedRank(), newTestOrder(OrderPrepare, 8, openRecord), []ActionKind{ActionStatus}, 1},
+		{"prepare again", holdingRank(), newTestOrder(OrderPrepare, 8, openRecord), []ActionKind{ActionStatus}, 1},
+		{"committed", holdingRank(), newTestOrder(OrderInform, 9, committed), []ActionKind{ActionRun, ActionStatus}, 2},
+		{"aborted", holdingRank(), newTestOrder(OrderInform, 9, aborted), []ActionKind{ActionRun, ActionStatus}, 1},
+		{"still open, later log", holdingRank(), newTestOrder(OrderPrepare, 8, Record{AsOf: 9, Current: firstRecord.Current, Open: openRecord.Open}), []ActionKind{ActionStatus}, 1},
+		{"committed without this rank", confirmedRank(), newTestOrder(OrderInform, 9, committed), []ActionKind{ActionHold, ActionStatus}, 0},
+		{"another switch committed", holdingRank(), newTestOrder(OrderInform, 9, otherSwitch), []ActionKind{ActionHold, ActionStatus}, 0},
+		{"old fencing number", holdingRank(), newTestOrder(OrderInform, 7, committed), []ActionKind{ActionStatus}, 1},
+		{"other incarnation", holdingRank(), otherIncarnation, []ActionKind{ActionStatus}, 1},
+		{"confirm from an open switch", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderConfirm, 8, openRecord), []ActionKind{ActionStatus}, 0},
+		{"inform a rank that knows nothing", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderInform, 9, committed), []ActionKind{ActionStatus}, 0},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, kinds(c.p.Receive(start, c.o)), c.name)
-		require.Equal(t, c.v != 0, c.p.known, c.name)
+		require.Equal(t, c.want, kinds(c.p.Receive(startTime, c.o)), c.name)
+		require.Equal(t, c.v != 0, c.p.confirmed, c.name)
 		if c.v != 0 {
 			require.Equal(t, c.v, c.p.record.Current.VersionAt(100), c.name)
 		}
@@ -93,14 +93,14 @@
 		e    Entry
 		want Record
 	}{
-		{"begin", first, Entry{Kind: EntryBegin, Version: 2}, Record{AsOf: 20, Current: first.Current, Open: Switch{Fence: 20, Version: 2}}},
-		{"begin an old map", first, Entry{Kind: EntryBegin, Version: 1}, Record{AsOf: 20, Current: first.Current}},
-		{"begin twice", opened, Entry{Kind: EntryBegin, Version: 3}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
-		{"commit", opened, Entry{Kind: EntryCommit, Fence: 8, Step: 9}, Record{AsOf: 20, Current: Activation{Version: 2, Step: 9, Previous: 1, Fence: 8}}},
-		{"commit of another", opened, Entry{Kind: EntryCommit, Fence: 7, Step: 9}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
-		{"commit after abort", first, Entry{Kind: EntryCommit, Fence: 0, Step: 9}, Record{AsOf: 20, Current: first.Current}},
-		{"abort", opened, Entry{Kind: EntryAbort, Fence: 8}, Record{AsOf: 20, Current: first.Current}},
-		{"abort of another", opened, Entry{Kind: EntryAbort, Fence: 7}, Record{AsOf: 20, Current: first.Current, Open: opened.Open}},
+		{"begin", firstRecord, Entry{Kind: EntryBegin, Version: 2}, Record{AsOf: 20, Current: firstRecord.Current, Open: Switch{Fence: 20, Version: 2}}},
+		{"begin an old map", firstRecord, Entry{Kind: EntryBegin, Version: 1}, Record{AsOf: 20, Current: firstRecord.Current}},
+		{"begin twice", openRecord, Entry{Kind: EntryBegin, Version: 3}, Record{AsOf: 20, Current: firstRecord.Current, Open: openRecord.Open}},
+		{"commit", openRecord, Entry{Kind: EntryCommit, Fence: 8, Step: 9}, Record{AsOf: 20, Current: Activation{Version: 2, Step: 9, Previous: 1, Fence: 8}}},
+		{"commit of another", openRecord, Entry{Kind: EntryCommit, Fence: 7, Step: 9}, Record{AsOf: 20, Current: firstRecord.Current, Open: openRecord.Open}},
+		{"commit after abort", firstRecord, Entry{Kind: EntryCommit, Fence: 0, Step: 9}, Record{AsOf: 20, Current: firstRecord.Current}},
+		{"abort", openRecord, Entry{Kind: EntryAbort, Fence: 8}, Record{AsOf: 20, Current: firstRecord.Current}},
+		{"abort of another", openRecord, Entry{Kind: EntryAbort, Fence: 7}, Record{AsOf: 20, Current: firstRecord.Current, Open: openRecord.Open}},
 	}
 	for _, c := range cases {
 		r := c.from
@@ -111,19 +111,19 @@
 	}
 }
 
-func TestProposeRefuses(t *testing.T) {
+func TestProposeErrors(t *testing.T) {
 	t.Parallel()
 
 	c := &Coordinator{Ranks: 1, StageTimeout: time.Minute}
-	c.Start(first)
-	_, err := c.Propose(start, 2)
+	c.Start(firstRecord)
+	_, err := c.Propose(startTime, 2)
 	require.EqualError(t, err, "expert map 2: this VM does not lead")
-	c.Lead(start)
-	_, err = c.Propose(start, 1)
+	c.Lead(startTime)
+	_, err = c.Propose(startTime, 1)
 	require.EqualError(t, err, "expert map 1: not newer than the ruling map")
-	_, err = c.Propose(start, 2)
+	_, err = c.Propose(startTime, 2)
 	require.NoError(t, err)
-	_, err = c.Propose(start, 3)
+	_, err = c.Propose(startTime, 3)
 	require.EqualError(t, err, "expert map 3: another switch is open")
 	require.Equal(t, []Action{{Kind: ActionDone, Version: 2, Outcome: Unknown}}, c.Follow())
 }
--- a/internal/expertmap/record.go
+++ b/internal/expertmap/record.go
@@ -51,8 +51,8 @@
 	Open    Switch
 }
 
-// settled reports whether the switch with this number is decided, as far as r knows.
-func (r *Record) settled(f Fence) bool { return r.AsOf >= f && r.Open.Fence != f }
+// decided reports whether the switch with this number is decided, as far as r knows.
+func (r *Record) decided(f Fence) bool { return r.AsOf >= f && r.Open.Fence != f }
 
 // EntryKind names what a log entry does.
 type EntryKind uint8
--- a/internal/expertmap/resend.go
+++ b/internal/expertmap/resend.go
@@ -9,48 +9,48 @@
 	if !c.leading {
 		return nil
 	}
-	out := c.expire(now)
-	if now.Before(c.tickAt) {
+	out := c.abortExpired(now)
+	if now.Before(c.resendAt) {
 		return out
 	}
-	c.tickAt = now.Add(c.ResendInterval)
-	out = c.appendAgain(out)
+	c.resendAt = now.Add(c.ResendInterval)
+	out = c.appendPending(out)
 	for r := range c.ranks {
-		out = c.orderAgain(r, out)
+		out = c.resendOrder(r, out)
 	}
 
 	return out
 }
 
-// expire aborts a switch that has used up its time. A switch whose commit is
+// abortExpired aborts a switch that has used up its time. A switch whose commit is
 // under way is left to the log.
-func (c *Coordinator) expire(now time.Time) []Action {
-	if c.job.phase == phaseIdle || c.job.by.IsZero() || now.Before(c.job.by) {
+func (c *Coordinator) abortExpired(now time.Time) []Action {
+	if c.progress.phase == phaseIdle || c.progress.deadline.IsZero() || now.Before(c.progress.deadline) {
 		return nil
 	}
-	v := c.job.version
-	switch c.job.phase {
+	v := c.progress.version
+	switch c.progress.phase {
 	case phaseBeginning:
-		c.job = job{}
+		c.progress = switchProgress{}
 
 		return []Action{{Kind: ActionDone, Version: v, Outcome: Aborted}}
 	case phaseStaging, phasePreparing:
-		c.job.phase = phaseAborting
-		c.tickAt = now
+		c.progress.phase = phaseAborting
+		c.resendAt = now
 	case phaseIdle, phaseCommitting, phaseAborting:
 	}
 
 	return nil
 }
 
-// appendAgain proposes the entry that the switch waits for.
-func (c *Coordinator) appendAgain(out []Action) []Action {
-	e := Entry{Fence: c.job.fence}
-	switch c.job.phase {
+// appendPending proposes the entry that the switch waits for.
+func (c *Coordinator) appendPending(out []Action) []Action {
+	e := Entry{Fence: c.progress.fence}
+	switch c.progress.phase {
 	case phaseBeginning:
-		e = Entry{Kind: EntryBegin, Version: c.job.version}
+		e = Entry{Kind: EntryBegin, Version: c.progress.version}
 	case phaseCommitting:
-		e.Kind, e.Step = EntryCommit, c.job.step
+		e.Kind, e.Step = EntryCommit, c.progress.step
 	case phaseAborting:
 		e.Kind = EntryAbort
 	case phaseIdle, phaseStaging, phasePreparing:
@@ -60,12 +60,12 @@
 	return append(out, Action{Kind: ActionAppend, Entry: e})
 }
 
-// orderAgain sends rank r what it lacks.
-func (c *Coordinator) orderAgain(r int, out []Action) []Action {
+// resendOrder sends rank r what it lacks.
+func (c *Coordinator) resendOrder(r int, out []Action) []Action {
 	v := &c.ranks[r]
 	s := &v.status
 	switch {
-	case !v.heard:
+	case !v.reported:
 		return out
 	case !s.Confirmed:
 		if c.record.Open.Fence != 0 {
@@ -75,19 +75,19 @@
 
 		return append(out, Action{Kind: ActionAppend, Entry: Entry{Kind: EntryConfirm, Rank: r, Incarnation: s.Incarnation}})
 	case c.record.Open.Fence == 0 && s.AsOf < c.record.AsOf:
-		return append(out, c.order(OrderInform, r, c.record.AsOf))
-	case c.job.phase == phaseStaging && s.Staged != c.job.fence:
-		return append(out, c.order(OrderStage, r, c.job.fence))
-	case c.job.phase == phasePreparing && s.Promised != c.job.fence:
-		return append(out, c.order(OrderPrepare, r, c.job.fence))
+		return append(out, c.newOrder(OrderInform, r, c.record.AsOf))
+	case c.progress.phase == phaseStaging && s.Staged != c.progress.fence:
+		return append(out, c.newOrder(OrderStage, r, c.progress.fence))
+	case c.progress.phase == phasePreparing && s.Promised != c.progress.fence:
+		return append(out, c.newOrder(OrderPrepare, r, c.progress.fence))
 	}
 
 	return out
 }
 
-func (c *Coordinator) order(k OrderKind, r int, f Fence) Action {
+func (c *Coordinator) newOrder(k OrderKind, r int, f Fence) Action {
 	return Action{Kind: ActionOrder, Order: Order{
 		Kind: k, Rank: r, Incarnation: c.ranks[r].status.Incarnation,
-		Fence: f, Version: c.record.Open.Version, Step: c.job.step, Record: c.record,
+		Fence: f, Version: c.record.Open.Version, Step: c.progress.step, Record: c.record,
 	}}
 }
--- a/internal/expertmap/group_test.go
+++ b/internal/expertmap/simulation_test.go
@@ -19,43 +19,43 @@
 	leader  int // -1: none
 	ranks   []*rank
 	step    Step
-	// rules is the map with which the present step was begun first.
-	rules Version
-	sent  []func()
-	// drop, twice and slow are the network's faults, each as a probability.
-	drop, twice, slow float64
-	// isolated control VMs hear nothing of the log until then, but still reach the ranks.
-	isolated [3]time.Time
-	// stalled is until when the log takes in nothing; what was appended then follows in any order.
-	stalled time.Time
-	done    []Action
-	fault   error
+	// stepVersion is the map with which the present step was begun first.
+	stepVersion Version
+	sent        []func()
+	// dropRate, twice and slow are the network's faults, each as a probability.
+	dropRate, duplicateRate, delayRate float64
+	// isolatedUntil control VMs hear nothing of the log until then, but still reach the ranks.
+	isolatedUntil [3]time.Time
+	// logStalledUntil is until when the log takes in nothing; what was appended then follows in any order.
+	logStalledUntil time.Time
+	done            []Action
+	fault           error
 }
 
 // rank is one engine and its agent.
 type rank struct {
-	id      int
-	agent   *Participant
-	boots   uint64
-	ruling  *Activation
-	hold    Step
-	loaded  map[Version]bool
-	begun   bool
-	silent  time.Time // neither engine nor agent does anything until then
-	version Version   // of the last step begun
+	id                int
+	agent             *Participant
+	boots             uint64
+	ruling            *Activation
+	hold              Step
+	loaded            map[Version]bool
+	begun             bool
+	unresponsiveUntil time.Time // neither engine nor agent does anything until then
+	lastVersion       Version   // of the last step begun
 }
 
 type event struct {
-	at time.Time
-	n  int
-	do func()
+	at       time.Time
+	tieBreak int
+	do       func()
 }
 
 type events []event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(i, j int) bool {
-	return q[i].at.Before(q[j].at) || (q[i].at.Equal(q[j].at) && q[i].n < q[j].n)
+	return q[i].at.Before(q[j].at) || (q[i].at.Equal(q[j].at) && q[i].tieBreak < q[j].tieBreak)
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
@@ -66,7 +66,7 @@
 	return x
 }
 
-const tick = 5 * time.Millisecond
+const tickInterval = 5 * time.Millisecond
 
 func newGroup(seed uint64, ranks int) *group {
 	g := &group{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1, 0), leader: -1, step: 1}
@@ -78,7 +78,7 @@
 		g.ranks = append(g.ranks, &rank{id: i, loaded: map[Version]bool{}})
 		g.restartAgent(i)
 	}
-	g.lead(0)
+	g.setLeader(0)
 
 	return g
 }
@@ -103,26 +103,26 @@
 func (g *group) restartEngine(i int) {
 	r := g.ranks[i]
 	r.ruling, r.hold, r.begun, r.loaded = nil, 0, false, map[Version]bool{}
-	g.rankActs(r, r.agent.EngineRestarted(g.now))
+	g.doRankActions(r, r.agent.EngineRestarted(g.now))
 }
 
-// lead makes node i the leader; the former one learns that late.
-func (g *group) lead(i int) {
-	former := g.leader
-	if former == i {
+// setLeader makes node i the leader; the former one learns that late.
+func (g *group) setLeader(i int) {
+	previous := g.leader
+	if previous == i {
 		return
 	}
 	if g.leader = i; i >= 0 {
-		g.isolated[i] = time.Time{}
-		g.catchUp(i)
-		g.nodeActs(i, g.nodes[i].Lead(g.now))
+		g.isolatedUntil[i] = time.Time{}
+		g.applyLog(i)
+		g.doNodeActions(i, g.nodes[i].Lead(g.now))
 	}
-	if former >= 0 {
-		c := g.nodes[former]
-		late := max(g.isolated[former].Sub(g.now), 0) + g.upTo(time.Second)
-		g.after(late, func() {
-			if g.nodes[former] == c && g.leader != former {
-				g.nodeActs(former, c.Follow())
+	if previous >= 0 {
+		c := g.nodes[previous]
+		delay := max(g.isolatedUntil[previous].Sub(g.now), 0) + g.randomDuration(time.Second)
+		g.after(delay, func() {
+			if g.nodes[previous] == c && g.leader != previous {
+				g.doNodeActions(previous, c.Follow())
 			}
 		})
 	}
@@ -131,60 +131,62 @@
 // isolate cuts the leader off from the log without a word; node i takes over.
 func (g *group) isolate(i int, d time.Duration) {
 	if g.leader >= 0 && g.leader != i {
-		g.isolated[g.leader] = g.now.Add(d)
+		g.isolatedUntil[g.leader] = g.now.Add(d)
 	}
-	g.lead(i)
+	g.setLeader(i)
 }
 
-func (g *group) catchUp(i int) {
-	if g.now.Before(g.isolated[i]) {
+func (g *group) applyLog(i int) {
+	if g.now.Before(g.isolatedUntil[i]) {
 		return
 	}
 	for g.applied[i] < len(g.log) {
 		g.applied[i]++
-		g.nodeActs(i, g.nodes[i].Apply(g.now, Fence(g.applied[i]), g.log[g.applied[i]-1]))
+		g.doNodeActions(i, g.nodes[i].Apply(g.now, Fence(g.applied[i]), g.log[g.applied[i]-1]))
 	}
 }
 
 func (g *group) after(d time.Duration, do func()) {
-	heap.Push(&g.events, event{at: g.now.Add(d), n: g.rng.Int(), do: do})
+	heap.Push(&g.events, event{at: g.now.Add(d), tieBreak: g.rng.Int(), do: do})
 }
 
-func (g *group) upTo(d time.Duration) time.Duration { return time.Duration(g.rng.Int64N(int64(d))) }
+func (g *group) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(g.rng.Int64N(int64(d)))
+}
 
 // send delivers by the network's will: never, once, twice, soon or very late.
 func (g *group) send(deliver func()) {
 	g.sent = append(g.sent, deliver)
-	if g.rng.Float64() < g.drop {
+	if g.rng.Float64() < g.dropRate {
 		return
 	}
-	delay := g.upTo(4 * time.Millisecond)
-	if g.rng.Float64() < g.slow {
-		delay = g.upTo(4 * time.Second)
+	delay := g.randomDuration(4 * time.Millisecond)
+	if g.rng.Float64() < g.delayRate {
+		delay = g.randomDuration(4 * time.Second)
 	}
 	g.after(delay, deliver)
-	if g.rng.Float64() < g.twice {
-		g.after(g.upTo(4*time.Second), deliver)
+	if g.rng.Float64() < g.duplicateRate {
+		g.after(g.randomDuration(4*time.Second), deliver)
 	}
 }
 
-// replay delivers everything that was ever sent once more.
-func (g *group) replay() {
+// redeliverAll delivers everything that was ever sent once more.
+func (g *group) redeliverAll() {
 	for _, deliver := range g.sent {
-		g.after(g.upTo(2*time.Second), deliver)
+		g.after(g.randomDuration(2*time.Second), deliver)
 	}
 }
 
-func (g *group) nodeActs(i int, actions []Action) {
+func (g *group) doNodeActions(i int, actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case ActionAppend:
 			// The entry of a deposed leader is never committed.
-			delay := g.upTo(4 * time.Millisecond)
-			if g.rng.Float64() < g.slow {
-				delay = g.upTo(time.Second)
+			delay := g.randomDuration(4 * time.Millisecond)
+			if g.rng.Float64() < g.delayRate {
+				delay = g.randomDuration(time.Second)
 			}
-			delay += max(0, g.stalled.Sub(g.now))
+			delay += max(0, g.logStalledUntil.Sub(g.now))
 			g.after(delay, func() {
 				if g.leader == i {
 					g.log = append(g.log, a.Entry)
@@ -193,8 +195,8 @@
 		case ActionOrder:
 			g.send(func() {
 				r := g.ranks[a.Order.Rank]
-				if !g.now.Before(r.silent) {
-					g.rankActs(r, r.agent.Receive(g.now, a.Order))
+				if !g.now.Before(r.unresponsiveUntil) {
+					g.doRankActions(r, r.agent.Receive(g.now, a.Order))
 				}
 			})
 		case ActionDone:
@@ -203,29 +205,29 @@
 	}
 }
 
-func (g *group) rankActs(r *rank, actions []Action) {
+func (g *group) doRankActions(r *rank, actions []Action) {
 	agent := r.agent
-	boots, loads := agent.Incarnation, r.loaded
+	incarnation, loads := agent.Incarnation, r.loaded
 	for _, a := range actions {
 		switch a.Kind {
 		case ActionStatus:
 			g.send(func() {
 				for i := range g.nodes {
-					g.nodeActs(i, g.nodes[i].Receive(g.now, a.Status))
+					g.doNodeActions(i, g.nodes[i].Receive(g.now, a.Status))
 				}
 			})
 		case ActionQueryPeers:
 			for _, peer := range g.ranks {
-				g.send(func() { g.rankActs(peer, peer.agent.HandlePeerQuery(r.id)) })
+				g.send(func() { g.doRankActions(peer, peer.agent.HandlePeerQuery(r.id)) })
 			}
 		case ActionAnswerPeer:
 			to := g.ranks[a.Peer]
-			g.send(func() { g.rankActs(to, to.agent.HandlePeerRecord(g.now, a.Record)) })
+			g.send(func() { g.doRankActions(to, to.agent.HandlePeerRecord(g.now, a.Record)) })
 		case ActionLoad:
-			g.after(g.upTo(100*time.Millisecond), func() {
+			g.after(g.randomDuration(100*time.Millisecond), func() {
 				loads[a.Version] = true
-				if r.agent == agent && agent.Incarnation == boots {
-					g.rankActs(r, agent.Loaded(g.now, a.Version, true))
+				if r.agent == agent && agent.Incarnation == incarnation {
+					g.doRankActions(r, agent.Loaded(g.now, a.Version, true))
 				}
 			})
 		case ActionDrop:
@@ -253,30 +255,30 @@
 	if ok {
 		r.hold = at
 	}
-	g.rankActs(r, r.agent.Held(g.now, a.Fence, ok))
+	g.doRankActions(r, r.agent.Held(g.now, a.Fence, ok))
 }
 
-// begin lets an engine begin the group's present step if its orders allow.
-func (g *group) begin(r *rank) {
-	if r.begun || r.ruling == nil || (r.hold != 0 && g.step >= r.hold) || g.now.Before(r.silent) {
+// beginStep lets an engine begin the group's present step if its orders allow.
+func (g *group) beginStep(r *rank) {
+	if r.begun || r.ruling == nil || (r.hold != 0 && g.step >= r.hold) || g.now.Before(r.unresponsiveUntil) {
 		return
 	}
 	v := r.ruling.VersionAt(g.step)
 	if !r.loaded[v] {
-		g.rankActs(r, r.agent.Missing(v))
+		g.doRankActions(r, r.agent.Missing(v))
 
 		return
 	}
-	if g.rules != 0 && g.rules != v && g.fault == nil {
-		g.fault = fmt.Errorf("step %d: rank %d computes with map %d, another with %d", g.step, r.id, v, g.rules)
+	if g.stepVersion != 0 && g.stepVersion != v && g.fault == nil {
+		g.fault = fmt.Errorf("step %d: rank %d computes with map %d, another with %d", g.step, r.id, v, g.stepVersion)
 	}
-	g.rules, r.begun, r.version = v, true, v
-	g.rankActs(r, r.agent.Joined(g.step))
+	g.stepVersion, r.begun, r.lastVersion = v, true, v
+	g.doRankActions(r, r.agent.Joined(g.step))
 }
 
 // run passes d of virtual time, or less once until holds.
 func (g *group) run(d time.Duration, until func() bool) bool {
-	for end := g.now.Add(d); g.now.Before(end) && g.fault == nil; g.now = g.now.Add(tick) {
+	for end := g.now.Add(d); g.now.Before(end) && g.fault == nil; g.now = g.now.Add(tickInterval) {
 		for len(g.events) > 0 && !g.events[0].at.After(g.now) {
 			heap.Pop(&g.events).(event).do()
 			if until != nil && until() {
@@ -285,11 +287,11 @@
 		}
 		for i := range g.nodes {
 			if i == g.leader || g.rng.Float64() < 0.2 {
-				g.catchUp(i)
+				g.applyLog(i)
 			}
-			g.nodeActs(i, g.nodes[i].Tick(g.now))
+			g.doNodeActions(i, g.nodes[i].Tick(g.now))
 		}
-		g.lockStep()
+		g.advanceStep()
 		if until != nil && until() {
 			return true
 		}
@@ -298,15 +300,15 @@
 	return false
 }
 
-func (g *group) lockStep() {
+func (g *group) advanceStep() {
 	all := true
 	for _, i := range g.rng.Perm(len(g.ranks)) {
 		r := g.ranks[i]
-		if !g.now.Before(r.silent) {
-			g.rankActs(r, r.agent.Tick(g.now))
+		if !g.now.Before(r.unresponsiveUntil) {
+			g.doRankActions(r, r.agent.Tick(g.now))
 		}
 		if g.rng.Float64() < 0.7 {
-			g.begin(r)
+			g.beginStep(r)
 		}
 		all = all && r.begun
 	}
@@ -317,7 +319,7 @@
 		r.begun = false
 	}
 	g.step++
-	g.rules = 0
+	g.stepVersion = 0
 }
 
 // propose asks the leader for version v.
@@ -326,6 +328,6 @@
 		return
 	}
 	if out, err := g.nodes[g.leader].Propose(g.now, v); err == nil {
-		g.nodeActs(g.leader, out)
+		g.doNodeActions(g.leader, out)
 	}
 }
--- a/internal/expertmap/versions.go
+++ b/internal/expertmap/versions.go
@@ -1,9 +1,9 @@
 package expertmap
 
-// versions is a small set of map versions: an engine holds two or three.
-type versions []Version
+// versionSet is a small set of map versions: an engine holds two or three.
+type versionSet []Version
 
-func (s *versions) has(v Version) bool {
+func (s *versionSet) has(v Version) bool {
 	for _, x := range *s {
 		if x == v {
 			return true
@@ -13,23 +13,23 @@
 	return false
 }
 
-func (s *versions) add(v Version) {
+func (s *versionSet) add(v Version) {
 	if !s.has(v) {
 		*s = append(*s, v)
 	}
 }
 
-func (s *versions) keep(a, b Version) {
-	had := *s
+func (s *versionSet) retain(a, b Version) {
+	old := *s
 	*s = nil
-	for _, x := range had {
+	for _, x := range old {
 		if x == a || x == b {
 			s.add(x)
 		}
 	}
 }
 
-func (s *versions) remove(v Version) {
+func (s *versionSet) remove(v Version) {
 	for i, x := range *s {
 		if x == v {
 			*s = append((*s)[:i], (*s)[i+1:]...)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,8 +9,8 @@
 
 func policies() []policy {
 	packed := false
-	former := &placement.Former{Planner: *newPlanner()}
-	former.StorePrice = 0 // it knew none
+	baseline := &placement.BaselinePlanner{Planner: *newPlanner()}
+	baseline.StorePrice = 0 // it knew none
 	return []policy{
 		{name: "even", decide: func(time.Time, *placement.Group) *placement.Map { return nil }},
 		{name: "static", instant: true, decide: func(now time.Time, g *placement.Group) *placement.Map {
@@ -23,12 +23,12 @@
 		}},
 		{name: "scratch-instant", decide: greedy, instant: true},
 		{name: "scratch", decide: greedy},
-		{name: "former", decide: func(_ time.Time, g *placement.Group) *placement.Map { return former.Decide(g) }},
-		{name: "planner", decide: planned(newPlanner())},
+		{name: "former", decide: func(_ time.Time, g *placement.Group) *placement.Map { return baseline.Decide(g) }},
+		{name: "planner", decide: decideWith(newPlanner())},
 	}
 }
 
-func planned(p *placement.Planner) func(time.Time, *placement.Group) *placement.Map {
+func decideWith(p *placement.Planner) func(time.Time, *placement.Group) *placement.Map {
 	return func(now time.Time, g *placement.Group) *placement.Map {
 		d, err := p.Decide(now, g)
 		if err != nil {
@@ -41,12 +41,12 @@
 
 // BenchmarkSkew plays every policy through every scene of four hours.
 func BenchmarkSkew(b *testing.B) {
-	for _, s := range scenes() {
+	for _, s := range scenarios() {
 		for _, p := range policies() {
 			b.Run(s.name+"/"+p.name, func(b *testing.B) {
-				var o outcome
+				var o simulationResult
 				for b.Loop() {
-					o = play(s, 1, p)
+					o = simulate(s, 1, p)
 				}
 				b.ReportMetric(o.quantile(0.5), "skew-p50")
 				b.ReportMetric(o.quantile(0.95), "skew-p95")
@@ -54,8 +54,8 @@
 				b.ReportMetric(o.stepTime(), "step/ideal")
 				b.ReportMetric(float64(o.bytes)/(1<<30), "GiB")
 				b.ReportMetric(float64(o.rebalances), "rebalances")
-				b.ReportMetric(o.slowed/max(1, float64(o.rebalances)), "slowed-steps/rebalance")
-				b.ReportMetric(float64(o.decided.Nanoseconds())/periods, "decide-ns")
+				b.ReportMetric(o.slowedSteps/max(1, float64(o.rebalances)), "slowed-steps/rebalance")
+				b.ReportMetric(float64(o.decideTime.Nanoseconds())/periods, "decide-ns")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -7,13 +7,13 @@
 	"github.com/parsleygate/parsleygate/internal/placement"
 )
 
-// decision returns a group whose map was made for a popularity of minutes ago.
-func decision(minutes int) *placement.Group {
-	g := newGroup(scene{sigma: 0.7, life: 3 * time.Hour, speed: even}, 1)
+// newStaleGroup returns a group whose map was made for a popularity of minutes ago.
+func newStaleGroup(minutes int) *placement.Group {
+	g := newGroupModel(scenario{sigma: 0.7, popularityDecay: 3 * time.Hour, speed: evenSpeed}, 1)
 	g.advance(1)
 	group := &placement.Group{Load: placement.Load{Tokens: g.tokens, Speed: g.speed}, PopularityDecay: 3 * time.Hour}
 	group.Map = greedy(epoch, group)
-	for range minutes * samples {
+	for range minutes * samplesPerPeriod {
 		g.advance(1)
 	}
 
@@ -25,8 +25,8 @@
 	for _, c := range []struct {
 		name  string
 		group *placement.Group
-	}{{"usual", decision(5)}, {"after-shift", decision(600)}} {
-		for _, p := range []policy{{name: "scratch", decide: greedy}, {name: "planner", decide: planned(newPlanner())}} {
+	}{{"usual", newStaleGroup(5)}, {"after-shift", newStaleGroup(600)}} {
+		for _, p := range []policy{{name: "scratch", decide: greedy}, {name: "planner", decide: decideWith(newPlanner())}} {
 			b.Run(c.name+"/"+p.name, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/placement/map.go
+++ b/internal/placement/map.go
@@ -85,14 +85,14 @@
 
 	m := &Map{Shape: s, Slots: make([]Expert, s.size())}
 	for l := range s.Layers {
-		spread(s, m.Layer(l))
+		fillEvenly(s, m.Layer(l))
 	}
 
 	return m, nil
 }
 
-// spread fills one layer slot column by slot column, so that no rank gets an expert twice.
-func spread(s Shape, slots []Expert) {
+// fillEvenly fills one layer slot column by slot column, so that no rank gets an expert twice.
+func fillEvenly(s Shape, slots []Expert) {
 	for i := range slots {
 		slots[i] = None
 	}
@@ -252,11 +252,11 @@
 // only ranks that are out hold is left aside.
 func Evaluate(m *Map, d *Load) StepTime {
 	var total StepTime
-	var w layer
-	calm := Load{Tokens: d.Tokens, Speed: d.Speed}
+	var w layerState
+	withoutVolatility := Load{Tokens: d.Tokens, Speed: d.Speed}
 	for l := range m.Shape.Layers {
-		w.load(m, &calm, l)
-		t := w.time()
+		w.loadLayer(m, &withoutVolatility, l)
+		t := w.stepTime()
 		total.Slowest += t.Slowest
 		total.Mean += t.Mean
 		total.Ideal += t.Ideal
--- a/internal/placement/pack.go
+++ b/internal/placement/pack.go
@@ -9,18 +9,18 @@
 // one, to the expert with most work for each replica, and replicas, heaviest
 // first, to the rank that then finishes first, or that held the expert in old
 // and finishes hardly later. Slots of ranks that are out stay as they are.
-func (w *layer) pack(old []Expert, s *packScratch) {
-	w.replicate(s)
-	w.clearLive()
+func (w *layerState) pack(old []Expert, s *packScratch) {
+	w.countReplicas(s)
+	w.clearLiveSlots()
 	for _, e := range s.order {
 		if r := w.bestRank(e, w.tokens[e]/float64(s.counts[e]), old); r >= 0 {
 			i := r*w.slotsPerRank + slices.Index(w.slots[r*w.slotsPerRank:(r+1)*w.slotsPerRank], None)
 			w.slots[i] = e
 			w.holders[e] |= 1 << r
-			w.shift(1<<r, w.tokens[e]/float64(s.counts[e]), 1)
+			w.addWork(1<<r, w.tokens[e]/float64(s.counts[e]), 1)
 		}
 	}
-	w.count()
+	w.recount()
 }
 
 // packScratch is memory that pack reuses.
@@ -29,19 +29,19 @@
 	order  []Expert
 }
 
-// replicate sets s.counts and s.order: how many replicas each expert gets, and
+// countReplicas sets s.counts and s.order: how many replicas each expert gets, and
 // all replicas, heaviest first.
-func (w *layer) replicate(s *packScratch) {
+func (w *layerState) countReplicas(s *packScratch) {
 	s.counts = resize(s.counts, len(w.tokens))
 	for e := range s.counts {
 		s.counts[e] = 1
 	}
-	live := replicas(w.live)
+	live := replicas(w.liveRanks)
 	for range live*w.slotsPerRank - len(w.tokens) {
-		best, most := -1, -1.0
+		best, maxShare := -1, -1.0
 		for e, n := range s.counts {
-			if share := w.tokens[e] / float64(n); n < live && share > most {
-				best, most = e, share
+			if share := w.tokens[e] / float64(n); n < live && share > maxShare {
+				best, maxShare = e, share
 			}
 		}
 		if best < 0 {
@@ -69,35 +69,35 @@
 	})
 }
 
-func (w *layer) clearLive() {
+func (w *layerState) clearLiveSlots() {
 	for i := range w.slots {
-		if w.live&(1<<(i/w.slotsPerRank)) != 0 {
+		if w.liveRanks&(1<<(i/w.slotsPerRank)) != 0 {
 			w.slots[i] = None
 		}
 	}
 	clear(w.holders)
 	clear(w.work)
-	clear(w.spread)
+	clear(w.shareSquares)
 }
 
-// keepBonus is how much later, as a part of a perfect layer time, a rank may
+// keepTolerance is how much later, as a part of a perfect layer time, a rank may
 // finish that need not fetch the expert. The lighter replicas that follow even
 // that out.
-const keepBonus = 0.05
+const keepTolerance = 0.05
 
 // bestRank returns the live rank with a free slot that takes e soonest, or -1.
-func (w *layer) bestRank(e Expert, share float64, old []Expert) int {
-	best, least := -1, math.Inf(1)
+func (w *layerState) bestRank(e Expert, share float64, old []Expert) int {
+	best, leastTime := -1, math.Inf(1)
 	for r := range w.ranks {
-		if w.live&(1<<r) == 0 || w.holders[e]&(1<<r) != 0 {
+		if w.liveRanks&(1<<r) == 0 || w.holders[e]&(1<<r) != 0 {
 			continue
 		}
-		t := w.at(r, share, share*share)
+		t := w.rankTime(r, share, share*share)
 		if slices.Contains(old[r*w.slotsPerRank:(r+1)*w.slotsPerRank], e) {
-			t -= keepBonus
+			t -= keepTolerance
 		}
-		if t < least && slices.Contains(w.slots[r*w.slotsPerRank:(r+1)*w.slotsPerRank], None) {
-			best, least = r, t
+		if t < leastTime && slices.Contains(w.slots[r*w.slotsPerRank:(r+1)*w.slotsPerRank], None) {
+			best, leastTime = r, t
 		}
 	}
 
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -28,24 +28,24 @@
 	// ExpertFraction is the part of a balanced step that expert layers take.
 	ExpertFraction float64
 
-	work    layer
+	layer   layerState
 	scratch scratch
 	results []result
-	// past looks back on single changes, packed on layers packed from scratch.
-	past, packed persistence
+	// changeGains looks back on single changes, packed on layers packed from scratch.
+	changeGains, packGains gainTracker
 	// horizon is how long gains count in the present decision, in seconds.
 	horizon float64
 	packing packScratch
-	// fits says that the live ranks have slots for all experts; packing without
+	// slotsSuffice says that the live ranks have slots for all experts; packing without
 	// would leave out those that only a rank that is out can hold.
-	fits bool
-	// next is the first layer that the next decision tries to pack.
-	next int
+	slotsSuffice bool
+	// nextPackLayer is the first layer that the next decision tries to pack.
+	nextPackLayer int
 }
 
-// packEach is how many layers a decision tries to pack from scratch, in turn.
+// packLayersPerDecision is how many layers a decision tries to pack from scratch, in turn.
 // Packing finds what single changes cannot, but takes as long as the whole search.
-const packEach = 2
+const packLayersPerDecision = 2
 
 // Group is what a decision is made from.
 type Group struct {
@@ -123,49 +123,49 @@
 	// changes are worth, in seconds.
 	Saved, Value float64
 	Copies       int
-	// Forced copies repair the layer and are not weighed.
-	Forced int
-	slots  []Expert
-	// previous are the slots without the last change, and Last what that saved.
-	previous []Expert
-	Last     float64
+	// RepairCopies copies repair the layer and are not weighed.
+	RepairCopies int
+	slots        []Expert
+	// beforeLast are the slots without the last change, and Last what that saved.
+	beforeLast []Expert
+	LastGain   float64
 }
 
 // perCopy is the time saved for each copy.
 func (x *result) perCopy() float64 {
-	return x.Value / math.Max(freeCost, float64(x.Copies))
+	return x.Value / math.Max(noFetchCopies, float64(x.Copies))
 }
 
 // Decide weighs the group's present map against what a local search finds from
 // it. The error is a *ShapeError, *MapError, *LoadError or *ValueError.
 func (p *Planner) Decide(now time.Time, g *Group) (Decision, error) {
-	if err := check(g); err != nil {
+	if err := validateGroup(g); err != nil {
 		return Decision{}, err
 	}
 
-	p.past.observe(now, g, &p.work)
-	p.packed.observe(now, g, &p.work)
-	p.horizon = p.past.horizon(g.PopularityDecay)
+	p.changeGains.evaluateTrials(now, g, &p.layer)
+	p.packGains.evaluateTrials(now, g, &p.layer)
+	p.horizon = p.changeGains.horizon(g.PopularityDecay)
 	before := Evaluate(g.Map, &g.Load)
-	p.fits = fits(g.Map.Shape, &g.Load)
-	d := Decision{Before: before, After: before, InsufficientSlots: !p.fits}
-	pr := p.price(g, before)
+	p.slotsSuffice = slotsSuffice(g.Map.Shape, &g.Load)
+	d := Decision{Before: before, After: before, InsufficientSlots: !p.slotsSuffice}
+	pr := p.prices(g, before)
 	p.results = p.results[:0]
-	forced := 0
+	repairCopies := 0
 	for l := range g.Map.Shape.Layers {
-		x, changed := p.search(g, l, pr)
+		x, changed := p.searchLayer(g, l, pr)
 		if changed {
 			p.results = append(p.results, x)
-			forced += x.Forced
+			repairCopies += x.RepairCopies
 		}
 	}
-	p.next = (p.next + packEach) % g.Map.Shape.Layers
-	p.choose(g, forced, &d)
+	p.nextPackLayer = (p.nextPackLayer + packLayersPerDecision) % g.Map.Shape.Layers
+	p.chooseChanges(g, repairCopies, &d)
 
 	return d, nil
 }
 
-func check(g *Group) error {
+func validateGroup(g *Group) error {
 	s := g.Map.Shape
 	if err := g.Map.Validate(); err != nil {
 		return err
@@ -176,51 +176,51 @@
 	if len(g.Load.Speed) != s.Ranks {
 		return &LoadError{What: "Speed", Got: len(g.Load.Speed), Want: s.Ranks}
 	}
-	if err := usable("Tokens", g.Load.Tokens); err != nil {
+	if err := validateValues("Tokens", g.Load.Tokens); err != nil {
 		return err
 	}
 
-	return usable("Speed", g.Load.Speed)
+	return validateValues("Speed", g.Load.Speed)
 }
 
-// usable refuses values with which every comparison of the search would be false.
-func usable(what string, values []float64) error {
+// validateValues refuses values with which every comparison of the search would be false.
+func validateValues(name string, values []float64) error {
 	for i, v := range values {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return &ValueError{What: what, Index: i}
+			return &ValueError{What: name, Index: i}
 		}
 	}
 
 	return nil
 }
 
-// price turns layer time and copies into seconds of the group's working time.
-func (p *Planner) price(g *Group, now StepTime) price {
-	step := p.ExpertFraction*now.Slowest + (1-p.ExpertFraction)*now.Ideal
-	perLayer := p.ExpertFraction / float64(g.Map.Shape.Layers) / math.Max(step, noise)
+// prices turns layer time and copies into seconds of the group's working time.
+func (p *Planner) prices(g *Group, current StepTime) prices {
+	step := p.ExpertFraction*current.Slowest + (1-p.ExpertFraction)*current.Ideal
+	perLayer := p.ExpertFraction / float64(g.Map.Shape.Layers) / math.Max(step, epsilon)
 	fetch := float64(p.ExpertBytes) / p.StoreRate
 	// All gains wait for the last copy, so each copy costs the gain of its own
 	// fetching time: half of what is in reach, as gains shrink along the way.
-	wait := p.ExpertFraction * (now.Slowest - now.Ideal) / math.Max(step, noise) / 2
+	wait := p.ExpertFraction * (current.Slowest - current.Ideal) / math.Max(step, epsilon) / 2
 
-	return price{
-		Gain: perLayer * p.horizon,
-		Copy: fetch * (p.Slowdown + p.StorePrice + wait),
+	return prices{
+		LayerTime: perLayer * p.horizon,
+		Copy:      fetch * (p.Slowdown + p.StorePrice + wait),
 	}
 }
 
-// search improves layer l and reports whether its slots changed.
-func (p *Planner) search(g *Group, l int, pr price) (result, bool) {
-	w := &p.work
-	w.load(g.Map, &g.Load, l)
-	x := result{Layer: l, Forced: w.repair()}
+// searchLayer improves layer l and reports whether its slots changed.
+func (p *Planner) searchLayer(g *Group, l int, pr prices) (result, bool) {
+	w := &p.layer
+	w.loadLayer(g.Map, &g.Load, l)
+	x := result{Layer: l, RepairCopies: w.repair()}
 	x.Saved, x.Copies = w.improve(pr, &p.scratch)
-	x.Value = x.Saved * pr.Gain
+	x.Value = x.Saved * pr.LayerTime
 	if x.Saved > 0 {
-		x.Last, x.previous = p.scratch.last, append([]Expert(nil), p.scratch.previous...)
+		x.LastGain, x.beforeLast = p.scratch.lastGain, append([]Expert(nil), p.scratch.previousBest...)
 	}
-	if x.Forced == 0 && p.fits && (l-p.next+g.Map.Shape.Layers)%g.Map.Shape.Layers < packEach {
-		p.pack(g, &x, pr)
+	if x.RepairCopies == 0 && p.slotsSuffice && (l-p.nextPackLayer+g.Map.Shape.Layers)%g.Map.Shape.Layers < packLayersPerDecision {
+		p.packLayer(g, &x, pr)
 	}
 	if x.slots == nil && x.Saved == 0 && slices.Equal(w.slots, g.Map.Layer(l)) {
 		return x, false
@@ -232,24 +232,24 @@
 	return x, true
 }
 
-// pack weighs packing the layer from scratch against what the search found.
+// packLayer weighs packing the layer from scratch against what the search found.
 // What packing gains beyond the search counts for as long as such gains were
 // seen to last, whether or not they were taken.
-func (p *Planner) pack(g *Group, x *result, pr price) {
-	w, old := &p.work, g.Map.Layer(x.Layer)
+func (p *Planner) packLayer(g *Group, x *result, pr prices) {
+	w, old := &p.layer, g.Map.Layer(x.Layer)
 	found := append([]Expert(nil), w.slots...)
-	w.count()
+	w.recount()
 	_, before := w.slowest()
 	w.pack(old, &p.packing)
 	_, after := w.slowest()
-	copies := w.copies(old)
+	copies := w.copiesFrom(old)
 	packed := append([]Expert(nil), w.slots...)
 	w.slots = append(w.slots[:0], found...)
 	if after >= before {
 		return
 	}
-	p.packed.remember(x.Layer, found, packed, before-after)
-	value := x.Value + (before-after)*pr.Gain/p.horizon*p.packed.horizon(g.PopularityDecay)
+	p.packGains.addTrial(x.Layer, found, packed, before-after)
+	value := x.Value + (before-after)*pr.LayerTime/p.horizon*p.packGains.horizon(g.PopularityDecay)
 	if value-float64(copies)*pr.Copy > x.Value-float64(x.Copies)*pr.Copy {
 		x.Value, x.Copies, x.slots, x.Saved = value, copies, packed, 0
 	}
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -53,32 +53,32 @@
 // lost. The fixed seeds hold two that failed: packing left out an expert where
 // the live ranks have too few slots, and a rank with most to fetch took longer
 // than the gain was worth.
-func TestDecideHolds(t *testing.T) {
+func TestDecideKeepsEveryExpertOnALiveRank(t *testing.T) {
 	t.Parallel()
 
 	for seed := range uint64(5000) {
-		holds(t, drawGroup(rand.New(rand.NewPCG(seed, 1)).IntN))
+		requireValidDecisions(t, drawGroup(rand.New(rand.NewPCG(seed, 1)).IntN))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		holds(t, drawGroup(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }))
+		requireValidDecisions(t, drawGroup(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }))
 	})
 }
 
-// slowRanks returns a planner whose ranks fetch far slower than the store gives.
-func slowRanks() *placement.Planner {
+// newSlowFetchPlanner returns a planner whose ranks fetch far slower than the store gives.
+func newSlowFetchPlanner() *placement.Planner {
 	p := newPlanner()
 	p.RankRate = p.StoreRate / 32
 
 	return p
 }
 
-// holds decides three times and checks each decision.
-func holds(t require.TestingT, g *placement.Group) {
+// requireValidDecisions decides three times and checks each decision.
+func requireValidDecisions(t require.TestingT, g *placement.Group) {
 	kept := g.Map.Clone()
 	for range 3 {
-		d, err := slowRanks().Decide(epoch, g)
+		d, err := newSlowFetchPlanner().Decide(epoch, g)
 		require.NoError(t, err)
-		again, err := slowRanks().Decide(epoch, g)
+		again, err := newSlowFetchPlanner().Decide(epoch, g)
 		require.NoError(t, err)
 		require.Equal(t, d, again, "the same input gives the same decision")
 		require.Equal(t, kept, g.Map, "the present map is not changed")
@@ -87,12 +87,12 @@
 
 			return
 		}
-		checkDecision(t, g, &d)
+		requireValidDecision(t, g, &d)
 		g.Map, kept = d.Map, d.Map.Clone()
 	}
 }
 
-func checkDecision(t require.TestingT, g *placement.Group, d *placement.Decision) {
+func requireValidDecision(t require.TestingT, g *placement.Group, d *placement.Decision) {
 	require.NoError(t, d.Map.Validate())
 	require.Equal(t, placement.Moves(g.Map, d.Map), d.Moves)
 	if d.Reason == placement.ReasonGain {
@@ -112,7 +112,7 @@
 // A rank dies, and the tokens of experts that only it held have nowhere to go:
 // callers wait for drafts that never come. Its experts must be fetched by live
 // ranks whatever that costs, and the rank must not count as a holder until it is back.
-func TestRankOutIsRepaired(t *testing.T) {
+func TestExpertsOfUnavailableRankAreRestored(t *testing.T) {
 	t.Parallel()
 
 	s := placement.Shape{Layers: 2, Ranks: 4, SlotsPerRank: 3, Experts: 8}
@@ -136,10 +136,10 @@
 
 // Popularity estimates are noisy. A planner that follows noise moves weights
 // back and forth, and callers see slow steps all day for nothing.
-func TestNoThrash(t *testing.T) {
+func TestUnchangedPopularityMovesNothing(t *testing.T) {
 	t.Parallel()
 
-	g := newGroup(scene{sigma: 0.7, life: time.Hour, speed: even}, 3)
+	g := newGroupModel(scenario{sigma: 0.7, popularityDecay: time.Hour, speed: evenSpeed}, 3)
 	g.advance(1)
 	m, err := placement.NewMap(shape)
 	require.NoError(t, err)
@@ -170,23 +170,23 @@
 // each estimate moves the same weights forth and back; every step is then slowed
 // and little is gained. It must learn that its gains are gone at the next look,
 // and move less than a quarter of what a planner without memory moves.
-func TestAlternatingDemand(t *testing.T) {
+func TestAlternatingLoadMovesLittle(t *testing.T) {
 	t.Parallel()
 
 	loads := make([]placement.Load, 2)
 	for i := range loads {
-		g := newGroup(scene{sigma: 0.7, life: time.Hour, speed: even}, uint64(i))
+		g := newGroupModel(scenario{sigma: 0.7, popularityDecay: time.Hour, speed: evenSpeed}, uint64(i))
 		g.advance(1)
 		loads[i] = placement.Load{Tokens: g.tokens, Speed: g.speed}
 	}
-	learning := newPlanner()
-	learnt := movesInTurn(t, loads, func() *placement.Planner { return learning })
-	forgetful := movesInTurn(t, loads, newPlanner)
-	require.Less(t, learnt, forgetful/4)
+	persistent := newPlanner()
+	persistentMoves := countAlternatingMoves(t, loads, func() *placement.Planner { return persistent })
+	newPlannerMoves := countAlternatingMoves(t, loads, newPlanner)
+	require.Less(t, persistentMoves, newPlannerMoves/4)
 }
 
-// movesInTurn counts the last ten decisions' moves while the loads take turns.
-func movesInTurn(t *testing.T, loads []placement.Load, planner func() *placement.Planner) int {
+// countAlternatingMoves counts the last ten decisions' moves while the loads take turns.
+func countAlternatingMoves(t *testing.T, loads []placement.Load, planner func() *placement.Planner) int {
 	m, err := placement.NewMap(shape)
 	require.NoError(t, err)
 	moves := 0
@@ -230,20 +230,20 @@
 	}
 }
 
-func TestDecideRefuses(t *testing.T) {
+func TestDecideErrors(t *testing.T) {
 	t.Parallel()
 
 	m, err := placement.NewMap(shape)
 	require.NoError(t, err)
-	whole := placement.Load{Tokens: make([]float64, shape.Layers*shape.Experts), Speed: make([]float64, shape.Ranks)}
+	complete := placement.Load{Tokens: make([]float64, shape.Layers*shape.Experts), Speed: make([]float64, shape.Ranks)}
 	cases := []struct {
 		name string
 		g    placement.Group
 		want string
 	}{
-		{"tokens", placement.Group{Map: m, Load: placement.Load{Speed: whole.Speed}}, "Tokens: got 0 values, want 7680"},
-		{"speed", placement.Group{Map: m, Load: placement.Load{Tokens: whole.Tokens}}, "Speed: got 0 values, want 32"},
-		{"not a number", placement.Group{Map: m, Load: placement.Load{Tokens: nan(whole.Tokens), Speed: whole.Speed}}, "Tokens: value 0 is no usable number"},
+		{"tokens", placement.Group{Map: m, Load: placement.Load{Speed: complete.Speed}}, "Tokens: got 0 values, want 7680"},
+		{"speed", placement.Group{Map: m, Load: placement.Load{Tokens: complete.Tokens}}, "Speed: got 0 values, want 32"},
+		{"not a number", placement.Group{Map: m, Load: placement.Load{Tokens: withNaN(complete.Tokens), Speed: complete.Speed}}, "Tokens: value 0 is no usable number"},
 	}
 	for _, c := range cases {
 		_, err := newPlanner().Decide(epoch, &c.g)
@@ -251,7 +251,7 @@
 	}
 }
 
-func nan(s []float64) []float64 {
+func withNaN(s []float64) []float64 {
 	s = append([]float64(nil), s...)
 	s[0] = math.NaN()
 
@@ -260,7 +260,7 @@
 
 // The weight store limits its rate. Transfers beyond it slow down loads of
 // other groups, and a rank that fetches beyond its own share stalls its steps.
-func TestScheduleHoldsRates(t *testing.T) {
+func TestScheduleKeepsRateLimits(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/placement/repair.go
+++ b/internal/placement/repair.go
@@ -7,18 +7,18 @@
 // repair empties the slots of ranks that are out, once each of their experts
 // has a replica on a live rank, and returns the copies that took. An expert
 // for which no live slot can be spared stays where it is.
-func (w *layer) repair() int {
+func (w *layerState) repair() int {
 	copies := 0
 	for i, e := range w.slots {
-		if r := i / w.slotsPerRank; e == None || w.live&(1<<r) != 0 {
+		if r := i / w.slotsPerRank; e == None || w.liveRanks&(1<<r) != 0 {
 			continue
 		}
 		if w.holders[e] == 0 {
-			j, ok := w.spare(e)
+			j, ok := w.cheapestSlot(e)
 			if !ok {
 				continue
 			}
-			w.put(j, e)
+			w.setSlot(j, e)
 			copies++
 		}
 		w.slots[i] = None
@@ -27,28 +27,28 @@
 	return copies
 }
 
-// spare returns the slot of a live rank that takes e with the least time.
-func (w *layer) spare(e Expert) (int, bool) {
-	slot, least := -1, math.Inf(1)
+// cheapestSlot returns the slot of a live rank that takes e with the least time.
+func (w *layerState) cheapestSlot(e Expert) (int, bool) {
+	slot, leastTime := -1, math.Inf(1)
 	for j, b := range w.slots {
 		r := j / w.slotsPerRank
-		if w.live&(1<<r) == 0 || (b != None && replicas(w.holders[b]) < 2) {
+		if w.liveRanks&(1<<r) == 0 || (b != None && replicas(w.holders[b]) < 2) {
 			continue
 		}
 		extra := w.tokens[e]
 		if b != None {
 			extra -= w.tokens[b] / float64(replicas(w.holders[b]))
 		}
-		if t := w.at(r, extra, 0); t < least {
-			slot, least = j, t
+		if t := w.rankTime(r, extra, 0); t < leastTime {
+			slot, leastTime = j, t
 		}
 	}
 
 	return slot, slot >= 0
 }
 
-// fits reports whether the live ranks have slots for all experts.
-func fits(s Shape, d *Load) bool {
+// slotsSuffice reports whether the live ranks have slots for all experts.
+func slotsSuffice(s Shape, d *Load) bool {
 	live := 0
 	for r := range s.Ranks {
 		if d.Live(r) {
--- a/internal/placement/group_test.go
+++ b/internal/placement/simulation_test.go
@@ -12,41 +12,41 @@
 
 // The modelled group: sizes of the plan, a store share that its 150 groups could get.
 const (
-	period       = time.Minute
-	samples      = 6 // skew samples in each period
-	periods      = 240
-	reporters    = 6 // ranks that count tokens; all ranks report their speed
-	stepMillis   = 40
-	tokensAStep  = 4096
-	lostReports  = 0.05
-	twiceReports = 0.03
-	lateReports  = 0.03
+	period              = time.Minute
+	samplesPerPeriod    = 6 // skew samples in each period
+	periods             = 240
+	countingRanks       = 6 // ranks that count tokens; all ranks report their speed
+	stepMillis          = 40
+	tokensPerStep       = 4096
+	lostReportRate      = 0.05
+	duplicateReportRate = 0.03
+	lateReportRate      = 0.03
 )
 
 var shape = placement.Shape{Layers: 60, Ranks: 32, SlotsPerRank: 6, Experts: 128}
 
-// scene is one course of popularity and speed.
-type scene struct {
+// scenario is one course of popularity and speed.
+type scenario struct {
 	name string
 	// sigma is the spread of the experts' log popularity, or zipf its exponent.
 	sigma, zipf float64
-	// life is the time in which popularity drifts away.
-	life time.Duration
+	// popularityDecay is the time in which popularity drifts away.
+	popularityDecay time.Duration
 	// shiftAt is the period of a sudden shift, 0 for none.
 	shiftAt int
 	// speed gives a rank's speed in a period.
 	speed func(rank, period int) float64
 }
 
-func even(int, int) float64 { return 1 }
+func evenSpeed(int, int) float64 { return 1 }
 
-func scenes() []scene {
-	return []scene{
-		{name: "drift", sigma: 0.7, life: 3 * time.Hour, speed: even},
-		{name: "zipf", zipf: 0.7, life: 12 * time.Hour, speed: even},
-		{name: "shift", sigma: 0.7, life: 12 * time.Hour, shiftAt: periods / 2, speed: even},
-		{name: "slow-rank", sigma: 0.7, life: 3 * time.Hour, speed: slowRank},
-		{name: "stalled-rank", sigma: 0.7, life: 3 * time.Hour, speed: stalledRank},
+func scenarios() []scenario {
+	return []scenario{
+		{name: "drift", sigma: 0.7, popularityDecay: 3 * time.Hour, speed: evenSpeed},
+		{name: "zipf", zipf: 0.7, popularityDecay: 12 * time.Hour, speed: evenSpeed},
+		{name: "shift", sigma: 0.7, popularityDecay: 12 * time.Hour, shiftAt: periods / 2, speed: evenSpeed},
+		{name: "slow-rank", sigma: 0.7, popularityDecay: 3 * time.Hour, speed: slowRank},
+		{name: "stalled-rank", sigma: 0.7, popularityDecay: 3 * time.Hour, speed: stalledRank},
 	}
 }
 
@@ -66,35 +66,35 @@
 	return 1
 }
 
-// group models one group: true popularity, counters, map and transfers.
-type group struct {
-	scene   scene
-	rng     *rand.Rand
-	base    []float64 // log popularity towards which z returns
-	z       []float64 // log popularity
-	tokens  []float64
-	speed   []float64
-	counts  [][]uint64
-	busy    []time.Duration
-	work    []uint64
-	seq     uint64
-	tracker *popularity.Tracker
-	late    []popularity.Report
+// groupModel models one group: true popularity, counters, map and transfers.
+type groupModel struct {
+	scenario scenario
+	rng      *rand.Rand
+	base     []float64 // log popularity towards which z returns
+	z        []float64 // log popularity
+	tokens   []float64
+	speed    []float64
+	counts   [][]uint64
+	busy     []time.Duration
+	work     []uint64
+	seq      uint64
+	tracker  *popularity.Tracker
+	late     []popularity.Report
 }
 
-func newGroup(s scene, seed uint64) *group {
+func newGroupModel(s scenario, seed uint64) *groupModel {
 	n := shape.Layers * shape.Experts
-	g := &group{
-		scene: s, rng: rand.New(rand.NewPCG(seed, 5)),
+	g := &groupModel{
+		scenario: s, rng: rand.New(rand.NewPCG(seed, 5)),
 		base: make([]float64, n), z: make([]float64, n), tokens: make([]float64, n),
 		speed: make([]float64, shape.Ranks), counts: make([][]uint64, shape.Ranks),
 		busy: make([]time.Duration, shape.Ranks), work: make([]uint64, shape.Ranks),
 		tracker: newTracker(),
 	}
-	for r := range reporters {
+	for r := range countingRanks {
 		g.counts[r] = make([]uint64, n)
 	}
-	g.reset()
+	g.drawPopularity()
 
 	return g
 }
@@ -106,29 +106,29 @@
 	}
 }
 
-// reset draws every expert's popularity anew.
-func (g *group) reset() {
+// drawPopularity draws every expert's popularity anew.
+func (g *groupModel) drawPopularity() {
 	for l := range shape.Layers {
 		order := g.rng.Perm(shape.Experts)
 		for e, place := range order {
 			i := l*shape.Experts + e
-			if g.scene.zipf > 0 {
-				g.base[i] = -g.scene.zipf * math.Log(float64(place+1))
+			if g.scenario.zipf > 0 {
+				g.base[i] = -g.scenario.zipf * math.Log(float64(place+1))
 				g.z[i] = g.base[i]
 			} else {
-				g.z[i] = g.scene.sigma * g.rng.NormFloat64()
+				g.z[i] = g.scenario.sigma * g.rng.NormFloat64()
 			}
 		}
 	}
 }
 
 // advance moves popularity on by one sample and counts its tokens.
-func (g *group) advance(k int) {
-	if g.scene.shiftAt > 0 && k == g.scene.shiftAt*samples {
-		g.reset()
+func (g *groupModel) advance(k int) {
+	if g.scenario.shiftAt > 0 && k == g.scenario.shiftAt*samplesPerPeriod {
+		g.drawPopularity()
 	}
-	step := (period / samples).Seconds() / g.scene.life.Seconds()
-	sigma := max(g.scene.sigma, 0.5)
+	step := (period / samplesPerPeriod).Seconds() / g.scenario.popularityDecay.Seconds()
+	sigma := max(g.scenario.sigma, 0.5)
 	for i := range g.z {
 		g.z[i] += (g.base[i]-g.z[i])*step + sigma*math.Sqrt(2*step)*g.rng.NormFloat64()
 	}
@@ -136,13 +136,13 @@
 		g.tokens[i] = math.Exp(g.z[i] + 0.1*g.rng.NormFloat64())
 	}
 	for r := range g.speed {
-		g.speed[r] = g.scene.speed(r, k/samples)
+		g.speed[r] = g.scenario.speed(r, k/samplesPerPeriod)
 	}
-	g.count()
+	g.countTokens()
 }
 
-func (g *group) count() {
-	steps := (period / samples).Milliseconds() / stepMillis
+func (g *groupModel) countTokens() {
+	steps := (period / samplesPerPeriod).Milliseconds() / stepMillis
 	for l := range shape.Layers {
 		layer := g.tokens[l*shape.Experts : (l+1)*shape.Experts]
 		sum := 0.0
@@ -150,31 +150,31 @@
 			sum += t
 		}
 		for e, t := range layer {
-			for r := range reporters {
-				g.counts[r][l*shape.Experts+e] += uint64(t / sum * float64(steps*tokensAStep) / float64(shape.Ranks) * (0.95 + 0.1*g.rng.Float64()))
+			for r := range countingRanks {
+				g.counts[r][l*shape.Experts+e] += uint64(t / sum * float64(steps*tokensPerStep) / float64(shape.Ranks) * (0.95 + 0.1*g.rng.Float64()))
 			}
 		}
 	}
 	for r := range g.speed {
-		work := float64(steps) * tokensAStep / float64(shape.Ranks)
+		work := float64(steps) * tokensPerStep / float64(shape.Ranks)
 		g.work[r] += uint64(work)
 		g.busy[r] += time.Duration(work / g.speed[r] / 1e4 * (0.97 + 0.06*g.rng.Float64()) * float64(time.Second))
 	}
 }
 
 // report hands the counters to the tracker, some lost, doubled or a period late.
-func (g *group) report(now time.Time) {
+func (g *groupModel) report(now time.Time) {
 	g.seq++
 	late := g.late
 	g.late = nil
 	for r := range shape.Ranks {
 		rep := popularity.Report{Rank: r, Incarnation: 1, Seq: g.seq, Busy: g.busy[r], Work: g.work[r], Tokens: g.counts[r]}
 		switch x := g.rng.Float64(); {
-		case x < lostReports:
-		case x < lostReports+lateReports:
+		case x < lostReportRate:
+		case x < lostReportRate+lateReportRate:
 			rep.Tokens = slices.Clone(rep.Tokens)
 			g.late = append(g.late, rep)
-		case x < lostReports+lateReports+twiceReports:
+		case x < lostReportRate+lateReportRate+duplicateReportRate:
 			g.observe(&rep)
 			g.observe(&rep)
 		default:
@@ -187,7 +187,7 @@
 	g.tracker.CloseWindow(now)
 }
 
-func (g *group) observe(r *popularity.Report) {
+func (g *groupModel) observe(r *popularity.Report) {
 	if _, err := g.tracker.Observe(r); err != nil {
 		panic(err)
 	}
@@ -201,32 +201,32 @@
 	instant bool
 }
 
-// outcome is what one policy did in one scene.
-type outcome struct {
-	skews      []float64
-	ideals     []float64
-	bytes      int64
-	rebalances int
-	slowed     float64
-	decided    time.Duration
+// simulationResult is what one policy did in one scene.
+type simulationResult struct {
+	skews       []float64
+	ideals      []float64
+	bytes       int64
+	rebalances  int
+	slowedSteps float64
+	decideTime  time.Duration
 }
 
 // stepTime is the mean time of a step against one without skew, transfers and
 // switches: what the policy is worth to callers in the end.
-func (o *outcome) stepTime() float64 {
+func (o *simulationResult) stepTime() float64 {
 	p := newPlanner()
 	expert := 0.0
 	for _, t := range o.ideals {
 		expert += t / float64(len(o.ideals))
 	}
-	whole := periods * period.Seconds()
-	slowed := o.slowed * stepMillis / 1000 / whole
-	paused := float64(o.rebalances) * p.SwitchPause.Seconds() / whole
+	total := periods * period.Seconds()
+	slowed := o.slowedSteps * stepMillis / 1000 / total
+	paused := float64(o.rebalances) * p.SwitchPause.Seconds() / total
 
 	return (p.ExpertFraction*expert+1-p.ExpertFraction)*(1+slowed*p.Slowdown) + paused
 }
 
-func (o *outcome) quantile(q float64) float64 {
+func (o *simulationResult) quantile(q float64) float64 {
 	s := slices.Sorted(slices.Values(o.skews))
 
 	return s[min(len(s)-1, int(q*float64(len(s))))]
@@ -239,41 +239,41 @@
 	}
 }
 
-// play runs one policy through one scene.
-func play(s scene, seed uint64, p policy) outcome {
-	g := newGroup(s, seed)
+// simulate runs one policy through one scene.
+func simulate(s scenario, seed uint64, p policy) simulationResult {
+	g := newGroupModel(s, seed)
 	costs := newPlanner()
 	now := time.Unix(0, 0)
 	current, err := placement.NewMap(shape)
 	if err != nil {
 		panic(err)
 	}
-	next, left := (*placement.Map)(nil), time.Duration(0)
-	var out outcome
-	for k := range periods * samples {
+	next, transferLeft := (*placement.Map)(nil), time.Duration(0)
+	var out simulationResult
+	for k := range periods * samplesPerPeriod {
 		g.advance(k)
-		now = now.Add(period / samples)
-		if k >= samples*warmup {
+		now = now.Add(period / samplesPerPeriod)
+		if k >= samplesPerPeriod*warmupPeriods {
 			t := placement.Evaluate(current, &placement.Load{Tokens: g.tokens, Speed: g.speed})
 			out.skews = append(out.skews, t.Skew())
 			out.ideals = append(out.ideals, t.Slowest/t.Ideal)
 		}
-		if left > 0 {
-			out.slowed += min(left, period/samples).Seconds() * 1000 / stepMillis
+		if transferLeft > 0 {
+			out.slowedSteps += min(transferLeft, period/samplesPerPeriod).Seconds() * 1000 / stepMillis
 		}
-		if left -= period / samples; left <= 0 && next != nil {
+		if transferLeft -= period / samplesPerPeriod; transferLeft <= 0 && next != nil {
 			current, next = next, nil
 		}
-		if (k+1)%samples != 0 {
+		if (k+1)%samplesPerPeriod != 0 {
 			continue
 		}
 		g.report(now)
-		if next != nil || k+1 < samples*2 {
+		if next != nil || k+1 < samplesPerPeriod*2 {
 			continue
 		}
 		began := time.Now()
 		m := p.decide(now, &placement.Group{Map: current, Load: placement.Load{Tokens: g.tracker.TokenShares(), Speed: g.tracker.Speeds(), Volatility: g.tracker.Volatility()}, PopularityDecay: g.tracker.Decay()})
-		out.decided += time.Since(began)
+		out.decideTime += time.Since(began)
 		if m == nil {
 			continue
 		}
@@ -286,12 +286,12 @@
 			continue
 		}
 		for _, t := range placement.Schedule(moves, costs.ExpertBytes, costs.Rates(), now) {
-			left = max(left, t.End.Sub(now))
+			transferLeft = max(transferLeft, t.End.Sub(now))
 		}
 	}
 
 	return out
 }
 
-// warmup is how many periods pass before skew counts, so that every policy has had time for its first map.
-const warmup = 12
+// warmupPeriods is how many periods pass before skew counts, so that every policy has had time for its first map.
+const warmupPeriods = 12
--- a/internal/placement/transfer.go
+++ b/internal/placement/transfer.go
@@ -26,10 +26,10 @@
 	s := newSchedule(moves, size, rates)
 	transfers := make([]Transfer, 0, len(moves))
 	for round := 0; len(transfers) < len(moves); round++ {
-		start := now.Add(time.Duration(round) * s.each)
-		for _, r := range s.longest() {
+		start := now.Add(time.Duration(round) * s.roundDuration)
+		for _, r := range s.nextRanks() {
 			queue := s.queues[r]
-			transfers = append(transfers, Transfer{Move: queue[0], Start: start, End: start.Add(s.each)})
+			transfers = append(transfers, Transfer{Move: queue[0], Start: start, End: start.Add(s.roundDuration)})
 			s.queues[r] = queue[1:]
 		}
 	}
@@ -41,16 +41,16 @@
 // equal size and rate, so they run in rounds of equal length.
 type schedule struct {
 	queues [MaxRanks][]Move
-	// lanes is how many ranks fetch at once, each for the time of one round.
-	lanes int
-	each  time.Duration
+	// parallel is how many ranks fetch at once, each for the time of one round.
+	parallel      int
+	roundDuration time.Duration
 }
 
 func newSchedule(moves []Move, size int64, rates Rates) *schedule {
-	s := &schedule{lanes: max(1, int(rates.Store/rates.Rank))}
-	rate := min(rates.Rank, rates.Store/float64(s.lanes))
+	s := &schedule{parallel: max(1, int(rates.Store/rates.Rank))}
+	rate := min(rates.Rank, rates.Store/float64(s.parallel))
 	// Rounded up to whole nanoseconds, so that no rate is exceeded.
-	s.each = seconds(float64(size)/rate) + time.Nanosecond
+	s.roundDuration = seconds(float64(size)/rate) + time.Nanosecond
 	for _, m := range moves {
 		s.queues[m.Rank] = append(s.queues[m.Rank], m)
 	}
@@ -58,11 +58,11 @@
 	return s
 }
 
-// longest returns up to lanes ranks with most left to fetch, lower numbers first among equals.
-func (s *schedule) longest() []int {
+// nextRanks returns up to lanes ranks with most left to fetch, lower numbers first among equals.
+func (s *schedule) nextRanks() []int {
 	var picked []int
 	var taken uint64
-	for len(picked) < s.lanes {
+	for len(picked) < s.parallel {
 		best := -1
 		for r := range s.queues {
 			if len(s.queues[r]) == 0 || taken&(1<<r) != 0 {
--- a/internal/popularity/life.go
+++ b/internal/popularity/decay.go
@@ -27,49 +27,49 @@
 	return c.xy / math.Sqrt(c.xx*c.yy)
 }
 
-// averageAge is the time that the correlation of an average with the next
+// correlationLag is the time that the correlation of an average with the next
 // window spans. The average has weights gain*(1-gain)^k; for popularity that
 // decays slowly against the interval, the first order of the correlation gives
 // this.
-func averageAge(interval time.Duration, gain float64) time.Duration {
+func correlationLag(interval time.Duration, gain float64) time.Duration {
 	return time.Duration(float64(interval) * (1 + (1-gain)/2*(1/gain-1/(2-gain))))
 }
 
-// lifeSamples is how many windows the estimate of a life looks back on. Their
+// maxDecaySamples is how many windows the estimate of a life looks back on. Their
 // median counts, so that one sudden shift among them does not make the planner
 // believe that no map is worth its moves, just when one is.
-const lifeSamples = 9
+const maxDecaySamples = 9
 
-// lifeEstimate estimates how long popularity keeps its shape.
-type lifeEstimate struct {
+// decayEstimate estimates how long popularity keeps its shape.
+type decayEstimate struct {
 	samples []time.Duration
 }
 
 // observe takes in the correlation over an age. Where popularity decays as
 // exp(-t/life), the life is -age/ln(correlation).
-func (e *lifeEstimate) observe(c correlation, age, most time.Duration) {
-	if c.xx <= 0 || age <= 0 {
+func (e *decayEstimate) observe(c correlation, lag, maxDecay time.Duration) {
+	if c.xx <= 0 || lag <= 0 {
 		return
 	}
-	sample := most
+	sample := maxDecay
 	if v := c.value(); v <= 0 {
-		sample = age
-	} else if life := -age.Seconds() / math.Log(v); v < 1 && life < most.Seconds() {
-		sample = time.Duration(life * float64(time.Second))
+		sample = lag
+	} else if decay := -lag.Seconds() / math.Log(v); v < 1 && decay < maxDecay.Seconds() {
+		sample = time.Duration(decay * float64(time.Second))
 	}
-	e.samples = append(e.samples, max(sample, age))
-	if len(e.samples) > lifeSamples {
+	e.samples = append(e.samples, max(sample, lag))
+	if len(e.samples) > maxDecaySamples {
 		e.samples = e.samples[1:]
 	}
 }
 
 // value is the median of the samples, or most before the first.
-func (e *lifeEstimate) value(most time.Duration) time.Duration {
+func (e *decayEstimate) value(maxDecay time.Duration) time.Duration {
 	if len(e.samples) == 0 {
-		return most
+		return maxDecay
 	}
 	sorted := slices.Clone(e.samples)
 	slices.Sort(sorted)
 
-	return min(most, sorted[len(sorted)/2])
+	return min(maxDecay, sorted[len(sorted)/2])
 }
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -45,18 +45,18 @@
 	// MaxDecay bounds Life where popularity does not move at all.
 	MaxDecay time.Duration
 
-	ranks  []rankState
-	window []float64
-	shares []float64
-	layers []layerState
-	life   lifeEstimate
-	closed time.Time
+	ranks        []rankState
+	windowTokens []float64
+	shares       []float64
+	layers       []layerState
+	decay        decayEstimate
+	windowEnd    time.Time
 }
 
 // rankState is what is known of one rank.
 type rankState struct {
 	Incarnation, Seq uint64
-	Known            bool
+	Seen             bool
 	Busy             time.Duration
 	Work             uint64
 	Tokens           []uint64
@@ -66,11 +66,11 @@
 
 // layerState is what is known of one layer's movement.
 type layerState struct {
-	Known bool
+	Seen bool
 	// Squares sums the squares of the estimated shares.
 	Squares float64
-	// Usual is the usual squared distance between a window and the estimate.
-	Usual float64
+	// BaselineDistance is the usual squared distance between a window and the estimate.
+	BaselineDistance float64
 }
 
 // ReportError says that a report does not fit the group.
@@ -96,41 +96,41 @@
 	if r.Rank < 0 || r.Rank >= t.Ranks {
 		return false, &ReportError{What: "Rank", Got: r.Rank, Want: t.Ranks}
 	}
-	if len(r.Tokens) != 0 && len(r.Tokens) != len(t.window) {
-		return false, &ReportError{What: "Tokens", Got: len(r.Tokens), Want: len(t.window)}
+	if len(r.Tokens) != 0 && len(r.Tokens) != len(t.windowTokens) {
+		return false, &ReportError{What: "Tokens", Got: len(r.Tokens), Want: len(t.windowTokens)}
 	}
 
 	s := &t.ranks[r.Rank]
 	switch {
-	case !s.Known || r.Incarnation > s.Incarnation:
+	case !s.Seen || r.Incarnation > s.Incarnation:
 		// Nothing tells when the counters of a first report began, so it only sets the base.
 		s.Tokens = s.Tokens[:0]
-		s.rebase(r)
+		s.setBase(r)
 
 		return true, nil
 	case r.Incarnation < s.Incarnation || r.Seq <= s.Seq:
 		return false, nil
 	}
-	t.add(s, r)
+	t.addDeltas(s, r)
 
 	return true, nil
 }
 
-func (s *rankState) rebase(r *Report) {
-	s.Known, s.Incarnation, s.Seq = true, r.Incarnation, r.Seq
+func (s *rankState) setBase(r *Report) {
+	s.Seen, s.Incarnation, s.Seq = true, r.Incarnation, r.Seq
 	s.Busy, s.Work = r.Busy, r.Work
 	if len(r.Tokens) != 0 {
 		s.Tokens = append(s.Tokens[:0], r.Tokens...)
 	}
 }
 
-// add counts what came since the rank's last report.
-func (t *Tracker) add(s *rankState, r *Report) {
+// addDeltas counts what came since the rank's last report.
+func (t *Tracker) addDeltas(s *rankState, r *Report) {
 	for i := range min(len(r.Tokens), len(s.Tokens)) {
 		n := r.Tokens[i]
 		// An engine that counts down is at fault; it must not add a wrapped number.
 		if n > s.Tokens[i] {
-			t.window[i] += float64(n - s.Tokens[i])
+			t.windowTokens[i] += float64(n - s.Tokens[i])
 		}
 	}
 	if r.Busy > s.Busy && r.Work > s.Work {
@@ -141,14 +141,14 @@
 		// Averaged as time for each token, in which a stall shows at once.
 		s.Speed = 1 / ((1-t.SpeedGain)/s.Speed + t.SpeedGain/speed)
 	}
-	s.rebase(r)
+	s.setBase(r)
 }
 
 func (t *Tracker) init() {
-	if t.window != nil {
+	if t.windowTokens != nil {
 		return
 	}
-	t.window = make([]float64, t.Layers*t.Experts)
+	t.windowTokens = make([]float64, t.Layers*t.Experts)
 	t.shares = make([]float64, t.Layers*t.Experts)
 	t.layers = make([]layerState, t.Layers)
 	t.ranks = make([]rankState, t.Ranks)
@@ -158,21 +158,21 @@
 // tokens in the window, for want of reports, keeps its estimate.
 func (t *Tracker) CloseWindow(now time.Time) {
 	t.init()
-	interval := now.Sub(t.closed)
+	interval := now.Sub(t.windowEnd)
 	var c correlation
 	for l := range t.layers {
-		t.fold(l, &c)
+		t.foldLayer(l, &c)
 	}
-	if !t.closed.IsZero() {
-		t.life.observe(c, averageAge(interval, t.Gain), t.MaxDecay)
+	if !t.windowEnd.IsZero() {
+		t.decay.observe(c, correlationLag(interval, t.Gain), t.MaxDecay)
 	}
-	t.closed = now
-	clear(t.window)
+	t.windowEnd = now
+	clear(t.windowTokens)
 }
 
-// fold takes one layer's window into its estimate.
-func (t *Tracker) fold(l int, c *correlation) {
-	window := t.window[l*t.Experts : (l+1)*t.Experts]
+// foldLayer takes one layer's window into its estimate.
+func (t *Tracker) foldLayer(l int, c *correlation) {
+	window := t.windowTokens[l*t.Experts : (l+1)*t.Experts]
 	shares := t.shares[l*t.Experts : (l+1)*t.Experts]
 	sum := 0.0
 	for _, n := range window {
@@ -183,8 +183,8 @@
 	}
 
 	s := &t.layers[l]
-	if !s.Known {
-		s.Known = true
+	if !s.Seen {
+		s.Seen = true
 		for i, n := range window {
 			shares[i] = n / sum
 		}
@@ -207,10 +207,10 @@
 
 // Shape of the reaction to unusual movement.
 const (
-	// usualGain is the weight of a new distance in the usual one.
-	usualGain = 0.2
-	// usualBound bounds how far one window may raise the usual distance.
-	usualBound = 4
+	// baselineGain is the weight of a new distance in the usual one.
+	baselineGain = 0.2
+	// maxBaselineRatio bounds how far one window may raise the usual distance.
+	maxBaselineRatio = 4
 )
 
 // gain returns the weight of a window at this squared distance. After a sudden
@@ -218,13 +218,13 @@
 // experts by a popularity that no longer exists; so the weight grows with the
 // distance, up to 1.
 func (s *layerState) gain(distance, base float64) float64 {
-	if s.Usual <= 0 {
-		s.Usual = distance
+	if s.BaselineDistance <= 0 {
+		s.BaselineDistance = distance
 
 		return base
 	}
-	ratio := distance / s.Usual
-	s.Usual += usualGain * (math.Min(distance, usualBound*s.Usual) - s.Usual)
+	ratio := distance / s.BaselineDistance
+	s.BaselineDistance += baselineGain * (math.Min(distance, maxBaselineRatio*s.BaselineDistance) - s.BaselineDistance)
 
 	return math.Min(1, base*math.Max(1, ratio))
 }
@@ -240,39 +240,39 @@
 // Volatility returns the standard deviation of an expert's tokens in a window
 // from those expected, as a part of them; 0 before two windows were seen.
 func (t *Tracker) Volatility() float64 {
-	usual, squares := 0.0, 0.0
+	distances, squares := 0.0, 0.0
 	for i := range t.layers {
-		usual += t.layers[i].Usual
+		distances += t.layers[i].BaselineDistance
 		squares += t.layers[i].Squares
 	}
 	if squares <= 0 {
 		return 0
 	}
 
-	return math.Sqrt(usual / squares)
+	return math.Sqrt(distances / squares)
 }
 
 // Decay returns how long a difference in popularity is expected to last: after
 // Life, 1/e of it is left.
-func (t *Tracker) Decay() time.Duration { return t.life.value(t.MaxDecay) }
+func (t *Tracker) Decay() time.Duration { return t.decay.value(t.MaxDecay) }
 
 // Speeds returns each rank's speed relative to the median of those measured.
 // A rank that was never measured counts as 1; none is below MinSpeed, since
 // only the group's membership says that a rank is out.
 func (t *Tracker) Speeds() []float64 {
 	t.init()
-	var known []float64
+	var measured []float64
 	for i := range t.ranks {
 		if v := t.ranks[i].Speed; v > 0 {
-			known = append(known, v)
+			measured = append(measured, v)
 		}
 	}
-	slices.Sort(known)
+	slices.Sort(measured)
 	speeds := make([]float64, t.Ranks)
 	for i := range speeds {
 		speeds[i] = 1
 		if v := t.ranks[i].Speed; v > 0 {
-			speeds[i] = math.Max(MinSpeed, v/known[len(known)/2])
+			speeds[i] = math.Max(MinSpeed, v/measured[len(measured)/2])
 		}
 	}
 
--- a/internal/popularity/tracker_test.go
+++ b/internal/popularity/tracker_test.go
@@ -32,7 +32,7 @@
 
 // Reports are lost, doubled and late. Whatever arrives, the window must hold
 // each token once, up to the newest report seen.
-func TestObserveCountsOnce(t *testing.T) {
+func TestObserveCountsEveryTokenOnce(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,16 +69,16 @@
 }
 
 func observe(t require.TestingT, tr *popularity.Tracker, r *popularity.Report) bool {
-	news, err := tr.Observe(r)
+	accepted, err := tr.Observe(r)
 	require.NoError(t, err)
 
-	return news
+	return accepted
 }
 
 // An engine restarts and its counters begin at zero again. Taken as a
 // difference that would wrap to an enormous count, and one expert would seem to
 // carry the whole group.
-func TestEngineRestart(t *testing.T) {
+func TestEngineRestartDoesNotWrapCounts(t *testing.T) {
 	t.Parallel()
 
 	tr := newTracker()
@@ -91,8 +91,8 @@
 	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.TokenShares())
 }
 
-// run feeds windows of layers whose shares follow f and returns the tracker.
-func run(windows, layers, experts int, f func(window int) []float64) *popularity.Tracker {
+// feedWindows feeds windows of layers whose shares follow f and returns the tracker.
+func feedWindows(windows, layers, experts int, f func(window int) []float64) *popularity.Tracker {
 	tr := newTracker()
 	tr.Layers, tr.Experts = layers, experts
 	counts := make([]uint64, layers*experts)
@@ -109,7 +109,7 @@
 
 // Demand shifts at once, say as a fair opens. An average that clings to the
 // past keeps steps slow for many minutes; yet usual noise must still be averaged.
-func TestSuddenShift(t *testing.T) {
+func TestSuddenShiftIsAdoptedAtOnce(t *testing.T) {
 	t.Parallel()
 
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -120,7 +120,7 @@
 
 		return shares
 	}
-	tr := run(20, 1, 4, func(w int) []float64 {
+	tr := feedWindows(20, 1, 4, func(w int) []float64 {
 		if w < 18 {
 			return noisy(0.4, 0.3, 0.2, 0.1)
 		}
@@ -131,13 +131,13 @@
 	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not make popularity short-lived")
 }
 
-func TestLifeFollowsDrift(t *testing.T) {
+func TestDecayFollowsDrift(t *testing.T) {
 	t.Parallel()
 
 	for _, minutes := range []float64{5, 20, 50} {
 		rng := rand.New(rand.NewPCG(2, 2))
 		z := make([]float64, 8*64)
-		tr := run(60, 8, 64, func(int) []float64 {
+		tr := feedWindows(60, 8, 64, func(int) []float64 {
 			shares := make([]float64, len(z))
 			for i := range z {
 				z[i] += -z[i]/minutes + math.Sqrt(2/minutes)*rng.NormFloat64()
@@ -152,7 +152,7 @@
 
 // A rank stalls. It reports little work for much busy time and must not be
 // given an equal share; a rank that merely has not reported yet counts as ordinary.
-func TestSpeeds(t *testing.T) {
+func TestSpeedOfStalledRank(t *testing.T) {
 	t.Parallel()
 
 	tr := newTracker()
@@ -171,7 +171,7 @@
 	require.Equal(t, 1.0, speeds[2], "never measured")
 }
 
-func TestObserveRefuses(t *testing.T) {
+func TestObserveErrors(t *testing.T) {
 	t.Parallel()
 
 	_, err := newTracker().Observe(&popularity.Report{Rank: 3})
