--- a/internal/expertmap/convert.go
+++ b/internal/expertmap/convert.go
@@ -2,7 +2,7 @@
 
 import "github.com/parsleygate/parsleygate/internal/wire"
 
-// RecordToWire returns r as it travels and is stored.
+// RecordToWire converts r to its wire and storage format.
 func RecordToWire(r Record) *wire.GroupRecord {
 	return &wire.GroupRecord{
 		AsOf: uint64(r.AsOf), RulingVersion: uint64(r.Current.Version), RulingStep: uint64(r.Current.Step),
@@ -11,7 +11,7 @@
 	}
 }
 
-// RecordFromWire returns the Record that w holds.
+// RecordFromWire converts w to a Record.
 func RecordFromWire(w *wire.GroupRecord) Record {
 	return Record{
 		AsOf: Fence(w.GetAsOf()),
@@ -23,7 +23,7 @@
 	}
 }
 
-// EntryToWire returns e as an entry of the group's log, without a placement.
+// EntryToWire converts e to an entry of the group's log, without a placement.
 func EntryToWire(group string, e Entry) *wire.GroupEntry {
 	return &wire.GroupEntry{
 		Group: group, Kind: wire.GroupEntryKind(e.Kind), Fence: uint64(e.Fence), Version: uint64(e.Version),
@@ -31,7 +31,7 @@
 	}
 }
 
-// EntryFromWire returns the Entry that w holds.
+// EntryFromWire converts w to an Entry.
 func EntryFromWire(w *wire.GroupEntry) Entry {
 	return Entry{
 		Kind: EntryKind(w.GetKind()), Fence: Fence(w.GetFence()), Version: Version(w.GetVersion()),
@@ -39,7 +39,7 @@
 	}
 }
 
-// OrderToWire returns o as it travels, without maps.
+// OrderToWire converts o to its wire format, without maps.
 func OrderToWire(group string, o Order) *wire.RankOrder {
 	return &wire.RankOrder{
 		Group: group, Kind: wire.RankOrderKind(o.Kind), Rank: uint32(o.Rank), Incarnation: o.Incarnation,
@@ -47,7 +47,7 @@
 	}
 }
 
-// OrderFromWire returns the Order that w holds.
+// OrderFromWire converts w to an Order.
 func OrderFromWire(w *wire.RankOrder) Order {
 	return Order{
 		Kind: OrderKind(w.GetKind()), Rank: int(w.GetRank()), Incarnation: w.GetIncarnation(),
@@ -56,7 +56,7 @@
 	}
 }
 
-// StatusToWire returns s as it travels.
+// StatusToWire converts s to its wire format.
 func StatusToWire(s Status) *wire.RankStatus {
 	return &wire.RankStatus{
 		Rank: uint32(s.Rank), Incarnation: s.Incarnation, Known: s.Confirmed, Joined: uint64(s.Joined),
@@ -65,7 +65,7 @@
 	}
 }
 
-// StatusFromWire returns the Status that w holds.
+// StatusFromWire converts w to a Status.
 func StatusFromWire(w *wire.RankStatus) Status {
 	return Status{
 		Rank: int(w.GetRank()), Incarnation: w.GetIncarnation(), Confirmed: w.GetKnown(), Joined: Step(w.GetJoined()),
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -5,18 +5,23 @@
 	"time"
 )
 
-// Coordinator is the core at each control VM for one group. On every VM it
-// follows the log; on the leader it also drives the switches. Set the exported
-// fields before the first event. One goroutine uses it.
+// Coordinator coordinates the map switches of one group on a control VM. On
+// every VM it follows the log; on the leader it also drives the switches. Set
+// the exported fields before the first event. A Coordinator is not safe for
+// concurrent use.
 type Coordinator struct {
-	// Ranks is how many ranks the group has.
+	// Ranks is the number of ranks in the group.
 	Ranks int
-	// Margin is how many steps ahead a switch is named. Where the decision
-	// reaches all ranks within Margin steps, no step waits for it.
+	// Margin is the number of steps between the latest step that any rank has
+	// begun and the first step of a new map. If the decision reaches all ranks
+	// within Margin steps, no step is delayed by the switch.
 	Margin Step
-	// StageTimeout bounds the staging of a map, PrepareFor the time from then to the decision.
+	// StageTimeout bounds the time from a proposal until every rank has loaded
+	// the map, PrepareTimeout the time from then until every rank has promised to
+	// hold.
 	StageTimeout, PrepareTimeout time.Duration
-	// ResendInterval is how often unanswered orders and entries are repeated.
+	// ResendInterval is the interval at which unanswered orders and entries are
+	// sent again.
 	ResendInterval time.Duration
 
 	record   Record
@@ -26,15 +31,16 @@
 	resendAt time.Time
 }
 
-// rankView is what the leader has heard of a rank. It is empty after a change of lead.
+// rankView is what the leader has received from a rank. A new leader starts
+// with empty views.
 type rankView struct {
 	reported bool
 	status   Status
-	// confirming is the incarnation for which a confirming entry is under way.
+	// confirming is the incarnation for which an EntryConfirm is pending.
 	confirming uint64
 }
 
-// phase is how far a switch is.
+// phase is the progress of a switch.
 type phase uint8
 
 const (
@@ -46,7 +52,7 @@
 	phaseAborting
 )
 
-// switchProgress is the switch that this leader drives.
+// switchProgress is the state of the switch that this leader drives.
 type switchProgress struct {
 	phase    phase
 	version  Version
@@ -55,7 +61,7 @@
 	deadline time.Time
 }
 
-// ProposeError says why a proposal was not taken up.
+// ProposeError is the reason why a proposal was rejected.
 type ProposeError struct {
 	Version Version
 	Reason  string
@@ -66,16 +72,17 @@
 	return fmt.Sprintf("expert map %d: %s", e.Version, e.Reason)
 }
 
-// Record returns what this VM knows of the log.
+// Record returns the group's record as of the last log entry applied on this
+// VM.
 func (c *Coordinator) Record() Record { return c.record }
 
-// Start sets the record of a group from a snapshot, or its first ruling. It
-// comes before any other event.
+// Start sets the group's record, from a snapshot or for a new group. It must be
+// called before any other event.
 func (c *Coordinator) Start(r Record) { c.record = r }
 
-// Lead takes in that this VM leads and has applied all earlier entries. A
-// switch that an earlier leader left open is aborted: its promises are not in
-// the log, and waiting for them would hold the group.
+// Lead makes this VM the leader, after it has applied all earlier entries. A
+// switch that an earlier leader left open is aborted: the ranks' promises are
+// not in the log, and waiting for them would stall the group.
 func (c *Coordinator) Lead(now time.Time) []Action {
 	c.leading = true
 	c.ranks = make([]rankView, c.Ranks)
@@ -88,7 +95,7 @@
 	return c.Tick(now)
 }
 
-// Follow takes in that this VM no longer leads.
+// Follow makes this VM a follower.
 func (c *Coordinator) Follow() []Action {
 	c.leading = false
 	c.ranks = nil
@@ -105,11 +112,11 @@
 func (c *Coordinator) Propose(now time.Time, v Version) ([]Action, error) {
 	switch {
 	case !c.leading:
-		return nil, &ProposeError{Version: v, Reason: "this VM does not lead"}
+		return nil, &ProposeError{Version: v, Reason: "this VM is not the leader"}
 	case c.progress.phase != phaseIdle || c.record.Open.Fence != 0:
-		return nil, &ProposeError{Version: v, Reason: "another switch is open"}
+		return nil, &ProposeError{Version: v, Reason: "another switch is in progress"}
 	case v <= c.record.Current.Version:
-		return nil, &ProposeError{Version: v, Reason: "not newer than the ruling map"}
+		return nil, &ProposeError{Version: v, Reason: "version is not newer than the current map"}
 	}
 	c.progress = switchProgress{phase: phaseBeginning, version: v, deadline: now.Add(c.StageTimeout)}
 	c.resendAt = now
@@ -117,7 +124,8 @@
 	return c.Tick(now), nil
 }
 
-// Apply takes in the entry at index of the log, on every VM, in order.
+// Apply applies the log entry at index. Every VM calls it for each entry in log
+// order.
 func (c *Coordinator) Apply(now time.Time, index Fence, e Entry) []Action {
 	previous := c.record
 	c.record.Apply(index, e)
@@ -136,7 +144,7 @@
 	return out
 }
 
-// onSwitchChanged follows a switch that opened or ended in the log.
+// onSwitchChanged handles an entry that opened or ended a switch.
 func (c *Coordinator) onSwitchChanged(now time.Time, previous Record) []Action {
 	open := c.record.Open
 	c.resendAt = now
@@ -144,7 +152,8 @@
 	case open.Fence != 0 && c.progress.phase == phaseBeginning && c.progress.version == open.Version:
 		c.progress.phase, c.progress.fence = phaseStaging, open.Fence
 	case open.Fence != 0:
-		// An entry of an earlier lead arrived late. Nobody waits for it.
+		// The entry was proposed under an earlier leadership and applied late. No
+		// proposal waits for this switch.
 		c.progress = switchProgress{phase: phaseAborting, version: open.Version, fence: open.Fence}
 	default:
 		return c.onSwitchEnded(now, previous.Open)
@@ -167,9 +176,10 @@
 	return append(out, c.Tick(now)...)
 }
 
-// onConfirmEntry tells a rank which map rules. That the entry was applied shows that
-// this VM led after the rank asked. A deposed leader cannot get here, so what it
-// believes to rule never reaches a rank that could not know better.
+// onConfirmEntry sends a rank the current map. That the entry was applied
+// proves that this VM was the leader after the rank reported that it has no
+// confirmed record. A deposed leader never gets here, so a rank without a
+// record of its own is never given an outdated one.
 func (c *Coordinator) onConfirmEntry(index Fence, e Entry, out []Action) []Action {
 	v := &c.ranks[e.Rank]
 	if v.confirming == e.Incarnation {
@@ -182,7 +192,7 @@
 	return append(out, c.newOrder(OrderConfirm, e.Rank, index))
 }
 
-// Receive takes in a rank's status.
+// Receive processes a rank's status.
 func (c *Coordinator) Receive(now time.Time, s Status) []Action {
 	if !c.leading || s.Rank < 0 || s.Rank >= c.Ranks {
 		return nil
@@ -199,7 +209,8 @@
 	return c.advance(now)
 }
 
-// merge takes the newer of each field: statuses may overtake each other.
+// merge takes the newer value of each field, because statuses may arrive out of
+// order.
 func (v *rankView) merge(s Status) {
 	if !v.reported {
 		v.reported, v.status = true, s
@@ -216,7 +227,7 @@
 	w.HighestFence = max(w.HighestFence, s.HighestFence)
 }
 
-// advance moves the switch on as far as the ranks' statuses allow.
+// advance moves the switch to its next phase once the ranks' statuses allow it.
 func (c *Coordinator) advance(now time.Time) []Action {
 	switch c.progress.phase {
 	case phaseStaging, phasePreparing:
@@ -239,7 +250,8 @@
 	return c.Tick(now)
 }
 
-// mustAbort reports whether a rank refused the switch or forgot what it staged.
+// mustAbort reports whether a rank refused the switch or lost the map that it
+// had staged.
 func (c *Coordinator) mustAbort() bool {
 	for i := range c.ranks {
 		s := &c.ranks[i].status
@@ -261,8 +273,8 @@
 	return true
 }
 
-// latestStep returns the latest step that any rank is known to have begun, or that
-// the present ruling begins at.
+// latestStep returns the latest step that any rank has reported as begun, but
+// at least the first step of the current map.
 func (c *Coordinator) latestStep() Step {
 	s := c.record.Current.Step
 	for i := range c.ranks {
--- a/internal/expertmap/example_test.go
+++ b/internal/expertmap/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/parsleygate/parsleygate/internal/expertmap"
 )
 
-// A group of one rank changes from map 1 to map 2. The shell that the example
-// stands for appends entries to the log and carries messages.
+// A group of one rank switches from map 1 to map 2. The example plays the part
+// of the caller that appends entries to the log and delivers messages.
 func Example() {
 	now := time.Unix(0, 0)
 	c := &expertmap.Coordinator{Ranks: 1, Margin: 10, StageTimeout: time.Minute, PrepareTimeout: time.Minute}
@@ -40,11 +40,11 @@
 			fmt.Println("hold at step", a.Step)
 			queue = append(queue, p.Held(now, a.Fence, true)...)
 		case expertmap.ActionRun:
-			fmt.Println("map", a.Activation.Version, "rules from step", a.Activation.Step)
+			fmt.Println("map", a.Activation.Version, "is in force from step", a.Activation.Step)
 		}
 	}
 	// Output:
-	// map 1 rules from step 0
+	// map 1 is in force from step 0
 	// hold at step 10
-	// map 2 rules from step 10
+	// map 2 is in force from step 10
 }
--- a/internal/expertmap/message.go
+++ b/internal/expertmap/message.go
@@ -1,89 +1,99 @@
 package expertmap
 
-// OrderKind names what an order asks of a rank.
+// OrderKind is the kind of an Order.
 type OrderKind uint8
 
 const (
-	// OrderStage asks the rank to load the map of the open switch beside the present one.
+	// OrderStage asks the rank to load the map of the open switch in addition to
+	// the current one.
 	OrderStage OrderKind = iota + 1
-	// OrderPrepare asks the rank to promise that it begins no step from Step on until told.
+	// OrderPrepare asks the rank to promise that it begins neither Step nor a
+	// later step before the switch is decided.
 	OrderPrepare
-	// OrderInform tells the rank what the log says.
+	// OrderInform sends the rank the latest record.
 	OrderInform
-	// OrderConfirm tells a rank that does not know which map rules.
+	// OrderConfirm sends the current record to a rank that has no confirmed one.
 	OrderConfirm
 )
 
-// Order goes from the coordinator to one rank. Every order carries what the
-// log says, so each also settles switches of which the rank missed the end.
+// Order is a message from the coordinator to one rank. Every order carries the
+// record, so that a rank which missed the end of a switch receives it with the
+// next order.
 type Order struct {
 	Kind        OrderKind
 	Rank        int
 	Incarnation uint64
-	// Fence is the number of the switch, or the index of the confirming entry.
+	// Fence is the fencing number of the switch, or the index of the confirming
+	// entry.
 	Fence   Fence
 	Version Version
 	Step    Step
 	Record  Record
 }
 
-// Status goes from a rank to the coordinator: after each order, and again and
-// again. Each field only grows within an incarnation and a switch, so late and
-// doubled messages do no harm.
+// Status is a message from a rank to the coordinator. It is sent after each
+// order and periodically. Each field only grows within an incarnation and a
+// switch, so late and duplicate messages are harmless.
 type Status struct {
 	Rank        int
 	Incarnation uint64
-	// Confirmed says that the rank knows which map rules.
+	// Confirmed reports whether the rank has a confirmed record.
 	Confirmed bool
 	// Joined is the last step that the engine is known to have begun.
 	Joined Step
-	// Staged, Promised and Refused name the latest switch for which the rank did so.
+	// Staged, Promised and Refused are the fencing numbers of the latest switch
+	// that the rank has staged, promised or refused.
 	Staged, Promised, Refused Fence
-	// AsOf is how far the rank knows the log.
+	// AsOf is the index of the last log entry that the rank's record includes.
 	AsOf Fence
-	// HighestFence is the highest fencing number of an order that the rank accepted.
+	// HighestFence is the highest fencing number of an order that the rank
+	// accepted.
 	HighestFence Fence
 }
 
-// Outcome says how a proposed switch ended.
+// Outcome is the result of a proposed switch.
 type Outcome uint8
 
 const (
-	// Committed means that the map rules from its step on.
+	// Committed means that the map is in force from its step on.
 	Committed Outcome = iota + 1
-	// Aborted means that the former map rules on.
+	// Aborted means that the previous map stays in force.
 	Aborted
-	// Unknown means that this VM lost the lead; the log and the new leader know.
+	// Unknown means that this VM lost the leadership. The outcome is in the log
+	// and known to the new leader.
 	Unknown
 )
 
-// ActionKind names what a core asks its shell to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 const (
-	// ActionAppend appends Entry to the replicated log; it may be lost.
+	// ActionAppend appends Entry to the replicated log. The entry may be lost.
 	ActionAppend ActionKind = iota + 1
 	// ActionOrder sends Order to its rank.
 	ActionOrder
-	// ActionDone reports how the proposal of Version ended.
+	// ActionDone reports the outcome of the proposal of Version.
 	ActionDone
-	// ActionStatus sends Status to the control leader.
+	// ActionStatus sends Status to the leader of the control VMs.
 	ActionStatus
 	// ActionQueryPeers asks all other ranks of the group for their Record.
 	ActionQueryPeers
-	// ActionAnswerPeer answers a peer's question with Record.
+	// ActionAnswerPeer answers a peer's query with Record.
 	ActionAnswerPeer
-	// ActionLoad has the engine fetch Version; the shell then calls Loaded.
+	// ActionLoad makes the engine load Version; the caller then reports the
+	// result with Loaded.
 	ActionLoad
-	// ActionDrop has the engine free Version.
+	// ActionDrop makes the engine free Version.
 	ActionDrop
-	// ActionHold has the engine begin no step from Step on; the shell then calls Held.
+	// ActionHold makes the engine begin neither Step nor a later step; the caller
+	// then reports the result with Held.
 	ActionHold
-	// ActionRun has the engine lift any hold and use Ruling.
+	// ActionRun makes the engine lift any hold and use Activation.
 	ActionRun
 )
 
-// Action is one thing to do. Which fields are set follows from Kind.
+// Action is a request to the caller of a Coordinator or Participant. Kind
+// determines which of the other fields are set.
 type Action struct {
 	Kind       ActionKind
 	Entry      Entry
@@ -95,6 +105,6 @@
 	Step       Step
 	Fence      Fence
 	Outcome    Outcome
-	// Peer is the rank to tell.
+	// Peer is the rank that receives the answer.
 	Peer int
 }
--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -4,38 +4,42 @@
 	"time"
 )
 
-// Participant is the core at one rank's agent. Set the exported fields before
-// the first event. One goroutine uses it. The shell carries out ActionHold,
-// ActionRun and ActionDrop in the order given; an ActionLoad may take its time beside them.
+// Participant represents one rank in the map switches and runs in the rank's
+// agent. Set the exported fields before the first event. A Participant is not
+// safe for concurrent use. The caller carries out ActionHold, ActionRun and
+// ActionDrop in order; an ActionLoad may run concurrently.
 type Participant struct {
 	Rank int
-	// Incarnation is fresh and higher at each start of the agent, with its low
-	// 32 bits zero: EngineRestarted counts there.
+	// Incarnation identifies a start of the agent and must be higher at each
+	// start. Its low 32 bits must be zero: EngineRestarted counts there.
 	Incarnation uint64
-	// StatusInterval is how often the rank reports without being asked.
+	// StatusInterval is the interval at which the rank reports its status without
+	// an order.
 	StatusInterval time.Duration
-	// PeerQueryInterval is how long the rank waits for the end of a switch that it
-	// promised before it asks its peers.
+	// PeerQueryInterval is how long the rank waits for the decision on a switch
+	// that it promised before it queries its peers, and the interval at which it
+	// repeats the query.
 	PeerQueryInterval time.Duration
 
-	// confirmed says that record is good enough to run by.
+	// confirmed reports whether record may be used to run the engine.
 	confirmed bool
 	record    Record
 	// highestFence is the highest fencing number of an accepted order.
 	highestFence Fence
 	joined       Step
-	// loaded are the versions that the engine holds, wanted those asked for.
+	// loaded are the versions that the engine has loaded, loading those requested
+	// from it.
 	loaded, loading versionSet
-	// promise is the switch whose hold the engine was asked for.
+	// promise is the switch for which the engine was asked to hold.
 	promise promise
 	refused Fence
-	// engineActivation is the ruling that the engine was given last.
+	// engineActivation is the activation last sent to the engine.
 	engineActivation Activation
 	nextStatus       time.Time
 	nextPeerQuery    time.Time
 }
 
-// promise is a hold that the engine stands by once Held.
+// promise is a hold requested for a switch. It is in force once Held is set.
 type promise struct {
 	Fence   Fence
 	Version Version
@@ -43,20 +47,21 @@
 	Held    bool
 }
 
-// matches reports whether r came from the switch that was promised.
-func (m promise) matches(r Activation) bool {
-	return m.Held && r.Fence == m.Fence && r.Version == m.Version && r.Step == m.Step
+// matches reports whether a is the result of the promised switch.
+func (m promise) matches(a Activation) bool {
+	return m.Held && a.Fence == m.Fence && a.Version == m.Version && a.Step == m.Step
 }
 
-// Receive takes in an order.
+// Receive processes an order.
 func (p *Participant) Receive(now time.Time, o Order) []Action {
 	if o.Rank != p.Rank || o.Incarnation != p.Incarnation {
-		// Meant for an earlier life of this rank, which knew other things.
+		// The order is for an earlier incarnation of this rank, whose state
+		// differed.
 		return p.report(now, nil)
 	}
-	// A lower number comes from a leader that has been replaced or from a
-	// message that was under way for long. Engines that ignore fencing numbers
-	// would obey it, so it ends here.
+	// A lower number comes from a leader that has been replaced or from a message
+	// that was delayed for long. Engines that ignore fencing numbers would obey
+	// the order, so it is rejected here.
 	if o.Fence < p.highestFence {
 		return p.report(now, nil)
 	}
@@ -81,9 +86,10 @@
 	return p.report(now, out)
 }
 
-// confirm lets a rank that does not know which map rules run by the order's
-// record. The record is as new as the confirming entry, which was proposed
-// after this incarnation asked; no switch can have passed this rank since.
+// confirm adopts the order's record if this rank has no confirmed one. The
+// record includes the confirming entry, which was proposed after this
+// incarnation asked, so no switch can have been decided without this rank since
+// then.
 func (p *Participant) confirm(o Order, out []Action) []Action {
 	if p.confirmed || o.Record.AsOf < o.Fence || o.Record.Open.Fence != 0 {
 		return out
@@ -93,7 +99,8 @@
 	return p.run(out)
 }
 
-// run hands the ruling to the engine, which keeps no other maps.
+// run makes the engine use the current activation. The engine then frees all
+// other maps.
 func (p *Participant) run(out []Action) []Action {
 	p.engineActivation = p.record.Current
 	p.loading.retain(p.engineActivation.Version, p.engineActivation.Previous)
@@ -102,15 +109,16 @@
 	return append(out, Action{Kind: ActionRun, Fence: p.highestFence, Activation: p.engineActivation})
 }
 
-// mergeRecord takes in a newer record, and with it the end of a promised switch.
+// mergeRecord adopts a newer record, which may decide a promised switch.
 func (p *Participant) mergeRecord(r Record, out []Action) []Action {
 	if !p.confirmed || r.AsOf <= p.record.AsOf {
 		return out
 	}
 	promised := p.promise
 	if r.Current != p.record.Current && !promised.matches(r.Current) {
-		// No switch commits without this rank's promise. That one did means that
-		// this rank's memory is not to be trusted: it must not go on by it.
+		// No switch commits without this rank's promise. A commit without it means
+		// that this rank's state is wrong, so the rank holds until the leader
+		// confirms a record.
 		p.confirmed, p.promise = false, promise{}
 
 		return append(out, Action{Kind: ActionHold, Fence: p.highestFence})
@@ -154,8 +162,8 @@
 	if open.Fence != o.Fence || p.promise.Fence == o.Fence || p.refused == o.Fence {
 		return out
 	}
-	// Until the engine has begun a step by the present ruling, Before is still
-	// in use, and a second switch would make it forgotten.
+	// Until the engine has begun a step with the current map, it may still need
+	// the previous one, which a second switch would drop.
 	if !p.loaded.has(open.Version) || p.joined < p.record.Current.Step {
 		return out
 	}
@@ -165,8 +173,8 @@
 	return append(out, Action{Kind: ActionHold, Fence: o.Fence, Step: o.Step})
 }
 
-// Held takes in whether the engine holds for the switch f. An engine that has
-// already begun the step cannot, and the switch is refused.
+// Held reports whether the engine holds for the switch f. An engine that has
+// already begun the step cannot hold, and the switch is refused.
 func (p *Participant) Held(now time.Time, f Fence, ok bool) []Action {
 	if p.promise.Fence != f || f == 0 {
 		return nil
@@ -180,10 +188,10 @@
 	return p.report(now, nil)
 }
 
-// Loaded takes in whether the engine has fetched v.
+// Loaded reports whether the engine has loaded v.
 func (p *Participant) Loaded(now time.Time, v Version, ok bool) []Action {
 	if !p.loading.has(v) {
-		// It was dropped while it was being fetched.
+		// The version was dropped while it was loading.
 		if ok && !p.loaded.has(v) {
 			return []Action{{Kind: ActionDrop, Version: v}}
 		}
@@ -198,7 +206,7 @@
 	return p.report(now, nil)
 }
 
-// Missing takes in that the engine's next step needs v, which it has not loaded.
+// Missing reports that the engine's next step needs v, which it has not loaded.
 func (p *Participant) Missing(v Version) []Action {
 	p.loaded.remove(v)
 	if !p.confirmed || p.loading.has(v) {
@@ -208,7 +216,8 @@
 	return p.load(v, nil)
 }
 
-// Joined takes in that the engine has begun step s with the map that rules there.
+// Joined reports that the engine has begun step s with the map in force at that
+// step.
 func (p *Participant) Joined(s Step) []Action {
 	p.joined = max(p.joined, s)
 	if !p.confirmed {
@@ -222,8 +231,9 @@
 	return nil
 }
 
-// EngineRestarted takes in that the engine has lost its maps and standing
-// orders. The rank no longer knows which map rules and asks as a new incarnation.
+// EngineRestarted reports that the engine has lost its maps and its last Hold
+// or Run. The rank no longer has a confirmed record and requests one as a new
+// incarnation.
 func (p *Participant) EngineRestarted(now time.Time) []Action {
 	*p = Participant{
 		Rank: p.Rank, Incarnation: p.Incarnation + 1,
@@ -233,7 +243,7 @@
 	return p.report(now, nil)
 }
 
-// HandlePeerQuery answers a peer that waits for the end of a switch.
+// HandlePeerQuery answers a peer that waits for the decision on a switch.
 func (p *Participant) HandlePeerQuery(peer int) []Action {
 	if !p.confirmed {
 		return nil
@@ -242,8 +252,9 @@
 	return []Action{{Kind: ActionAnswerPeer, Peer: peer, Record: p.record}}
 }
 
-// HandlePeerRecord takes in a peer's answer. It may end a promised switch, but never tells
-// a rank that does not know which map rules: the peer's word may be old.
+// HandlePeerRecord processes a peer's answer. The answer may decide a promised
+// switch, but it never confirms the record of a rank that has none, because the
+// peer's record may be outdated.
 func (p *Participant) HandlePeerRecord(now time.Time, r Record) []Action {
 	if out := p.mergeRecord(r, nil); out != nil {
 		return p.report(now, out)
@@ -252,7 +263,8 @@
 	return nil
 }
 
-// Tick reports when it is time, and asks the peers while a promised switch stays open.
+// Tick reports the status when it is due, and queries the peers while a
+// promised switch is undecided.
 func (p *Participant) Tick(now time.Time) []Action {
 	var out []Action
 	if p.promise.Fence != 0 && !now.Before(p.nextPeerQuery) {
@@ -266,7 +278,7 @@
 	return p.report(now, out)
 }
 
-// report adds the rank's status to out.
+// report appends the rank's status to out.
 func (p *Participant) report(now time.Time, out []Action) []Action {
 	p.nextStatus = now.Add(p.StatusInterval)
 	s := Status{
--- a/internal/expertmap/participant_test.go
+++ b/internal/expertmap/participant_test.go
@@ -27,7 +27,8 @@
 	return p
 }
 
-// holdingRank returns a rank whose engine holds at step 100 for the switch to map 2.
+// holdingRank returns a rank whose engine holds at step 100 for the switch to
+// map 2.
 func holdingRank() *Participant {
 	p := confirmedRank()
 	p.Receive(startTime, newTestOrder(OrderStage, 8, openRecord))
@@ -59,21 +60,21 @@
 		p    *Participant
 		o    Order
 		want []ActionKind
-		v    Version // that rules at step 100 afterwards, 0 for none known
+		v    Version // in force at step 100 afterwards, 0 if the rank has no confirmed record
 	}{
 		{"stage", confirmedRank(), newTestOrder(OrderStage, 8, openRecord), []ActionKind{ActionLoad, ActionStatus}, 1},
-		{"stage again", holdingRank(), newTestOrder(OrderStage, 8, openRecord), []ActionKind{ActionStatus}, 1},
+		{"stage repeated", holdingRank(), newTestOrder(OrderStage, 8, openRecord), []ActionKind{ActionStatus}, 1},
 		{"prepare before staged", confirmedRank(), newTestOrder(OrderPrepare, 8, openRecord), []ActionKind{ActionStatus}, 1},
-		{"prepare again", holdingRank(), newTestOrder(OrderPrepare, 8, openRecord), []ActionKind{ActionStatus}, 1},
+		{"prepare repeated", holdingRank(), newTestOrder(OrderPrepare, 8, openRecord), []ActionKind{ActionStatus}, 1},
 		{"committed", holdingRank(), newTestOrder(OrderInform, 9, committed), []ActionKind{ActionRun, ActionStatus}, 2},
 		{"aborted", holdingRank(), newTestOrder(OrderInform, 9, aborted), []ActionKind{ActionRun, ActionStatus}, 1},
-		{"still open, later log", holdingRank(), newTestOrder(OrderPrepare, 8, Record{AsOf: 9, Current: firstRecord.Current, Open: openRecord.Open}), []ActionKind{ActionStatus}, 1},
+		{"still open, newer record", holdingRank(), newTestOrder(OrderPrepare, 8, Record{AsOf: 9, Current: firstRecord.Current, Open: openRecord.Open}), []ActionKind{ActionStatus}, 1},
 		{"committed without this rank", confirmedRank(), newTestOrder(OrderInform, 9, committed), []ActionKind{ActionHold, ActionStatus}, 0},
 		{"another switch committed", holdingRank(), newTestOrder(OrderInform, 9, otherSwitch), []ActionKind{ActionHold, ActionStatus}, 0},
 		{"old fencing number", holdingRank(), newTestOrder(OrderInform, 7, committed), []ActionKind{ActionStatus}, 1},
 		{"other incarnation", holdingRank(), otherIncarnation, []ActionKind{ActionStatus}, 1},
-		{"confirm from an open switch", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderConfirm, 8, openRecord), []ActionKind{ActionStatus}, 0},
-		{"inform a rank that knows nothing", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderInform, 9, committed), []ActionKind{ActionStatus}, 0},
+		{"confirm during an open switch", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderConfirm, 8, openRecord), []ActionKind{ActionStatus}, 0},
+		{"inform a rank without a confirmed record", &Participant{Rank: 3, Incarnation: 1 << 32}, newTestOrder(OrderInform, 9, committed), []ActionKind{ActionStatus}, 0},
 	}
 	for _, c := range cases {
 		require.Equal(t, c.want, kinds(c.p.Receive(startTime, c.o)), c.name)
@@ -107,7 +108,7 @@
 		r.Apply(20, c.e)
 		require.Equal(t, c.want, r, c.name)
 		r.Apply(20, Entry{Kind: EntryBegin, Version: 9})
-		require.Equal(t, c.want, r, "an entry counts once")
+		require.Equal(t, c.want, r, "an entry is applied once")
 	}
 }
 
@@ -117,14 +118,14 @@
 	c := &Coordinator{Ranks: 1, StageTimeout: time.Minute}
 	c.Start(firstRecord)
 	_, err := c.Propose(startTime, 2)
-	require.EqualError(t, err, "expert map 2: this VM does not lead")
+	require.EqualError(t, err, "expert map 2: this VM is not the leader")
 	c.Lead(startTime)
 	_, err = c.Propose(startTime, 1)
-	require.EqualError(t, err, "expert map 1: not newer than the ruling map")
+	require.EqualError(t, err, "expert map 1: version is not newer than the current map")
 	_, err = c.Propose(startTime, 2)
 	require.NoError(t, err)
 	_, err = c.Propose(startTime, 3)
-	require.EqualError(t, err, "expert map 3: another switch is open")
+	require.EqualError(t, err, "expert map 3: another switch is in progress")
 	require.Equal(t, []Action{{Kind: ActionDone, Version: 2, Outcome: Unknown}}, c.Follow())
 }
 
@@ -139,5 +140,5 @@
 		return fault
 	}}
 	require.ErrorIs(t, e.Do(context.Background(), Action{Kind: ActionHold, Fence: 8, Step: 100}), fault)
-	require.EqualError(t, e.Do(context.Background(), Action{Kind: ActionQueryPeers}), "action 5 is none of the engine's")
+	require.EqualError(t, e.Do(context.Background(), Action{Kind: ActionQueryPeers}), "action 5 is not an engine action")
 }
--- a/internal/expertmap/record.go
+++ b/internal/expertmap/record.go
@@ -1,40 +1,44 @@
 // Package expertmap switches a group of lock-step ranks from one expert map to
-// another, so that in no step two ranks compute with different maps.
+// another. It guarantees that no two ranks compute the same step with different
+// maps.
 //
-// A Coordinator at the control leader stages the new map on every rank, has
-// every rank's engine hold at one named step, and commits or aborts the switch
-// in the replicated log. Only the log decides. A Participant at each rank's
-// agent carries the orders to its engine. Both are cores without I/O: events
-// and the time go in, actions come out.
+// A Coordinator on the leader of the control VMs makes every rank stage the new
+// map, makes every rank's engine hold at the same step, and commits or aborts
+// the switch in the replicated log. Only the log decides. A Participant in each
+// rank's agent passes the orders on to its engine. Both are state machines
+// without I/O: they take events and the current time, and return actions.
 package expertmap
 
-// Version numbers a group's maps. It grows with every map; zero is no map.
+// Version identifies a map of a group. Every new map has a higher version; zero
+// means no map.
 type Version uint64
 
-// Step numbers a group's lock-step steps. It must never restart within a
-// group's life: a group that counts anew after a restart adds an epoch above.
+// Step is the number of a lock-step step of a group. It must never start over
+// while the group exists: a group whose count restarts must put an epoch into
+// the higher bits.
 type Step uint64
 
-// Fence is a fencing number: the index of a log entry. Zero is none.
+// Fence is a fencing number: the index of a log entry. Zero means none.
 type Fence uint64
 
-// Activation says which map rules in each step.
+// Activation determines which map is in force at each step.
 type Activation struct {
-	// Version rules from Step on, Before until then.
+	// Version is in force from Step on, Previous until then.
 	Version  Version
 	Step     Step
 	Previous Version
-	// Fence is the number of the switch that brought the ruling, 0 for a group's first.
+	// Fence is the fencing number of the switch that led to this activation, 0
+	// for a group's first map.
 	Fence Fence
 }
 
-// VersionAt returns the map that rules in step s.
-func (r Activation) VersionAt(s Step) Version {
-	if s >= r.Step {
-		return r.Version
+// VersionAt returns the map in force at step s.
+func (a Activation) VersionAt(s Step) Version {
+	if s >= a.Step {
+		return a.Version
 	}
 
-	return r.Previous
+	return a.Previous
 }
 
 // Switch is a change of map that is not yet decided.
@@ -43,48 +47,49 @@
 	Version Version
 }
 
-// Record is what the log says about a group's map up to AsOf. A Record is a
-// true statement whoever passes it on: what it calls settled stays settled.
+// Record is the state of a group's map after the log entry AsOf. It stays true
+// whoever relays it: a switch that it shows as decided remains decided.
 type Record struct {
 	AsOf    Fence
 	Current Activation
 	Open    Switch
 }
 
-// decided reports whether the switch with this number is decided, as far as r knows.
+// decided reports whether the switch f is decided according to r.
 func (r *Record) decided(f Fence) bool { return r.AsOf >= f && r.Open.Fence != f }
 
-// EntryKind names what a log entry does.
+// EntryKind is the kind of an Entry.
 type EntryKind uint8
 
 const (
 	// EntryBegin opens a switch; the entry's index becomes its fencing number.
 	EntryBegin EntryKind = iota + 1
-	// EntryCommit makes the open switch rule from Step on.
+	// EntryCommit puts the map of the open switch in force from Step on.
 	EntryCommit
 	// EntryAbort ends the open switch without effect.
 	EntryAbort
-	// EntryConfirm shows that its proposer led after a rank said it does not
-	// know which map rules; only then may the rank be told.
+	// EntryConfirm proves that its proposer was the leader after a rank reported
+	// that it has no confirmed record. Only then may the rank be sent the record.
 	EntryConfirm
 )
 
 // Entry is one log entry about a group's map.
 type Entry struct {
 	Kind EntryKind
-	// Fence names the switch of EntryCommit and EntryAbort.
+	// Fence is the switch that EntryCommit or EntryAbort decides.
 	Fence Fence
 	// Version is the map of EntryBegin.
 	Version Version
-	// Step is when the map of EntryCommit begins to rule.
+	// Step is the first step of the map of EntryCommit.
 	Step Step
 	// Rank and Incarnation are those of EntryConfirm.
 	Rank        int
 	Incarnation uint64
 }
 
-// Apply takes in the entry at index. Entries that no longer fit change
-// nothing, so proposers may repeat them and two leaders may race.
+// Apply applies the entry at index. Entries that no longer apply to the current
+// state have no effect, so proposers may repeat them and two leaders may
+// propose concurrently.
 func (r *Record) Apply(index Fence, e Entry) {
 	if index <= r.AsOf {
 		return
--- a/internal/expertmap/resend.go
+++ b/internal/expertmap/resend.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// Tick repeats what is unanswered and ends what takes too long.
+// Tick sends unanswered orders and entries again and aborts a switch that has
+// timed out.
 func (c *Coordinator) Tick(now time.Time) []Action {
 	if !c.leading {
 		return nil
@@ -22,8 +23,8 @@
 	return out
 }
 
-// abortExpired aborts a switch that has used up its time. A switch whose commit is
-// under way is left to the log.
+// abortExpired aborts a switch whose deadline has passed. A switch whose commit
+// has been proposed is not aborted; the log decides it.
 func (c *Coordinator) abortExpired(now time.Time) []Action {
 	if c.progress.phase == phaseIdle || c.progress.deadline.IsZero() || now.Before(c.progress.deadline) {
 		return nil
@@ -60,7 +61,7 @@
 	return append(out, Action{Kind: ActionAppend, Entry: e})
 }
 
-// resendOrder sends rank r what it lacks.
+// resendOrder sends rank r the order or entry that it is waiting for.
 func (c *Coordinator) resendOrder(r int, out []Action) []Action {
 	v := &c.ranks[r]
 	s := &v.status
@@ -69,7 +70,7 @@
 		return out
 	case !s.Confirmed:
 		if c.record.Open.Fence != 0 {
-			return out // the switch ends first
+			return out // the open switch is decided first
 		}
 		v.confirming = s.Incarnation
 
--- a/internal/expertmap/simulation_test.go
+++ b/internal/expertmap/simulation_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// group is a whole group in virtual time: engines in lock-step, agents, control
-// VMs with a log that only its leader can append to, and a bad network.
+// group simulates a group in virtual time: engines in lock-step, agents,
+// control VMs with a log to which only the leader can append, and an unreliable
+// network.
 type group struct {
 	rng     *rand.Rand
 	now     time.Time
@@ -16,17 +17,20 @@
 	nodes   []*Coordinator
 	applied []int
 	log     []Entry
-	leader  int // -1: none
+	leader  int // -1 if there is none
 	ranks   []*rank
 	step    Step
-	// stepVersion is the map with which the present step was begun first.
+	// stepVersion is the map with which the first rank began the current step.
 	stepVersion Version
 	sent        []func()
-	// dropRate, twice and slow are the network's faults, each as a probability.
+	// dropRate, duplicateRate and delayRate are the probabilities of network
+	// faults.
 	dropRate, duplicateRate, delayRate float64
-	// isolatedUntil control VMs hear nothing of the log until then, but still reach the ranks.
+	// isolatedUntil is, for each control VM, the time until which it receives no
+	// log entries but still reaches the ranks.
 	isolatedUntil [3]time.Time
-	// logStalledUntil is until when the log takes in nothing; what was appended then follows in any order.
+	// logStalledUntil is the time until which the log accepts no entries. Entries
+	// appended until then follow in any order.
 	logStalledUntil time.Time
 	done            []Action
 	fault           error
@@ -37,12 +41,12 @@
 	id                int
 	agent             *Participant
 	boots             uint64
-	ruling            *Activation
+	activation        *Activation
 	hold              Step
 	loaded            map[Version]bool
 	begun             bool
 	unresponsiveUntil time.Time // neither engine nor agent does anything until then
-	lastVersion       Version   // of the last step begun
+	lastVersion       Version   // map of the last step begun
 }
 
 type event struct {
@@ -102,11 +106,12 @@
 
 func (g *group) restartEngine(i int) {
 	r := g.ranks[i]
-	r.ruling, r.hold, r.begun, r.loaded = nil, 0, false, map[Version]bool{}
+	r.activation, r.hold, r.begun, r.loaded = nil, 0, false, map[Version]bool{}
 	g.doRankActions(r, r.agent.EngineRestarted(g.now))
 }
 
-// setLeader makes node i the leader; the former one learns that late.
+// setLeader makes node i the leader. The previous leader is notified with a
+// delay.
 func (g *group) setLeader(i int) {
 	previous := g.leader
 	if previous == i {
@@ -128,7 +133,8 @@
 	}
 }
 
-// isolate cuts the leader off from the log without a word; node i takes over.
+// isolate cuts the leader off from the log without notifying it, and makes node
+// i the leader.
 func (g *group) isolate(i int, d time.Duration) {
 	if g.leader >= 0 && g.leader != i {
 		g.isolatedUntil[g.leader] = g.now.Add(d)
@@ -154,7 +160,8 @@
 	return time.Duration(g.rng.Int64N(int64(d)))
 }
 
-// send delivers by the network's will: never, once, twice, soon or very late.
+// send delivers a message never, once or twice, with a short or a long delay,
+// as the network's fault rates decide.
 func (g *group) send(deliver func()) {
 	g.sent = append(g.sent, deliver)
 	if g.rng.Float64() < g.dropRate {
@@ -170,7 +177,7 @@
 	}
 }
 
-// redeliverAll delivers everything that was ever sent once more.
+// redeliverAll delivers every message sent so far once more.
 func (g *group) redeliverAll() {
 	for _, deliver := range g.sent {
 		g.after(g.randomDuration(2*time.Second), deliver)
@@ -235,7 +242,7 @@
 		case ActionHold:
 			g.holdEngine(r, a)
 		case ActionRun:
-			r.hold, r.ruling = 0, &a.Activation
+			r.hold, r.activation = 0, &a.Activation
 			for v := range r.loaded {
 				if v != a.Activation.Version && v != a.Activation.Previous {
 					delete(r.loaded, v)
@@ -258,12 +265,13 @@
 	g.doRankActions(r, r.agent.Held(g.now, a.Fence, ok))
 }
 
-// beginStep lets an engine begin the group's present step if its orders allow.
+// beginStep lets an engine begin the group's current step if its hold and
+// activation allow it.
 func (g *group) beginStep(r *rank) {
-	if r.begun || r.ruling == nil || (r.hold != 0 && g.step >= r.hold) || g.now.Before(r.unresponsiveUntil) {
+	if r.begun || r.activation == nil || (r.hold != 0 && g.step >= r.hold) || g.now.Before(r.unresponsiveUntil) {
 		return
 	}
-	v := r.ruling.VersionAt(g.step)
+	v := r.activation.VersionAt(g.step)
 	if !r.loaded[v] {
 		g.doRankActions(r, r.agent.Missing(v))
 
@@ -276,7 +284,7 @@
 	g.doRankActions(r, r.agent.Joined(g.step))
 }
 
-// run passes d of virtual time, or less once until holds.
+// run advances virtual time by d, or until the condition until is true.
 func (g *group) run(d time.Duration, until func() bool) bool {
 	for end := g.now.Add(d); g.now.Before(end) && g.fault == nil; g.now = g.now.Add(tickInterval) {
 		for len(g.events) > 0 && !g.events[0].at.After(g.now) {
@@ -322,7 +330,7 @@
 	g.stepVersion = 0
 }
 
-// propose asks the leader for version v.
+// propose proposes version v to the leader.
 func (g *group) propose(v Version) {
 	if g.leader < 0 {
 		return
--- a/internal/expertmap/switch_test.go
+++ b/internal/expertmap/switch_test.go
@@ -40,7 +40,7 @@
 	return false
 }
 
-// faultPoints are the moments of a switch at which something can die, in order.
+// faultPoints are the points of a switch at which a fault can occur, in order.
 var faultPoints = []struct {
 	name string
 	at   func(g *group) bool
@@ -53,14 +53,14 @@
 	{"one rank promised", func(g *group) bool { return g.anyRank(promised) }},
 	{"all ranks promised", func(g *group) bool { return g.allRanks(promised) }},
 	{"commit proposed", func(g *group) bool { return g.inPhase(phaseCommitting) }},
-	{"commit in the log, no rank told", func(g *group) bool { return g.hasEntry(EntryCommit) }},
-	{"one rank told", func(g *group) bool { return g.anyRank(informed) }},
-	{"all ranks told", func(g *group) bool { return g.allRanks(informed) }},
+	{"commit in the log, no rank informed", func(g *group) bool { return g.hasEntry(EntryCommit) }},
+	{"one rank informed", func(g *group) bool { return g.anyRank(informed) }},
+	{"all ranks informed", func(g *group) bool { return g.allRanks(informed) }},
 	{"one rank began the step", func(g *group) bool { return g.anyRank(switched) }},
 	{"all ranks began the step", func(g *group) bool { return g.allRanks(switched) }},
 }
 
-// faults are what can happen there.
+// faults are the faults that can occur at each point.
 var faults = []struct {
 	name string
 	do   func(g *group)
@@ -73,9 +73,9 @@
 			g.restartAgent(i)
 		}
 	}},
-	{"a rank is silent for long", func(g *group) { g.ranks[3].unresponsiveUntil = g.now.Add(6 * time.Second) }},
-	{"the leader dies", func(g *group) { g.restartControl(0); g.setLeader(1) }},
-	{"the leader is deposed and does not know", func(g *group) { g.setLeader(1) }},
+	{"a rank is unresponsive for 6 s", func(g *group) { g.ranks[3].unresponsiveUntil = g.now.Add(6 * time.Second) }},
+	{"the leader fails and another takes over", func(g *group) { g.restartControl(0); g.setLeader(1) }},
+	{"the leader is deposed without notice", func(g *group) { g.setLeader(1) }},
 	{"the leader is cut off from the log, then an engine restarts", func(g *group) {
 		g.isolate(1, 30*time.Second)
 		for _, d := range []time.Duration{500 * time.Millisecond, 2 * time.Second} {
@@ -87,20 +87,20 @@
 		g.logStalledUntil = g.now.Add(2 * time.Second)
 		g.restartEngine(0)
 	}},
-	{"no control leads for long", func(g *group) { g.setLeader(-1); g.after(6*time.Second, func() { g.setLeader(2) }) }},
-	{"all messages come again", func(g *group) { g.redeliverAll() }},
-	{"agent and leader die", func(g *group) { g.restartAgent(1); g.restartControl(0); g.setLeader(1) }},
-	{"engine dies, leader deposed, messages come again", func(g *group) { g.restartEngine(1); g.setLeader(2); g.redeliverAll() }},
-	{"messages are lost for a second", func(g *group) {
+	{"no control VM leads for 6 s", func(g *group) { g.setLeader(-1); g.after(6*time.Second, func() { g.setLeader(2) }) }},
+	{"all messages are redelivered", func(g *group) { g.redeliverAll() }},
+	{"an agent and the leader fail", func(g *group) { g.restartAgent(1); g.restartControl(0); g.setLeader(1) }},
+	{"an engine restarts, the leader is deposed, messages are redelivered", func(g *group) { g.restartEngine(1); g.setLeader(2); g.redeliverAll() }},
+	{"all messages are lost for 1 s", func(g *group) {
 		g.dropRate = 1
 		g.after(time.Second, func() { g.dropRate = 0 })
 	}},
 }
 
-// A rank, an agent or the control leader dies somewhere in the switch, or
-// messages come late and twice. A user would see garbled drafts if two ranks
-// then computed one step with different maps, and none at all if the group
-// waited forever for a decision that nobody makes.
+// Guards against faults during a switch: a rank, an agent or the leader fails,
+// or messages arrive late or twice. If two ranks then computed the same step
+// with different maps, responses would be garbled. If the group waited for a
+// decision that nobody makes, there would be no responses.
 func TestSwitchRecoversFromFaultsAtEveryPoint(t *testing.T) {
 	t.Parallel()
 
@@ -111,7 +111,7 @@
 				g := newGroup(1, 4)
 				require.True(t, g.run(5*time.Second, func() bool { return g.step > 20 }), "the group starts")
 				g.propose(2)
-				require.True(t, point.at(g) || g.run(5*time.Second, func() bool { return point.at(g) }), "the point is reached")
+				require.True(t, point.at(g) || g.run(5*time.Second, func() bool { return point.at(g) }), "the fault point is reached")
 				fault.do(g)
 				g.run(8*time.Second, nil)
 				requireRecovery(t, g)
@@ -120,8 +120,8 @@
 	}
 }
 
-// requireRecovery checks that the group steps again, all ranks with the map that
-// the log names, and that a next switch succeeds.
+// requireRecovery checks that the group continues to step, that all ranks use
+// the same map, and that the next switch succeeds.
 func requireRecovery(t require.TestingT, g *group) {
 	require.NoError(t, g.fault)
 	if g.leader < 0 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Faults may come at any moment, together or twice.
+// Faults may occur at any time, several at once or repeatedly.
 func TestSwitchRecoversFromRandomFaults(t *testing.T) {
 	t.Parallel()
 
@@ -153,7 +153,8 @@
 	})
 }
 
-// runRandomFaults runs a group for a minute under random faults, then checks that it recovers.
+// runRandomFaults runs a group under random faults through 22 proposals, then
+// checks that it recovers.
 func runRandomFaults(t require.TestingT, seed uint64) {
 	g := newGroup(seed, 4)
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -196,8 +197,9 @@
 	requireRecovery(t, g)
 }
 
-// All control VMs are lost just after one rank learnt the decision, and the
-// others hold at the step. They learn it from that rank, so drafts go on.
+// All control VMs are lost just after one rank has received the decision, while
+// the others hold at the step. They must receive the decision from that rank,
+// so that the group continues.
 func TestPeersDeliverDecisionWithoutControlVMs(t *testing.T) {
 	t.Parallel()
 
@@ -208,7 +210,7 @@
 	for i := range g.nodes {
 		g.restartControl(i)
 	}
-	g.events = nil // what they sent is lost with them
+	g.events = nil // messages sent by the lost control VMs are lost too
 	require.False(t, g.allRanks(informed))
 	require.True(t, g.run(5*time.Second, func() bool { return g.allRanks(switched) }))
 	require.NoError(t, g.fault)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -72,8 +72,8 @@
 )
 
 // String returns the reason's name.
-func (y Reason) String() string {
-	return [...]string{"Balanced", "Cost", "Gain", "Repair"}[y]
+func (r Reason) String() string {
+	return [...]string{"Balanced", "Cost", "Gain", "Repair"}[r]
 }
 
 // Decision is the outcome of Decide. Map is nil where the present one stays.
--- a/internal/popularity/decay.go
+++ b/internal/popularity/decay.go
@@ -35,10 +35,10 @@
 	return time.Duration(float64(interval) * (1 + (1-gain)/2*(1/gain-1/(2-gain))))
 }
 
-// maxDecaySamples is how many windows the estimate of a life looks back on. Their
+// decaySamples is how many windows the estimate of a life looks back on. Their
 // median counts, so that one sudden shift among them does not make the planner
 // believe that no map is worth its moves, just when one is.
-const maxDecaySamples = 9
+const decaySamples = 9
 
 // decayEstimate estimates how long popularity keeps its shape.
 type decayEstimate struct {
@@ -58,7 +58,7 @@
 		sample = time.Duration(decay * float64(time.Second))
 	}
 	e.samples = append(e.samples, max(sample, lag))
-	if len(e.samples) > maxDecaySamples {
+	if len(e.samples) > decaySamples {
 		e.samples = e.samples[1:]
 	}
 }
