--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -173,7 +173,7 @@
 	return append(out, Action{Kind: ActionHold, Fence: o.Fence, Step: o.Step})
 }
 
-// Held reports whether the engine holds for the switch f. An engine that has
+// Held records whether the engine holds for the switch f. An engine that has
 // already begun the step cannot hold, and the switch is refused.
 func (p *Participant) Held(now time.Time, f Fence, ok bool) []Action {
 	if p.promise.Fence != f || f == 0 {
@@ -188,7 +188,7 @@
 	return p.report(now, nil)
 }
 
-// Loaded reports whether the engine has loaded v.
+// Loaded records whether the engine has loaded v.
 func (p *Participant) Loaded(now time.Time, v Version, ok bool) []Action {
 	if !p.loading.has(v) {
 		// The version was dropped while it was loading.
@@ -206,7 +206,7 @@
 	return p.report(now, nil)
 }
 
-// Missing reports that the engine's next step needs v, which it has not loaded.
+// Missing records that the engine's next step needs v, which it has not loaded.
 func (p *Participant) Missing(v Version) []Action {
 	p.loaded.remove(v)
 	if !p.confirmed || p.loading.has(v) {
@@ -216,7 +216,7 @@
 	return p.load(v, nil)
 }
 
-// Joined reports that the engine has begun step s with the map in force at that
+// Joined records that the engine has begun step s with the map in force at that
 // step.
 func (p *Participant) Joined(s Step) []Action {
 	p.joined = max(p.joined, s)
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// EngineRestarted reports that the engine has lost its maps and its last Hold
+// EngineRestarted records that the engine has lost its maps and its last Hold
 // or Run. The rank no longer has a confirmed record and requests one as a new
 // incarnation.
 func (p *Participant) EngineRestarted(now time.Time) []Action {
--- a/internal/placement/baseline_test.go
+++ b/internal/placement/baseline_test.go
@@ -6,22 +6,24 @@
 	"slices"
 )
 
-// BaselinePlanner is the first version of the planner, kept as a baseline: it tries all
-// ranks as receivers, counts gains over the popularity's life, and knows neither
-// swings nor packing.
+// BaselinePlanner is the first version of the planner, kept as a baseline for
+// benchmarks. It tries all ranks as receivers, counts gains over the whole
+// popularity decay, and ignores volatility and packing from scratch.
 type BaselinePlanner struct {
 	Planner
 }
 
-// baselineMaxChangesWithoutGain is how many changes of the first version passed without a better net gain.
+// baselineMaxChangesWithoutGain is the number of changes that the first version
+// allowed without a better net gain.
 const baselineMaxChangesWithoutGain = 8
 
-// baselineLayer is a layer with the first version's search.
+// baselineLayer adds the first version's search to a layerState.
 type baselineLayer struct {
 	layerState
 }
 
-// Decide returns the first version's map for g, or nil.
+// Decide returns the first version's map for g, or nil if the current one
+// stays.
 func (p *BaselinePlanner) Decide(g *Group) *Map {
 	withoutVolatility := *g
 	withoutVolatility.Load.Volatility = 0
@@ -36,7 +38,7 @@
 		x.Saved, x.Copies = w.baselineImprove(pr, &p.scratch)
 		if x.Saved > 0 || !slices.Equal(w.slots, g.Map.Layer(l)) {
 			x.Value, x.slots = x.Saved*pr.LayerTime, w.slots
-			x.Saved = 0 // so that nothing is looked back on
+			x.Saved = 0 // so that no trials are recorded
 			p.results = append(p.results, x)
 			repairCopies += x.RepairCopies
 		}
@@ -47,10 +49,11 @@
 	return d.Map
 }
 
-// baselineImprove changes w while that pays, and returns the time saved and the copies
-// fetched. It follows the best change for the slowest rank again and again and
-// then keeps the prefix with the highest net gain, so that several equally slow
-// ranks, of which each alone gains nothing, can be relieved one after another.
+// baselineImprove changes w while that pays, and returns the time saved and the
+// copies fetched. It repeatedly applies the best change for the slowest rank
+// and then keeps the prefix of changes with the highest net gain. This relieves
+// several equally slow ranks one after another, although relieving only one of
+// them gains nothing.
 func (w *baselineLayer) baselineImprove(p prices, s *scratch) (saved float64, copies int) {
 	_, before := w.slowest()
 	if (before-w.idealTime())*p.LayerTime <= p.Copy {
@@ -83,8 +86,8 @@
 	return saved, copies
 }
 
-// baselineChange returns the change that takes most time off the slowest rank for
-// each copy, without making any other rank as slow.
+// baselineChange returns the change that takes the most time off the slowest
+// rank per copy, without making any other rank as slow.
 func (w *baselineLayer) baselineChange() change {
 	rank, slowestTime := w.slowest()
 	best := change{Score: epsilon}
@@ -104,7 +107,8 @@
 	return best
 }
 
-// baselineConsider keeps c if it is better; reached is the slowest of the ranks that c touches.
+// baselineConsider keeps c if it is better than best. newTime is the time of
+// the slowest rank that c touches.
 func (w *baselineLayer) baselineConsider(c change, slowestTime, newTime, copies float64, best *change) {
 	gain := slowestTime - math.Max(newTime, w.idealTime())
 	if c.Score = gain / copies; c.Score > best.Score {
@@ -124,7 +128,8 @@
 	w.baselineConsider(change{Kind: changeDrop, From: i}, slowestTime, newTime, noFetchCopies, best)
 }
 
-// baselineRank tries every change between slot i of the slowest rank and the slots of rank r.
+// baselineRank tries every change between slot i of the slowest rank and the
+// slots of rank r.
 func (w *baselineLayer) baselineRank(i, rank, r int, slowestTime float64, best *change) {
 	a := w.slots[i]
 	n := replicas(w.holders[a])
@@ -155,19 +160,21 @@
 	}
 }
 
-// baselineCandidate describes fetching the expert of slot From into slot To, over a
-// replica that can be spared or into an empty slot.
+// baselineCandidate describes fetching the expert of slot From into slot To,
+// which is empty or holds a replica that can be dropped.
 type baselineCandidate struct {
 	From, To, Rank, Receiver int
-	// Share and Next are the expert's work on each holder before and after one more replica.
+	// Share and ShareIfReplicated are the expert's work on each of its holders
+	// before and after adding a replica.
 	Share, ShareIfReplicated float64
-	// FreedShare is the work that To's former expert leaves, PerOther what it adds to each of Others.
+	// FreedShare is the work of the expert now in slot To, ExtraPerHolder what
+	// dropping that replica adds to each of OtherHolders.
 	FreedShare     float64
 	OtherHolders   uint64
 	ExtraPerHolder float64
 }
 
-// baselineCopy tries the fetch as one more replica and as a move.
+// baselineCopy tries the fetch as an additional replica and as a move.
 func (w *baselineLayer) baselineCopy(t baselineCandidate, slowestTime float64, best *change) {
 	extra := func(r int) float64 {
 		if t.OtherHolders&(1<<r) != 0 {
@@ -191,7 +198,8 @@
 	}
 }
 
-// baselineMaxRankTime returns the slowest of the given ranks with extra work each, or floor.
+// baselineMaxRankTime returns the longest time of the given ranks with extra
+// work each, or floor if that is longer.
 func (w *baselineLayer) baselineMaxRankTime(ranks uint64, extra, floor float64) float64 {
 	for ; ranks != 0; ranks &= ranks - 1 {
 		floor = math.Max(floor, w.rankTime(bits.TrailingZeros64(ranks), extra, 0))
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -10,7 +10,7 @@
 func policies() []policy {
 	packed := false
 	baseline := &placement.BaselinePlanner{Planner: *newPlanner()}
-	baseline.StorePrice = 0 // it knew none
+	baseline.StorePrice = 0 // the first version had no store price
 	return []policy{
 		{name: "even", decide: func(time.Time, *placement.Group) *placement.Map { return nil }},
 		{name: "static", instant: true, decide: func(now time.Time, g *placement.Group) *placement.Map {
@@ -23,7 +23,7 @@
 		}},
 		{name: "scratch-instant", decide: greedy, instant: true},
 		{name: "scratch", decide: greedy},
-		{name: "former", decide: func(_ time.Time, g *placement.Group) *placement.Map { return baseline.Decide(g) }},
+		{name: "baseline", decide: func(_ time.Time, g *placement.Group) *placement.Map { return baseline.Decide(g) }},
 		{name: "planner", decide: decideWith(newPlanner())},
 	}
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkSkew plays every policy through every scene of four hours.
+// BenchmarkSkew simulates four hours of every scenario under every policy.
 func BenchmarkSkew(b *testing.B) {
 	for _, s := range scenarios() {
 		for _, p := range policies() {
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// chooseChanges takes the layers that gain most for each copy while the whole still
-// gains by taking more, and fills in d.
+// chooseChanges selects layers in order of gain per copy, up to the number of
+// layers with the highest total net gain, and fills in d.
 func (p *Planner) chooseChanges(g *Group, repairCopies int, d *Decision) {
 	sortByGain(p.results)
 	saved, copies := 0.0, repairCopies
@@ -31,17 +31,19 @@
 	p.buildDecision(g, selected, repairCopies, bestSaved, d)
 }
 
-// discount is the part of a gain that is left after waiting for the copies.
+// discount returns the fraction of a gain that remains after waiting for the
+// copies.
 func (p *Planner) discount(copies int) float64 {
 	return math.Exp(-p.fetchTime(copies) / math.Max(p.horizon, epsilon))
 }
 
-// fetchTime is how long the store takes for the copies, in seconds.
+// fetchTime returns the time to fetch the copies from the weight store, in
+// seconds.
 func (p *Planner) fetchTime(copies int) float64 {
 	return float64(copies) * float64(p.ExpertBytes) / p.StoreRate
 }
 
-// transferTime is how long the scheduled moves take.
+// transferTime returns the time until the last of the scheduled moves ends.
 func (p *Planner) transferTime(moves []Move) time.Duration {
 	var longest time.Duration
 	var start time.Time
@@ -52,18 +54,18 @@
 	return longest
 }
 
-// Rates returns what Schedule is to keep to.
+// Rates returns the rate limits for Schedule.
 func (p *Planner) Rates() Rates { return Rates{Store: p.StoreRate, Rank: p.RankRate} }
 
-// cost is the working time lost to fetching and switching, in seconds.
+// cost returns the working time lost to fetching and switching, in seconds.
 func (p *Planner) cost(copies int) float64 {
 	return p.fetchTime(copies)*(p.Slowdown+p.StorePrice) + p.SwitchPause.Seconds()
 }
 
-// buildDecision makes the new map of the first taken results, worth so many seconds,
-// and of all repairs. The scheduled transfer may take longer than the store's
-// rate alone tells, where one rank has most to fetch; a gain that does not
-// cover that is given up.
+// buildDecision builds the new map from all repairs and the first selected
+// results, which save bestSaved seconds. The scheduled transfer can take longer
+// than the store rate implies if one rank has many copies to fetch; a gain that
+// does not cover this is abandoned.
 func (p *Planner) buildDecision(g *Group, selected, repairCopies int, bestSaved float64, d *Decision) {
 	m := p.assemble(g, selected)
 	moves := Moves(g.Map, m)
@@ -86,8 +88,9 @@
 	d.Transfer, d.Saved, d.Cost = transfer, saved, cost
 }
 
-// recordTrials remembers the last changes taken. They were worth least: what is left
-// of their gain says where to stop.
+// recordTrials records the last selected changes for evaluation at the next
+// decision. These changes have the lowest gain per copy, so how much of their
+// gain remains shows where to stop.
 func (p *Planner) recordTrials(selected int) {
 	for i := max(0, selected-trialsPerDecision); i < selected; i++ {
 		if x := &p.results[i]; x.Saved > 0 && x.RepairCopies == 0 {
@@ -96,7 +99,8 @@
 	}
 }
 
-// assemble returns the present map with the first taken results and all repairs.
+// assemble returns the current map with the first selected results and all
+// repairs applied.
 func (p *Planner) assemble(g *Group, selected int) *Map {
 	m := g.Map.Clone()
 	for i := range p.results {
@@ -115,8 +119,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sortByGain orders layer results by time saved for each copy, best first, and by
-// layer where that is equal, so that decisions do not depend on sorting.
+// sortByGain sorts layer results by value per copy, highest first, and equal
+// ones by layer number, so that decisions do not depend on the sort algorithm.
 func sortByGain(results []result) {
 	slices.SortFunc(results, func(a, b result) int {
 		x, y := a.perCopy(), b.perCopy()
--- a/internal/placement/decide_bench_test.go
+++ b/internal/placement/decide_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/parsleygate/parsleygate/internal/placement"
 )
 
-// newStaleGroup returns a group whose map was made for a popularity of minutes ago.
+// newStaleGroup returns a group whose map was made for the popularity of the
+// given number of minutes ago.
 func newStaleGroup(minutes int) *placement.Group {
 	g := newGroupModel(scenario{sigma: 0.7, popularityDecay: 3 * time.Hour, speed: evenSpeed}, 1)
 	g.advance(1)
@@ -20,7 +21,7 @@
 	return group
 }
 
-// BenchmarkDecide measures one decision of the full size.
+// BenchmarkDecide measures one decision for a group of full size.
 func BenchmarkDecide(b *testing.B) {
 	for _, c := range []struct {
 		name  string
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -10,10 +10,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// bytesPerSlot is the width of a slot in wire.Placement.
+// bytesPerSlot is the encoded size of a slot in wire.Placement.
 const bytesPerSlot = 2
 
-// Encode returns the map as a wire.Placement. The bytes are the same for equal maps.
+// Encode returns the map as an encoded wire.Placement. Equal maps have equal
+// encodings.
 func (m *Map) Encode() []byte {
 	slots := make([]byte, 0, bytesPerSlot*len(m.Slots))
 	for _, e := range m.Slots {
@@ -27,14 +28,14 @@
 		Slots:        slots,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("a message of numbers and bytes always encodes: %v", err))
+		panic(fmt.Sprintf("marshal wire.Placement: %v", err))
 	}
 
 	return b
 }
 
-// Decode reads what Encode wrote and validates it. The error is a *ShapeError,
-// a *MapError or a wrapped decoding error.
+// Decode decodes and validates the output of Encode. The error is a
+// *ShapeError, a *MapError or a wrapped decoding error.
 func Decode(b []byte) (*Map, error) {
 	var p wire.Placement
 	if err := proto.Unmarshal(b, &p); err != nil {
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -5,44 +5,49 @@
 	"time"
 )
 
-// Sizes of the look back on former changes.
+// Parameters of the evaluation of past changes.
 const (
-	// trialsPerDecision is how many layers of one decision are looked back on.
+	// trialsPerDecision is the maximum number of layers per decision whose
+	// changes are evaluated later.
 	trialsPerDecision = 64
-	// trialDecay is the weight that the past keeps with each decision.
+	// trialDecay is the factor applied to earlier observations at each decision.
 	trialDecay = 0.9
-	// minRemaining is the least part of a gain taken to be left. Without it, gains
-	// that failed once would never be tried again, and a group would keep a bad map.
+	// minRemaining is the lower bound of the fraction of a gain that is assumed
+	// to remain. Without it, a planner whose gains failed once would never try
+	// again, and the group would keep a bad map.
 	minRemaining = 0.25
-	// priorWeight is the weight, in layer time, of the popularity's life before much was learnt.
+	// priorWeight is the weight of the prior, which is popularity's decay, in the
+	// same unit of layer time as the observed gains.
 	priorWeight = 0.005
 )
 
-// gainTracker learns how much of a predicted gain is left one decision later.
+// gainTracker measures how much of a predicted gain remains one decision later.
 //
-// A search picks what looks best in estimates that are never exact, so its
-// gains are smaller than predicted, and a small gain on the slowest rank is
-// soon eaten up by movements of the others. The next decision can make up for
-// what this one leaves undone, so waiting loses the gain of one interval and no
-// more. Popularity's own life says nothing of either; a planner that counts
-// gains over it follows noise, and weights go back and forth all day.
+// The search selects what looks best in noisy estimates, so its actual gains
+// are smaller than predicted, and changes on other ranks soon cancel a small
+// gain on the slowest rank. The next decision can make up for a change that was
+// not made, so waiting costs only the gain of one interval. The decay of
+// popularity accounts for neither effect: a planner that counts gains over that
+// time follows noise and moves weights back and forth.
 type gainTracker struct {
 	trials []trial
-	// remaining and want sum what was left of gains and what was predicted.
+	// remaining and predicted are the decayed sums of the gains that remained and
+	// the gains that were predicted.
 	remaining, predicted float64
 	lastDecision         time.Time
 	interval             time.Duration
 	liveRanks            uint64
 }
 
-// trial remembers one layer before and after a change.
+// trial is a changed layer: its slots before and after, and the predicted gain.
 type trial struct {
 	layer         int
 	before, after []Expert
 	predicted     float64
 }
 
-// evaluateTrials looks at what the last decision's changes gain under the present load.
+// evaluateTrials measures what the last decision's changes gain under the
+// current load.
 func (p *gainTracker) evaluateTrials(now time.Time, g *Group, w *layerState) {
 	if !p.lastDecision.IsZero() {
 		p.interval = now.Sub(p.lastDecision)
@@ -55,7 +60,7 @@
 		}
 	}
 	if liveRanks != p.liveRanks {
-		// Gains under another set of ranks say nothing of the future.
+		// Gains with a different set of live ranks do not predict future gains.
 		p.trials, p.liveRanks = p.trials[:0], liveRanks
 	}
 	p.remaining *= trialDecay
@@ -67,7 +72,8 @@
 	p.trials = p.trials[:0]
 }
 
-// layerTime returns the time of layer l under the present load if it had these slots.
+// layerTime returns the time that layer l would take under the current load
+// with these slots.
 func (w *layerState) layerTime(g *Group, l int, slots []Expert) float64 {
 	w.loadSlots(slots, g.Map.Shape, &g.Load, l)
 	_, t := w.slowest()
@@ -75,14 +81,15 @@
 	return t
 }
 
-// addTrial takes in a layer's change.
+// addTrial records a layer's change for evaluation at the next decision.
 func (p *gainTracker) addTrial(l int, before, after []Expert, predicted float64) {
 	p.trials = append(p.trials, trial{layer: l, before: append([]Expert(nil), before...), after: after, predicted: predicted})
 }
 
-// horizon returns for how long, in seconds, a predicted gain counts: where a
-// part q of it is left one interval later, when the change first shows, q*q
-// after two and so on, for interval*q/(1-q); never longer than popularity lasts.
+// horizon returns the time, in seconds, over which a predicted gain is counted.
+// If a fraction q of the gain remains after one interval, when the change first
+// takes effect, q*q after two and so on, that time is interval*q/(1-q). It
+// never exceeds the decay of popularity.
 func (p *gainTracker) horizon(popularityDecay time.Duration) float64 {
 	maxHorizon := max(popularityDecay.Seconds(), epsilon)
 	if p.interval <= 0 {
--- a/internal/placement/greedy_test.go
+++ b/internal/placement/greedy_test.go
@@ -7,9 +7,9 @@
 	"github.com/parsleygate/parsleygate/internal/placement"
 )
 
-// greedy replicates and packs every layer from scratch: spare slots go to the
-// expert with most work for each replica, and replicas, heaviest first, to the
-// rank that then takes least time.
+// greedy replicates and packs every layer from scratch. Each spare slot goes to
+// the expert with the most work per replica, and each replica, heaviest first,
+// to the rank that then takes the least time.
 func greedy(_ time.Time, g *placement.Group) *placement.Map {
 	m, err := placement.NewMap(shape)
 	if err != nil {
@@ -73,7 +73,7 @@
 			}
 		}
 		if best < 0 {
-			continue // the last free slots are all on holders of e
+			continue // all ranks with free slots already hold e
 		}
 		slots[at] = e
 		work[best] += tokens[e] / float64(n[e])
--- a/internal/placement/layer.go
+++ b/internal/placement/layer.go
@@ -6,37 +6,39 @@
 	"slices"
 )
 
-// slowestRankDeviations is how many standard deviations the slowest of some tens of ranks lies
-// above its own mean: the expected maximum of 32 normal values.
+// slowestRankDeviations is how many standard deviations the slowest of several
+// dozen ranks lies above its own mean: the expected maximum of 32 normally
+// distributed values.
 const slowestRankDeviations = 2.07
 
-// layerState is the working state of one layer during a decision. Its slices are
-// reused from layer to layer, so that a decision allocates little.
+// layerState is the working state of one layer during a decision. Its slices
+// are reused for every layer to keep allocations low.
 type layerState struct {
 	ranks, slotsPerRank int
 	slots               []Expert
 	// tokens is scaled so that its sum is the number of ranks: a perfect split
 	// over ranks of speed 1 then takes time 1.
 	tokens []float64
-	// holders is the set of live ranks that hold each expert.
+	// holders is, for each expert, the set of live ranks that hold it.
 	holders []uint64
-	// work is each rank's share of tokens, and pace the time a token takes there.
+	// work is each rank's share of tokens, and timePerToken the time that a token
+	// takes there.
 	work, timePerToken []float64
 	liveRanks          uint64
 	speedSum           float64
-	// shareSquares sums the squares of the shares of a rank's experts, and risk is how
-	// much of its root counts as work.
+	// shareSquares is, for each rank, the sum of the squares of its experts'
+	// shares. The square root, multiplied by deviationWeight, counts as work.
 	shareSquares    []float64
 	deviationWeight float64
 }
 
-// loadLayer sets w to layer l of m under d. Slots of ranks that are out keep their
-// experts in w.slots, but hold nothing as far as holders and work go.
+// loadLayer sets w to layer l of m under load d. Slots of unavailable ranks
+// keep their experts in w.slots but are not counted in holders and work.
 func (w *layerState) loadLayer(m *Map, d *Load, l int) {
 	w.loadSlots(m.Layer(l), m.Shape, d, l)
 }
 
-// loadSlots sets w to layer l under d, with these slots in place of a map's.
+// loadSlots sets w to layer l under load d, with the given slots.
 func (w *layerState) loadSlots(slots []Expert, s Shape, d *Load, l int) {
 	w.ranks, w.slotsPerRank = s.Ranks, s.SlotsPerRank
 	w.slots = append(w.slots[:0], slots...)
@@ -46,7 +48,8 @@
 	w.recount()
 }
 
-// scaleTokens sets w.tokens. A layer without any known tokens counts as even.
+// scaleTokens sets w.tokens. If a layer has no tokens, all its experts get
+// equal shares.
 func (w *layerState) scaleTokens(tokens []float64) {
 	w.tokens = w.tokens[:0]
 	sum := 0.0
@@ -78,7 +81,7 @@
 	}
 }
 
-// recount derives holders and work from the slots.
+// recount computes holders and work from the slots.
 func (w *layerState) recount() {
 	w.holders = resize(w.holders, len(w.tokens))
 	w.work = resize(w.work, w.ranks)
@@ -95,7 +98,8 @@
 	}
 }
 
-// addWork adds an expert's share to every rank of a set, or takes it off with sign -1.
+// addWork adds an expert's share to every rank of a set, or subtracts it if
+// sign is -1.
 func (w *layerState) addWork(ranks uint64, share, sign float64) {
 	for ; ranks != 0; ranks &= ranks - 1 {
 		r := bits.TrailingZeros64(ranks)
@@ -104,15 +108,17 @@
 	}
 }
 
-// rankTime returns the time that rank r takes for its work plus extra, with square
-// added to its spread. A rank whose work hangs on one popular expert swings
-// with it, and the slowest rank of a step is one that swung up; so the likely
-// swing counts as work.
+// rankTime returns the time that rank r takes for its work plus extra, with
+// extraSquares added to its shareSquares. The work of a rank that depends on
+// one popular expert varies with that expert, and the slowest rank of a step is
+// usually one whose work is above its mean, so the expected deviation counts as
+// work.
 func (w *layerState) rankTime(r int, extra, extraSquares float64) float64 {
 	return (w.work[r] + extra + w.deviationWeight*math.Sqrt(max(0, w.shareSquares[r]+extraSquares))) * w.timePerToken[r]
 }
 
-// slowest returns the rank that takes longest, and its time. Ranks that are out have no pace and so no time.
+// slowest returns the rank that takes longest, and its time. Unavailable ranks
+// have timePerToken 0 and so take no time.
 func (w *layerState) slowest() (int, float64) {
 	rank, slowestTime := 0, -1.0
 	for r := range w.ranks {
@@ -124,7 +130,8 @@
 	return rank, slowestTime
 }
 
-// idealTime is the time of a layer whose work is split at will.
+// idealTime returns the time of the layer if its work could be divided
+// arbitrarily.
 func (w *layerState) idealTime() float64 {
 	if w.speedSum <= 0 {
 		return 0
@@ -143,7 +150,7 @@
 	return StepTime{Slowest: slowestTime, Mean: sum / math.Max(1, float64(replicas(w.liveRanks))), Ideal: w.idealTime()}
 }
 
-// setSlot replaces what slot i holds by e, which may be None, and updates holders and work.
+// setSlot sets slot i to e, which may be None, and updates holders and work.
 func (w *layerState) setSlot(i int, e Expert) {
 	r := i / w.slotsPerRank
 	if old := w.slots[i]; old != None && w.liveRanks&(1<<r) != 0 {
@@ -166,7 +173,8 @@
 	}
 }
 
-// copiesFrom counts the weights that must be fetched to turn old slots into w.slots.
+// copiesFrom returns the number of expert weights that must be fetched to
+// change the old slots into w.slots.
 func (w *layerState) copiesFrom(old []Expert) int {
 	n := 0
 	for r := range w.ranks {
@@ -181,7 +189,7 @@
 	return n
 }
 
-// resize returns s with n zero elements, reusing its memory.
+// resize returns s with n zero elements, reusing its memory if possible.
 func resize[T any](s []T, n int) []T {
 	if cap(s) < n {
 		return make([]T, n)
--- a/internal/placement/map.go
+++ b/internal/placement/map.go
@@ -1,9 +1,9 @@
 // Package placement decides which ranks of an expert-parallel group hold which
-// experts, so that the slowest rank of each layer takes as little time as
-// possible, and moves weights only where that saves more time than it costs.
+// experts. It minimises the time of the slowest rank of each layer, and moves
+// weights only if that saves more time than it costs.
 //
-// The package is a core without I/O: it reads no clock, starts no goroutine and
-// gives the same decisions for the same inputs.
+// The package does no I/O, reads no clock, starts no goroutines and returns the
+// same decisions for the same inputs.
 package placement
 
 import (
@@ -16,42 +16,43 @@
 
 // Limits of a map's shape.
 const (
-	// MaxRanks is the most ranks of one group: holders of an expert are kept as 64 bits.
+	// MaxRanks is the maximum number of ranks in a group: the holders of an
+	// expert are stored as a 64-bit set.
 	MaxRanks = 64
-	// MaxExperts is the most experts of one layer.
+	// MaxExperts is the maximum number of experts per layer.
 	MaxExperts = 1 << 15
 )
 
-// Expert is an expert's number within its layer.
+// Expert is the number of an expert within its layer.
 type Expert uint16
 
 // None marks an empty slot.
 const None Expert = 1<<16 - 1
 
-// Shape gives the sizes of a group's map.
+// Shape is the dimensions of a group's map.
 type Shape struct {
 	// Layers is the number of layers that have experts.
 	Layers int
-	// Ranks is the number of ranks of the group.
+	// Ranks is the number of ranks in the group.
 	Ranks int
-	// SlotsPerRank is how many experts of one layer fit on one rank.
+	// SlotsPerRank is the number of experts of one layer that fit on one rank.
 	SlotsPerRank int
-	// Experts is the number of experts of each layer.
+	// Experts is the number of experts per layer.
 	Experts int
 }
 
-// ShapeError says that a shape cannot carry a map.
+// ShapeError reports a shape that no valid map can have.
 type ShapeError struct {
 	Shape Shape
 }
 
 // Error implements error.
 func (e *ShapeError) Error() string {
-	return fmt.Sprintf("no map has %d layers, %d ranks of %d slots and %d experts",
+	return fmt.Sprintf("invalid map shape: %d layers, %d ranks of %d slots each, %d experts",
 		e.Shape.Layers, e.Shape.Ranks, e.Shape.SlotsPerRank, e.Shape.Experts)
 }
 
-// Check returns a *ShapeError where no valid map has this shape.
+// Check returns a *ShapeError if no valid map can have this shape.
 func (s Shape) Check() error {
 	positive := s.Layers > 0 && s.Ranks > 0 && s.SlotsPerRank > 0 && s.Experts > 0
 	bounded := s.Layers <= 1<<12 && s.Ranks <= MaxRanks && s.SlotsPerRank <= MaxExperts && s.Experts <= MaxExperts
@@ -62,22 +63,22 @@
 	return nil
 }
 
-// size is the number of slots of the whole map.
+// size returns the number of slots of the whole map.
 func (s Shape) size() int { return s.Layers * s.perLayer() }
 
-// perLayer is the number of slots of one layer.
+// perLayer returns the number of slots per layer.
 func (s Shape) perLayer() int { return s.Ranks * s.SlotsPerRank }
 
-// Map says which expert each slot holds. Replicas of an expert share its tokens
-// equally. A Map is immutable once it is handed out.
+// Map assigns an expert to each slot. Replicas of an expert share its tokens
+// equally. A Map must not be modified once it is shared.
 type Map struct {
 	Shape Shape
-	// Slots holds the experts layer by layer, rank by rank; see Shape.
+	// Slots holds the experts ordered by layer, then by rank; see Shape.
 	Slots []Expert
 }
 
-// NewMap returns the map that spreads the experts evenly in their order and
-// fills the spare slots with second replicas.
+// NewMap returns a map that distributes the experts evenly in numerical order
+// and fills spare slots with second replicas.
 func NewMap(s Shape) (*Map, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -91,7 +92,8 @@
 	return m, nil
 }
 
-// fillEvenly fills one layer slot column by slot column, so that no rank gets an expert twice.
+// fillEvenly fills the first slot of every rank of a layer, then the second
+// slots and so on, without giving a rank the same expert twice.
 func fillEvenly(s Shape, slots []Expert) {
 	for i := range slots {
 		slots[i] = None
@@ -105,7 +107,7 @@
 	}
 }
 
-// Layer returns the slots of layer l, rank by rank.
+// Layer returns the slots of layer l, ordered by rank.
 func (m *Map) Layer(l int) []Expert {
 	n := m.Shape.perLayer()
 
@@ -119,17 +121,18 @@
 	return m.Layer(l)[r*n : (r+1)*n : (r+1)*n]
 }
 
-// Clone returns a copy that shares nothing with m.
+// Clone returns a deep copy of m.
 func (m *Map) Clone() *Map {
 	return &Map{Shape: m.Shape, Slots: slices.Clone(m.Slots)}
 }
 
-// Digest identifies the map's content, so that ranks can compare what they staged.
+// Digest returns a hash of the map's content, with which ranks can compare the
+// maps that they staged.
 func (m *Map) Digest() uint64 {
 	return xxhash.Sum64(m.Encode())
 }
 
-// MapError says where a map breaks a rule.
+// MapError reports a violated rule of a map and where it was violated.
 type MapError struct {
 	Layer  int
 	Rank   int
@@ -143,7 +146,8 @@
 }
 
 // Validate checks that every expert of every layer has a replica and that no
-// rank holds one twice. A map that lacks an expert would lose the tokens routed to it.
+// rank holds an expert twice. With a map that lacks an expert, the tokens
+// routed to that expert would be lost.
 func (m *Map) Validate() error {
 	if err := m.Shape.Check(); err != nil {
 		return err
@@ -169,9 +173,9 @@
 			switch {
 			case e == None:
 			case int(e) >= m.Shape.Experts:
-				return &MapError{Layer: l, Rank: r, Expert: e, Reason: "no such expert"}
+				return &MapError{Layer: l, Rank: r, Expert: e, Reason: "expert number out of range"}
 			case held[e]&(1<<r) != 0:
-				return &MapError{Layer: l, Rank: r, Expert: e, Reason: "held twice by one rank"}
+				return &MapError{Layer: l, Rank: r, Expert: e, Reason: "duplicate replica on the same rank"}
 			default:
 				held[e] |= 1 << r
 			}
@@ -193,8 +197,9 @@
 	Rank   int
 }
 
-// Moves returns the copies that turn from into to, layer by layer. Slots that
-// only lose an expert or change places within a rank cost nothing.
+// Moves returns the copies needed to change from into to, ordered by layer.
+// Removing an expert or moving it to another slot of the same rank needs no
+// copy.
 func Moves(from, to *Map) []Move {
 	var moves []Move
 	for l := range to.Shape.Layers {
@@ -211,34 +216,34 @@
 	return moves
 }
 
-// Load is what the planner knows of a group's work and speed.
+// Load is the expected work and the measured speed of a group.
 type Load struct {
-	// Tokens holds the expected share of tokens, layer by layer, expert by
-	// expert. Only the ratios within a layer count.
+	// Tokens is the expected share of tokens of each expert, ordered by layer.
+	// Only the ratios within a layer matter.
 	Tokens []float64
-	// Speed is each rank's measured speed; 1 is the ordinary one. Zero or less
-	// means that the rank is out and takes no part in steps.
+	// Speed is each rank's measured speed, where 1 is normal speed. Zero or less
+	// means that the rank is unavailable and takes no part in steps.
 	Speed []float64
-	// Volatility is the standard deviation of an expert's tokens from those
-	// expected, as a part of them.
+	// Volatility is the standard deviation of an expert's tokens from their
+	// expected number, as a fraction of that number.
 	Volatility float64
 }
 
 // Live reports whether rank r takes part in steps.
 func (d *Load) Live(r int) bool { return d.Speed[r] > 0 }
 
-// StepTime is the modelled time of the expert layers of one step, in units of
-// a step that is balanced perfectly over ranks of speed 1.
+// StepTime is the modelled time of the expert layers of one step. Its unit is
+// the time of a step that is balanced perfectly over ranks of speed 1.
 type StepTime struct {
-	// Slowest sums the slowest rank's time over the layers.
+	// Slowest is the time of the slowest rank, averaged over the layers.
 	Slowest float64
-	// Mean sums the mean over live ranks over the layers.
+	// Mean is the mean time of the live ranks, averaged over the layers.
 	Mean float64
-	// Ideal is Slowest where work could be split at will.
+	// Ideal is the value of Slowest if work could be divided arbitrarily.
 	Ideal float64
 }
 
-// Skew is the slowest rank's time over the mean, at least 1.
+// Skew returns the ratio of the slowest rank's time to the mean, at least 1.
 func (t StepTime) Skew() float64 {
 	if t.Mean <= 0 {
 		return 1
@@ -247,9 +252,9 @@
 	return t.Slowest / t.Mean
 }
 
-// Evaluate returns the step time of m under d. Ranks wait for each other in
-// each layer, so the slowest rank of every layer counts. Work of experts that
-// only ranks that are out hold is left aside.
+// Evaluate returns the step time of m under load d. Ranks wait for each other
+// in each layer, so the slowest rank of every layer counts. The work of experts
+// held only by unavailable ranks is ignored.
 func Evaluate(m *Map, d *Load) StepTime {
 	var total StepTime
 	var w layerState
@@ -266,5 +271,5 @@
 	return StepTime{Slowest: total.Slowest / n, Mean: total.Mean / n, Ideal: total.Ideal / n}
 }
 
-// replicas counts the ranks in a set of holders.
+// replicas returns the number of ranks in a set of holders.
 func replicas(holders uint64) int { return bits.OnesCount64(holders) }
--- a/internal/placement/map_test.go
+++ b/internal/placement/map_test.go
@@ -19,12 +19,12 @@
 		slots []placement.Expert
 		want  string
 	}{
-		{"whole", []placement.Expert{0, 1, 2, none}, ""},
+		{"complete", []placement.Expert{0, 1, 2, none}, ""},
 		{"replicated", []placement.Expert{0, 1, 2, 0}, ""},
 		{"lacks an expert", []placement.Expert{0, 1, none, 0}, "layer 0, rank -1, expert 2: no replica"},
-		{"holds one twice", []placement.Expert{0, 1, 2, 2}, "layer 0, rank 1, expert 2: held twice by one rank"},
-		{"unknown expert", []placement.Expert{0, 1, 2, 3}, "layer 0, rank 1, expert 3: no such expert"},
-		{"short", []placement.Expert{0, 1, 2}, "no map has 1 layers, 2 ranks of 2 slots and 3 experts"},
+		{"holds one twice", []placement.Expert{0, 1, 2, 2}, "layer 0, rank 1, expert 2: duplicate replica on the same rank"},
+		{"unknown expert", []placement.Expert{0, 1, 2, 3}, "layer 0, rank 1, expert 3: expert number out of range"},
+		{"too few slots", []placement.Expert{0, 1, 2}, "invalid map shape: 1 layers, 2 ranks of 2 slots each, 3 experts"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/placement/pack.go
+++ b/internal/placement/pack.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// pack fills the slots of the live ranks from scratch: spare slots go, one by
-// one, to the expert with most work for each replica, and replicas, heaviest
-// first, to the rank that then finishes first, or that held the expert in old
-// and finishes hardly later. Slots of ranks that are out stay as they are.
+// pack fills the slots of the live ranks from scratch. Each spare slot goes to
+// the expert with the most work per replica. Each replica, heaviest first, goes
+// to the rank that then finishes first, or to one that held the expert in old
+// and finishes only slightly later. Slots of unavailable ranks stay as they
+// are.
 func (w *layerState) pack(old []Expert, s *packScratch) {
 	w.countReplicas(s)
 	w.clearLiveSlots()
@@ -23,14 +24,14 @@
 	w.recount()
 }
 
-// packScratch is memory that pack reuses.
+// packScratch holds buffers that pack reuses.
 type packScratch struct {
 	counts []int
 	order  []Expert
 }
 
-// countReplicas sets s.counts and s.order: how many replicas each expert gets, and
-// all replicas, heaviest first.
+// countReplicas sets s.counts to the number of replicas of each expert, and
+// s.order to all replicas, heaviest first.
 func (w *layerState) countReplicas(s *packScratch) {
 	s.counts = resize(s.counts, len(w.tokens))
 	for e := range s.counts {
@@ -80,12 +81,13 @@
 	clear(w.shareSquares)
 }
 
-// keepTolerance is how much later, as a part of a perfect layer time, a rank may
-// finish that need not fetch the expert. The lighter replicas that follow even
-// that out.
+// keepTolerance is how much later, as a fraction of a perfectly balanced layer
+// time, a rank may finish and still be preferred because it already holds the
+// expert. The lighter replicas placed afterwards even out the difference.
 const keepTolerance = 0.05
 
-// bestRank returns the live rank with a free slot that takes e soonest, or -1.
+// bestRank returns the live rank with a free slot on which e finishes first,
+// less keepTolerance for ranks that hold e in old, or -1.
 func (w *layerState) bestRank(e Expert, share float64, old []Expert) int {
 	best, leastTime := -1, math.Inf(1)
 	for r := range w.ranks {
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,67 +7,76 @@
 	"time"
 )
 
-// Planner decides whether a group's map changes. Set the exported fields before
-// the first Decide. One goroutine uses a Planner, for one group: it looks back
-// on what its former decisions gained. A new Planner only has to learn that anew.
+// Planner decides whether to change a group's map. Set the exported fields
+// before the first Decide. A Planner serves one group and is not safe for
+// concurrent use: it measures what its previous decisions gained. A new Planner
+// only has to measure that again.
 type Planner struct {
 	// ExpertBytes is the size of one expert's weights in one layer.
 	ExpertBytes int64
-	// StoreRate is the group's share of the weight store, in bytes a second.
+	// StoreRate is the group's share of the weight store's rate, in bytes per
+	// second.
 	StoreRate float64
-	// RankRate is what one rank can fetch, in bytes a second.
+	// RankRate is the rate at which one rank can fetch, in bytes per second.
 	RankRate float64
 	// Slowdown is the fraction by which steps take longer while ranks fetch.
 	Slowdown float64
-	// StorePrice is what else the store's rate is worth: the part of the group's
-	// working time that may be spent for all of the group's share of the rate.
-	// It stands for the other groups and the loads of models that share it.
+	// StorePrice is the cost of the store's rate to others: the fraction of the
+	// group's working time that may be spent to use the group's full share of the
+	// rate. It accounts for the other groups and the model loads that share the
+	// store.
 	StorePrice float64
-	// SwitchPause is what the switch itself costs the group.
+	// SwitchPause is the working time that the group loses at each switch of
+	// maps.
 	SwitchPause time.Duration
-	// ExpertFraction is the part of a balanced step that expert layers take.
+	// ExpertFraction is the fraction of a balanced step's time spent in expert
+	// layers.
 	ExpertFraction float64
 
 	layer   layerState
 	scratch scratch
 	results []result
-	// changeGains looks back on single changes, packed on layers packed from scratch.
+	// changeGains measures the gains of single changes, packGains those of layers
+	// packed from scratch.
 	changeGains, packGains gainTracker
-	// horizon is how long gains count in the present decision, in seconds.
+	// horizon is the time over which gains are counted in the current decision,
+	// in seconds.
 	horizon float64
 	packing packScratch
-	// slotsSuffice says that the live ranks have slots for all experts; packing without
-	// would leave out those that only a rank that is out can hold.
+	// slotsSuffice reports whether the live ranks have slots for all experts. If
+	// not, packing would leave out experts that only an unavailable rank can
+	// hold.
 	slotsSuffice bool
 	// nextPackLayer is the first layer that the next decision tries to pack.
 	nextPackLayer int
 }
 
-// packLayersPerDecision is how many layers a decision tries to pack from scratch, in turn.
-// Packing finds what single changes cannot, but takes as long as the whole search.
+// packLayersPerDecision is the number of layers that a decision tries to pack
+// from scratch, in rotation. Packing finds improvements that single changes
+// cannot, but takes as long as the whole search.
 const packLayersPerDecision = 2
 
-// Group is what a decision is made from.
+// Group is the input of a decision.
 type Group struct {
 	Map  *Map
 	Load Load
-	// PopularityDecay is how long the popularity is expected to stay as it is: after Life,
-	// 1/e of a gain made now is left.
+	// PopularityDecay is the time constant with which the current popularity is
+	// expected to change: after this time, 1/e of a gain made now remains.
 	PopularityDecay time.Duration
 }
 
-// Reason says what led to a decision.
+// Reason is the reason for a decision.
 type Reason uint8
 
-// The reasons of a decision.
+// Reasons for decisions.
 const (
-	// ReasonBalanced: no change gains anything.
+	// ReasonBalanced means that no change gains anything.
 	ReasonBalanced Reason = iota
-	// ReasonCost: what could be gained does not cover its cost.
+	// ReasonCost means that the possible gain does not cover its cost.
 	ReasonCost
-	// ReasonGain: the change saves more than it costs.
+	// ReasonGain means that the change saves more than it costs.
 	ReasonGain
-	// ReasonRepair: ranks that are out held experts that no live rank held.
+	// ReasonRepair means that some experts were held only by unavailable ranks.
 	ReasonRepair
 )
 
@@ -76,25 +85,27 @@
 	return [...]string{"Balanced", "Cost", "Gain", "Repair"}[r]
 }
 
-// Decision is the outcome of Decide. Map is nil where the present one stays.
+// Decision is the result of Decide. Map is nil if the current map stays.
 type Decision struct {
 	Map    *Map
 	Moves  []Move
 	Reason Reason
-	// Saved and Cost are the group's working time saved over the expected life
-	// of the map, and lost to fetching and switching. Of these, a repair's cost is always paid.
+	// Saved is the group's working time saved over the expected life of the map,
+	// Cost the working time lost to fetching and switching. A repair is made
+	// whatever its cost.
 	Saved, Cost time.Duration
-	// Transfer is how long the fetching takes.
+	// Transfer is the duration of the fetches.
 	Transfer time.Duration
-	// Bytes is what is fetched from the weight store.
+	// Bytes is the number of bytes fetched from the weight store.
 	Bytes int64
-	// Before and After are the step times under the present and the new map.
+	// Before and After are the step times with the current and the new map.
 	Before, After StepTime
-	// InsufficientSlots says that too few slots are left for all experts on live ranks.
+	// InsufficientSlots reports that the live ranks have too few slots for all
+	// experts.
 	InsufficientSlots bool
 }
 
-// LoadError says that a Group's parts do not belong together.
+// LoadError reports that the parts of a Group do not match in size.
 type LoadError struct {
 	What      string
 	Got, Want int
@@ -105,7 +116,8 @@
 	return fmt.Sprintf("%s: got %d values, want %d", e.What, e.Got, e.Want)
 }
 
-// ValueError says that a measured value is negative or no finite number.
+// ValueError reports a measured value that is negative, infinite or not a
+// number.
 type ValueError struct {
 	What  string
 	Index int
@@ -113,31 +125,34 @@
 
 // Error implements error.
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("%s: value %d is no usable number", e.What, e.Index)
+	return fmt.Sprintf("%s: value %d is negative, infinite or not a number", e.What, e.Index)
 }
 
-// result is what the search found for one layer.
+// result is the search's result for one layer.
 type result struct {
 	Layer int
-	// Saved is the layer time saved by single changes, and Value what all
-	// changes are worth, in seconds.
+	// Saved is the layer time saved by single changes, Value the worth of all
+	// changes, in seconds.
 	Saved, Value float64
 	Copies       int
-	// RepairCopies copies repair the layer and are not weighed.
+	// RepairCopies is the number of copies that repair the layer; they are made
+	// whatever their cost.
 	RepairCopies int
 	slots        []Expert
-	// beforeLast are the slots without the last change, and Last what that saved.
+	// beforeLast holds the slots without the last change, and LastGain is the
+	// layer time that this change saved.
 	beforeLast []Expert
 	LastGain   float64
 }
 
-// perCopy is the time saved for each copy.
+// perCopy returns the value per copy.
 func (x *result) perCopy() float64 {
 	return x.Value / math.Max(noFetchCopies, float64(x.Copies))
 }
 
-// Decide weighs the group's present map against what a local search finds from
-// it. The error is a *ShapeError, *MapError, *LoadError or *ValueError.
+// Decide compares the group's current map with the best map that a local search
+// finds from it. The error is a *ShapeError, *MapError, *LoadError or
+// *ValueError.
 func (p *Planner) Decide(now time.Time, g *Group) (Decision, error) {
 	if err := validateGroup(g); err != nil {
 		return Decision{}, err
@@ -183,7 +198,8 @@
 	return validateValues("Speed", g.Load.Speed)
 }
 
-// validateValues refuses values with which every comparison of the search would be false.
+// validateValues rejects values that would make every comparison of the search
+// false.
 func validateValues(name string, values []float64) error {
 	for i, v := range values {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -194,13 +210,15 @@
 	return nil
 }
 
-// prices turns layer time and copies into seconds of the group's working time.
+// prices returns the worth of layer time and the cost of a copy, in seconds of
+// the group's working time.
 func (p *Planner) prices(g *Group, current StepTime) prices {
 	step := p.ExpertFraction*current.Slowest + (1-p.ExpertFraction)*current.Ideal
 	perLayer := p.ExpertFraction / float64(g.Map.Shape.Layers) / math.Max(step, epsilon)
 	fetch := float64(p.ExpertBytes) / p.StoreRate
-	// All gains wait for the last copy, so each copy costs the gain of its own
-	// fetching time: half of what is in reach, as gains shrink along the way.
+	// All gains wait for the last copy, so each copy costs the gain lost during
+	// its own fetch. Half of the possible gain is counted, because gains shrink
+	// as the search proceeds.
 	wait := p.ExpertFraction * (current.Slowest - current.Ideal) / math.Max(step, epsilon) / 2
 
 	return prices{
@@ -232,9 +250,9 @@
 	return x, true
 }
 
-// packLayer weighs packing the layer from scratch against what the search found.
-// What packing gains beyond the search counts for as long as such gains were
-// seen to last, whether or not they were taken.
+// packLayer compares packing the layer from scratch with the result of the
+// search. The gain of packing beyond the search is counted for as long as such
+// gains were measured to last, whether or not they were used.
 func (p *Planner) packLayer(g *Group, x *result, pr prices) {
 	w, old := &p.layer, g.Map.Layer(x.Layer)
 	found := append([]Expert(nil), w.slots...)
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -15,7 +15,8 @@
 
 var epoch = time.Unix(0, 0)
 
-// drawGroup draws a small group, with some ranks out and some experts idle.
+// drawGroup draws a small group in which some ranks are unavailable and some
+// experts get no tokens.
 func drawGroup(pick func(n int) int) *placement.Group {
 	s := placement.Shape{Layers: 1 + pick(3), Ranks: 2 + pick(5), SlotsPerRank: 1 + pick(4)}
 	s.Experts = 1 + pick(s.Ranks*s.SlotsPerRank)
@@ -35,7 +36,7 @@
 	return g
 }
 
-// liveReplicas is the set of live ranks that hold e in layer l.
+// liveReplicas returns the set of live ranks that hold e in layer l.
 func liveReplicas(m *placement.Map, d *placement.Load, l int, e placement.Expert) uint64 {
 	var held uint64
 	for r := range m.Shape.Ranks {
@@ -49,10 +50,10 @@
 	return held
 }
 
-// Whatever the load, no expert may be left without a rank, or its tokens are
-// lost. The fixed seeds hold two that failed: packing left out an expert where
-// the live ranks have too few slots, and a rank with most to fetch took longer
-// than the gain was worth.
+// An expert without a live rank loses its tokens, so every decision must keep
+// one, whatever the load. The fixed seeds include two former failures: packing
+// left out an expert if the live ranks had too few slots, and a rank with many
+// copies to fetch took longer than the gain was worth.
 func TestDecideKeepsEveryExpertOnALiveRank(t *testing.T) {
 	t.Parallel()
 
@@ -64,7 +65,8 @@
 	})
 }
 
-// newSlowFetchPlanner returns a planner whose ranks fetch far slower than the store gives.
+// newSlowFetchPlanner returns a planner whose ranks fetch far more slowly than
+// the store delivers.
 func newSlowFetchPlanner() *placement.Planner {
 	p := newPlanner()
 	p.RankRate = p.StoreRate / 32
@@ -72,23 +74,23 @@
 	return p
 }
 
-// requireValidDecisions decides three times and checks each decision.
+// requireValidDecisions makes three decisions and checks each of them.
 func requireValidDecisions(t require.TestingT, g *placement.Group) {
-	kept := g.Map.Clone()
+	original := g.Map.Clone()
 	for range 3 {
 		d, err := newSlowFetchPlanner().Decide(epoch, g)
 		require.NoError(t, err)
 		again, err := newSlowFetchPlanner().Decide(epoch, g)
 		require.NoError(t, err)
 		require.Equal(t, d, again, "the same input gives the same decision")
-		require.Equal(t, kept, g.Map, "the present map is not changed")
+		require.Equal(t, original, g.Map, "the current map is not modified")
 		if d.Map == nil {
 			require.Empty(t, d.Moves)
 
 			return
 		}
 		requireValidDecision(t, g, &d)
-		g.Map, kept = d.Map, d.Map.Clone()
+		g.Map, original = d.Map, d.Map.Clone()
 	}
 }
 
@@ -109,9 +111,10 @@
 	}
 }
 
-// A rank dies, and the tokens of experts that only it held have nowhere to go:
-// callers wait for drafts that never come. Its experts must be fetched by live
-// ranks whatever that costs, and the rank must not count as a holder until it is back.
+// When a rank fails, tokens of experts that only it held are lost and callers
+// wait for responses that never arrive. Live ranks must fetch its experts
+// whatever the cost, and the rank must not count as a holder until it is
+// available again.
 func TestExpertsOfUnavailableRankAreRestored(t *testing.T) {
 	t.Parallel()
 
@@ -134,8 +137,8 @@
 	require.NoError(t, d.Map.Validate())
 }
 
-// Popularity estimates are noisy. A planner that follows noise moves weights
-// back and forth, and callers see slow steps all day for nothing.
+// Popularity estimates are noisy. A planner that follows the noise moves
+// weights back and forth and slows steps without a gain.
 func TestUnchangedPopularityMovesNothing(t *testing.T) {
 	t.Parallel()
 
@@ -156,20 +159,21 @@
 	require.Positive(t, rebalances)
 	d, err := newPlanner().Decide(epoch, group)
 	require.NoError(t, err)
-	require.Nil(t, d.Map, "an unchanged popularity leaves nothing to do")
+	require.Nil(t, d.Map, "no moves if popularity has not changed")
 
 	group.PopularityDecay = time.Second
 	group.Map = m
 	d, err = newPlanner().Decide(epoch, group)
 	require.NoError(t, err)
-	require.Nil(t, d.Map, "popularity that lasts a second is not worth following")
+	require.Nil(t, d.Map, "no moves if popularity lasts 1 s")
 	require.Equal(t, placement.ReasonBalanced, d.Reason)
 }
 
-// Two crowds of callers take turns, minute by minute. A planner that believes
-// each estimate moves the same weights forth and back; every step is then slowed
-// and little is gained. It must learn that its gains are gone at the next look,
-// and move less than a quarter of what a planner without memory moves.
+// The load alternates between two distributions every minute. A planner that
+// trusts each estimate moves the same weights back and forth, which slows every
+// step for little gain. The planner must measure that its gains are gone by the
+// next decision, and move less than a quarter of what planners without history
+// move.
 func TestAlternatingLoadMovesLittle(t *testing.T) {
 	t.Parallel()
 
@@ -185,7 +189,8 @@
 	require.Less(t, persistentMoves, newPlannerMoves/4)
 }
 
-// countAlternatingMoves counts the last ten decisions' moves while the loads take turns.
+// countAlternatingMoves returns the number of moves in the last ten decisions
+// while the loads alternate.
 func countAlternatingMoves(t *testing.T, loads []placement.Load, planner func() *placement.Planner) int {
 	m, err := placement.NewMap(shape)
 	require.NoError(t, err)
@@ -205,9 +210,10 @@
 	return moves
 }
 
-// Two maps look alike by the average, but under one of them a rank's work is a
-// single popular expert that swings from minute to minute, and each swing up
-// is a slow step for all. Known swings must make the planner split that expert.
+// Two maps are equal by average load, but in one of them a rank's work is a
+// single popular expert whose load varies from minute to minute, and each
+// increase is a slow step for all ranks. With known volatility, the planner
+// must split that expert.
 func TestVolatileExpertIsSplit(t *testing.T) {
 	t.Parallel()
 
@@ -243,7 +249,7 @@
 	}{
 		{"tokens", placement.Group{Map: m, Load: placement.Load{Speed: complete.Speed}}, "Tokens: got 0 values, want 7680"},
 		{"speed", placement.Group{Map: m, Load: placement.Load{Tokens: complete.Tokens}}, "Speed: got 0 values, want 32"},
-		{"not a number", placement.Group{Map: m, Load: placement.Load{Tokens: withNaN(complete.Tokens), Speed: complete.Speed}}, "Tokens: value 0 is no usable number"},
+		{"not a number", placement.Group{Map: m, Load: placement.Load{Tokens: withNaN(complete.Tokens), Speed: complete.Speed}}, "Tokens: value 0 is negative, infinite or not a number"},
 	}
 	for _, c := range cases {
 		_, err := newPlanner().Decide(epoch, &c.g)
@@ -258,8 +264,9 @@
 	return s
 }
 
-// The weight store limits its rate. Transfers beyond it slow down loads of
-// other groups, and a rank that fetches beyond its own share stalls its steps.
+// The weight store limits its rate. Transfers above the limit slow down the
+// loads of other groups, and a rank that fetches above its own limit stalls its
+// steps.
 func TestScheduleKeepsRateLimits(t *testing.T) {
 	t.Parallel()
 
--- a/internal/placement/repair.go
+++ b/internal/placement/repair.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// repair empties the slots of ranks that are out, once each of their experts
-// has a replica on a live rank, and returns the copies that took. An expert
-// for which no live slot can be spared stays where it is.
+// repair copies experts held only by unavailable ranks to live ranks, then
+// empties the unavailable ranks' slots, and returns the number of copies. An
+// expert for which no live slot is free or can be reused stays where it is.
 func (w *layerState) repair() int {
 	copies := 0
 	for i, e := range w.slots {
@@ -27,7 +27,8 @@
 	return copies
 }
 
-// cheapestSlot returns the slot of a live rank that takes e with the least time.
+// cheapestSlot returns the slot of a live rank that can take e and whose rank
+// then takes the least time.
 func (w *layerState) cheapestSlot(e Expert) (int, bool) {
 	slot, leastTime := -1, math.Inf(1)
 	for j, b := range w.slots {
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -5,56 +5,65 @@
 	"slices"
 )
 
-// Bounds of the search within one layer.
+// Limits of the search within one layer.
 const (
-	// maxChanges bounds the changes tried on one layer in one decision.
+	// maxChanges is the maximum number of changes tried on one layer per
+	// decision.
 	maxChanges = 48
-	// maxChangesWithoutGain is how many changes may pass without a better net gain.
+	// maxChangesWithoutGain is the number of changes after the best net gain
+	// beyond which the search stops.
 	maxChangesWithoutGain = 4
-	// noFetchCopies stands for the copies of a change that fetches nothing, so that
-	// gains per copy stay finite.
+	// noFetchCopies is the number of copies counted for a change that fetches
+	// nothing, so that the gain per copy stays finite.
 	noFetchCopies = 0.25
-	// maxReceivers is how many ranks are tried as receivers of the slowest rank's work.
+	// maxReceivers is the number of ranks tried as receivers of the slowest
+	// rank's work.
 	maxReceivers = 4
-	// epsilon is the smallest gain that counts, against rounding.
+	// epsilon is the smallest gain that counts; smaller ones may be rounding
+	// errors.
 	epsilon = 1e-9
 )
 
-// changeKind says how a change relieves the slowest rank.
+// changeKind is the way in which a change relieves the slowest rank.
 type changeKind uint8
 
 const (
 	changeNone changeKind = iota
 	// changeDrop drops a replica from the slowest rank.
 	changeDrop
-	// changeReplicate adds a replica of the slowest rank's expert elsewhere.
+	// changeReplicate adds a replica of one of the slowest rank's experts to
+	// another rank.
 	changeReplicate
-	// changeMove moves the slowest rank's expert elsewhere.
+	// changeMove moves one of the slowest rank's experts to another rank.
 	changeMove
-	// changeSwap exchanges an expert of the slowest rank for another rank's.
+	// changeSwap exchanges an expert of the slowest rank with one of another
+	// rank.
 	changeSwap
 )
 
-// change is one step of the local search: slot From is on the slowest rank, To on another.
+// change is one step of the local search. Slot From is on the slowest rank,
+// slot To on another.
 type change struct {
 	Kind     changeKind
 	From, To int
-	// Score is the time taken off the slowest rank for each copy fetched.
+	// Score is the time taken off the slowest rank per copy fetched.
 	Score float64
 }
 
-// prices says what a layer's time is worth.
+// prices converts layer time and copies to seconds of the group's working time.
 type prices struct {
-	// LayerTime is the seconds saved over the map's life for each unit of layer time.
+	// LayerTime is the number of seconds saved over the gain horizon per unit of
+	// layer time.
 	LayerTime float64
-	// Copy is the seconds lost for each copy fetched.
+	// Copy is the number of seconds lost per copy fetched.
 	Copy float64
 }
 
 // improve changes w while that pays, and returns the time saved and the copies
-// fetched. It follows the best change for the slowest rank again and again and
-// then keeps the prefix with the highest net gain, so that several equally slow
-// ranks, of which each alone gains nothing, can be relieved one after another.
+// fetched. It repeatedly applies the best change for the slowest rank and then
+// keeps the prefix of changes with the highest net gain. This relieves several
+// equally slow ranks one after another, although relieving only one of them
+// gains nothing.
 func (w *layerState) improve(p prices, s *scratch) (saved float64, copies int) {
 	_, before := w.slowest()
 	if (before-w.idealTime())*p.LayerTime <= p.Copy {
@@ -89,17 +98,19 @@
 	return saved, copies
 }
 
-// scratch is memory that improve reuses.
+// scratch holds buffers that improve reuses.
 type scratch struct {
 	old, best []Expert
-	// previousBest is the best prefix before best, and last what best saves more.
+	// previousBest holds the slots of the best prefix before best, and lastGain
+	// is the additional time that best saves.
 	previousBest []Expert
 	lastGain     float64
 	shares       []float64
 	receivers    []int
 }
 
-// changeSearch is what bestChange looks at: the slowest rank and the limits of its relief.
+// changeSearch is the state of bestChange: the slowest rank and its time, the
+// lower bound of that time, and the best change found.
 type changeSearch struct {
 	slowest     int
 	slowestTime float64
@@ -107,8 +118,8 @@
 	best        change
 }
 
-// bestChange returns the change that takes most time off the slowest rank for
-// each copy, without making any other rank as slow. Only the ranks that finish
+// bestChange returns the change that takes the most time off the slowest rank
+// per copy, without making any other rank as slow. Only the ranks that finish
 // first are tried as receivers.
 func (w *layerState) bestChange(s *scratch) change {
 	rank, slowestTime := w.slowest()
@@ -138,7 +149,8 @@
 	}
 }
 
-// setReceivers sets the live ranks that finish first, without the slowest.
+// setReceivers sets the receivers: the live ranks that finish first, except the
+// slowest rank.
 func (w *layerState) setReceivers(s *scratch, slowest int) {
 	s.receivers = s.receivers[:0]
 	for r := range w.ranks {
@@ -158,7 +170,8 @@
 	}
 }
 
-// beats reports whether a change that leaves its ranks at reached is better than the best.
+// beats reports whether a change that brings the time of the slowest rank it
+// touches to newTime is better than the best one.
 func (v *changeSearch) beats(newTime, copies float64) bool {
 	return v.slowestTime-max(newTime, v.idealTime) > v.best.Score*copies
 }
@@ -183,7 +196,8 @@
 	}
 }
 
-// tryRank tries every change between slot i of the slowest rank and the slots of rank r.
+// tryRank tries every change between slot i of the slowest rank and the slots
+// of rank r.
 func (w *layerState) tryRank(i, r int, s *scratch, v *changeSearch) {
 	a := w.slots[i]
 	if w.holders[a]&(1<<r) != 0 {
@@ -203,7 +217,7 @@
 		}
 		t.FreedShare = s.shares[b]
 		if t.FreedShare >= t.Share {
-			continue // the receiver would only hand work back
+			continue // the slowest rank would get back at least as much work
 		}
 		if w.holders[b]&(1<<v.slowest) == 0 {
 			w.trySwap(&t, v)
@@ -216,16 +230,20 @@
 	}
 }
 
-// candidate describes fetching the expert of slot From into slot To of rank Other.
+// candidate describes fetching the expert of slot From into slot To of rank
+// Receiver.
 type candidate struct {
 	From, To, Receiver int
-	// Share and Next are the expert's work on each holder before and after one more replica.
+	// Share and ShareIfReplicated are the expert's work on each of its holders
+	// before and after adding a replica.
 	Share, ShareIfReplicated float64
-	// FreedShare is the work that To's former expert leaves, PerOther what it adds to each of Others.
+	// FreedShare is the work of the expert now in slot To, ExtraPerHolder what
+	// dropping that replica adds to each of OtherHolders.
 	FreedShare     float64
 	OtherHolders   uint64
 	ExtraPerHolder float64
-	// ExtraSquares is what PerOther adds to the spread of each of Others.
+	// ExtraSquares is what ExtraPerHolder adds to the shareSquares of each of
+	// OtherHolders.
 	ExtraSquares float64
 }
 
@@ -239,7 +257,7 @@
 }
 
 // tryCopy tries the fetch into an empty slot, or over a replica that can be
-// spared, as one more replica and as a move.
+// dropped, both as an additional replica and as a move.
 func (w *layerState) tryCopy(t *candidate, v *changeSearch) {
 	onRank, square := 0.0, 0.0
 	if t.OtherHolders&(1<<v.slowest) != 0 {
@@ -260,7 +278,8 @@
 	}
 }
 
-// maxRankTime returns the slowest of the given ranks with extra work each, or floor.
+// maxRankTime returns the longest time of the given ranks with extra work each,
+// or floor if that is longer.
 func (w *layerState) maxRankTime(ranks uint64, extra, extraSquares, floor float64) float64 {
 	for ; ranks != 0; ranks &= ranks - 1 {
 		floor = max(floor, w.rankTime(bits.TrailingZeros64(ranks), extra, extraSquares))
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -10,12 +10,14 @@
 	"github.com/parsleygate/parsleygate/internal/popularity"
 )
 
-// The modelled group: sizes of the plan, a store share that its 150 groups could get.
+// Parameters of the simulated group. Its sizes are those of the planned
+// deployment of 150 groups, and its store rate is a share that each of these
+// groups could get.
 const (
 	period              = time.Minute
-	samplesPerPeriod    = 6 // skew samples in each period
+	samplesPerPeriod    = 6 // skew samples per period
 	periods             = 240
-	countingRanks       = 6 // ranks that count tokens; all ranks report their speed
+	countingRanks       = 6 // ranks that report token counts; all ranks report their speed
 	stepMillis          = 40
 	tokensPerStep       = 4096
 	lostReportRate      = 0.05
@@ -25,16 +27,17 @@
 
 var shape = placement.Shape{Layers: 60, Ranks: 32, SlotsPerRank: 6, Experts: 128}
 
-// scenario is one course of popularity and speed.
+// scenario describes how popularity and speed change over time.
 type scenario struct {
 	name string
-	// sigma is the spread of the experts' log popularity, or zipf its exponent.
+	// sigma is the standard deviation of the experts' log popularity; zipf, if
+	// set, is the exponent of a Zipf distribution used instead.
 	sigma, zipf float64
-	// popularityDecay is the time in which popularity drifts away.
+	// popularityDecay is the time constant with which popularity changes.
 	popularityDecay time.Duration
 	// shiftAt is the period of a sudden shift, 0 for none.
 	shiftAt int
-	// speed gives a rank's speed in a period.
+	// speed returns a rank's speed in a period.
 	speed func(rank, period int) float64
 }
 
@@ -66,11 +69,12 @@
 	return 1
 }
 
-// groupModel models one group: true popularity, counters, map and transfers.
+// groupModel models the actual popularity, the speeds and the counters of one
+// group, and its lossy reports.
 type groupModel struct {
 	scenario scenario
 	rng      *rand.Rand
-	base     []float64 // log popularity towards which z returns
+	base     []float64 // log popularity to which z reverts
 	z        []float64 // log popularity
 	tokens   []float64
 	speed    []float64
@@ -106,7 +110,7 @@
 	}
 }
 
-// drawPopularity draws every expert's popularity anew.
+// drawPopularity draws a new popularity for every expert.
 func (g *groupModel) drawPopularity() {
 	for l := range shape.Layers {
 		order := g.rng.Perm(shape.Experts)
@@ -122,7 +126,7 @@
 	}
 }
 
-// advance moves popularity on by one sample and counts its tokens.
+// advance advances popularity by one sample and counts its tokens.
 func (g *groupModel) advance(k int) {
 	if g.scenario.shiftAt > 0 && k == g.scenario.shiftAt*samplesPerPeriod {
 		g.drawPopularity()
@@ -162,7 +166,8 @@
 	}
 }
 
-// report hands the counters to the tracker, some lost, doubled or a period late.
+// report passes the counters to the tracker. Some reports are lost, duplicated
+// or one period late.
 func (g *groupModel) report(now time.Time) {
 	g.seq++
 	late := g.late
@@ -193,15 +198,15 @@
 	}
 }
 
-// policy gives a new map or nil.
+// policy returns a new map, or nil if the current one stays.
 type policy struct {
 	name   string
 	decide func(now time.Time, g *placement.Group) *placement.Map
-	// instant maps are in use at once, without waiting for the store.
+	// instant maps are used at once, without waiting for the weight store.
 	instant bool
 }
 
-// simulationResult is what one policy did in one scene.
+// simulationResult is the result of one policy in one scenario.
 type simulationResult struct {
 	skews       []float64
 	ideals      []float64
@@ -211,8 +216,8 @@
 	decideTime  time.Duration
 }
 
-// stepTime is the mean time of a step against one without skew, transfers and
-// switches: what the policy is worth to callers in the end.
+// stepTime returns the ratio of the mean step time to that without skew,
+// transfers and switches: the effect of the policy on callers.
 func (o *simulationResult) stepTime() float64 {
 	p := newPlanner()
 	expert := 0.0
@@ -239,7 +244,7 @@
 	}
 }
 
-// simulate runs one policy through one scene.
+// simulate runs one policy in one scenario.
 func simulate(s scenario, seed uint64, p policy) simulationResult {
 	g := newGroupModel(s, seed)
 	costs := newPlanner()
@@ -293,5 +298,6 @@
 	return out
 }
 
-// warmupPeriods is how many periods pass before skew counts, so that every policy has had time for its first map.
+// warmupPeriods is the number of periods before skew is measured, so that every
+// policy has had time for its first map.
 const warmupPeriods = 12
--- a/internal/placement/transfer.go
+++ b/internal/placement/transfer.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// Transfer is a Move with the time in which it may use the weight store.
+// Transfer is a Move and the time during which it may use the weight store.
 type Transfer struct {
 	Move
 	Start, End time.Time
 }
 
-// Rates bounds what transfers use at once.
+// Rates are the limits that concurrent transfers must keep.
 type Rates struct {
-	// Store is the group's share of the weight store, in bytes a second.
+	// Store is the group's share of the weight store's rate, in bytes per second.
 	Store float64
-	// Rank is what one rank can fetch, in bytes a second.
+	// Rank is the rate at which one rank can fetch, in bytes per second.
 	Rank float64
 }
 
-// Schedule spreads moves of size bytes each over time so that a rank fetches
-// one expert at a time at no more than rates.Rank, and all ranks together use
-// no more than rates.Store. Ranks with most left to fetch go first, so that no
-// rank alone holds up the switch.
+// Schedule distributes moves of size bytes each over time. Each rank fetches
+// one expert at a time, at no more than rates.Rank, and all ranks together use
+// no more than rates.Store. The ranks with the most copies left to fetch go
+// first, so that no single rank delays the switch.
 func Schedule(moves []Move, size int64, rates Rates, now time.Time) []Transfer {
 	s := newSchedule(moves, size, rates)
 	transfers := make([]Transfer, 0, len(moves))
@@ -37,11 +37,12 @@
 	return transfers
 }
 
-// schedule holds what is left to fetch, rank by rank. All transfers are of
-// equal size and rate, so they run in rounds of equal length.
+// schedule holds the remaining moves of each rank. All transfers have the same
+// size and rate, so they run in rounds of equal duration.
 type schedule struct {
 	queues [MaxRanks][]Move
-	// parallel is how many ranks fetch at once, each for the time of one round.
+	// parallel is the number of ranks that fetch at the same time, each for one
+	// round.
 	parallel      int
 	roundDuration time.Duration
 }
@@ -58,7 +59,8 @@
 	return s
 }
 
-// nextRanks returns up to lanes ranks with most left to fetch, lower numbers first among equals.
+// nextRanks returns up to parallel ranks with the most copies left to fetch,
+// lower numbers first among equals.
 func (s *schedule) nextRanks() []int {
 	var picked []int
 	var taken uint64
--- a/internal/popularity/decay.go
+++ b/internal/popularity/decay.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// correlation compares the experts' deviations from an even share in the
-// estimate with those in the next window.
+// correlation is the correlation between the experts' deviations from an equal
+// share in the estimate and those in the next window.
 type correlation struct {
 	xy, xx, yy float64
 }
@@ -18,7 +18,7 @@
 	c.yy += y * y
 }
 
-// value is the correlation, or 0 where nothing deviates.
+// value returns the correlation, or 0 if there are no deviations.
 func (c *correlation) value() float64 {
 	if c.xx <= 0 || c.yy <= 0 {
 		return 0
@@ -27,26 +27,26 @@
 	return c.xy / math.Sqrt(c.xx*c.yy)
 }
 
-// correlationLag is the time that the correlation of an average with the next
-// window spans. The average has weights gain*(1-gain)^k; for popularity that
-// decays slowly against the interval, the first order of the correlation gives
-// this.
+// correlationLag returns the effective lag between an exponential average and
+// the next window. The average weights the window k intervals ago by
+// gain*(1-gain)^k. The formula is the first-order approximation of the
+// correlation for popularity that decays slowly compared with the interval.
 func correlationLag(interval time.Duration, gain float64) time.Duration {
 	return time.Duration(float64(interval) * (1 + (1-gain)/2*(1/gain-1/(2-gain))))
 }
 
-// decaySamples is how many windows the estimate of a life looks back on. Their
-// median counts, so that one sudden shift among them does not make the planner
-// believe that no map is worth its moves, just when one is.
+// decaySamples is the number of windows from which the decay is estimated.
+// Their median is used: with a mean, one sudden shift would make the estimate
+// so short that no map seems worth its moves, just when a new one is.
 const decaySamples = 9
 
-// decayEstimate estimates how long popularity keeps its shape.
+// decayEstimate estimates the time constant with which popularity changes.
 type decayEstimate struct {
 	samples []time.Duration
 }
 
-// observe takes in the correlation over an age. Where popularity decays as
-// exp(-t/life), the life is -age/ln(correlation).
+// observe adds a sample from the correlation at a lag. If popularity decays as
+// exp(-t/decay), then decay = -lag/ln(correlation).
 func (e *decayEstimate) observe(c correlation, lag, maxDecay time.Duration) {
 	if c.xx <= 0 || lag <= 0 {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// value is the median of the samples, or most before the first.
+// value returns the median of the samples, or maxDecay if there are none.
 func (e *decayEstimate) value(maxDecay time.Duration) time.Duration {
 	if len(e.samples) == 0 {
 		return maxDecay
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -1,10 +1,10 @@
 // Package popularity estimates, for one expert-parallel group, how many tokens
-// each expert will get and how fast each rank works, from reports that are
-// lagged, lost, late or doubled.
+// each expert will get and how fast each rank works. Its input are reports that
+// may be delayed, lost, reordered or duplicated.
 //
-// Reports carry counters that only grow while a rank's engine lives. So a lost
-// report is made good by the next, a doubled one adds nothing, and a late one
-// is superseded. The package is a core without I/O and reads no clock.
+// Reports carry counters that only grow while a rank's engine runs. A lost
+// report is therefore covered by the next one, a duplicate adds nothing, and a
+// late one is superseded. The package does no I/O and reads no clock.
 package popularity
 
 import (
@@ -17,32 +17,35 @@
 // Report is what one rank's agent reads from its engine.
 type Report struct {
 	Rank int
-	// Incarnation is fresh at each start of the rank's engine.
+	// Incarnation identifies a start of the rank's engine; it must be higher at
+	// each start.
 	Incarnation uint64
 	// Seq grows with each report of an incarnation.
 	Seq uint64
-	// Busy is the time spent in expert layers since the engine's start, and
-	// Work the tokens computed there.
+	// Busy is the time spent in expert layers since the engine's start, and Work
+	// the number of tokens computed there.
 	Busy time.Duration
 	Work uint64
-	// Tokens counts tokens since the engine's start, layer by layer, expert by
-	// expert, as this rank has routed them. It is read, not kept. Each rank's
-	// routing is a sample of the group's, so a few ranks may count for all; the
-	// others leave Tokens empty and report their speed alone.
+	// Tokens is the number of tokens that this rank has routed to each expert
+	// since the engine's start, ordered by layer. Observe does not retain the
+	// slice. Each rank's routing is a sample of the group's, so it is enough if a
+	// few ranks count tokens; the others leave Tokens empty and report only their
+	// speed.
 	Tokens []uint64
 }
 
 // Tracker holds the estimates of one group. Set the exported fields before the
-// first Observe. One goroutine uses it.
+// first Observe. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	Layers, Experts, Ranks int
-	// Gain is the weight of a new window's shares against the estimate, in
-	// (0, 1], while popularity moves as usual. It grows up to 1 with a window
-	// that differs far more than usual.
+	// Gain is the weight of a new window's shares in the estimate, in (0, 1],
+	// while popularity changes at its usual rate. The weight grows, up to 1, if a
+	// window differs far more than usual.
 	Gain float64
-	// SpeedGain is the weight of a newly measured rank speed.
+	// SpeedGain is the weight of a newly measured rank speed in the estimate.
 	SpeedGain float64
-	// MaxDecay bounds Life where popularity does not move at all.
+	// MaxDecay is the upper bound of Decay, reached if popularity does not
+	// change.
 	MaxDecay time.Duration
 
 	ranks        []rankState
@@ -53,27 +56,29 @@
 	windowEnd    time.Time
 }
 
-// rankState is what is known of one rank.
+// rankState is the state of one rank as of its last report.
 type rankState struct {
 	Incarnation, Seq uint64
 	Seen             bool
 	Busy             time.Duration
 	Work             uint64
 	Tokens           []uint64
-	// Speed is the estimate in tokens a second of busy time; zero before the first measurement.
+	// Speed is the estimated speed in tokens per second of busy time; zero before
+	// the first measurement.
 	Speed float64
 }
 
-// layerState is what is known of one layer's movement.
+// layerState describes how much the popularity of one layer changes.
 type layerState struct {
 	Seen bool
-	// Squares sums the squares of the estimated shares.
+	// Squares is the sum of the squares of the estimated shares.
 	Squares float64
-	// BaselineDistance is the usual squared distance between a window and the estimate.
+	// BaselineDistance is the typical squared distance between a window and the
+	// estimate.
 	BaselineDistance float64
 }
 
-// ReportError says that a report does not fit the group.
+// ReportError reports that a Report does not match the dimensions of the group.
 type ReportError struct {
 	What      string
 	Got, Want int
@@ -81,16 +86,16 @@
 
 // Error implements error.
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("report with %s %d, want %d", e.What, e.Got, e.Want)
+	return fmt.Sprintf("invalid report: %s is %d, group has %d", e.What, e.Got, e.Want)
 }
 
-// MinSpeed bounds a measured speed from below, relative to the median rank, so
-// that one stalled window does not count as a rank that never works.
+// MinSpeed is the lower bound of a measured speed relative to the median rank,
+// so that a rank with one stalled window does not count as one that never works.
 const MinSpeed = 0.05
 
-// Observe takes in a report and returns whether it was news. A report that is
-// not newer than one already seen is dropped: its successor has counted its
-// tokens. The error is a *ReportError.
+// Observe processes a report and returns whether it was accepted. A report that
+// is not newer than the last one of its rank is dropped, because the newer one
+// includes its tokens. The error is a *ReportError.
 func (t *Tracker) Observe(r *Report) (bool, error) {
 	t.init()
 	if r.Rank < 0 || r.Rank >= t.Ranks {
@@ -103,7 +108,8 @@
 	s := &t.ranks[r.Rank]
 	switch {
 	case !s.Seen || r.Incarnation > s.Incarnation:
-		// Nothing tells when the counters of a first report began, so it only sets the base.
+		// It is unknown since when the counters of a first report have counted, so
+		// the report only sets the base.
 		s.Tokens = s.Tokens[:0]
 		s.setBase(r)
 
@@ -124,11 +130,12 @@
 	}
 }
 
-// addDeltas counts what came since the rank's last report.
+// addDeltas counts what was added since the rank's last report.
 func (t *Tracker) addDeltas(s *rankState, r *Report) {
 	for i := range min(len(r.Tokens), len(s.Tokens)) {
 		n := r.Tokens[i]
-		// An engine that counts down is at fault; it must not add a wrapped number.
+		// A counter that decreases is a fault of the engine and must not add a
+		// wrapped difference.
 		if n > s.Tokens[i] {
 			t.windowTokens[i] += float64(n - s.Tokens[i])
 		}
@@ -138,7 +145,8 @@
 		if s.Speed == 0 {
 			s.Speed = speed
 		}
-		// Averaged as time for each token, in which a stall shows at once.
+		// Averages time per token rather than tokens per second, so that a stall
+		// shows at once.
 		s.Speed = 1 / ((1-t.SpeedGain)/s.Speed + t.SpeedGain/speed)
 	}
 	s.setBase(r)
@@ -154,8 +162,8 @@
 	t.ranks = make([]rankState, t.Ranks)
 }
 
-// CloseWindow ends the window at now and folds it into the estimate. A layer without
-// tokens in the window, for want of reports, keeps its estimate.
+// CloseWindow ends the window at now and merges it into the estimate. A layer
+// for which no tokens were reported in the window keeps its estimate.
 func (t *Tracker) CloseWindow(now time.Time) {
 	t.init()
 	interval := now.Sub(t.windowEnd)
@@ -170,7 +178,7 @@
 	clear(t.windowTokens)
 }
 
-// foldLayer takes one layer's window into its estimate.
+// foldLayer merges one layer's window into its estimate.
 func (t *Tracker) foldLayer(l int, c *correlation) {
 	window := t.windowTokens[l*t.Experts : (l+1)*t.Experts]
 	shares := t.shares[l*t.Experts : (l+1)*t.Experts]
@@ -205,18 +213,19 @@
 	}
 }
 
-// Shape of the reaction to unusual movement.
+// Parameters of the response to unusual changes.
 const (
-	// baselineGain is the weight of a new distance in the usual one.
+	// baselineGain is the weight of a new distance in the baseline distance.
 	baselineGain = 0.2
-	// maxBaselineRatio bounds how far one window may raise the usual distance.
+	// maxBaselineRatio is the largest ratio to the baseline distance with which
+	// one window may raise it.
 	maxBaselineRatio = 4
 )
 
 // gain returns the weight of a window at this squared distance. After a sudden
-// shift the old estimate is worthless and averaging with it would place
-// experts by a popularity that no longer exists; so the weight grows with the
-// distance, up to 1.
+// shift the old estimate is useless, and averaging with it would place experts
+// by a popularity that no longer exists, so the weight grows with the distance,
+// up to 1.
 func (s *layerState) gain(distance, base float64) float64 {
 	if s.BaselineDistance <= 0 {
 		s.BaselineDistance = distance
@@ -229,8 +238,9 @@
 	return math.Min(1, base*math.Max(1, ratio))
 }
 
-// TokenShares returns the expected share of tokens, layer by layer, expert by
-// expert; each known layer sums to 1. The slice is valid until the next Close.
+// TokenShares returns the expected share of tokens of each expert, ordered by
+// layer. The shares of each layer that has had tokens sum to 1. The slice is
+// valid until the next CloseWindow.
 func (t *Tracker) TokenShares() []float64 {
 	t.init()
 
@@ -238,7 +248,8 @@
 }
 
 // Volatility returns the standard deviation of an expert's tokens in a window
-// from those expected, as a part of them; 0 before two windows were seen.
+// from their expected number, as a fraction of that number, or 0 until two
+// windows have been seen.
 func (t *Tracker) Volatility() float64 {
 	distances, squares := 0.0, 0.0
 	for i := range t.layers {
@@ -252,13 +263,13 @@
 	return math.Sqrt(distances / squares)
 }
 
-// Decay returns how long a difference in popularity is expected to last: after
-// Life, 1/e of it is left.
+// Decay returns the time constant with which differences in popularity are
+// expected to decay: after this time, 1/e of a difference remains.
 func (t *Tracker) Decay() time.Duration { return t.decay.value(t.MaxDecay) }
 
-// Speeds returns each rank's speed relative to the median of those measured.
-// A rank that was never measured counts as 1; none is below MinSpeed, since
-// only the group's membership says that a rank is out.
+// Speeds returns each rank's speed relative to the median of those measured. A
+// rank without a measurement has speed 1. No speed is below MinSpeed, because
+// only the group's membership determines whether a rank is unavailable.
 func (t *Tracker) Speeds() []float64 {
 	t.init()
 	var measured []float64
--- a/internal/popularity/tracker_test.go
+++ b/internal/popularity/tracker_test.go
@@ -30,8 +30,8 @@
 	// Output: [0.6 0.2 0.1 0.1] 1h0m0s
 }
 
-// Reports are lost, doubled and late. Whatever arrives, the window must hold
-// each token once, up to the newest report seen.
+// Reports may be lost, duplicated or late. In any case the window must count
+// each token once, up to the newest report received.
 func TestObserveCountsEveryTokenOnce(t *testing.T) {
 	t.Parallel()
 
@@ -75,23 +75,24 @@
 	return accepted
 }
 
-// An engine restarts and its counters begin at zero again. Taken as a
-// difference that would wrap to an enormous count, and one expert would seem to
-// carry the whole group.
+// After a restart, an engine's counters start at zero. An unsigned difference
+// to the earlier counters would wrap to an enormous count, and one expert would
+// seem to receive all tokens of the group.
 func TestEngineRestartDoesNotWrapCounts(t *testing.T) {
 	t.Parallel()
 
 	tr := newTracker()
 	observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 9, Tokens: []uint64{900, 900, 900, 900}})
 	require.True(t, observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 1, Tokens: []uint64{5, 0, 0, 0}}))
-	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "an earlier incarnation is old news")
+	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "a report of an earlier incarnation is dropped")
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 2, Tokens: []uint64{15, 10, 10, 10}})
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 3, Tokens: []uint64{0, 10, 10, 10}})
 	tr.CloseWindow(time.Unix(60, 0))
 	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.TokenShares())
 }
 
-// feedWindows feeds windows of layers whose shares follow f and returns the tracker.
+// feedWindows feeds windows with the shares returned by f to a tracker and
+// returns the tracker.
 func feedWindows(windows, layers, experts int, f func(window int) []float64) *popularity.Tracker {
 	tr := newTracker()
 	tr.Layers, tr.Experts = layers, experts
@@ -107,8 +108,8 @@
 	return tr
 }
 
-// Demand shifts at once, say as a fair opens. An average that clings to the
-// past keeps steps slow for many minutes; yet usual noise must still be averaged.
+// After a sudden shift in demand, an average that adapts slowly keeps steps
+// slow for many minutes. Normal noise must still be averaged.
 func TestSuddenShiftIsAdoptedAtOnce(t *testing.T) {
 	t.Parallel()
 
@@ -128,7 +129,7 @@
 		return noisy(0.1, 0.2, 0.3, 0.4)
 	})
 	require.InDeltaSlice(t, []float64{0.1, 0.2, 0.3, 0.4}, tr.TokenShares(), 0.02)
-	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not make popularity short-lived")
+	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not shorten the decay estimate")
 }
 
 func TestDecayFollowsDrift(t *testing.T) {
@@ -150,8 +151,8 @@
 	}
 }
 
-// A rank stalls. It reports little work for much busy time and must not be
-// given an equal share; a rank that merely has not reported yet counts as ordinary.
+// A stalled rank reports little work for a long busy time and must not get an
+// equal share. A rank that has not reported yet counts as normal.
 func TestSpeedOfStalledRank(t *testing.T) {
 	t.Parallel()
 
@@ -168,14 +169,14 @@
 	speeds := tr.Speeds()
 	require.Equal(t, 1.0, speeds[0])
 	require.Less(t, speeds[1], 0.15)
-	require.Equal(t, 1.0, speeds[2], "never measured")
+	require.Equal(t, 1.0, speeds[2], "not measured yet")
 }
 
 func TestObserveErrors(t *testing.T) {
 	t.Parallel()
 
 	_, err := newTracker().Observe(&popularity.Report{Rank: 3})
-	require.EqualError(t, err, "report with Rank 3, want 3")
+	require.EqualError(t, err, "invalid report: Rank is 3, group has 3")
 	_, err = newTracker().Observe(&popularity.Report{Tokens: make([]uint64, 5)})
-	require.EqualError(t, err, "report with Tokens 5, want 4")
+	require.EqualError(t, err, "invalid report: Tokens is 5, group has 4")
 }
