--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// chooseChanges selects layers in order of gain per copy, up to the number of
-// layers with the highest total net gain, and fills in d.
+// chooseChanges selects layers in order of value per copy, as many as give the
+// highest total net gain, and fills in d.
 func (p *Planner) chooseChanges(g *Group, repairCopies int, d *Decision) {
 	sortByGain(p.results)
 	saved, copies := 0.0, repairCopies
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -16,8 +16,9 @@
 	// to remain. Without it, a planner whose gains failed once would never try
 	// again, and the group would keep a bad map.
 	minRemaining = 0.25
-	// priorWeight is the weight of the prior, which is popularity's decay, in the
-	// same unit of layer time as the observed gains.
+	// priorWeight is the weight of the initial estimate, which assumes that gains
+	// shrink only with the decay of popularity. Its unit is layer time, as that
+	// of the observed gains.
 	priorWeight = 0.005
 )
 
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -90,7 +90,7 @@
 	Map    *Map
 	Moves  []Move
 	Reason Reason
-	// Saved is the group's working time saved over the expected life of the map,
+	// Saved is the group's working time saved while the gain is expected to last,
 	// Cost the working time lost to fetching and switching. A repair is made
 	// whatever its cost.
 	Saved, Cost time.Duration
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// setReceivers sets the receivers: the live ranks that finish first, except the
-// slowest rank.
+// setReceivers sets the receivers: up to maxReceivers live ranks that finish
+// first, except the slowest rank.
 func (w *layerState) setReceivers(s *scratch, slowest int) {
 	s.receivers = s.receivers[:0]
 	for r := range w.ranks {
@@ -249,8 +249,8 @@
 
 func (w *layerState) trySwap(t *candidate, v *changeSearch) {
 	d := t.Share - t.FreedShare
-	square := t.Share*t.Share - t.FreedShare*t.FreedShare
-	newTime := max(w.rankTime(v.slowest, -d, -square), w.rankTime(t.Receiver, d, square))
+	extraSquares := t.Share*t.Share - t.FreedShare*t.FreedShare
+	newTime := max(w.rankTime(v.slowest, -d, -extraSquares), w.rankTime(t.Receiver, d, extraSquares))
 	if v.beats(newTime, 2) {
 		v.setBest(change{Kind: changeSwap, From: t.From, To: t.To}, newTime, 2)
 	}
@@ -259,13 +259,13 @@
 // tryCopy tries the fetch into an empty slot, or over a replica that can be
 // dropped, both as an additional replica and as a move.
 func (w *layerState) tryCopy(t *candidate, v *changeSearch) {
-	onRank, square := 0.0, 0.0
+	extraOnSlowest, extraSquares := 0.0, 0.0
 	if t.OtherHolders&(1<<v.slowest) != 0 {
-		onRank, square = t.ExtraPerHolder, t.ExtraSquares
+		extraOnSlowest, extraSquares = t.ExtraPerHolder, t.ExtraSquares
 	}
 	share, next, freed := t.Share*t.Share, t.ShareIfReplicated*t.ShareIfReplicated, t.FreedShare*t.FreedShare
-	moved := max(w.rankTime(v.slowest, onRank-t.Share, square-share), w.rankTime(t.Receiver, t.Share-t.FreedShare, share-freed))
-	copied := max(w.rankTime(v.slowest, onRank-t.Share+t.ShareIfReplicated, square-share+next), w.rankTime(t.Receiver, t.ShareIfReplicated-t.FreedShare, next-freed))
+	moved := max(w.rankTime(v.slowest, extraOnSlowest-t.Share, extraSquares-share), w.rankTime(t.Receiver, t.Share-t.FreedShare, share-freed))
+	copied := max(w.rankTime(v.slowest, extraOnSlowest-t.Share+t.ShareIfReplicated, extraSquares-share+next), w.rankTime(t.Receiver, t.ShareIfReplicated-t.FreedShare, next-freed))
 	if !v.beats(min(moved, copied), 1) {
 		return
 	}
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -1,5 +1,5 @@
 // Package popularity estimates, for one expert-parallel group, how many tokens
-// each expert will get and how fast each rank works. Its input are reports that
+// each expert will get and how fast each rank works. It works from reports that
 // may be delayed, lost, reordered or duplicated.
 //
 // Reports carry counters that only grow while a rank's engine runs. A lost
