--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -23,7 +23,7 @@
 	StopBlocker func(name string) string
 }
 
-func (b *Base) index() map[string]*wire.Record {
+func (b *Base) byKey() map[string]*wire.Record {
 	out := make(map[string]*wire.Record, len(b.Records))
 	for _, r := range b.Records {
 		out[r.GetKey()] = r
@@ -35,63 +35,63 @@
 // Changes returns what the declaration would change in the state, in order of
 // kind. An error is of type *Error.
 func (d *Declaration) Changes(base Base) ([]*wire.Change, error) {
-	held := base.index()
+	current := base.byKey()
 	next := map[string]*wire.Record{}
 
 	var order []string
 
-	for _, s := range d.ordered() {
+	for _, s := range d.sortedSections() {
 		key := s.key()
 
 		before, touched := next[key]
 		if !touched {
-			before = held[key]
+			before = current[key]
 
 			order = append(order, key)
 		}
 
-		after, err := s.overlay(before)
+		after, err := s.applyTo(before)
 		if err != nil {
-			return nil, d.at(err)
+			return nil, d.withSource(err)
 		}
 
-		next[key] = aim(after, held)
+		next[key] = pinIncarnation(after, current)
 	}
 
 	var out []*wire.Change
 
 	for _, key := range order {
-		if c := changeOf(key, held[key], next[key]); c != nil {
+		if c := newChange(key, current[key], next[key]); c != nil {
 			out = append(out, c)
 		}
 	}
 
-	return out, d.checkGroups(held, next)
+	return out, d.checkGroups(current, next)
 }
 
-// ordered returns the sections in order of kind: what adds to a record stands
+// sortedSections returns the sections in order of kind: what adds to a record stands
 // after what declares it.
-func (d *Declaration) ordered() []section {
+func (d *Declaration) sortedSections() []section {
 	out := slices.Clone(d.sections)
 	slices.SortStableFunc(out, func(a, b section) int {
-		return slices.Index(kinds, a.kind) - slices.Index(kinds, b.kind)
+		return slices.Index(sectionKinds, a.kind) - slices.Index(sectionKinds, b.kind)
 	})
 
 	return out
 }
 
-// aim lets a planned stop name the incarnation that runs now, so that the one
+// pinIncarnation lets a planned stop name the incarnation that runs now, so that the one
 // that is started afterwards is not stopped as well.
-func aim(r *wire.Record, held map[string]*wire.Record) *wire.Record {
+func pinIncarnation(r *wire.Record, current map[string]*wire.Record) *wire.Record {
 	stop := r.GetStop()
 	if stop != nil && stop.GetIncarnation() == 0 {
-		stop.Incarnation = held[ledger.NodePrefix+stop.GetNodeID()].GetNode().GetIncarnation()
+		stop.Incarnation = current[ledger.NodePrefix+stop.GetNodeID()].GetNode().GetIncarnation()
 	}
 
 	return r
 }
 
-func (d *Declaration) checkGroups(held, next map[string]*wire.Record) error {
+func (d *Declaration) checkGroups(current, next map[string]*wire.Record) error {
 	for _, s := range d.sections {
 		group := next[s.key()].GetGroup()
 		if group == nil {
@@ -102,16 +102,16 @@
 
 		service, touched := next[key]
 		if !touched {
-			service = held[key]
+			service = current[key]
 		}
 
-		if err := s.keepsShape(held[s.key()].GetGroup(), group); err != nil {
-			return d.at(err)
+		if err := s.checkShape(current[s.key()].GetGroup(), group); err != nil {
+			return d.withSource(err)
 		}
 
 		if service == nil {
-			return d.at(&Error{
-				Line: s.line, Section: s.head(), Key: "Service",
+			return d.withSource(&Error{
+				Line: s.line, Section: s.heading(), Key: "Service",
 				Problem: fmt.Sprintf("names the unknown service %q", group.GetService()), Allowed: "a declared service",
 			})
 		}
@@ -120,33 +120,33 @@
 	return nil
 }
 
-// keepsShape refuses another shape for a group that exists. Its first map follows
+// checkShape refuses another shape for a group that exists. Its first map follows
 // from the declared shape, so ranks that hear of the change at different times
 // would load two different maps under one version.
-func (s *section) keepsShape(held, next *wire.Group) *Error {
-	if held == nil {
+func (s *section) checkShape(current, next *wire.Group) *Error {
+	if current == nil {
 		return nil
 	}
 
-	if held.GetRanks() == next.GetRanks() && held.GetExperts() == next.GetExperts() &&
-		held.GetLayers() == next.GetLayers() && held.GetSlots() == next.GetSlots() {
+	if current.GetRanks() == next.GetRanks() && current.GetExperts() == next.GetExperts() &&
+		current.GetLayers() == next.GetLayers() && current.GetSlots() == next.GetSlots() {
 		return nil
 	}
 
 	return &Error{
-		Line: s.line, Section: s.head(), Problem: "changes the shape of a group that exists",
+		Line: s.line, Section: s.heading(), Problem: "changes the shape of a group that exists",
 		Allowed: "another group under a new name, with the shape that is wanted",
 	}
 }
 
-func changeOf(key string, before, after *wire.Record) *wire.Change {
+func newChange(key string, before, after *wire.Record) *wire.Change {
 	switch {
 	case before == nil && after == nil:
 		return nil
 	case after == nil:
 		return &wire.Change{Kind: wire.ChangeKind_ChangeRemove, Key: key, Before: before, Text: key + ": removed"}
 	case before == nil:
-		return &wire.Change{Key: key, After: after, Text: key + ": added: " + describe(nil, after)}
+		return &wire.Change{Key: key, After: after, Text: key + ": added: " + describeDiff(nil, after)}
 	}
 
 	after.Version = before.GetVersion()
@@ -154,11 +154,11 @@
 		return nil
 	}
 
-	return &wire.Change{Key: key, Before: before, After: after, Text: key + ": " + describe(before, after)}
+	return &wire.Change{Key: key, Before: before, After: after, Text: key + ": " + describeDiff(before, after)}
 }
 
-// describe names the fields in which two records differ.
-func describe(before, after *wire.Record) string {
+// describeDiff names the fields in which two records differ.
+func describeDiff(before, after *wire.Record) string {
 	was, is := fieldsOf(before), fieldsOf(after)
 
 	var out []string
--- a/internal/intent/declaration.go
+++ b/internal/intent/declaration.go
@@ -28,7 +28,7 @@
 
 // section is one section with a known kind.
 type section struct {
-	kind     *kind
+	kind     *sectionKind
 	name     string
 	line     int
 	removed  bool
@@ -41,14 +41,14 @@
 	line  int
 }
 
-func (s *section) head() string { return fmt.Sprintf("%s %q", s.kind.section, s.name) }
+func (s *section) heading() string { return fmt.Sprintf("%s %q", s.kind.keyword, s.name) }
 
 func (s *section) key() string { return s.kind.prefix + s.name }
 
-// nameRule is what the names of zones, services, processes and so on look like.
-var nameRule = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern is what the names of zones, services, processes and so on look like.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-const allowedName = "1 to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit"
+const allowedNames = "1 to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit"
 
 // MaxBytes is the largest declaration that is read.
 const MaxBytes = 4 << 20
@@ -69,7 +69,7 @@
 	for i := range file.Sections {
 		s, err := readSection(&file.Sections[i])
 		if err != nil {
-			return nil, d.at(err)
+			return nil, d.withSource(err)
 		}
 
 		d.sections = append(d.sections, *s)
@@ -79,13 +79,13 @@
 }
 
 func readSection(f *inifile.Section) (*section, *Error) {
-	s, err := parseSection(f.Name, f.Line)
+	s, err := parseHeading(f.Name, f.Line)
 	if err != nil {
 		return nil, err
 	}
 
 	for _, set := range f.Settings {
-		if err := s.add(set.Key, set.Value, set.Line); err != nil {
+		if err := s.addSetting(set.Key, set.Value, set.Line); err != nil {
 			return nil, err
 		}
 	}
@@ -97,44 +97,44 @@
 	return s, nil
 }
 
-func (d *Declaration) at(err *Error) error {
+func (d *Declaration) withSource(err *Error) error {
 	err.Source = d.Source
 	return err
 }
 
-func parseSection(head string, line int) (*section, *Error) {
-	word, quoted, _ := strings.Cut(head, " ")
+func parseHeading(heading string, line int) (*section, *Error) {
+	word, quoted, _ := strings.Cut(heading, " ")
 	quoted = strings.TrimSpace(quoted)
 
-	for _, k := range kinds {
-		if k.section != word {
+	for _, k := range sectionKinds {
+		if k.keyword != word {
 			continue
 		}
 
 		name := strings.Trim(quoted, `"`)
-		if quoted != `"`+name+`"` || !nameRule.MatchString(name) {
-			return nil, &Error{Line: line, Section: head, Problem: "has no proper name", Allowed: allowedName + ", in double quotes"}
+		if quoted != `"`+name+`"` || !namePattern.MatchString(name) {
+			return nil, &Error{Line: line, Section: heading, Problem: "has no proper name", Allowed: allowedNames + ", in double quotes"}
 		}
 
 		return &section{kind: k, name: name, line: line}, nil
 	}
 
-	return nil, &Error{Line: line, Section: head, Problem: "is no known section", Allowed: sectionNames()}
+	return nil, &Error{Line: line, Section: heading, Problem: "is no known section", Allowed: sectionNames()}
 }
 
 func sectionNames() string {
-	names := make([]string, 0, len(kinds))
-	for _, k := range kinds {
-		names = append(names, fmt.Sprintf(`[%s "name"]`, k.section))
+	names := make([]string, 0, len(sectionKinds))
+	for _, k := range sectionKinds {
+		names = append(names, fmt.Sprintf(`[%s "name"]`, k.keyword))
 	}
 
 	return strings.Join(names, ", ")
 }
 
-func (s *section) add(key, value string, line int) *Error {
-	fault := &Error{Line: line, Section: s.head(), Key: key}
+func (s *section) addSetting(key, value string, line int) *Error {
+	fault := &Error{Line: line, Section: s.heading(), Key: key}
 
-	if key == removedKey && s.kind.fresh != nil {
+	if key == removedKey && s.kind.newRecord != nil {
 		if value != "true" {
 			fault.Problem, fault.Allowed = "has a bad value", "true, or leave the key out"
 			return fault
@@ -147,20 +147,20 @@
 
 	f, ok := s.kind.field(key)
 	if !ok {
-		fault.Problem, fault.Allowed = "is no known key", s.kind.keys()
+		fault.Problem, fault.Allowed = "is no known key", s.kind.keyNames()
 		return fault
 	}
 
 	s.settings = append(s.settings, setting{field: f, value: value, line: line})
 
-	if s.kind.fresh == nil {
-		return s.try(&wire.Record{Value: &wire.Record_Service{Service: &wire.Service{}}}, fault, f, value)
+	if s.kind.newRecord == nil {
+		return s.checkValue(&wire.Record{Value: &wire.Record_Service{Service: &wire.Service{}}}, fault, f, value)
 	}
 
-	return s.try(s.kind.fresh(s.name), fault, f, value)
+	return s.checkValue(s.kind.newRecord(s.name), fault, f, value)
 }
 
-func (s *section) try(r *wire.Record, fault *Error, f field, value string) *Error {
+func (s *section) checkValue(r *wire.Record, fault *Error, f field, value string) *Error {
 	if err := f.set(r, value); err != nil {
 		fault.Problem, fault.Allowed = fmt.Sprintf("has the bad value %q", value), f.allowed
 		return fault
@@ -175,10 +175,10 @@
 	lines := []string{fmt.Sprintf("override %t", override)}
 
 	for _, s := range d.sections {
-		lines = append(lines, fmt.Sprintf("%s removed %t", s.head(), s.removed))
+		lines = append(lines, fmt.Sprintf("%s removed %t", s.heading(), s.removed))
 
 		for _, set := range s.settings {
-			lines = append(lines, fmt.Sprintf("%s %s %q", s.head(), set.field.name, set.value))
+			lines = append(lines, fmt.Sprintf("%s %s %q", s.heading(), set.field.name, set.value))
 		}
 	}
 
@@ -189,24 +189,24 @@
 	return sum[:]
 }
 
-// overlay returns held as the section declares it, or nil where it is removed.
-func (s *section) overlay(held *wire.Record) (*wire.Record, *Error) {
+// applyTo returns held as the section declares it, or nil where it is removed.
+func (s *section) applyTo(current *wire.Record) (*wire.Record, *Error) {
 	if s.removed {
 		return nil, nil
 	}
 
-	next := proto.CloneOf(held)
-	if held == nil {
-		if s.kind.fresh == nil {
-			return nil, &Error{Line: s.line, Section: s.head(), Problem: "names an unknown service", Allowed: "a declared service"}
+	next := proto.CloneOf(current)
+	if current == nil {
+		if s.kind.newRecord == nil {
+			return nil, &Error{Line: s.line, Section: s.heading(), Problem: "names an unknown service", Allowed: "a declared service"}
 		}
 
-		next = s.kind.fresh(s.name)
+		next = s.kind.newRecord(s.name)
 	}
 
 	for _, set := range s.settings {
 		if err := set.field.set(next, set.value); err != nil {
-			return nil, &Error{Line: set.line, Section: s.head(), Key: set.field.name, Problem: err.Error(), Allowed: set.field.allowed}
+			return nil, &Error{Line: set.line, Section: s.heading(), Key: set.field.name, Problem: err.Error(), Allowed: set.field.allowed}
 		}
 	}
 
--- a/internal/intent/declaration_test.go
+++ b/internal/intent/declaration_test.go
@@ -19,7 +19,7 @@
 // An operator mistypes a declaration. If a line were dropped without a word, a
 // zone would stay in use though the file says that it is out; so each fault is
 // refused with its place and what is allowed.
-func TestFaultyDeclarations(t *testing.T) {
+func TestInvalidDeclarations(t *testing.T) {
 	t.Parallel()
 
 	cases := map[string]struct {
@@ -82,7 +82,7 @@
 }
 
 // Order and comments are no content: the same number with them moved is the same decision.
-func TestDigest(t *testing.T) {
+func TestDigestIgnoresOrderAndComments(t *testing.T) {
 	t.Parallel()
 
 	digest := func(text string) []byte {
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -9,9 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// spareShare is the part of the load that should be left to spare after a plan;
+// headroomDivisor is the part of the load that should be left to spare after a plan;
 // below it the plan warns.
-const spareShare = 4
+const headroomDivisor = 4
 
 // Plan works out what the declaration would change against base, and what that
 // costs. An error is of type *Error.
@@ -38,27 +38,27 @@
 
 // estimate compares the targets before and after the changes.
 type estimate struct {
-	base   Base
-	after  []*wire.Record
-	before map[string]*wire.Node
-	usable map[string]*wire.Node
-	// models are the services whose model changes, so that all targets load anew.
-	models map[string]bool
+	base         Base
+	recordsAfter []*wire.Record
+	usableBefore map[string]*wire.Node
+	usableAfter  map[string]*wire.Node
+	// reloading are the services whose model changes, so that all targets load anew.
+	reloading map[string]bool
 	// services are the declarations after the changes.
 	services map[string]*wire.Service
 }
 
 func newEstimate(base Base, changes []*wire.Change) *estimate {
 	e := &estimate{
-		base:     base,
-		after:    ledger.Overlay(base.Records, changes),
-		before:   byID(ledger.Usable(base.Records)),
-		models:   map[string]bool{},
-		services: map[string]*wire.Service{},
+		base:         base,
+		recordsAfter: ledger.Overlay(base.Records, changes),
+		usableBefore: byID(ledger.Usable(base.Records)),
+		reloading:    map[string]bool{},
+		services:     map[string]*wire.Service{},
 	}
-	e.usable = byID(ledger.Usable(e.after))
+	e.usableAfter = byID(ledger.Usable(e.recordsAfter))
 
-	for _, r := range e.after {
+	for _, r := range e.recordsAfter {
 		if service := r.GetService(); service != nil {
 			e.services[service.GetName()] = service
 		}
@@ -67,7 +67,7 @@
 	for _, c := range changes {
 		was, is := c.GetBefore().GetService(), c.GetAfter().GetService()
 		if was != nil && is != nil && was.GetModel() != is.GetModel() {
-			e.models[is.GetName()] = true
+			e.reloading[is.GetName()] = true
 		}
 	}
 
@@ -88,14 +88,14 @@
 	p.Drains = e.drains(p.GetChanges())
 	p.Cost = e.cost()
 	p.Needs = e.needs(p.GetCapacity())
-	p.Warnings, p.Refusals = e.judge(p.GetNeeds())
+	p.Warnings, p.Refusals = e.assess(p.GetNeeds())
 }
 
 // capacity sums what targets bear by service and zone.
 func (e *estimate) capacity() []*wire.CapacityLine {
 	lines := map[[2]string]*wire.CapacityLine{}
 
-	at := func(service, zone string) *wire.CapacityLine {
+	line := func(service, zone string) *wire.CapacityLine {
 		key := [2]string{service, zone}
 		if lines[key] == nil {
 			lines[key] = &wire.CapacityLine{Service: service, Zone: zone}
@@ -105,15 +105,15 @@
 	}
 
 	for _, sum := range ledger.WarmCapacities(e.base.Records) {
-		at(sum.Service, sum.Zone).Before = sum.Requests
+		line(sum.Service, sum.Zone).Before = sum.Requests
 	}
 
-	for _, sum := range ledger.WarmCapacities(e.after) {
-		at(sum.Service, sum.Zone).After = sum.Requests
+	for _, sum := range ledger.WarmCapacities(e.recordsAfter) {
+		line(sum.Service, sum.Zone).After = sum.Requests
 	}
 
-	for _, node := range e.usable {
-		at(node.GetService(), node.GetZone()).During += e.during(node)
+	for _, node := range e.usableAfter {
+		line(node.GetService(), node.GetZone()).During += e.capacityDuring(node)
 	}
 
 	out := make([]*wire.CapacityLine, 0, len(lines))
@@ -128,9 +128,9 @@
 	return out
 }
 
-// during is what a target can be relied on to bear right after the change: its
+// capacityDuring is what a target can be relied on to bear right after the change: its
 // cold limit where it starts cold.
-func (e *estimate) during(node *wire.Node) uint32 {
+func (e *estimate) capacityDuring(node *wire.Node) uint32 {
 	service := e.services[node.GetService()]
 	warm := ledger.WarmCapacity(node, service.GetWarmLimit())
 
@@ -146,16 +146,16 @@
 }
 
 func (e *estimate) startsCold(node *wire.Node) bool {
-	return e.before[node.GetID()] == nil || e.models[node.GetService()]
+	return e.usableBefore[node.GetID()] == nil || e.reloading[node.GetService()]
 }
 
 // drains lists the processes that leave and what they must finish first.
 func (e *estimate) drains(changes []*wire.Change) []*wire.DrainLine {
-	leaving := map[string]*wire.Node{}
+	draining := map[string]*wire.Node{}
 
-	for id, node := range e.before {
-		if e.usable[id] == nil {
-			leaving[id] = node
+	for id, node := range e.usableBefore {
+		if e.usableAfter[id] == nil {
+			draining[id] = node
 		}
 	}
 
@@ -163,14 +163,14 @@
 		if stop := c.GetAfter().GetStop(); stop != nil {
 			for _, r := range e.base.Records {
 				if r.GetNode().GetID() == stop.GetNodeID() {
-					leaving[stop.GetNodeID()] = r.GetNode()
+					draining[stop.GetNodeID()] = r.GetNode()
 				}
 			}
 		}
 	}
 
-	out := make([]*wire.DrainLine, 0, len(leaving))
-	for _, node := range leaving {
+	out := make([]*wire.DrainLine, 0, len(draining))
+	for _, node := range draining {
 		out = append(out, e.drain(node))
 	}
 
@@ -199,7 +199,7 @@
 func (e *estimate) cost() *wire.Cost {
 	out := &wire.Cost{}
 
-	for _, node := range e.usable {
+	for _, node := range e.usableAfter {
 		if !e.startsCold(node) {
 			continue
 		}
@@ -217,7 +217,7 @@
 // what its targets have in hand now.
 func (e *estimate) needs(capacity []*wire.CapacityLine) []*wire.NeedLine {
 	needed := map[string]uint32{}
-	for id, node := range e.before {
+	for id, node := range e.usableBefore {
 		needed[node.GetService()] += e.base.Loads[id].GetInFlight() + e.base.Loads[id].GetQueued()
 	}
 
@@ -246,37 +246,37 @@
 	return out
 }
 
-func (e *estimate) judge(needs []*wire.NeedLine) (warnings, refusals []string) {
+func (e *estimate) assess(needs []*wire.NeedLine) (warnings, refusals []string) {
 	for _, n := range needs {
 		if !n.GetReduces() {
 			continue
 		}
 
-		left := min(n.GetDuring(), n.GetAfter())
+		remaining := min(n.GetDuring(), n.GetAfter())
 
 		switch {
-		case left == 0:
+		case remaining == 0:
 			refusals = append(refusals, fmt.Sprintf("%s would have no target left", n.GetService()))
-		case left < n.GetNeeded():
+		case remaining < n.GetNeeded():
 			refusals = append(refusals, fmt.Sprintf("%s would bear %d requests at once and has %d in hand now",
-				n.GetService(), left, n.GetNeeded()))
-		case left-n.GetNeeded() < n.GetNeeded()/spareShare:
+				n.GetService(), remaining, n.GetNeeded()))
+		case remaining-n.GetNeeded() < n.GetNeeded()/headroomDivisor:
 			warnings = append(warnings, fmt.Sprintf("%s would have only %d requests to spare over the %d in hand now",
-				n.GetService(), left-n.GetNeeded(), n.GetNeeded()))
+				n.GetService(), remaining-n.GetNeeded(), n.GetNeeded()))
 		}
 	}
 
-	if unheard := e.unheard(); unheard > 0 && len(needs) > 0 {
-		warnings = append(warnings, fmt.Sprintf("the load of %d of %d targets is not known", unheard, len(e.before)))
+	if unknown := e.withoutLoad(); unknown > 0 && len(needs) > 0 {
+		warnings = append(warnings, fmt.Sprintf("the load of %d of %d targets is not known", unknown, len(e.usableBefore)))
 	}
 
 	return warnings, refusals
 }
 
-func (e *estimate) unheard() int {
+func (e *estimate) withoutLoad() int {
 	n := 0
 
-	for id := range e.before {
+	for id := range e.usableBefore {
 		if e.base.Loads[id] == nil {
 			n++
 		}
--- a/internal/intent/plan_test.go
+++ b/internal/intent/plan_test.go
@@ -28,7 +28,7 @@
 
 			switch d.Cmd {
 			case "base":
-				base = trust(t, declaration, d.HasArg("busy"))
+				base = newBase(t, declaration, d.HasArg("busy"))
 				return ""
 			case "undeclared":
 				return strings.Join(declaration.Undeclared(base), "\n") + "\n"
@@ -38,17 +38,17 @@
 					return err.Error() + "\n"
 				}
 
-				return show(p)
+				return formatPlan(p)
 			}
 		})
 	})
 }
 
-// trust is a state with two agents of cooper-assist in each of three zones.
-func trust(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
+// newBase is a state with two agents of cooper-assist in each of three zones.
+func newBase(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
 	t.Helper()
 
-	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopBlocker: unsafe}
+	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopBlocker: stopBlocker}
 
 	for _, zone := range []string{"ang-thong", "ayutthaya", "saraburi"} {
 		for i := range 2 {
@@ -79,7 +79,7 @@
 	return base
 }
 
-func unsafe(name string) string {
+func stopBlocker(name string) string {
 	if name == "control-2" {
 		return "control-1 is still catching up"
 	}
@@ -87,7 +87,7 @@
 	return ""
 }
 
-func show(p *wire.Plan) string {
+func formatPlan(p *wire.Plan) string {
 	var b strings.Builder
 
 	for _, c := range p.GetChanges() {
--- a/internal/intent/reference.go
+++ b/internal/intent/reference.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// meanings says what each section and key of a declaration does. Keys stand as Section.Key.
-var meanings = map[string]string{
+// descriptions says what each section and key of a declaration does. Keys stand as Section.Key.
+var descriptions = map[string]string{
 	"Zone":                    "An availability zone. Targets in a zone that is not declared get no work.",
 	"Zone.Region":             "The region of the zone.",
 	"Zone.Out":                "true takes the zone out: no new work goes into it, and what runs there finishes.",
@@ -40,17 +40,17 @@
 
 	b.WriteString("# Declarations\n\n" +
 		"What operators declare, in INI; `parsleygate plan -f FILE` says what a declaration would change. Names stand in double\n" +
-		"quotes in the section's head and have " + allowedName + ".\n\n" +
+		"quotes in the section's head and have " + allowedNames + ".\n\n" +
 		"What a declaration does not mention stays as it is. `Removed = true`, alone in its section, removes what the section\n" +
 		"names. An unknown section or key, or one that is given twice, is an error with its line. Comments stand on lines of\n" +
 		"their own, after `#` or `;`. At most " + fmt.Sprint(MaxBytes) + " bytes are read.\n")
 
-	for _, k := range kinds {
+	for _, k := range sectionKinds {
 		fmt.Fprintf(&b, "\n## [%s \"name\"]\n\n%s\n\n| key | allowed | what it does |\n| --- | --- | --- |\n",
-			k.section, meanings[k.section])
+			k.keyword, descriptions[k.keyword])
 
 		for _, f := range k.fields {
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", f.name, f.allowed, meanings[k.section+"."+f.name])
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", f.name, f.allowed, descriptions[k.keyword+"."+f.name])
 		}
 	}
 
--- a/internal/intent/kinds.go
+++ b/internal/intent/sections.go
@@ -17,17 +17,17 @@
 	set     func(r *wire.Record, value string) error
 }
 
-// kind is one kind of section, and the record that it declares.
-type kind struct {
-	section string
+// sectionKind is one kind of section, and the record that it declares.
+type sectionKind struct {
+	keyword string
 	prefix  string
-	// fresh returns the record of a section that the state does not have yet;
+	// newRecord returns the record of a section that the state does not have yet;
 	// nil means that the record must exist.
-	fresh  func(name string) *wire.Record
-	fields []field
+	newRecord func(name string) *wire.Record
+	fields    []field
 }
 
-func (k *kind) field(name string) (field, bool) {
+func (k *sectionKind) field(name string) (field, bool) {
 	for _, f := range k.fields {
 		if f.name == name {
 			return f, true
@@ -37,13 +37,13 @@
 	return field{}, false
 }
 
-func (k *kind) keys() string {
+func (k *sectionKind) keyNames() string {
 	names := make([]string, 0, len(k.fields)+1)
 	for _, f := range k.fields {
 		names = append(names, f.name)
 	}
 
-	if k.fresh != nil {
+	if k.newRecord != nil {
 		names = append(names, removedKey)
 	}
 
@@ -64,53 +64,53 @@
 	allowedText     = "text"
 )
 
-var errValue = errors.New("the value is not of the kind")
+var errInvalidValue = errors.New("the value is not of the kind")
 
-// kinds are all sections that a declaration may have. ColdLimit stands after
+// sectionKinds are all sections that a declaration may have. ColdLimit stands after
 // Service, since it adds to the service's record.
-var kinds = []*kind{
+var sectionKinds = []*sectionKind{
 	{
-		section: "Zone", prefix: ledger.ZonePrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Zone", prefix: ledger.ZonePrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_Zone{Zone: &wire.Zone{Name: name}}}
 		},
 		fields: []field{
-			text("Region", func(r *wire.Record) *string { return &r.GetZone().Region }),
-			flag("Out", func(r *wire.Record) *bool { return &r.GetZone().Out }),
+			textField("Region", func(r *wire.Record) *string { return &r.GetZone().Region }),
+			boolField("Out", func(r *wire.Record) *bool { return &r.GetZone().Out }),
 		},
 	},
 	{
-		section: "Service", prefix: ledger.ServicePrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Service", prefix: ledger.ServicePrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_Service{Service: &wire.Service{Name: name}}}
 		},
 		fields: []field{
 			{name: "IdempotentCalls", allowed: allowedCalls, set: setCalls},
-			flag("Resumable", func(r *wire.Record) *bool { return &r.GetService().Resumable }),
-			text("Model", func(r *wire.Record) *string { return &r.GetService().Model }),
+			boolField("Resumable", func(r *wire.Record) *bool { return &r.GetService().Resumable }),
+			textField("Model", func(r *wire.Record) *string { return &r.GetService().Model }),
 			{name: "WeightBytes", allowed: allowedBytes, set: setWeightBytes},
 			{name: "LongestRun", allowed: allowedDuration, set: setLongestRun},
 		},
 	},
 	{
-		section: "ColdLimit", prefix: ledger.ServicePrefix,
+		keyword: "ColdLimit", prefix: ledger.ServicePrefix,
 		fields: []field{
-			count("Cold", func(r *wire.Record) *uint32 { return &r.GetService().ColdLimit }),
-			count("Warm", func(r *wire.Record) *uint32 { return &r.GetService().WarmLimit }),
+			countField("Cold", func(r *wire.Record) *uint32 { return &r.GetService().ColdLimit }),
+			countField("Warm", func(r *wire.Record) *uint32 { return &r.GetService().WarmLimit }),
 		},
 	},
 	{
-		section: "Target", prefix: ledger.TargetPrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Target", prefix: ledger.TargetPrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_TargetPolicy{TargetPolicy: &wire.TargetPolicy{AgentID: name}}}
 		},
 		fields: []field{
-			flag("Retired", func(r *wire.Record) *bool { return &r.GetTargetPolicy().Retired }),
+			boolField("Retired", func(r *wire.Record) *bool { return &r.GetTargetPolicy().Retired }),
 		},
 	},
 	{
-		section: "Workspace", prefix: ledger.WorkspacePrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Workspace", prefix: ledger.WorkspacePrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_Workspace{Workspace: &wire.Workspace{Name: name, Weight: 1}}}
 		},
 		fields: []field{
@@ -119,59 +119,59 @@
 		},
 	},
 	{
-		section: "Stop", prefix: ledger.StopPrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Stop", prefix: ledger.StopPrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_Stop{Stop: &wire.Stop{NodeID: name}}}
 		},
 		fields: []field{
-			text("Reason", func(r *wire.Record) *string { return &r.GetStop().Reason }),
+			textField("Reason", func(r *wire.Record) *string { return &r.GetStop().Reason }),
 		},
 	},
 	{
-		section: "Group", prefix: ledger.GroupPrefix,
-		fresh: func(name string) *wire.Record {
+		keyword: "Group", prefix: ledger.GroupPrefix,
+		newRecord: func(name string) *wire.Record {
 			return &wire.Record{Value: &wire.Record_Group{Group: &wire.Group{Name: name}}}
 		},
 		fields: []field{
-			text("Service", func(r *wire.Record) *string { return &r.GetGroup().Service }),
-			count("Ranks", func(r *wire.Record) *uint32 { return &r.GetGroup().Ranks }),
-			count("Experts", func(r *wire.Record) *uint32 { return &r.GetGroup().Experts }),
-			count("Layers", func(r *wire.Record) *uint32 { return &r.GetGroup().Layers }),
-			count("Slots", func(r *wire.Record) *uint32 { return &r.GetGroup().Slots }),
+			textField("Service", func(r *wire.Record) *string { return &r.GetGroup().Service }),
+			countField("Ranks", func(r *wire.Record) *uint32 { return &r.GetGroup().Ranks }),
+			countField("Experts", func(r *wire.Record) *uint32 { return &r.GetGroup().Experts }),
+			countField("Layers", func(r *wire.Record) *uint32 { return &r.GetGroup().Layers }),
+			countField("Slots", func(r *wire.Record) *uint32 { return &r.GetGroup().Slots }),
 		},
 	},
 }
 
-func text(name string, at func(*wire.Record) *string) field {
+func textField(name string, ptr func(*wire.Record) *string) field {
 	return field{name: name, allowed: allowedText, set: func(r *wire.Record, value string) error {
-		*at(r) = value
+		*ptr(r) = value
 		return nil
 	}}
 }
 
-func flag(name string, at func(*wire.Record) *bool) field {
+func boolField(name string, ptr func(*wire.Record) *bool) field {
 	return field{name: name, allowed: allowedBool, set: func(r *wire.Record, value string) error {
 		switch value {
 		case "true":
-			*at(r) = true
+			*ptr(r) = true
 		case "false":
-			*at(r) = false
+			*ptr(r) = false
 		default:
-			return errValue
+			return errInvalidValue
 		}
 
 		return nil
 	}}
 }
 
-func count(name string, at func(*wire.Record) *uint32) field {
+func countField(name string, ptr func(*wire.Record) *uint32) field {
 	return field{name: name, allowed: allowedCount, set: func(r *wire.Record, value string) error {
 		n, err := strconv.ParseUint(value, 10, 32)
 		if err != nil {
-			return errValue
+			return errInvalidValue
 		}
 
-		*at(r) = uint32(n)
+		*ptr(r) = uint32(n)
 
 		return nil
 	}}
@@ -180,7 +180,7 @@
 func setWeightBytes(r *wire.Record, value string) error {
 	n, err := strconv.ParseUint(value, 10, 63)
 	if err != nil {
-		return errValue
+		return errInvalidValue
 	}
 
 	r.GetService().WeightBytes = n
@@ -191,7 +191,7 @@
 func setLongestRun(r *wire.Record, value string) error {
 	d, err := time.ParseDuration(value)
 	if err != nil || d < 0 {
-		return errValue
+		return errInvalidValue
 	}
 
 	r.GetService().LongestMillis = uint64(d.Milliseconds())
@@ -205,7 +205,7 @@
 func setWeight(r *wire.Record, value string) error {
 	n, err := strconv.ParseUint(value, 10, 32)
 	if err != nil || n == 0 || n > maxWeight {
-		return errValue
+		return errInvalidValue
 	}
 
 	r.GetWorkspace().Weight = uint32(n)
@@ -218,7 +218,7 @@
 func setPriority(r *wire.Record, value string) error {
 	n, err := strconv.ParseInt(value, 10, 32)
 	if err != nil || n < -maxPriority || n > maxPriority {
-		return errValue
+		return errInvalidValue
 	}
 
 	r.GetWorkspace().Priority = int32(n)
@@ -238,7 +238,7 @@
 		path = strings.TrimSpace(path)
 
 		if !ok || method != strings.ToUpper(method) || !strings.HasPrefix(path, "/") || strings.ContainsAny(path, " \t") {
-			return errValue
+			return errInvalidValue
 		}
 
 		r.GetService().IdempotentCalls = append(r.GetService().IdempotentCalls, method+" "+path)
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// filled returns a ledger with workspaces, processes, and claims of which each
+// newFilledHarness returns a ledger with workspaces, processes, and claims of which each
 // holds a recorded answer of 400 bytes.
-func filled(b *testing.B, workspaces, nodes, claims int) *bed {
+func newFilledHarness(b *testing.B, workspaces, nodes, claims int) *harness {
 	b.Helper()
 
-	out := newBed(b, ledger.DefaultLimits())
+	out := newHarness(b, ledger.DefaultLimits())
 	plan := &wire.Plan{}
 
 	for i := range workspaces {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// heap returns the bytes in use after a collection.
-func heap() int64 {
+// heapInUse returns the bytes in use after a collection.
+func heapInUse() int64 {
 	var stats runtime.MemStats
 
 	runtime.GC()
@@ -64,9 +64,9 @@
 
 	for _, s := range sizes {
 		name := fmt.Sprintf("workspaces=%d/nodes=%d/claims=%d", s.workspaces, s.nodes, s.claims)
-		before := heap()
-		state := filled(b, s.workspaces, s.nodes, s.claims)
-		used := heap() - before
+		before := heapInUse()
+		state := newFilledHarness(b, s.workspaces, s.nodes, s.claims)
+		used := heapInUse() - before
 
 		var data []byte
 
@@ -88,7 +88,7 @@
 
 // BenchmarkClaim measures a claim and its settlement.
 func BenchmarkClaim(b *testing.B) {
-	state := filled(b, 13000, 1010, 0)
+	state := newFilledHarness(b, 13000, 1010, 0)
 	limits := ledger.DefaultLimits()
 	i := 0
 
@@ -103,7 +103,7 @@
 
 // BenchmarkDelta measures a reader's answer after one change, against the full one.
 func BenchmarkDelta(b *testing.B) {
-	state := filled(b, 13000, 1010, 0)
+	state := newFilledHarness(b, 13000, 1010, 0)
 	before := state.ledger.Records().Version
 	state.report(agent("agent-7", 2, 1))
 	records := state.ledger.Records()
--- a/internal/ledger/capacity.go
+++ b/internal/ledger/capacity.go
@@ -41,7 +41,7 @@
 // Usable returns the agents in records that may get new work: in a zone in use,
 // with a target that announced itself, neither leaving, retired nor stopping.
 func Usable(records []*wire.Record) []*wire.Node {
-	barred := map[string]bool{}
+	excluded := map[string]bool{}
 	zones := map[string]bool{}
 
 	for _, r := range records {
@@ -49,9 +49,9 @@
 		case *wire.Record_Zone:
 			zones[v.Zone.GetName()] = !v.Zone.GetOut()
 		case *wire.Record_TargetPolicy:
-			barred[v.TargetPolicy.GetAgentID()] = barred[v.TargetPolicy.GetAgentID()] || v.TargetPolicy.GetRetired()
+			excluded[v.TargetPolicy.GetAgentID()] = excluded[v.TargetPolicy.GetAgentID()] || v.TargetPolicy.GetRetired()
 		case *wire.Record_Stop:
-			barred[v.Stop.GetNodeID()] = true
+			excluded[v.Stop.GetNodeID()] = true
 		}
 	}
 
@@ -63,7 +63,7 @@
 			continue
 		}
 
-		if zones[node.GetZone()] && !barred[node.GetID()] {
+		if zones[node.GetZone()] && !excluded[node.GetID()] {
 			out = append(out, node)
 		}
 	}
@@ -73,23 +73,23 @@
 
 // WarmCapacities sums the usable targets of records by service and zone, in that order.
 func WarmCapacities(records []*wire.Record) []ZoneCapacity {
-	warm := map[string]uint32{}
+	warmLimits := map[string]uint32{}
 
 	for _, r := range records {
 		if service := r.GetService(); service != nil {
-			warm[service.GetName()] = service.GetWarmLimit()
+			warmLimits[service.GetName()] = service.GetWarmLimit()
 		}
 	}
 
 	sums := map[[2]string]ZoneCapacity{}
 
 	for _, node := range Usable(records) {
-		at := [2]string{node.GetService(), node.GetZone()}
-		sum := sums[at]
+		key := [2]string{node.GetService(), node.GetZone()}
+		sum := sums[key]
 		sum.Service, sum.Zone = node.GetService(), node.GetZone()
 		sum.Targets++
-		sum.Requests += WarmCapacity(node, warm[node.GetService()])
-		sums[at] = sum
+		sum.Requests += WarmCapacity(node, warmLimits[node.GetService()])
+		sums[key] = sum
 	}
 
 	out := make([]ZoneCapacity, 0, len(sums))
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -20,19 +20,19 @@
 // where the table is full and its guarantee has ended. Where none can go, new
 // claims are refused: none is dropped before its guarantee ends.
 type claimTable struct {
-	limits  Limits
-	entries map[claimKey]*list.Element
-	// order holds the *wire.ClaimEntry values by the end of their windows.
-	order *list.List
-	bytes int
+	limits Limits
+	byKey  map[claimKey]*list.Element
+	// byWindowEnd holds the *wire.ClaimEntry values by the end of their windows.
+	byWindowEnd *list.List
+	answerBytes int
 }
 
 func newClaimTable(limits Limits) claimTable {
-	return claimTable{limits: limits, entries: map[claimKey]*list.Element{}, order: list.New()}
+	return claimTable{limits: limits, byKey: map[claimKey]*list.Element{}, byWindowEnd: list.New()}
 }
 
 func (t *claimTable) get(key claimKey) *wire.ClaimEntry {
-	element, ok := t.entries[key]
+	element, ok := t.byKey[key]
 	if !ok {
 		return nil
 	}
@@ -47,56 +47,56 @@
 
 	entry := t.get(key)
 	if entry == nil && r.GetHolder() == nil {
-		return t.answer(wire.ClaimState_ClaimFree, nil)
+		return t.response(wire.ClaimState_ClaimFree, nil)
 	}
 
 	if entry == nil {
-		return t.open(now, key, r)
+		return t.openClaim(now, key, r)
 	}
 
 	if !bytes.Equal(entry.GetBodyDigest(), r.GetBodyDigest()) {
-		return t.answer(wire.ClaimState_ClaimConflict, entry)
+		return t.response(wire.ClaimState_ClaimConflict, entry)
 	}
 
 	switch entry.GetState() {
 	case wire.ClaimEntryState_ClaimEntryRecorded:
-		return t.answer(wire.ClaimState_ClaimRecorded, entry)
+		return t.response(wire.ClaimState_ClaimRecorded, entry)
 	case wire.ClaimEntryState_ClaimEntryLost:
-		return t.answer(wire.ClaimState_ClaimLost, entry)
+		return t.response(wire.ClaimState_ClaimLost, entry)
 	}
 
-	return t.contend(entry, r)
+	return t.arbitrate(entry, r)
 }
 
-// contend decides between the attempt that holds an open claim and another.
+// arbitrate decides between the attempt that holds an open claim and another.
 // The same attempt is granted again, since its first grant may have been lost on
 // the way. Another is granted only if it names the holder as closed: the claim
 // may have moved on since the asker looked, and then a second attempt would run.
-func (t *claimTable) contend(entry *wire.ClaimEntry, r *wire.ClaimRequest) *wire.ClaimResponse {
-	held := entry.GetHolder().GetAttemptID()
+func (t *claimTable) arbitrate(entry *wire.ClaimEntry, r *wire.ClaimRequest) *wire.ClaimResponse {
+	holderID := entry.GetHolder().GetAttemptID()
 
 	if r.GetHolder() == nil {
-		return t.answer(wire.ClaimState_ClaimOpen, entry)
+		return t.response(wire.ClaimState_ClaimOpen, entry)
 	}
 
-	if r.GetHolder().GetAttemptID() == held {
-		return t.answer(wire.ClaimState_ClaimGranted, entry)
+	if r.GetHolder().GetAttemptID() == holderID {
+		return t.response(wire.ClaimState_ClaimGranted, entry)
 	}
 
-	if r.GetReplaces() == "" || r.GetReplaces() != held {
-		return t.answer(wire.ClaimState_ClaimOpen, entry)
+	if r.GetReplaces() == "" || r.GetReplaces() != holderID {
+		return t.response(wire.ClaimState_ClaimOpen, entry)
 	}
 
 	entry.Holder = proto.CloneOf(r.GetHolder())
 
-	return t.answer(wire.ClaimState_ClaimGranted, entry)
+	return t.response(wire.ClaimState_ClaimGranted, entry)
 }
 
-func (t *claimTable) open(now time.Time, key claimKey, r *wire.ClaimRequest) *wire.ClaimResponse {
-	t.makeRoom(now)
+func (t *claimTable) openClaim(now time.Time, key claimKey, r *wire.ClaimRequest) *wire.ClaimResponse {
+	t.evictPastGuarantee(now)
 
 	if t.full() {
-		return t.answer(wire.ClaimState_ClaimFull, nil)
+		return t.response(wire.ClaimState_ClaimFull, nil)
 	}
 
 	entry := &wire.ClaimEntry{
@@ -105,46 +105,46 @@
 		Key:          key.key,
 		BodyDigest:   bytes.Clone(r.GetBodyDigest()),
 		Holder:       proto.CloneOf(r.GetHolder()),
-		EndsAtMillis: millis(now.Add(t.limits.ClaimWindow)),
+		EndsAtMillis: toMillis(now.Add(t.limits.ClaimWindow)),
 	}
 	t.add(entry)
 
-	return t.answer(wire.ClaimState_ClaimGranted, entry)
+	return t.response(wire.ClaimState_ClaimGranted, entry)
 }
 
 func (t *claimTable) full() bool {
-	return len(t.entries) >= t.limits.MaxClaims || t.bytes >= t.limits.MaxClaimBytes
+	return len(t.byKey) >= t.limits.MaxClaims || t.answerBytes >= t.limits.MaxClaimBytes
 }
 
-// makeRoom lets the oldest claims go that have outlived their guarantee, while
+// evictPastGuarantee lets the oldest claims go that have outlived their guarantee, while
 // the table is full.
-func (t *claimTable) makeRoom(now time.Time) {
-	for t.full() && t.order.Len() > 0 {
-		entry := t.order.Front().Value.(*wire.ClaimEntry)
-		began := fromMillis(entry.GetEndsAtMillis()).Add(-t.limits.ClaimWindow)
+func (t *claimTable) evictPastGuarantee(now time.Time) {
+	for t.full() && t.byWindowEnd.Len() > 0 {
+		entry := t.byWindowEnd.Front().Value.(*wire.ClaimEntry)
+		opened := fromMillis(entry.GetEndsAtMillis()).Add(-t.limits.ClaimWindow)
 
-		if now.Before(began.Add(t.limits.guarantee())) {
+		if now.Before(opened.Add(t.limits.effectiveGuarantee())) {
 			return
 		}
 
-		t.drop(keyOf(entry))
+		t.remove(claimKeyOf(entry))
 	}
 }
 
-func keyOf(entry *wire.ClaimEntry) claimKey {
+func claimKeyOf(entry *wire.ClaimEntry) claimKey {
 	return claimKey{workspace: entry.GetWorkspace(), service: entry.GetService(), key: entry.GetKey()}
 }
 
 func (t *claimTable) add(entry *wire.ClaimEntry) {
-	t.entries[keyOf(entry)] = t.order.PushBack(entry)
-	t.bytes += answerBytes(entry.GetAnswer())
+	t.byKey[claimKeyOf(entry)] = t.byWindowEnd.PushBack(entry)
+	t.answerBytes += answerSize(entry.GetAnswer())
 }
 
-func (t *claimTable) drop(key claimKey) {
-	element := t.entries[key]
-	t.bytes -= answerBytes(element.Value.(*wire.ClaimEntry).GetAnswer())
-	t.order.Remove(element)
-	delete(t.entries, key)
+func (t *claimTable) remove(key claimKey) {
+	element := t.byKey[key]
+	t.answerBytes -= answerSize(element.Value.(*wire.ClaimEntry).GetAnswer())
+	t.byWindowEnd.Remove(element)
+	delete(t.byKey, key)
 }
 
 // settle records what became of an attempt. Only the holder's word counts, and
@@ -159,62 +159,62 @@
 	}
 
 	if entry.GetHolder().GetAttemptID() == r.GetAttemptID() {
-		t.settleHeld(key, entry, r)
+		t.settleHolder(key, entry, r)
 	}
 
 	if t.get(key) == nil {
 		return &wire.SettleResponse{State: wire.ClaimState_ClaimUnknown}
 	}
 
-	return &wire.SettleResponse{State: stateOf(entry)}
+	return &wire.SettleResponse{State: claimStateOf(entry)}
 }
 
-func (t *claimTable) settleHeld(key claimKey, entry *wire.ClaimEntry, r *wire.SettleRequest) {
+func (t *claimTable) settleHolder(key claimKey, entry *wire.ClaimEntry, r *wire.SettleRequest) {
 	if entry.GetState() == wire.ClaimEntryState_ClaimEntryRecorded {
 		return
 	}
 
 	switch r.GetVerdict() {
 	case wire.Verdict_Ran:
-		t.record(entry, r.GetAnswer())
+		t.recordAnswer(entry, r.GetAnswer())
 	case wire.Verdict_NotRun:
 		// A loss is not undone by a late NotRun: whoever recorded it knew more.
 		if entry.GetState() == wire.ClaimEntryState_ClaimEntryOpen {
-			t.drop(key)
+			t.remove(key)
 		}
 	default:
 		entry.State = wire.ClaimEntryState_ClaimEntryLost
 	}
 }
 
-func (t *claimTable) record(entry *wire.ClaimEntry, answer *wire.Answer) {
-	if answer == nil || answerBytes(answer) > t.limits.MaxAnswerBytes {
+func (t *claimTable) recordAnswer(entry *wire.ClaimEntry, answer *wire.Answer) {
+	if answer == nil || answerSize(answer) > t.limits.MaxAnswerBytes {
 		entry.State = wire.ClaimEntryState_ClaimEntryLost
 		return
 	}
 
 	entry.State = wire.ClaimEntryState_ClaimEntryRecorded
 	entry.Answer = proto.CloneOf(answer)
-	t.bytes += answerBytes(answer)
+	t.answerBytes += answerSize(answer)
 }
 
 // expire drops the claims whose window has ended.
 func (t *claimTable) expire(now time.Time) {
-	for element := t.order.Front(); element != nil; element = t.order.Front() {
+	for element := t.byWindowEnd.Front(); element != nil; element = t.byWindowEnd.Front() {
 		entry := element.Value.(*wire.ClaimEntry)
 		if now.Before(fromMillis(entry.GetEndsAtMillis())) {
 			return
 		}
 
-		t.drop(keyOf(entry))
+		t.remove(claimKeyOf(entry))
 	}
 }
 
-func (t *claimTable) answer(state wire.ClaimState, entry *wire.ClaimEntry) *wire.ClaimResponse {
+func (t *claimTable) response(state wire.ClaimState, entry *wire.ClaimEntry) *wire.ClaimResponse {
 	out := &wire.ClaimResponse{
 		State:        state,
 		Holder:       entry.GetHolder(),
-		WindowMillis: uint64(t.limits.guarantee() / time.Millisecond),
+		WindowMillis: uint64(t.limits.effectiveGuarantee() / time.Millisecond),
 	}
 	if state == wire.ClaimState_ClaimRecorded {
 		out.Answer = entry.GetAnswer()
@@ -223,7 +223,7 @@
 	return out
 }
 
-func stateOf(entry *wire.ClaimEntry) wire.ClaimState {
+func claimStateOf(entry *wire.ClaimEntry) wire.ClaimState {
 	switch entry.GetState() {
 	case wire.ClaimEntryState_ClaimEntryRecorded:
 		return wire.ClaimState_ClaimRecorded
@@ -234,7 +234,7 @@
 	}
 }
 
-func answerBytes(answer *wire.Answer) int {
+func answerSize(answer *wire.Answer) int {
 	if answer == nil {
 		return 0
 	}
--- a/internal/ledger/claims_test.go
+++ b/internal/ledger/claims_test.go
@@ -16,23 +16,23 @@
 // entries, late, doubled, with another body, and after losses. Each case is the
 // order in which the claim table meets these; the kiln is fired at most once if
 // no two attempts are granted of which the first was not shown to be closed.
-func TestClaims(t *testing.T) {
+func TestClaimTableGrantsOneOpenAttempt(t *testing.T) {
 	t.Parallel()
 
 	type step struct {
-		do   func(*bed) wire.ClaimState
+		do   func(*harness) wire.ClaimState
 		want wire.ClaimState
 	}
 
-	claim := func(attempt, body, replaces string) func(*bed) wire.ClaimState {
-		return func(b *bed) wire.ClaimState { return b.claim("k", attempt, body, replaces).GetState() }
+	claim := func(attempt, body, replaces string) func(*harness) wire.ClaimState {
+		return func(h *harness) wire.ClaimState { return h.claim("k", attempt, body, replaces).GetState() }
 	}
-	settle := func(attempt string, v wire.Verdict, answer string) func(*bed) wire.ClaimState {
-		return func(b *bed) wire.ClaimState { return b.settle("k", attempt, v, answer) }
+	settle := func(attempt string, v wire.Verdict, answer string) func(*harness) wire.ClaimState {
+		return func(h *harness) wire.ClaimState { return h.settle("k", attempt, v, answer) }
 	}
 
-	look := func(body string) func(*bed) wire.ClaimState {
-		return func(b *bed) wire.ClaimState { return b.look("k", body).GetState() }
+	lookUp := func(body string) func(*harness) wire.ClaimState {
+		return func(h *harness) wire.ClaimState { return h.lookUp("k", body).GetState() }
 	}
 
 	const (
@@ -79,7 +79,7 @@
 			{claim("a1", "b", ""), granted}, {settle("a1", ran, "slot 4"), recorded}, {settle("a1", mayHave, ""), recorded}, {settle("a1", notRun, ""), recorded},
 		},
 		"a look claims nothing": {
-			{look("b"), wire.ClaimState_ClaimFree}, {claim("a1", "b", ""), granted}, {look("b"), open}, {look("c"), conflict}, {claim("a2", "b", ""), open},
+			{lookUp("b"), wire.ClaimState_ClaimFree}, {claim("a1", "b", ""), granted}, {lookUp("b"), open}, {lookUp("c"), conflict}, {claim("a2", "b", ""), open},
 		},
 		"an answer too large to keep is lost": {
 			{claim("a1", "b", ""), granted}, {settle("a1", ran, strings.Repeat("x", 1<<20)), lost},
@@ -90,11 +90,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			b := newBed(t, ledger.DefaultLimits())
+			h := newHarness(t, ledger.DefaultLimits())
 
 			for i, s := range steps {
-				require.Equal(t, s.want, s.do(b), "step %d", i)
-				b.restart(ledger.DefaultLimits())
+				require.Equal(t, s.want, s.do(h), "step %d", i)
+				h.restart(ledger.DefaultLimits())
 			}
 		})
 	}
@@ -109,63 +109,63 @@
 	limits := ledger.DefaultLimits()
 	limits.MaxClaims = 3
 	limits.ClaimWindow = 90 * time.Second
-	b := newBed(t, limits)
+	h := newHarness(t, limits)
 
 	for i := range 3 {
-		require.Equal(t, wire.ClaimState_ClaimGranted, b.claim(fmt.Sprint(i), "a", "b", "").GetState())
+		require.Equal(t, wire.ClaimState_ClaimGranted, h.claim(fmt.Sprint(i), "a", "b", "").GetState())
 	}
 
-	require.Equal(t, wire.ClaimState_ClaimFull, b.claim("3", "a", "b", "").GetState())
-	require.Equal(t, wire.ClaimState_ClaimOpen, b.claim("0", "a2", "b", "").GetState())
+	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("3", "a", "b", "").GetState())
+	require.Equal(t, wire.ClaimState_ClaimOpen, h.claim("0", "a2", "b", "").GetState())
 
-	b.tick(60_000)
-	b.restart(limits)
-	b.tick(29_999)
-	require.Equal(t, wire.ClaimState_ClaimFull, b.claim("3", "a", "b", "").GetState())
-	b.tick(1)
-	require.Equal(t, wire.ClaimState_ClaimGranted, b.claim("3", "a", "b", "").GetState())
-	require.Equal(t, 1, b.ledger.ClaimCount())
+	h.tick(60_000)
+	h.restart(limits)
+	h.tick(29_999)
+	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("3", "a", "b", "").GetState())
+	h.tick(1)
+	require.Equal(t, wire.ClaimState_ClaimGranted, h.claim("3", "a", "b", "").GetState())
+	require.Equal(t, 1, h.ledger.ClaimCount())
 }
 
 // More bookings come than a day's window holds. Keys that have outlived what
 // callers were promised make room, the oldest first, so that the desk goes on;
 // within that time none does, or a resend would book twice.
-func TestFullTableKeepsItsGuarantee(t *testing.T) {
+func TestFullClaimTableKeepsClaimsWithinGuarantee(t *testing.T) {
 	t.Parallel()
 
 	limits := ledger.DefaultLimits()
 	limits.MaxClaims = 2
 	limits.ClaimGuarantee = time.Minute
-	b := newBed(t, limits)
+	h := newHarness(t, limits)
 
-	granted := b.claim("0", "a", "b", "")
+	granted := h.claim("0", "a", "b", "")
 	require.EqualValues(t, 60_000, granted.GetWindowMillis(), "callers are told what is sure")
-	b.tick(30_000)
-	require.Equal(t, wire.ClaimState_ClaimGranted, b.claim("1", "a", "b", "").GetState())
-	b.tick(29_999)
-	require.Equal(t, wire.ClaimState_ClaimFull, b.claim("2", "a", "b", "").GetState())
-	b.tick(1)
-	b.restart(limits)
-	require.Equal(t, wire.ClaimState_ClaimGranted, b.claim("2", "a", "b", "").GetState())
-	require.Equal(t, wire.ClaimState_ClaimOpen, b.claim("1", "a2", "b", "").GetState(), "the younger one stays")
-	require.Equal(t, wire.ClaimState_ClaimFull, b.claim("3", "a", "b", "").GetState())
+	h.tick(30_000)
+	require.Equal(t, wire.ClaimState_ClaimGranted, h.claim("1", "a", "b", "").GetState())
+	h.tick(29_999)
+	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("2", "a", "b", "").GetState())
+	h.tick(1)
+	h.restart(limits)
+	require.Equal(t, wire.ClaimState_ClaimGranted, h.claim("2", "a", "b", "").GetState())
+	require.Equal(t, wire.ClaimState_ClaimOpen, h.claim("1", "a2", "b", "").GetState(), "the younger one stays")
+	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("3", "a", "b", "").GetState())
 }
 
 // Two control VMs believe for a moment that they lead, and both move the clock
 // for the same span; one has a clock that leapt by days. Were both counted, or
 // the leap, windows would end early and a booking could run twice.
-func TestClockNeverRunsAhead(t *testing.T) {
+func TestClockNeverRunsAheadOfRealTime(t *testing.T) {
 	t.Parallel()
 
-	b := newBed(t, ledger.DefaultLimits())
-	start := b.ledger.Now()
+	h := newHarness(t, ledger.DefaultLimits())
+	start := h.ledger.Now()
 	tick := func(after, ms uint64) {
-		b.apply(&wire.Command{Kind: &wire.Command_Tick{Tick: &wire.Tick{After: after, ElapsedMillis: ms}}})
+		h.apply(&wire.Command{Kind: &wire.Command_Tick{Tick: &wire.Tick{After: after, ElapsedMillis: ms}}})
 	}
 
 	tick(0, 5000)
 	tick(0, 5000)
-	require.Equal(t, 5*time.Second, b.ledger.Now().Sub(start))
+	require.Equal(t, 5*time.Second, h.ledger.Now().Sub(start))
 	tick(1, 72*3600*1000)
-	require.Equal(t, 65*time.Second, b.ledger.Now().Sub(start))
+	require.Equal(t, 65*time.Second, h.ledger.Now().Sub(start))
 }
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -15,14 +15,14 @@
 // monotonic clock, and is void when another tick came between. So a wall clock
 // that jumps, or two leaders at once, cannot end a claim's window early.
 type clock struct {
-	at        time.Duration
-	tickIndex uint64
+	elapsed  time.Duration
+	lastTick uint64
 }
 
-func (c *clock) now() time.Time { return time.Unix(0, 0).UTC().Add(c.at) }
+func (c *clock) now() time.Time { return time.Unix(0, 0).UTC().Add(c.elapsed) }
 
 func (c *clock) advance(index uint64, tick *wire.Tick) bool {
-	if tick.GetAfter() != c.tickIndex {
+	if tick.GetAfter() != c.lastTick {
 		return false
 	}
 
@@ -31,24 +31,24 @@
 		elapsed = time.Duration(tick.GetElapsedMillis()) * time.Millisecond
 	}
 
-	c.at += elapsed
-	c.tickIndex = index
+	c.elapsed += elapsed
+	c.lastTick = index
 
 	return true
 }
 
 // TickIndex returns the log index of the last tick, which the next tick names.
-func (l *Ledger) TickIndex() uint64 { return l.clock.tickIndex }
+func (l *Ledger) TickIndex() uint64 { return l.clock.lastTick }
 
-func (l *Ledger) tick(index uint64, tick *wire.Tick) {
+func (l *Ledger) applyTick(index uint64, tick *wire.Tick) {
 	if !l.clock.advance(index, tick) {
 		return
 	}
 
 	l.claims.expire(l.clock.now())
-	l.directory.forget(l.clock.now())
+	l.departures.dropExpired(l.clock.now())
 }
 
-func millis(t time.Time) uint64 { return uint64(t.UnixMilli()) }
+func toMillis(t time.Time) uint64 { return uint64(t.UnixMilli()) }
 
 func fromMillis(ms uint64) time.Time { return time.UnixMilli(int64(ms)).UTC() }
--- a/internal/ledger/base.go
+++ b/internal/ledger/conflicts.go
@@ -6,29 +6,29 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// baseChanges says what operators changed since the plan was made that matters
+// conflictingChanges says what operators changed since the plan was made that matters
 // to it: the records it writes, and where it touches what services bear, every
 // record of that kind. It guards against two plans that were each sound alone,
 // such as two zones taken out at once. Processes that come and go do not count;
 // shortfalls looks at what they leave.
-func (l *Ledger) baseChanges(plan *wire.Plan) []string {
-	own := map[string]bool{}
+func (l *Ledger) conflictingChanges(plan *wire.Plan) []string {
+	written := map[string]bool{}
 	capacity := false
 
 	for _, c := range plan.GetChanges() {
-		own[c.GetKey()] = true
+		written[c.GetKey()] = true
 		capacity = capacity || AffectsCapacity(c.GetKey())
 	}
 
-	view := l.records.view()
-	if plan.GetBaseVersion() < view.horizon {
+	records := l.records.current()
+	if plan.GetBaseVersion() < records.horizon {
 		return []string{fmt.Sprintf("the plan's base %d is too old to compare with", plan.GetBaseVersion())}
 	}
 
 	var out []string
 
-	for _, c := range latest(view.changes, plan.GetBaseVersion()) {
-		if own[c.key] || capacity && AffectsCapacity(c.key) {
+	for _, c := range lastPerKey(records.changes, plan.GetBaseVersion()) {
+		if written[c.key] || capacity && AffectsCapacity(c.key) {
 			out = append(out, fmt.Sprintf("%s changed at version %d, after the plan's base %d",
 				c.key, c.version, plan.GetBaseVersion()))
 		}
@@ -37,27 +37,27 @@
 	return out
 }
 
-// shortfalls says for which services too few targets are left since the plan
+// capacityShortfalls says for which services too few targets are left since the plan
 // was made, though the plan found enough.
-func (l *Ledger) shortfalls(plan *wire.Plan) []string {
+func (l *Ledger) capacityShortfalls(plan *wire.Plan) []string {
 	if len(plan.GetNeeds()) == 0 {
 		return nil
 	}
 
-	after := Overlay(l.records.view().All(), plan.GetChanges())
-	bears := map[string]uint32{}
+	after := Overlay(l.records.current().All(), plan.GetChanges())
+	capacity := map[string]uint32{}
 
 	for _, line := range WarmCapacities(after) {
-		bears[line.Service] += line.Requests
+		capacity[line.Service] += line.Requests
 	}
 
 	var out []string
 
 	for _, need := range plan.GetNeeds() {
-		left := bears[need.GetService()]
-		if need.GetReduces() && left < need.GetNeeded() && need.GetAfter() >= need.GetNeeded() {
+		remaining := capacity[need.GetService()]
+		if need.GetReduces() && remaining < need.GetNeeded() && need.GetAfter() >= need.GetNeeded() {
 			out = append(out, fmt.Sprintf("targets left since the plan: %s would bear %d requests, needs %d",
-				need.GetService(), left, need.GetNeeded()))
+				need.GetService(), remaining, need.GetNeeded()))
 		}
 	}
 
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/convergence_test.go
@@ -12,13 +12,13 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// copyOf is a reader's copy of the records, which follows by deltas.
-type copyOf struct {
+// readerCopy is a reader's copy of the records, which follows by deltas.
+type readerCopy struct {
 	version uint64
 	records map[string]*wire.Record
 }
 
-func (c *copyOf) follow(records ledger.Records) {
+func (c *readerCopy) update(records ledger.Records) {
 	d := records.DeltaSince(c.version)
 	if d.Full {
 		c.records = map[string]*wire.Record{}
@@ -49,12 +49,12 @@
 		limits.MaxDeparted = 3
 		limits.MaxClaims = 5
 
-		steady, restarting := newBed(rt, limits), newBed(rt, limits)
-		readers := []*copyOf{{}, {}, {}}
+		continuous, restarting := newHarness(rt, limits), newHarness(rt, limits)
+		readers := []*readerCopy{{}, {}, {}}
 
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-			cmd := drawCommand(rt, steady)
-			require.True(rt, proto.Equal(steady.apply(cmd), restarting.apply(cmd)))
+			cmd := drawCommand(rt, continuous)
+			require.True(rt, proto.Equal(continuous.apply(cmd), restarting.apply(cmd)))
 
 			if rapid.Bool().Draw(rt, "restart") {
 				restarting.restart(limits)
@@ -62,34 +62,34 @@
 
 			i := rapid.IntRange(0, 9).Draw(rt, "reader")
 			if i < len(readers) {
-				readers[i].follow(restarting.ledger.Records())
+				readers[i].update(restarting.ledger.Records())
 			}
 		}
 
-		require.Equal(rt, steady.ledger.Snapshot(), restarting.ledger.Snapshot())
+		require.Equal(rt, continuous.ledger.Snapshot(), restarting.ledger.Snapshot())
 
-		fresh := &copyOf{}
-		fresh.follow(steady.ledger.Records())
+		latest := &readerCopy{}
+		latest.update(continuous.ledger.Records())
 
 		for _, r := range readers {
-			r.follow(restarting.ledger.Records())
-			require.Len(rt, r.records, len(fresh.records))
+			r.update(restarting.ledger.Records())
+			require.Len(rt, r.records, len(latest.records))
 
-			for key, record := range fresh.records {
+			for key, record := range latest.records {
 				require.True(rt, proto.Equal(record, r.records[key]), key)
 			}
 		}
 	})
 }
 
-func drawCommand(rt *rapid.T, b *bed) *wire.Command {
+func drawCommand(rt *rapid.T, h *harness) *wire.Command {
 	name := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "name"))
 	n := rapid.Uint64Range(1, 6).Draw(rt, "n")
 	node := agent(name, n/3, n)
 
 	switch rapid.IntRange(0, 6).Draw(rt, "kind") {
 	case 0:
-		return &wire.Command{Kind: &wire.Command_Tick{Tick: &wire.Tick{After: b.ledger.TickIndex(), ElapsedMillis: n * 9000}}}
+		return &wire.Command{Kind: &wire.Command_Tick{Tick: &wire.Tick{After: h.ledger.TickIndex(), ElapsedMillis: n * 9000}}}
 	case 1:
 		return &wire.Command{Kind: &wire.Command_NodeReports{NodeReports: &wire.NodeReports{
 			Reports: []*wire.NodeReport{{Node: node, Gone: n == 6}},
@@ -99,7 +99,7 @@
 			Nodes: []*wire.NodeName{{ID: name, Incarnation: n / 3}},
 		}}}
 	case 3:
-		plan := b.zonePlan(name, n%2 == 0)
+		plan := h.zonePlan(name, n%2 == 0)
 		if n > 4 {
 			plan.Changes[0].Kind = wire.ChangeKind_ChangeRemove
 		}
@@ -107,7 +107,7 @@
 		return &wire.Command{Kind: &wire.Command_StorePlan{StorePlan: plan}}
 	case 4:
 		return &wire.Command{Kind: &wire.Command_Decision{Decision: &wire.Decision{
-			Operator: name, Number: n + b.index/8, PlanID: fmt.Sprintf("P%d", b.index),
+			Operator: name, Number: n + h.index/8, PlanID: fmt.Sprintf("P%d", h.index),
 		}}}
 	case 5:
 		return &wire.Command{Kind: &wire.Command_Claim{Claim: &wire.ClaimRequest{
--- a/internal/ledger/decisions.go
+++ b/internal/ledger/decisions.go
@@ -31,18 +31,18 @@
 	return decisionTable{limits: limits, byNumber: map[uint64]*wire.DecisionEntry{}}
 }
 
-// store keeps a plan under an ID that no other plan ever has.
-func (t *decisionTable) store(index uint64, plan *wire.Plan) string {
-	kept := proto.CloneOf(plan)
-	kept.ID = fmt.Sprintf("P%d", index)
-	t.plans = append(t.plans, kept)
-	t.planBytes += proto.Size(kept)
+// storePlan keeps a plan under an ID that no other plan ever has.
+func (t *decisionTable) storePlan(index uint64, plan *wire.Plan) string {
+	stored := proto.CloneOf(plan)
+	stored.ID = fmt.Sprintf("P%d", index)
+	t.plans = append(t.plans, stored)
+	t.planBytes += proto.Size(stored)
 
 	for len(t.plans) > t.limits.MaxPlans || len(t.plans) > 1 && t.planBytes > t.limits.MaxPlanBytes {
 		t.dropPlan(0)
 	}
 
-	return kept.GetID()
+	return stored.GetID()
 }
 
 func (t *decisionTable) dropPlan(i int) {
@@ -60,11 +60,11 @@
 	return nil
 }
 
-// repeat answers a number that was decided or forgotten; nil means it is free.
+// previousAnswer answers a number that was decided or forgotten; nil means it is free.
 // The content is the plan, or another plan of the same intent: an operator whose
 // answer was lost may plan again before confirming again. Who sent it first is
 // in the answer.
-func (t *decisionTable) repeat(d *wire.Decision, plan *wire.Plan) *wire.DecisionAnswer {
+func (t *decisionTable) previousAnswer(d *wire.Decision, plan *wire.Plan) *wire.DecisionAnswer {
 	if d.GetNumber() <= t.floor {
 		return &wire.DecisionAnswer{State: wire.DecisionState_DecisionForgotten, Floor: t.floor}
 	}
@@ -101,9 +101,9 @@
 	}
 }
 
-// keep records the first answer to a number. The smallest number is dropped
+// record records the first answer to a number. The smallest number is dropped
 // above the limit and raises the floor, so that it can never be decided again.
-func (t *decisionTable) keep(entry *wire.DecisionEntry) {
+func (t *decisionTable) record(entry *wire.DecisionEntry) {
 	t.byNumber[entry.GetNumber()] = entry
 	t.entries = append(t.entries, entry)
 
@@ -120,8 +120,8 @@
 	delete(t.byNumber, smallest)
 }
 
-// last returns the log index of the latest decision.
-func (t *decisionTable) last() uint64 {
+// lastIndex returns the log index of the latest decision.
+func (t *decisionTable) lastIndex() uint64 {
 	if len(t.entries) == 0 {
 		return 0
 	}
@@ -134,7 +134,7 @@
 func (l *Ledger) decide(index uint64, d *wire.Decision) *wire.DecisionAnswer {
 	plan := l.decisions.plan(d.GetPlanID())
 
-	if answer := l.decisions.repeat(d, plan); answer != nil {
+	if answer := l.decisions.previousAnswer(d, plan); answer != nil {
 		return answer
 	}
 
@@ -151,23 +151,23 @@
 		Source:       plan.GetSource(),
 		Index:        index,
 	}
-	entry.State, entry.Details = l.judge(plan)
+	entry.State, entry.Details = l.checkPlan(plan)
 
 	if entry.GetState() == wire.DecisionState_DecisionMade {
-		l.carryOut(index, plan)
-		entry.Details = texts(plan.GetChanges())
+		l.applyPlan(index, plan)
+		entry.Details = changeTexts(plan.GetChanges())
 	}
 
 	entry.Version = l.records.version
-	l.decisions.keep(entry)
+	l.decisions.record(entry)
 	l.decisions.dropPlan(slices.Index(l.decisions.plans, plan))
 
 	return answerOf(entry)
 }
 
-// judge says whether plan may still be carried out, and why not.
-func (l *Ledger) judge(plan *wire.Plan) (state wire.DecisionState, details []string) {
-	if details = l.baseChanges(plan); len(details) > 0 {
+// checkPlan says whether plan may still be carried out, and why not.
+func (l *Ledger) checkPlan(plan *wire.Plan) (state wire.DecisionState, details []string) {
+	if details = l.conflictingChanges(plan); len(details) > 0 {
 		return wire.DecisionState_DecisionBaseChanged, details
 	}
 
@@ -179,14 +179,14 @@
 		return wire.DecisionState_DecisionRefused, plan.GetRefusals()
 	}
 
-	if details = l.shortfalls(plan); len(details) > 0 {
+	if details = l.capacityShortfalls(plan); len(details) > 0 {
 		return wire.DecisionState_DecisionBaseChanged, details
 	}
 
 	return wire.DecisionState_DecisionMade, nil
 }
 
-func (l *Ledger) carryOut(index uint64, plan *wire.Plan) {
+func (l *Ledger) applyPlan(index uint64, plan *wire.Plan) {
 	for _, c := range plan.GetChanges() {
 		if c.GetKind() == wire.ChangeKind_ChangeRemove {
 			l.records.remove(index, c.GetKey())
@@ -199,14 +199,14 @@
 	}
 }
 
-// maxDetails bounds the lines that are kept of one decision.
-const maxDetails = 40
+// maxDetailLines bounds the lines that are kept of one decision.
+const maxDetailLines = 40
 
-func texts(changes []*wire.Change) []string {
+func changeTexts(changes []*wire.Change) []string {
 	var out []string
 
 	for i, c := range changes {
-		if i == maxDetails {
+		if i == maxDetailLines {
 			return append(out, fmt.Sprintf("and %d more changes", len(changes)-i))
 		}
 
--- a/internal/ledger/documents.go
+++ b/internal/ledger/documents.go
@@ -15,10 +15,10 @@
 	index uint64
 }
 
-// adopt replaces the document by one with a higher number. A number that is not
+// applyDocument replaces the document by one with a higher number. A number that is not
 // higher changes nothing, also with other content: it may be an old order that
 // was sent again, and the number that was accepted first keeps its content.
-func (l *Ledger) adopt(index uint64, d *wire.Document) {
+func (l *Ledger) applyDocument(index uint64, d *wire.Document) {
 	if current := l.documents.current; current != nil && d.GetNumber() <= current.GetNumber() {
 		return
 	}
@@ -26,8 +26,8 @@
 	l.documents = documentTable{current: d, index: index}
 }
 
-// orderZone takes a zone out or back in, without a plan.
-func (l *Ledger) orderZone(index uint64, o *wire.ZoneOrder) {
+// setZoneOut takes a zone out or back in, without a plan.
+func (l *Ledger) setZoneOut(index uint64, o *wire.ZoneOrder) {
 	before := l.records.live[ZonePrefix+o.GetZone()].GetZone()
 	if before != nil && before.GetOut() == o.GetOut() {
 		return
--- a/internal/ledger/groups.go
+++ b/internal/ledger/groups.go
@@ -28,8 +28,8 @@
 	record.Apply(expertmap.Fence(index), expertmap.EntryFromWire(e))
 
 	next := &wire.GroupState{Group: e.GetGroup(), Record: expertmap.RecordToWire(record)}
-	for _, m := range append(slices.Clone(state.GetMaps()), opened(index, record, e)...) {
-		if named(record, m.GetVersion()) {
+	for _, m := range append(slices.Clone(state.GetMaps()), openedMaps(index, record, e)...) {
+		if mapNeeded(record, m.GetVersion()) {
 			next.Maps = append(next.Maps, m)
 		}
 	}
@@ -42,8 +42,8 @@
 	return expertmap.Record{Current: expertmap.Activation{Version: InitialMapVersion}}
 }
 
-// opened returns the map of an entry that has just opened a switch.
-func opened(index uint64, r expertmap.Record, e *wire.GroupEntry) []*wire.GroupMap {
+// openedMaps returns the map of an entry that has just opened a switch.
+func openedMaps(index uint64, r expertmap.Record, e *wire.GroupEntry) []*wire.GroupMap {
 	if r.Open.Fence != expertmap.Fence(index) {
 		return nil
 	}
@@ -51,8 +51,8 @@
 	return []*wire.GroupMap{{Version: e.GetVersion(), Placement: e.GetPlacement()}}
 }
 
-// named reports whether a rank may still need the map.
-func named(r expertmap.Record, version uint64) bool {
+// mapNeeded reports whether a rank may still need the map.
+func mapNeeded(r expertmap.Record, version uint64) bool {
 	v := expertmap.Version(version)
 
 	return v == r.Current.Version || v == r.Current.Previous || v == r.Open.Version
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -20,15 +20,15 @@
 	// OnGroupEntry is called after each entry about an expert map; nil for nobody.
 	OnGroupEntry func(index uint64, e *wire.GroupEntry)
 
-	index     uint64
-	changes   uint64
-	clock     clock
-	records   recordTable
-	directory directory
-	claims    claimTable
-	decisions decisionTable
-	groups    groupTable
-	documents documentTable
+	index      uint64
+	changes    uint64
+	clock      clock
+	records    recordTable
+	departures departureTable
+	claims     claimTable
+	decisions  decisionTable
+	groups     groupTable
+	documents  documentTable
 }
 
 // New returns an empty ledger.
@@ -43,7 +43,7 @@
 	l.index = 0
 	l.clock = clock{}
 	l.records = newRecordTable(l.Limits.MaxTombstones)
-	l.directory = newDirectory(l.Limits)
+	l.departures = newDepartureTable(l.Limits)
 	l.claims = newClaimTable(l.Limits)
 	l.decisions = newDecisionTable(l.Limits)
 	l.groups = groupTable{}
@@ -71,11 +71,11 @@
 		return encode(&wire.Result{Fault: "the command cannot be read"})
 	}
 
-	version, decided, tick, state := l.records.version, l.decisions.last(), l.clock.tickIndex, l.documents.index
+	version, decided, lastTick, document := l.records.version, l.decisions.lastIndex(), l.clock.lastTick, l.documents.index
 	result := encode(l.dispatch(index, cmd))
 
-	if l.records.version != version || l.decisions.last() != decided ||
-		l.clock.tickIndex != tick || l.documents.index != state {
+	if l.records.version != version || l.decisions.lastIndex() != decided ||
+		l.clock.lastTick != lastTick || l.documents.index != document {
 		l.changes++
 	}
 
@@ -85,18 +85,18 @@
 func (l *Ledger) dispatch(index uint64, cmd *wire.Command) *wire.Result {
 	switch kind := cmd.Kind.(type) {
 	case *wire.Command_Tick:
-		l.tick(index, kind.Tick)
+		l.applyTick(index, kind.Tick)
 		return &wire.Result{}
 	case *wire.Command_NodeReports:
-		return &wire.Result{Count: l.report(index, kind.NodeReports)}
+		return &wire.Result{Count: l.applyReports(index, kind.NodeReports)}
 	case *wire.Command_Expiry:
-		return &wire.Result{Count: l.expire(index, kind.Expiry)}
+		return &wire.Result{Count: l.applyExpiry(index, kind.Expiry)}
 	case *wire.Command_Claim:
 		return &wire.Result{Claim: l.claims.claim(l.clock.now(), kind.Claim)}
 	case *wire.Command_Settle:
 		return &wire.Result{Settle: l.claims.settle(kind.Settle)}
 	case *wire.Command_StorePlan:
-		return &wire.Result{PlanID: l.decisions.store(index, kind.StorePlan)}
+		return &wire.Result{PlanID: l.decisions.storePlan(index, kind.StorePlan)}
 	case *wire.Command_Decision:
 		return &wire.Result{Decision: l.decide(index, kind.Decision)}
 	case *wire.Command_ExpertMap:
@@ -110,10 +110,10 @@
 
 		return &wire.Result{}
 	case *wire.Command_Document:
-		l.adopt(index, kind.Document)
+		l.applyDocument(index, kind.Document)
 		return &wire.Result{}
 	case *wire.Command_ZoneOrder:
-		l.orderZone(index, kind.ZoneOrder)
+		l.setZoneOut(index, kind.ZoneOrder)
 		return &wire.Result{}
 	default:
 		return &wire.Result{Fault: "the command has no known kind"}
@@ -121,7 +121,7 @@
 }
 
 // Records returns the configuration as it is now, as an immutable value.
-func (l *Ledger) Records() Records { return l.records.view() }
+func (l *Ledger) Records() Records { return l.records.current() }
 
 // Decisions returns the kept decisions, the earliest first, and the number up
 // to which answers are no longer kept.
@@ -133,7 +133,7 @@
 func (l *Ledger) ChangeCount() uint64 { return l.changes }
 
 // ClaimCount returns how many claims are held.
-func (l *Ledger) ClaimCount() int { return len(l.claims.entries) }
+func (l *Ledger) ClaimCount() int { return len(l.claims.byKey) }
 
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -32,9 +32,9 @@
 	ExpiryDivisor int
 }
 
-// guarantee is ClaimGuarantee, or the whole window where that is shorter or no
+// effectiveGuarantee is ClaimGuarantee, or the whole window where that is shorter or no
 // guarantee is set.
-func (l *Limits) guarantee() time.Duration {
+func (l *Limits) effectiveGuarantee() time.Duration {
 	if l.ClaimGuarantee == 0 {
 		return l.ClaimWindow
 	}
--- a/internal/ledger/maps.go
+++ b/internal/ledger/maps.go
@@ -14,7 +14,7 @@
 	committed := l.records.get(ExpertMapPrefix + m.GetGroup()).GetExpertMap()
 	staged := l.records.get(StagedMapPrefix + m.GetGroup()).GetExpertMap()
 
-	if cause := mapFault(committed, staged, m); cause != "" {
+	if cause := mapRejection(committed, staged, m); cause != "" {
 		return &wire.MapAnswer{Current: committed, Cause: cause}
 	}
 
@@ -31,9 +31,9 @@
 	return &wire.MapAnswer{Accepted: true, Current: next}
 }
 
-// mapFault guards one map for all ranks: a version once staged never changes
+// mapRejection guards one map for all ranks: a version once staged never changes
 // its placement, so ranks that staged it hold the same one when it is committed.
-func mapFault(committed, staged, m *wire.ExpertMap) string {
+func mapRejection(committed, staged, m *wire.ExpertMap) string {
 	if m.GetGroup() == "" {
 		return "the map names no group"
 	}
--- a/internal/ledger/maps_test.go
+++ b/internal/ledger/maps_test.go
@@ -12,18 +12,18 @@
 // A planner stages maps, and its messages come late, doubled, or from a planner
 // that was replaced. If one version could get a second placement, or an old one
 // come back, ranks of a group would run different maps in one step.
-func TestExpertMaps(t *testing.T) {
+func TestMapVersionKeepsItsPlacement(t *testing.T) {
 	t.Parallel()
 
-	b := newBed(t, ledger.DefaultLimits())
+	h := newHarness(t, ledger.DefaultLimits())
 	put := func(version uint64, placement string, committed bool) *wire.MapAnswer {
-		b.restart(ledger.DefaultLimits())
+		h.restart(ledger.DefaultLimits())
 
-		return b.apply(&wire.Command{Kind: &wire.Command_ExpertMap{ExpertMap: &wire.ExpertMap{
+		return h.apply(&wire.Command{Kind: &wire.Command_ExpertMap{ExpertMap: &wire.ExpertMap{
 			Group: "g", MapVersion: version, Placement: []byte(placement), Committed: committed, Step: 7,
 		}}}).GetMap()
 	}
-	committed := func() *wire.ExpertMap { return b.ledger.Records().Get("ExpertMap/g").GetExpertMap() }
+	committed := func() *wire.ExpertMap { return h.ledger.Records().Get("ExpertMap/g").GetExpertMap() }
 
 	steps := []struct {
 		name      string
@@ -60,5 +60,5 @@
 		}
 	}
 
-	require.Nil(t, b.ledger.Records().Get("StagedMap/g"))
+	require.Nil(t, h.ledger.Records().Get("StagedMap/g"))
 }
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -23,10 +23,10 @@
 	live    map[string]*wire.Record
 	changes []change
 	version uint64
-	// removed holds the versions of the kept removals, and horizon the version
+	// tombstones holds the versions of the kept removals, and horizon the version
 	// of the latest one that is no longer kept. Both depend on commands alone,
 	// since results and snapshots depend on them; compaction does not.
-	removed       map[string]uint64
+	tombstones    map[string]uint64
 	horizon       uint64
 	maxTombstones int
 }
@@ -34,7 +34,7 @@
 func newRecordTable(maxTombstones int) recordTable {
 	return recordTable{
 		live:          map[string]*wire.Record{},
-		removed:       map[string]uint64{},
+		tombstones:    map[string]uint64{},
 		maxTombstones: maxTombstones,
 	}
 }
@@ -44,8 +44,8 @@
 func (t *recordTable) put(version uint64, record *wire.Record) {
 	record.Version = version
 	t.live[record.Key] = record
-	delete(t.removed, record.Key)
-	t.add(change{version: version, key: record.Key, record: record})
+	delete(t.tombstones, record.Key)
+	t.appendChange(change{version: version, key: record.Key, record: record})
 }
 
 func (t *recordTable) remove(version uint64, key string) {
@@ -54,42 +54,42 @@
 	}
 
 	delete(t.live, key)
-	t.removed[key] = version
-	t.add(change{version: version, key: key})
+	t.tombstones[key] = version
+	t.appendChange(change{version: version, key: key})
 
-	if len(t.removed) > t.maxTombstones {
-		t.forgetRemovals()
+	if len(t.tombstones) > t.maxTombstones {
+		t.dropOldTombstones()
 	}
 }
 
-// forgetRemovals drops the older half of the kept removals. Readers older than
+// dropOldTombstones drops the older half of the kept removals. Readers older than
 // the horizon get everything.
-func (t *recordTable) forgetRemovals() {
-	versions := slices.Sorted(maps.Values(t.removed))
+func (t *recordTable) dropOldTombstones() {
+	versions := slices.Sorted(maps.Values(t.tombstones))
 	t.horizon = versions[len(versions)/2]
 
-	maps.DeleteFunc(t.removed, func(_ string, version uint64) bool { return version <= t.horizon })
+	maps.DeleteFunc(t.tombstones, func(_ string, version uint64) bool { return version <= t.horizon })
 }
 
-func (t *recordTable) add(c change) {
+func (t *recordTable) appendChange(c change) {
 	t.version = c.version
 	t.changes = append(t.changes, c)
 
-	if len(t.changes) > 2*(len(t.live)+len(t.removed))+16 {
+	if len(t.changes) > 2*(len(t.live)+len(t.tombstones))+16 {
 		t.compact()
 	}
 }
 
 // compact drops the changes that no reader needs any more.
 func (t *recordTable) compact() {
-	kept := latest(t.changes, 0)
-	t.changes = slices.DeleteFunc(kept, func(c change) bool {
+	last := lastPerKey(t.changes, 0)
+	t.changes = slices.DeleteFunc(last, func(c change) bool {
 		return c.record == nil && c.version <= t.horizon
 	})
 }
 
-// byKind returns the live records whose keys begin with prefix, in order of key.
-func (t *recordTable) byKind(prefix string) []*wire.Record {
+// withPrefix returns the live records whose keys begin with prefix, in order of key.
+func (t *recordTable) withPrefix(prefix string) []*wire.Record {
 	var out []*wire.Record
 
 	for key, record := range t.live {
@@ -103,7 +103,7 @@
 	return out
 }
 
-func (t *recordTable) view() Records {
+func (t *recordTable) current() Records {
 	return Records{
 		Version: t.version,
 		horizon: t.horizon,
@@ -138,7 +138,7 @@
 		version = 0
 	}
 
-	for _, c := range latest(r.changes, version) {
+	for _, c := range lastPerKey(r.changes, version) {
 		switch {
 		case c.record != nil:
 			d.Changed = append(d.Changed, c.record)
@@ -164,8 +164,8 @@
 // All returns every record, in order of version.
 func (r Records) All() []*wire.Record { return r.DeltaSince(0).Changed }
 
-// latest returns the last change of each key after version, in order.
-func latest(changes []change, version uint64) []change {
+// lastPerKey returns the last change of each key after version, in order.
+func lastPerKey(changes []change, version uint64) []change {
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].version > version })
 	seen := make(map[string]bool, len(changes)-first)
 
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -16,10 +16,10 @@
 		Index:        l.index,
 		Version:      l.records.version,
 		Horizon:      l.records.horizon,
-		ClockMillis:  millis(l.clock.now()),
-		TickIndex:    l.clock.tickIndex,
-		Departed:     l.directory.sorted(),
-		ExpiryWindow: l.directory.window,
+		ClockMillis:  toMillis(l.clock.now()),
+		TickIndex:    l.clock.lastTick,
+		Departed:     l.departures.sorted(),
+		ExpiryWindow: l.departures.window,
 		Plans:        l.decisions.plans,
 		Decisions:    l.decisions.entries,
 		NumberFloor:  l.decisions.floor,
@@ -39,7 +39,7 @@
 		s.Records = append(s.Records, c.record)
 	}
 
-	for element := l.claims.order.Front(); element != nil; element = element.Next() {
+	for element := l.claims.byWindowEnd.Front(); element != nil; element = element.Next() {
 		s.Claims = append(s.Claims, element.Value.(*wire.ClaimEntry))
 	}
 
@@ -55,9 +55,9 @@
 
 	l.reset()
 	l.index = s.GetIndex()
-	l.clock = clock{at: time.Duration(s.GetClockMillis()) * time.Millisecond, tickIndex: s.GetTickIndex()}
+	l.clock = clock{elapsed: time.Duration(s.GetClockMillis()) * time.Millisecond, lastTick: s.GetTickIndex()}
 	l.records.restore(s)
-	l.directory.restore(s)
+	l.departures.restore(s)
 	l.claims.restore(s)
 	l.decisions.restore(s)
 	l.restoreGroups(s)
@@ -73,7 +73,7 @@
 
 	for _, record := range s.GetRecords() {
 		for len(tombstones) > 0 && tombstones[0].GetVersion() <= record.GetVersion() {
-			t.restoreRemoval(tombstones[0])
+			t.restoreTombstone(tombstones[0])
 			tombstones = tombstones[1:]
 		}
 
@@ -82,21 +82,21 @@
 	}
 
 	for _, tombstone := range tombstones {
-		t.restoreRemoval(tombstone)
+		t.restoreTombstone(tombstone)
 	}
 
 	t.version = s.GetVersion()
 	t.horizon = s.GetHorizon()
 }
 
-func (t *recordTable) restoreRemoval(tombstone *wire.Tombstone) {
-	t.removed[tombstone.GetKey()] = tombstone.GetVersion()
+func (t *recordTable) restoreTombstone(tombstone *wire.Tombstone) {
+	t.tombstones[tombstone.GetKey()] = tombstone.GetVersion()
 	t.changes = append(t.changes, change{version: tombstone.GetVersion(), key: tombstone.GetKey()})
 }
 
-func (d *directory) restore(s *wire.LedgerSnapshot) {
+func (d *departureTable) restore(s *wire.LedgerSnapshot) {
 	for _, departed := range s.GetDeparted() {
-		d.departed[departed.GetID()] = departed
+		d.nodes[departed.GetID()] = departed
 	}
 
 	if s.GetExpiryWindow() != nil {
@@ -105,7 +105,7 @@
 }
 
 func (t *claimTable) restore(s *wire.LedgerSnapshot) {
-	t.order = list.New()
+	t.byWindowEnd = list.New()
 
 	for _, entry := range s.GetClaims() {
 		t.add(entry)
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -66,17 +66,17 @@
 	Settings FollowerSettings
 	Logger   *slog.Logger
 
-	mu       sync.Mutex
-	merged   directory.MergedTargets
-	current  atomic.Pointer[ClusterState]
-	members  map[netip.AddrPort][]netip.AddrPort // by who told
-	counts   map[netip.AddrPort]uint32
-	rosters  map[netip.AddrPort][]shares.Node // by who told
-	answered map[netip.AddrPort]bool
-	lost     map[netip.AddrPort]bool // whose word on entries is to be dropped
-	tables   tables
-	running  map[netip.AddrPort]context.CancelFunc
-	done     sync.WaitGroup
+	mu              sync.Mutex
+	merged          directory.MergedTargets
+	current         atomic.Pointer[ClusterState]
+	membersBySource map[netip.AddrPort][]netip.AddrPort // by who told
+	entryCounts     map[netip.AddrPort]uint32
+	rostersBySource map[netip.AddrPort][]shares.Node // by who told
+	answered        map[netip.AddrPort]bool
+	unreachable     map[netip.AddrPort]bool // whose word on entries is to be dropped
+	tableFetch      tableFetch
+	cancels         map[netip.AddrPort]context.CancelFunc
+	pollers         sync.WaitGroup
 }
 
 // FollowerSettings are the intervals of a follower.
@@ -111,13 +111,13 @@
 		f.Logger = slog.New(slog.DiscardHandler)
 	}
 
-	f.members = make(map[netip.AddrPort][]netip.AddrPort)
-	f.counts = make(map[netip.AddrPort]uint32)
-	f.rosters = make(map[netip.AddrPort][]shares.Node)
+	f.membersBySource = make(map[netip.AddrPort][]netip.AddrPort)
+	f.entryCounts = make(map[netip.AddrPort]uint32)
+	f.rostersBySource = make(map[netip.AddrPort][]shares.Node)
 	f.answered = make(map[netip.AddrPort]bool)
-	f.lost = make(map[netip.AddrPort]bool)
-	f.tables = tables{own: f.Zone, zones: make(map[netip.AddrPort]string)}
-	f.running = make(map[netip.AddrPort]context.CancelFunc)
+	f.unreachable = make(map[netip.AddrPort]bool)
+	f.tableFetch = tableFetch{localZone: f.Zone, zones: make(map[netip.AddrPort]string)}
+	f.cancels = make(map[netip.AddrPort]context.CancelFunc)
 	f.current.Store(&ClusterState{Entries: 1})
 }
 
@@ -128,7 +128,7 @@
 func (f *Follower) Run(ctx context.Context) error {
 	tick := time.NewTicker(f.Settings.RefreshInterval)
 	defer tick.Stop()
-	defer f.done.Wait()
+	defer f.pollers.Wait()
 
 	for {
 		f.refresh(ctx)
@@ -152,68 +152,68 @@
 		wanted[a] = true
 	}
 
-	for _, told := range f.members {
-		for _, a := range told {
+	for _, members := range f.membersBySource {
+		for _, a := range members {
 			wanted[a] = true
 		}
 	}
 
-	for a, stop := range f.running {
+	for a, stop := range f.cancels {
 		if !wanted[a] {
 			stop()
-			delete(f.running, a)
-			delete(f.counts, a)
-			delete(f.rosters, a)
-			delete(f.lost, a)
-			delete(f.tables.zones, a)
-			delete(f.members, a)
+			delete(f.cancels, a)
+			delete(f.entryCounts, a)
+			delete(f.rostersBySource, a)
+			delete(f.unreachable, a)
+			delete(f.tableFetch.zones, a)
+			delete(f.membersBySource, a)
 		}
 	}
 
 	for a := range wanted {
-		if f.running[a] != nil {
+		if f.cancels[a] != nil {
 			continue
 		}
 
-		one, stop := context.WithCancel(ctx)
-		f.running[a] = stop
+		pollCtx, stop := context.WithCancel(ctx)
+		f.cancels[a] = stop
 
-		f.done.Go(func() { f.follow(one, a) })
+		f.pollers.Go(func() { f.pollLoop(pollCtx, a) })
 	}
 }
 
-// lostAfter is after how many failed questions in a row what a control VM told of entries
+// maxFailuresReachable is after how many failed questions in a row what a control VM told of entries
 // no longer counts, as soon as another one tells of them.
-const lostAfter = 40
+const maxFailuresReachable = 40
 
-// lose notes that a control VM has not answered for long.
-func (f *Follower) lose(control netip.AddrPort, k *known) {
+// markUnreachable notes that a control VM has not answered for long.
+func (f *Follower) markUnreachable(control netip.AddrPort, c *controlState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.lost[control] = true
-	k.roster = 0
+	f.unreachable[control] = true
+	c.rosterHash = 0
 }
 
-// known is how far this entry knows one control VM's directory.
-type known struct {
-	boot, revision uint64
-	roster         uint64
-	number         uint64
-	fails          int
+// controlState is how far this entry knows one control VM's directory.
+type controlState struct {
+	directoryBoot, directoryRevision uint64
+	rosterHash                       uint64
+	tableNumber                      uint64
+	failures                         int
 }
 
-func (f *Follower) follow(ctx context.Context, control netip.AddrPort) {
-	var k known
+func (f *Follower) pollLoop(ctx context.Context, control netip.AddrPort) {
+	var c controlState
 
 	for ctx.Err() == nil {
-		if err := f.ask(ctx, control, &k); err != nil {
-			if k.fails == 0 && ctx.Err() == nil {
+		if err := f.pollOnce(ctx, control, &c); err != nil {
+			if c.failures == 0 && ctx.Err() == nil {
 				f.Logger.Info("Control VM lost.", "control", control, "error", err)
 			}
 
-			if k.fails++; k.fails == lostAfter {
-				f.lose(control, &k)
+			if c.failures++; c.failures == maxFailuresReachable {
+				f.markUnreachable(control, &c)
 			}
 
 			pauses.For(ctx, f.Settings.RetryDelay)
@@ -221,30 +221,30 @@
 			continue
 		}
 
-		if k.fails > 0 {
-			f.Logger.Info("Control VM answers again.", "control", control, "failures", k.fails)
+		if c.failures > 0 {
+			f.Logger.Info("Control VM answers again.", "control", control, "failures", c.failures)
 		}
 
-		k.fails = 0
+		c.failures = 0
 	}
 }
 
-func (f *Follower) ask(ctx context.Context, control netip.AddrPort, k *known) error {
+func (f *Follower) pollOnce(ctx context.Context, control netip.AddrPort, c *controlState) error {
 	s := f.State()
 	r := &wire.FollowRequest{
 		Cluster: f.Cluster, ID: f.ID, Zone: f.Zone, KnownIndex: s.Index, KnownNumber: s.Number,
-		DirectoryBoot: k.boot, DirectoryRevision: k.revision, Leaving: f.Leaving != nil && f.Leaving(),
-		ServicesOnly: f.ServicesOnly, RosterHash: k.roster,
+		DirectoryBoot: c.directoryBoot, DirectoryRevision: c.directoryRevision, Leaving: f.Leaving != nil && f.Leaving(),
+		ServicesOnly: f.ServicesOnly, RosterHash: c.rosterHash,
 	}
 
 	if f.Relay.IsValid() {
 		r.Relay = f.Relay.String()
 	}
 
-	fetch, wait := f.fetch(control, k.number)
+	fetch, wait := f.startTableFetch(control, c.tableNumber)
 	r.WithoutTable = !fetch
 
-	if k.boot != 0 && k.fails == 0 {
+	if c.directoryBoot != 0 && c.failures == 0 {
 		r.WaitMillis = uint64(wait.Milliseconds())
 	}
 
@@ -253,26 +253,26 @@
 
 	out, err := f.Poll(ctx, control, r)
 	if err == nil {
-		err = f.take(time.Now(), control, out, k)
+		err = f.mergeAnswer(time.Now(), control, out, c)
 	}
 
 	// Before the table is taken in, another control VM would be asked for it once more.
 	if fetch {
-		f.fetched(control, err)
+		f.endTableFetch(control, err)
 	}
 
 	if err != nil {
 		return err
 	}
 
-	k.boot, k.revision = out.GetDirectoryBoot(), out.GetDirectoryRevision()
-	k.roster, k.number = out.GetRosterHash(), out.GetNumber()
+	c.directoryBoot, c.directoryRevision = out.GetDirectoryBoot(), out.GetDirectoryRevision()
+	c.rosterHash, c.tableNumber = out.GetRosterHash(), out.GetNumber()
 
 	return nil
 }
 
-// take merges one control VM's answer.
-func (f *Follower) take(now time.Time, control netip.AddrPort, out *wire.FollowResponse, k *known) error {
+// mergeAnswer merges one control VM's answer.
+func (f *Follower) mergeAnswer(now time.Time, control netip.AddrPort, out *wire.FollowResponse, c *controlState) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -290,35 +290,35 @@
 	}
 
 	if out.GetIndex() > next.Index || out.GetTable() != nil && out.GetNumber() > next.Number {
-		if err := f.takeState(&next, out); err != nil {
+		if err := f.mergeState(&next, out); err != nil {
 			return err
 		}
 
 		changed = true
 	}
 
-	if err := f.takeMembers(control, out.GetControls()); err != nil {
+	if err := f.setMembers(control, out.GetControls()); err != nil {
 		return err
 	}
 
-	f.counts[control] = out.GetEntries()
-	f.tables.zones[control] = out.GetZone()
+	f.entryCounts[control] = out.GetEntries()
+	f.tableFetch.zones[control] = out.GetZone()
 
-	if f.takeRoster(control, out, k) {
-		next.Roster = f.roster()
+	if f.setRoster(control, out, c) {
+		next.Roster = f.mergedRoster()
 		changed = true
 	}
 
-	if n := max(f.entries(), len(next.Roster)); n != next.Entries {
+	if n := max(f.maxEntryCount(), len(next.Roster)); n != next.Entries {
 		next.Entries = n
 		changed = true
 	}
 
-	if f.takeTargets(now, &next, out) {
+	if f.mergeTargets(now, &next, out) {
 		changed = true
 	}
 
-	relays, err := addresses(out.GetRelays())
+	relays, err := parseAddresses(out.GetRelays())
 	if err != nil {
 		return err
 	}
@@ -336,9 +336,9 @@
 	return nil
 }
 
-// takeState takes in a later state. A table that it must hold and does not, since
+// mergeState takes in a later state. A table that it must hold and does not, since
 // this entry learnt a higher number meanwhile, leaves the table as it is.
-func (f *Follower) takeState(next *ClusterState, out *wire.FollowResponse) error {
+func (f *Follower) mergeState(next *ClusterState, out *wire.FollowResponse) error {
 	if out.GetTable() != nil && out.GetNumber() > next.Number {
 		table, err := routes.NewTable(routes.FromWire(out.GetTable()))
 		if err != nil {
@@ -348,7 +348,7 @@
 		}
 
 		next.Table, next.Number = table, out.GetNumber()
-		f.tables.heardAt = time.Time{}
+		f.tableFetch.announcedAt = time.Time{}
 
 		f.Logger.Info("Configuration in force.", "number", next.Number, "index", out.GetIndex(), "routes", len(table.Routes))
 	}
@@ -367,18 +367,18 @@
 	return nil
 }
 
-func (f *Follower) takeMembers(control netip.AddrPort, controls []string) error {
-	members, err := addresses(controls)
+func (f *Follower) setMembers(control netip.AddrPort, controls []string) error {
+	members, err := parseAddresses(controls)
 	if err != nil {
 		return err
 	}
 
-	f.members[control] = members
+	f.membersBySource[control] = members
 
 	return nil
 }
 
-func addresses(texts []string) ([]netip.AddrPort, error) {
+func parseAddresses(texts []string) ([]netip.AddrPort, error) {
 	out := make([]netip.AddrPort, 0, len(texts))
 
 	for _, t := range texts {
@@ -393,7 +393,7 @@
 	return out, nil
 }
 
-func (f *Follower) takeTargets(now time.Time, next *ClusterState, out *wire.FollowResponse) bool {
+func (f *Follower) mergeTargets(now time.Time, next *ClusterState, out *wire.FollowResponse) bool {
 	var ts []directory.Target
 
 	for _, w := range out.GetTargets() {
@@ -420,31 +420,31 @@
 	return true
 }
 
-// entries returns how many entries share the targets. Each control VM counts those
+// maxEntryCount returns how many entries share the targets. Each control VM counts those
 // that follow it; the largest count misses the fewest.
-func (f *Follower) entries() int {
+func (f *Follower) maxEntryCount() int {
 	n := uint32(1)
-	for _, c := range f.counts {
+	for _, c := range f.entryCounts {
 		n = max(n, c)
 	}
 
 	return int(n)
 }
 
-// takeRoster takes in the entries that a control VM named, and reports whether that may
+// setRoster takes in the entries that a control VM named, and reports whether that may
 // have changed the roster.
-func (f *Follower) takeRoster(control netip.AddrPort, out *wire.FollowResponse, k *known) bool {
-	delete(f.lost, control)
+func (f *Follower) setRoster(control netip.AddrPort, out *wire.FollowResponse, c *controlState) bool {
+	delete(f.unreachable, control)
 
-	changed := len(f.lost) > 0
+	changed := len(f.unreachable) > 0
 
-	for other := range f.lost {
-		delete(f.rosters, other)
-		delete(f.counts, other)
-		delete(f.lost, other)
+	for other := range f.unreachable {
+		delete(f.rostersBySource, other)
+		delete(f.entryCounts, other)
+		delete(f.unreachable, other)
 	}
 
-	if out.GetRosterHash() == k.roster {
+	if out.GetRosterHash() == c.rosterHash {
 		return changed
 	}
 
@@ -453,17 +453,17 @@
 		places = append(places, shares.Node{ID: e.GetID(), Zone: e.GetZone()})
 	}
 
-	f.rosters[control] = places
+	f.rostersBySource[control] = places
 
 	return true
 }
 
-// roster returns the entries that any control VM names, by ID.
-func (f *Follower) roster() []shares.Node {
+// mergedRoster returns the entries that any control VM names, by ID.
+func (f *Follower) mergedRoster() []shares.Node {
 	all := make(map[string]shares.Node)
 
-	for _, told := range f.rosters {
-		for _, p := range told {
+	for _, places := range f.rostersBySource {
+		for _, p := range places {
 			all[p.ID] = p
 		}
 	}
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -22,16 +22,16 @@
 	controlTwo = netip.MustParseAddrPort("10.0.0.2:1")
 )
 
-// publishers are control VMs that a test drives.
-type publishers struct {
-	mu      sync.Mutex
-	answers map[netip.AddrPort]*wire.FollowResponse
-	silent  map[netip.AddrPort]bool
+// fakeControls are control VMs that a test drives.
+type fakeControls struct {
+	mu           sync.Mutex
+	answers      map[netip.AddrPort]*wire.FollowResponse
+	unresponsive map[netip.AddrPort]bool
 }
 
-var errCut = errors.New("cut off")
+var errCutOff = errors.New("cut off")
 
-func (p *publishers) ask(ctx context.Context, at netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error) {
+func (p *fakeControls) poll(ctx context.Context, at netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error) {
 	if r.GetWaitMillis() > 0 {
 		select {
 		case <-ctx.Done():
@@ -40,38 +40,38 @@
 	}
 
 	p.mu.Lock()
-	out, silent := p.answers[at], p.silent[at]
+	out, silent := p.answers[at], p.unresponsive[at]
 	p.mu.Unlock()
 
 	if silent {
 		<-ctx.Done()
 
-		return nil, errCut
+		return nil, errCutOff
 	}
 
 	if out == nil {
-		return nil, errCut
+		return nil, errCutOff
 	}
 
 	return out, nil
 }
 
-func (p *publishers) set(at netip.AddrPort, out *wire.FollowResponse) {
+func (p *fakeControls) set(at netip.AddrPort, out *wire.FollowResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.answers[at] = out
 }
 
-func table(number uint64, service string) *wire.RouteTable {
+func newTable(number uint64, service string) *wire.RouteTable {
 	return &wire.RouteTable{Number: number, Services: []*wire.RoutedService{{Name: service}}}
 }
 
-func follow(t *testing.T, p *publishers, seeds ...netip.AddrPort) (*view.Follower, func()) {
+func startFollower(t *testing.T, p *fakeControls, seeds ...netip.AddrPort) (*view.Follower, func()) {
 	t.Helper()
 
 	f := &view.Follower{
-		Cluster: "trust", ID: "e", Seeds: func() []netip.AddrPort { return seeds }, Poll: p.ask,
+		Cluster: "trust", ID: "e", Seeds: func() []netip.AddrPort { return seeds }, Poll: p.poll,
 		OnChange: func(*view.ClusterState) {},
 	}
 	return f, start(t, f)
@@ -99,14 +99,14 @@
 
 // One control VM is cut off and shows an old configuration. An entry that has seen
 // the new one at another never goes back, whichever answers last.
-func TestFollowerNeverGoesBack(t *testing.T) {
+func TestFollowerNeverRevertsToOlderState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		p := &publishers{answers: map[netip.AddrPort]*wire.FollowResponse{}, silent: map[netip.AddrPort]bool{}}
-		p.set(controlOne, &wire.FollowResponse{Index: 5, Number: 2, Table: table(2, "old"), ZonesOut: []string{"a"}, DirectoryBoot: 1})
-		p.set(controlTwo, &wire.FollowResponse{Index: 9, Number: 7, Table: table(7, "new"), DirectoryBoot: 2})
+		p := &fakeControls{answers: map[netip.AddrPort]*wire.FollowResponse{}, unresponsive: map[netip.AddrPort]bool{}}
+		p.set(controlOne, &wire.FollowResponse{Index: 5, Number: 2, Table: newTable(2, "old"), ZonesOut: []string{"a"}, DirectoryBoot: 1})
+		p.set(controlTwo, &wire.FollowResponse{Index: 9, Number: 7, Table: newTable(7, "new"), DirectoryBoot: 2})
 
-		f, stop := follow(t, p, controlOne, controlTwo)
+		f, stop := startFollower(t, p, controlOne, controlTwo)
 		defer stop()
 
 		time.Sleep(2 * time.Second)
@@ -126,14 +126,14 @@
 
 // A seed is replaced by a control VM that the settings do not name. The entry
 // learns of it from the others and follows it too.
-func TestFollowerLearnsOtherControlVMs(t *testing.T) {
+func TestFollowerDiscoversControlVMs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		p := &publishers{answers: map[netip.AddrPort]*wire.FollowResponse{}, silent: map[netip.AddrPort]bool{}}
+		p := &fakeControls{answers: map[netip.AddrPort]*wire.FollowResponse{}, unresponsive: map[netip.AddrPort]bool{}}
 		p.set(controlOne, &wire.FollowResponse{Index: 1, DirectoryBoot: 1, Controls: []string{controlTwo.String()}})
-		p.set(controlTwo, &wire.FollowResponse{Index: 8, Number: 3, Table: table(3, "s"), DirectoryBoot: 2})
+		p.set(controlTwo, &wire.FollowResponse{Index: 8, Number: 3, Table: newTable(3, "s"), DirectoryBoot: 2})
 
-		f, stop := follow(t, p, controlOne)
+		f, stop := startFollower(t, p, controlOne)
 		defer stop()
 
 		time.Sleep(3 * time.Second)
@@ -143,19 +143,19 @@
 
 // A connection goes silent for good. The question is given up after a second, and
 // the next one, over a new connection, brings what was missed.
-func TestFollowerGivesUpSilence(t *testing.T) {
+func TestFollowerTimesOutUnresponsiveControlVM(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		p := &publishers{answers: map[netip.AddrPort]*wire.FollowResponse{}, silent: map[netip.AddrPort]bool{controlOne: true}}
+		p := &fakeControls{answers: map[netip.AddrPort]*wire.FollowResponse{}, unresponsive: map[netip.AddrPort]bool{controlOne: true}}
 
-		f, stop := follow(t, p, controlOne)
+		f, stop := startFollower(t, p, controlOne)
 		defer stop()
 
 		time.Sleep(100 * time.Millisecond)
-		p.set(controlOne, &wire.FollowResponse{Index: 2, Number: 1, Table: table(1, "s"), DirectoryBoot: 1})
+		p.set(controlOne, &wire.FollowResponse{Index: 2, Number: 1, Table: newTable(1, "s"), DirectoryBoot: 1})
 
 		p.mu.Lock()
-		p.silent[controlOne] = false
+		p.unresponsive[controlOne] = false
 		p.mu.Unlock()
 
 		time.Sleep(1500 * time.Millisecond)
@@ -165,24 +165,24 @@
 
 // A control VM publishes a table, address or target that cannot be read. What is
 // known stays in force.
-func TestFollowerKeepsWhatItKnows(t *testing.T) {
+func TestFollowerKeepsStateOnInvalidAnswer(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		p := &publishers{answers: map[netip.AddrPort]*wire.FollowResponse{}, silent: map[netip.AddrPort]bool{}}
-		p.set(controlOne, &wire.FollowResponse{Index: 2, Number: 1, Table: table(1, "s"), DirectoryBoot: 1})
+		p := &fakeControls{answers: map[netip.AddrPort]*wire.FollowResponse{}, unresponsive: map[netip.AddrPort]bool{}}
+		p.set(controlOne, &wire.FollowResponse{Index: 2, Number: 1, Table: newTable(1, "s"), DirectoryBoot: 1})
 
-		f, stop := follow(t, p, controlOne)
+		f, stop := startFollower(t, p, controlOne)
 		defer stop()
 
 		time.Sleep(time.Second)
 
-		bad := table(2, "t")
+		bad := newTable(2, "t")
 		bad.Routes = []*wire.Route{{Name: "r", Prefix: "/x/", TimeoutMillis: 1, Shares: []*wire.Share{{Service: "gone", Weight: 1}}}}
 		p.set(controlOne, &wire.FollowResponse{Index: 3, Number: 2, Table: bad, DirectoryBoot: 1})
 		time.Sleep(time.Second)
 		require.Equal(t, uint64(1), f.State().Number)
 
-		p.set(controlOne, &wire.FollowResponse{Index: 4, Number: 3, Table: table(3, "t"), DirectoryBoot: 1, Targets: []*wire.TargetEntry{
+		p.set(controlOne, &wire.FollowResponse{Index: 4, Number: 3, Table: newTable(3, "t"), DirectoryBoot: 1, Targets: []*wire.TargetEntry{
 			{ID: "bad", Address: "nowhere", Born: 1}, {ID: "good", Address: "10.0.0.9:80", Service: "t", Born: 1, Sequence: 1},
 		}})
 		time.Sleep(time.Second)
@@ -220,7 +220,7 @@
 					if at == own && !ownAnswers && r.GetWaitMillis() > 0 {
 						<-ctx.Done()
 
-						return nil, errCut
+						return nil, errCutOff
 					}
 
 					n := number()
@@ -234,7 +234,7 @@
 					}
 
 					if n > r.GetKnownNumber() && !r.GetWithoutTable() {
-						out.Table = table(n, fmt.Sprint(n))
+						out.Table = newTable(n, fmt.Sprint(n))
 
 						mu.Lock()
 						sent[at]++
@@ -273,7 +273,7 @@
 
 // Two control VMs know some entries each, and one of them is lost for good. Guards against an
 // entry that counts too few of the others, and against one that counts lost ones for ever.
-func TestRosterIsWhatAnyControlVMTells(t *testing.T) {
+func TestRosterMergesControlVMsAndDropsUnreachableOnes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		roster := func(ids ...string) []*wire.RosterEntry {
@@ -284,11 +284,11 @@
 
 			return out
 		}
-		p := &publishers{answers: map[netip.AddrPort]*wire.FollowResponse{}, silent: map[netip.AddrPort]bool{}}
+		p := &fakeControls{answers: map[netip.AddrPort]*wire.FollowResponse{}, unresponsive: map[netip.AddrPort]bool{}}
 		p.set(controlOne, &wire.FollowResponse{DirectoryBoot: 1, Roster: roster("a", "b"), RosterHash: 12})
 		p.set(controlTwo, &wire.FollowResponse{DirectoryBoot: 2, Roster: roster("b", "c"), RosterHash: 23})
 
-		f, stop := follow(t, p, controlOne, controlTwo)
+		f, stop := startFollower(t, p, controlOne, controlTwo)
 		defer stop()
 
 		ids := func() string {
--- a/internal/view/core_test.go
+++ b/internal/view/pollstate_test.go
@@ -28,7 +28,7 @@
 
 // A zone goes out at version 9. Then answers come that are late, doubled, or
 // cannot follow what is held; none may bring the zone back.
-func TestAnswersThatMustChangeNothing(t *testing.T) {
+func TestLateAndUnrelatedAnswersAreIgnored(t *testing.T) {
 	t.Parallel()
 
 	cases := map[string]struct {
@@ -46,10 +46,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			core := newCore(4 * time.Second)
-			require.Equal(t, outcomeChanged, core.answered(start, 0, zoneAnswer(5, true, false)))
-			require.Equal(t, outcomeChanged, core.answered(start, 5, zoneAnswer(9, false, true)))
-			require.NotEqual(t, outcomeChanged, core.answered(start.Add(time.Hour), c.known, c.answer))
+			core := newPollState(4 * time.Second)
+			require.Equal(t, outcomeChanged, core.applyAnswer(start, 0, zoneAnswer(5, true, false)))
+			require.Equal(t, outcomeChanged, core.applyAnswer(start, 5, zoneAnswer(9, false, true)))
+			require.NotEqual(t, outcomeChanged, core.applyAnswer(start.Add(time.Hour), c.known, c.answer))
 			require.Equal(t, uint64(9), core.snapshot.Version)
 			require.False(t, core.snapshot.ZoneInUse("a"))
 		})
@@ -59,7 +59,7 @@
 // A poll is answered at once, or held, by a control VM whose state is some time
 // old; messages take long on the way. The lease must never outlast the time at
 // which the state was surely current by more than its length.
-func TestLease(t *testing.T) {
+func TestLeaseStartsWhenStateWasCurrent(t *testing.T) {
 	t.Parallel()
 
 	cases := map[string]struct {
@@ -79,8 +79,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			core := newCore(4 * time.Second)
-			core.answered(start, 0, c.answer)
+			core := newPollState(4 * time.Second)
+			core.applyAnswer(start, 0, c.answer)
 
 			until := core.snapshot.ValidUntil
 			if c.answer.GetStale() {
@@ -89,20 +89,20 @@
 			}
 
 			require.Equal(t, c.want, until.Sub(start))
-			core.answered(start.Add(-time.Second), 1, c.answer)
+			core.applyAnswer(start.Add(-time.Second), 1, c.answer)
 			require.Equal(t, until, core.snapshot.ValidUntil, "an answer to an earlier poll shortens nothing")
 		})
 	}
 }
 
 // A process numbers what it says of itself, so that a late poll never undoes a newer one.
-func TestReportNumbers(t *testing.T) {
+func TestReportNumberGrowsWithEachChange(t *testing.T) {
 	t.Parallel()
 
-	core := newCore(time.Second)
-	first := core.self(&wire.Node{ID: "a", BootID: "1"})
-	require.Equal(t, first.GetReport(), core.self(&wire.Node{ID: "a", BootID: "1"}).GetReport())
-	require.Greater(t, core.self(&wire.Node{ID: "a", BootID: "2"}).GetReport(), first.GetReport())
+	core := newPollState(time.Second)
+	first := core.numberReport(&wire.Node{ID: "a", BootID: "1"})
+	require.Equal(t, first.GetReport(), core.numberReport(&wire.Node{ID: "a", BootID: "1"}).GetReport())
+	require.Greater(t, core.numberReport(&wire.Node{ID: "a", BootID: "2"}).GetReport(), first.GetReport())
 }
 
 // A reader misses hundreds of changes, asks VMs of which some lag behind, and
@@ -115,9 +115,9 @@
 		limits.MaxTombstones = 8
 		state := ledger.New(limits)
 		history := []ledger.Records{state.Records()}
-		core := newCore(4 * time.Second)
+		core := newPollState(4 * time.Second)
 
-		var flying []flight
+		var inFlight []answerInFlight
 
 		for i := range rapid.IntRange(1, 300).Draw(rt, "changes") {
 			state.Apply(uint64(i+1), drawReport(rt))
@@ -126,19 +126,19 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0, 1:
 				lag := rapid.IntRange(0, min(3, len(history)-1)).Draw(rt, "lag")
-				flying = append(flying, poll(core, history[len(history)-1-lag]))
+				inFlight = append(inFlight, poll(core, history[len(history)-1-lag]))
 			case 2, 3:
-				if len(flying) > 0 {
+				if len(inFlight) > 0 {
 					before := core.snapshot.Version
-					f := flying[rapid.IntRange(0, len(flying)-1).Draw(rt, "answer")]
-					core.answered(start, f.known, f.answer)
+					f := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(rt, "answer")]
+					core.applyAnswer(start, f.known, f.answer)
 					require.GreaterOrEqual(rt, core.snapshot.Version, before)
 				}
 			}
 		}
 
 		f := poll(core, state.Records())
-		core.answered(start, f.known, f.answer)
+		core.applyAnswer(start, f.known, f.answer)
 
 		all := state.Records().All()
 		require.Equal(rt, state.Records().Version, core.snapshot.Version)
@@ -151,13 +151,13 @@
 	})
 }
 
-// flight is an answer on its way.
-type flight struct {
+// answerInFlight is an answer on its way.
+type answerInFlight struct {
 	known  uint64
 	answer *wire.PollResponse
 }
 
-func poll(c *core, records ledger.Records) flight {
+func poll(c *pollState, records ledger.Records) answerInFlight {
 	known := c.snapshot.Version
 	answer := &wire.PollResponse{Version: records.Version}
 
@@ -166,7 +166,7 @@
 		answer.Full, answer.Changed, answer.Removed = d.Full, d.Changed, d.Removed
 	}
 
-	return flight{known: known, answer: answer}
+	return answerInFlight{known: known, answer: answer}
 }
 
 func drawReport(rt *rapid.T) []byte {
@@ -184,14 +184,14 @@
 }
 
 // A target is passed over for each reason alone.
-func TestTargets(t *testing.T) {
+func TestAdmissibleTargets(t *testing.T) {
 	t.Parallel()
 
 	node := func(id, zone string) *wire.Node {
 		return &wire.Node{ID: id, Kind: wire.NodeKind_NodeAgent, Zone: zone, Service: "s", BootID: "b"}
 	}
-	leaving, silent := node("leaving", "a"), node("unannounced", "a")
-	leaving.Leaving, silent.BootID = true, ""
+	leaving, unannounced := node("leaving", "a"), node("unannounced", "a")
+	leaving.Leaving, unannounced.BootID = true, ""
 
 	answer := &wire.PollResponse{Version: 1, Full: true, Changed: []*wire.Record{
 		zoneRecord("a", 1, false), zoneRecord("b", 1, true),
@@ -200,13 +200,13 @@
 	}}
 
 	for _, n := range []*wire.Node{
-		node("good", "a"), node("out", "b"), node("undeclared", "c"), node("retired", "a"), node("stopping", "a"), leaving, silent,
+		node("good", "a"), node("out", "b"), node("undeclared", "c"), node("retired", "a"), node("stopping", "a"), leaving, unannounced,
 	} {
 		answer.Changed = append(answer.Changed, &wire.Record{Key: "Node/" + n.GetID(), Value: &wire.Record_Node{Node: n}})
 	}
 
-	core := newCore(time.Second)
-	core.answered(start, 0, answer)
+	core := newPollState(time.Second)
+	core.applyAnswer(start, 0, answer)
 	require.Len(t, core.snapshot.Targets("s"), 7)
 
 	for _, target := range core.snapshot.Targets("s") {
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -40,10 +40,10 @@
 	Settings Settings
 	Logger   *slog.Logger
 
-	core    *core
-	current atomic.Pointer[Snapshot]
-	control int
-	fails   int
+	state        *pollState
+	current      atomic.Pointer[Snapshot]
+	controlIndex int
+	failures     int
 }
 
 // Settings are the intervals of a reader.
@@ -88,8 +88,8 @@
 	}
 
 	r.Logger = r.Logger.With("part", "view")
-	r.core = newCore(r.Settings.Lease)
-	r.current.Store(r.core.snapshot)
+	r.state = newPollState(r.Settings.Lease)
+	r.current.Store(r.state.snapshot)
 }
 
 // Snapshot returns the configuration in force. It is never nil after Init, and
@@ -102,11 +102,11 @@
 		return eris.New("no control VM is set")
 	}
 
-	r.control = rand.IntN(len(r.Controls))
+	r.controlIndex = rand.IntN(len(r.Controls))
 
 	for ctx.Err() == nil {
 		err := r.pollOnce(ctx)
-		r.pause(ctx, err)
+		r.delayNextPoll(ctx, err)
 	}
 
 	return nil
@@ -115,59 +115,59 @@
 // Leave tells a control VM that this process has finished its work. Call it
 // after Run has returned; an error leaves the process to be expired.
 func (r *Reader) Leave(ctx context.Context) error {
-	request := r.request()
+	request := r.newRequest()
 	request.Gone = true
 	request.WaitMillis = 0
 
 	var err error
 
 	for range r.Controls {
-		_, err = r.Poll(ctx, r.Controls[r.control], request)
+		_, err = r.Poll(ctx, r.Controls[r.controlIndex], request)
 		if err == nil {
 			return nil
 		}
 
-		r.control = (r.control + 1) % len(r.Controls)
+		r.controlIndex = (r.controlIndex + 1) % len(r.Controls)
 	}
 
 	return err
 }
 
-func (r *Reader) request() *wire.PollRequest {
+func (r *Reader) newRequest() *wire.PollRequest {
 	request := &wire.PollRequest{
 		Cluster:      r.Cluster,
-		Node:         r.core.self(r.Self()),
-		KnownVersion: r.core.snapshot.Version,
-		WaitMillis:   uint64(r.wait().Milliseconds()),
+		Node:         r.state.numberReport(r.Self()),
+		KnownVersion: r.state.snapshot.Version,
+		WaitMillis:   uint64(r.pollWait().Milliseconds()),
 	}
 
 	if r.Load != nil {
 		request.Load = r.Load()
 	}
 
-	if r.fails > 0 || !r.core.snapshot.Valid(time.Now()) {
+	if r.failures > 0 || !r.state.snapshot.Valid(time.Now()) {
 		request.WaitMillis = 0
 	}
 
 	return request
 }
 
-// wait returns how long the next poll may be held. It varies, since a change
+// pollWait returns how long the next poll may be held. It varies, since a change
 // answers the polls of all readers at once, and they would poll in step from then on.
-func (r *Reader) wait() time.Duration {
-	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/waitSpread+1)
+func (r *Reader) pollWait() time.Duration {
+	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/pollWaitJitterDivisor+1)
 }
 
-// waitSpread divides Wait: 4 lets a poll be held for three quarters of it at least.
-const waitSpread = 4
+// pollWaitJitterDivisor divides Wait: 4 lets a poll be held for three quarters of it at least.
+const pollWaitJitterDivisor = 4
 
-// errStale says that a control VM is not current, and another may be.
-var errStale = eris.New("the control VM is not current")
+// errNotCurrent says that a control VM is not current, and another may be.
+var errNotCurrent = eris.New("the control VM is not current")
 
 // pollOnce sends one poll. Its deadline guards against a connection that went
 // silent: the poll is given up and the next control VM is tried.
 func (r *Reader) pollOnce(ctx context.Context) error {
-	request := r.request()
+	request := r.newRequest()
 	limit := time.Duration(request.GetWaitMillis())*time.Millisecond + r.Settings.AnswerTimeout
 
 	if request.GetKnownVersion() == 0 {
@@ -179,48 +179,48 @@
 
 	sent := time.Now()
 
-	response, err := r.Poll(ctx, r.Controls[r.control], request)
+	response, err := r.Poll(ctx, r.Controls[r.controlIndex], request)
 	if err != nil {
 		return err
 	}
 
-	return r.take(sent, request.GetKnownVersion(), response)
+	return r.handleAnswer(sent, request.GetKnownVersion(), response)
 }
 
-func (r *Reader) take(sent time.Time, known uint64, response *wire.PollResponse) error {
-	result := r.core.answered(sent, known, response)
-	r.current.Store(r.core.snapshot)
+func (r *Reader) handleAnswer(sent time.Time, knownVersion uint64, response *wire.PollResponse) error {
+	result := r.state.applyAnswer(sent, knownVersion, response)
+	r.current.Store(r.state.snapshot)
 
 	if result == outcomeChanged && r.FindControls != nil {
-		r.Controls = r.FindControls(r.core.snapshot)
-		r.control = min(r.control, len(r.Controls)-1)
+		r.Controls = r.FindControls(r.state.snapshot)
+		r.controlIndex = min(r.controlIndex, len(r.Controls)-1)
 	}
 
 	if result == outcomeChanged && r.OnChange != nil {
-		r.OnChange(r.core.snapshot)
+		r.OnChange(r.state.snapshot)
 	}
 
 	if response.GetStale() || result == outcomeIgnored {
-		return errStale
+		return errNotCurrent
 	}
 
 	return nil
 }
 
-// pause waits before the next poll: shortly after success, longer and with
+// delayNextPoll waits before the next poll: shortly after success, longer and with
 // jitter after failures, so that readers do not return all at once.
-func (r *Reader) pause(ctx context.Context, err error) {
+func (r *Reader) delayNextPoll(ctx context.Context, err error) {
 	wait := r.Settings.MinPollInterval
 
 	if err == nil {
-		r.fails = 0
+		r.failures = 0
 	} else {
-		r.Logger.Debug("poll failed", "control", r.Controls[r.control], "error", err)
+		r.Logger.Debug("poll failed", "control", r.Controls[r.controlIndex], "error", err)
 
-		limit := min(r.Settings.MinBackoff<<min(r.fails, 10), r.Settings.MaxBackoff)
+		limit := min(r.Settings.MinBackoff<<min(r.failures, 10), r.Settings.MaxBackoff)
 		wait = limit/2 + rand.N(limit/2+1)
-		r.fails++
-		r.control = (r.control + 1) % len(r.Controls)
+		r.failures++
+		r.controlIndex = (r.controlIndex + 1) % len(r.Controls)
 	}
 
 	pauses.For(ctx, wait)
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -17,20 +17,20 @@
 	// this snapshot lacks is said to be in force anywhere.
 	ValidUntil time.Time
 
-	content *content
+	config  *configuration
 	targets func() map[string][]Target
 }
 
-func newSnapshot(version uint64, freshUntil time.Time, c *content) *Snapshot {
-	s := &Snapshot{Version: version, ValidUntil: freshUntil, content: c}
+func newSnapshot(version uint64, validUntil time.Time, c *configuration) *Snapshot {
+	s := &Snapshot{Version: version, ValidUntil: validUntil, config: c}
 	s.targets = sync.OnceValue(s.listTargets)
 
 	return s
 }
 
-// extended returns the same configuration with a later end of its lease.
-func (s *Snapshot) extended(freshUntil time.Time) *Snapshot {
-	return &Snapshot{Version: s.Version, ValidUntil: freshUntil, content: s.content, targets: s.targets}
+// withLease returns the same configuration with a later end of its lease.
+func (s *Snapshot) withLease(validUntil time.Time) *Snapshot {
+	return &Snapshot{Version: s.Version, ValidUntil: validUntil, config: s.config, targets: s.targets}
 }
 
 // Valid reports whether the freshness lease still holds at now.
@@ -38,68 +38,68 @@
 
 // Service returns the declaration of a service.
 func (s *Snapshot) Service(name string) (*wire.Service, bool) {
-	v, ok := s.content.services[name]
+	v, ok := s.config.services[name]
 	return v, ok
 }
 
 // Services returns all services, by name.
-func (s *Snapshot) Services() []*wire.Service { return sorted(s.content.services) }
+func (s *Snapshot) Services() []*wire.Service { return sortedByName(s.config.services) }
 
 // Zone returns an availability zone.
 func (s *Snapshot) Zone(name string) (*wire.Zone, bool) {
-	v, ok := s.content.zones[name]
+	v, ok := s.config.zones[name]
 	return v, ok
 }
 
 // Zones returns all availability zones, by name.
-func (s *Snapshot) Zones() []*wire.Zone { return sorted(s.content.zones) }
+func (s *Snapshot) Zones() []*wire.Zone { return sortedByName(s.config.zones) }
 
 // ZoneInUse reports whether new work may go into the zone. An undeclared zone
 // is not in use.
 func (s *Snapshot) ZoneInUse(name string) bool {
-	zone, ok := s.content.zones[name]
+	zone, ok := s.config.zones[name]
 	return ok && !zone.GetOut()
 }
 
 // Retired reports whether the operators retired the target of an agent.
-func (s *Snapshot) Retired(agentID string) bool { return s.content.policies[agentID].GetRetired() }
+func (s *Snapshot) Retired(agentID string) bool { return s.config.policies[agentID].GetRetired() }
 
 // Stopping reports whether the operators plan to stop the process.
 func (s *Snapshot) Stopping(nodeID string) bool {
-	_, ok := s.content.stops[nodeID]
+	_, ok := s.config.stops[nodeID]
 	return ok
 }
 
 // Workspace returns a workspace's share.
 func (s *Snapshot) Workspace(name string) (*wire.Workspace, bool) {
-	v, ok := s.content.workspaces[name]
+	v, ok := s.config.workspaces[name]
 	return v, ok
 }
 
 // Node returns a process of the directory.
 func (s *Snapshot) Node(id string) (*wire.Node, bool) {
-	v, ok := s.content.nodes[id]
+	v, ok := s.config.nodes[id]
 	return v, ok
 }
 
 // Nodes returns the directory, by ID.
-func (s *Snapshot) Nodes() []*wire.Node { return sorted(s.content.nodes) }
+func (s *Snapshot) Nodes() []*wire.Node { return sortedByName(s.config.nodes) }
 
 // ExpertMap returns the committed map of a group.
 func (s *Snapshot) ExpertMap(group string) (*wire.ExpertMap, bool) {
-	v, ok := s.content.maps[group]
+	v, ok := s.config.maps[group]
 	return v, ok
 }
 
 // StagedMap returns the map that the ranks of a group are to stage.
 func (s *Snapshot) StagedMap(group string) (*wire.ExpertMap, bool) {
-	v, ok := s.content.staged[group]
+	v, ok := s.config.staged[group]
 	return v, ok
 }
 
 // Group returns the declaration of an expert group.
 func (s *Snapshot) Group(name string) (*wire.Group, bool) {
-	v, ok := s.content.groups[name]
+	v, ok := s.config.groups[name]
 	return v, ok
 }
 
