--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// newFilledHarness returns a ledger with workspaces, processes, and claims of which each
-// holds a recorded answer of 400 bytes.
+// newFilledHarness returns a ledger with workspaces, processes, and claims that each
+// hold a recorded answer of 400 bytes.
 func newFilledHarness(b *testing.B, workspaces, nodes, claims int) *harness {
 	b.Helper()
 
@@ -46,7 +46,7 @@
 	return out
 }
 
-// heapInUse returns the bytes in use after a collection.
+// heapInUse returns the heap bytes in use after a garbage collection.
 func heapInUse() int64 {
 	var stats runtime.MemStats
 
@@ -56,7 +56,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkSnapshot measures snapshot and restore against the size of the state.
+// BenchmarkSnapshot measures writing and restoring a snapshot by size of the state.
 func BenchmarkSnapshot(b *testing.B) {
 	sizes := []struct{ workspaces, nodes, claims int }{
 		{10, 20, 0}, {13000, 1010, 0}, {13000, 1010, 10000}, {13000, 1010, 100000},
@@ -101,7 +101,8 @@
 	}
 }
 
-// BenchmarkDelta measures a reader's answer after one change, against the full one.
+// BenchmarkDelta measures the delta for a reader after one change, and the full
+// answer.
 func BenchmarkDelta(b *testing.B) {
 	state := newFilledHarness(b, 13000, 1010, 0)
 	before := state.ledger.Records().Version
--- a/internal/ledger/capacity.go
+++ b/internal/ledger/capacity.go
@@ -7,14 +7,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ZoneCapacity is how many requests at once the usable targets of a service in a zone bear when warm.
+// ZoneCapacity is how many concurrent requests the usable targets of a service in a
+// zone can serve when warm.
 type ZoneCapacity struct {
 	Service, Zone string
 	Requests      uint32
 	Targets       uint32
 }
 
-// Overlay returns records as they would be after changes.
+// Overlay returns records with changes applied.
 func Overlay(records []*wire.Record, changes []*wire.Change) []*wire.Record {
 	changed := map[string]bool{}
 	for _, c := range changes {
@@ -38,8 +39,9 @@
 	return out
 }
 
-// Usable returns the agents in records that may get new work: in a zone in use,
-// with a target that announced itself, neither leaving, retired nor stopping.
+// Usable returns the agents that may get new work: their zone is declared and in use,
+// their target has announced itself, and they are not leaving, retired or being
+// stopped.
 func Usable(records []*wire.Record) []*wire.Node {
 	excluded := map[string]bool{}
 	zones := map[string]bool{}
@@ -71,7 +73,8 @@
 	return out
 }
 
-// WarmCapacities sums the usable targets of records by service and zone, in that order.
+// WarmCapacities returns the capacity of the usable targets, sorted by service and
+// zone.
 func WarmCapacities(records []*wire.Record) []ZoneCapacity {
 	warmLimits := map[string]uint32{}
 
@@ -104,8 +107,9 @@
 	return out
 }
 
-// WarmCapacity returns what one target bears warm: the smaller of what it says
-// and what the service's declaration allows, where each is given.
+// WarmCapacity returns how many concurrent requests one target can serve when warm:
+// the smaller of its reported capacity and the service's declared limit. Zero means
+// not set.
 func WarmCapacity(node *wire.Node, warmLimit uint32) uint32 {
 	if warmLimit == 0 {
 		return node.GetCapacity()
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -10,19 +10,20 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// claimKey names one non-idempotent request of a caller.
+// claimKey identifies a non-idempotent request of a caller.
 type claimKey struct {
 	workspace, service, key string
 }
 
-// claimTable holds the claims of non-idempotent requests. A claim leaves it
-// only when its attempt is shown not to have run, when its window has ended, or
-// where the table is full and its guarantee has ended. Where none can go, new
-// claims are refused: none is dropped before its guarantee ends.
+// claimTable holds the claims of non-idempotent requests. A claim is removed only when
+// its attempt is known not to have run, when its window has ended, or, in a full
+// table, when its guarantee has ended. If no claim can be removed, new ones are
+// refused.
 type claimTable struct {
 	limits Limits
 	byKey  map[claimKey]*list.Element
-	// byWindowEnd holds the *wire.ClaimEntry values by the end of their windows.
+	// byWindowEnd holds the *wire.ClaimEntry values in the order in which their
+	// windows end.
 	byWindowEnd *list.List
 	answerBytes int
 }
@@ -40,8 +41,8 @@
 	return element.Value.(*wire.ClaimEntry)
 }
 
-// claim grants the key to the attempt that r names, or says who holds it. A
-// request without a holder looks the key up and claims nothing.
+// claim grants the key to the attempt in r, or returns the current holder. A request
+// without a holder only looks the key up.
 func (t *claimTable) claim(now time.Time, r *wire.ClaimRequest) *wire.ClaimResponse {
 	key := claimKey{workspace: r.GetWorkspace(), service: r.GetService(), key: r.GetKey()}
 
@@ -68,10 +69,11 @@
 	return t.arbitrate(entry, r)
 }
 
-// arbitrate decides between the attempt that holds an open claim and another.
-// The same attempt is granted again, since its first grant may have been lost on
-// the way. Another is granted only if it names the holder as closed: the claim
-// may have moved on since the asker looked, and then a second attempt would run.
+// arbitrate decides whether an attempt gets an open claim that is already held. The
+// holder is granted the claim again, since the first grant may have been lost in
+// transit. Another attempt is granted only if it names the current holder as closed:
+// the claim may have been granted to a third attempt since the requester looked it up,
+// and then two attempts would run.
 func (t *claimTable) arbitrate(entry *wire.ClaimEntry, r *wire.ClaimRequest) *wire.ClaimResponse {
 	holderID := entry.GetHolder().GetAttemptID()
 
@@ -116,8 +118,8 @@
 	return len(t.byKey) >= t.limits.MaxClaims || t.answerBytes >= t.limits.MaxClaimBytes
 }
 
-// evictPastGuarantee lets the oldest claims go that have outlived their guarantee, while
-// the table is full.
+// evictPastGuarantee removes the oldest claims whose guarantee has ended, until the
+// table is no longer full.
 func (t *claimTable) evictPastGuarantee(now time.Time) {
 	for t.full() && t.byWindowEnd.Len() > 0 {
 		entry := t.byWindowEnd.Front().Value.(*wire.ClaimEntry)
@@ -147,9 +149,9 @@
 	delete(t.byKey, key)
 }
 
-// settle records what became of an attempt. Only the holder's word counts, and
-// a recorded answer is never changed; a loss gives way to the holder's answer,
-// should that still be found.
+// settle records the outcome of an attempt. Only the holder's outcome is accepted. A
+// recorded answer never changes; a claim recorded as lost still accepts the holder's
+// answer if that is found later.
 func (t *claimTable) settle(r *wire.SettleRequest) *wire.SettleResponse {
 	key := claimKey{workspace: r.GetWorkspace(), service: r.GetService(), key: r.GetKey()}
 
@@ -178,7 +180,8 @@
 	case wire.Verdict_Ran:
 		t.recordAnswer(entry, r.GetAnswer())
 	case wire.Verdict_NotRun:
-		// A loss is not undone by a late NotRun: whoever recorded it knew more.
+		// A late NotRun does not undo a loss: whoever recorded the loss had more
+		// information.
 		if entry.GetState() == wire.ClaimEntryState_ClaimEntryOpen {
 			t.remove(key)
 		}
@@ -198,7 +201,7 @@
 	t.answerBytes += answerSize(answer)
 }
 
-// expire drops the claims whose window has ended.
+// expire removes the claims whose window has ended.
 func (t *claimTable) expire(now time.Time) {
 	for element := t.byWindowEnd.Front(); element != nil; element = t.byWindowEnd.Front() {
 		entry := element.Value.(*wire.ClaimEntry)
--- a/internal/ledger/claims_test.go
+++ b/internal/ledger/claims_test.go
@@ -12,10 +12,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A baker of casks books one kiln slot; her request is sent again through other
-// entries, late, doubled, with another body, and after losses. Each case is the
-// order in which the claim table meets these; the kiln is fired at most once if
-// no two attempts are granted of which the first was not shown to be closed.
+// A request is resent through other entries: late, duplicated, with another body, or
+// after lost messages. Guards against granting a second attempt before the first is
+// known to be closed, which would run the request twice. Each case is an order of such
+// events.
 func TestClaimTableGrantsOneOpenAttempt(t *testing.T) {
 	t.Parallel()
 
@@ -48,40 +48,40 @@
 	)
 
 	cases := map[string][]step{
-		"a resend through another entry meets the holder": {
+		"resend through another entry while the claim is held": {
 			{claim("a1", "b", ""), granted}, {claim("a2", "b", ""), open}, {settle("a1", ran, "slot 4"), recorded}, {claim("a2", "b", ""), recorded},
 		},
-		"the grant was lost, the same attempt asks again": {
+		"same attempt claims again after a lost grant": {
 			{claim("a1", "b", ""), granted}, {claim("a1", "b", ""), granted},
 		},
-		"another body under the same key": {
+		"different body under the same key": {
 			{claim("a1", "b", ""), granted}, {claim("a2", "c", ""), conflict}, {claim("a2", "c", "a1"), conflict},
 		},
-		"the holder is shown closed": {
+		"holder replaced after it was closed": {
 			{claim("a1", "b", ""), granted}, {claim("a2", "b", "a1"), granted}, {claim("a1", "b", ""), open},
 		},
-		"two entries replace the same closed holder": {
+		"two attempts replace the same closed holder": {
 			{claim("a1", "b", ""), granted}, {claim("a2", "b", "a1"), granted}, {claim("a3", "b", "a1"), open},
 		},
-		"a late word of the replaced attempt changes nothing": {
+		"late outcome of a replaced attempt": {
 			{claim("a1", "b", ""), granted}, {claim("a2", "b", "a1"), granted}, {settle("a1", notRun, ""), open}, {settle("a1", mayHave, ""), open},
 		},
-		"a key that did not run is free again": {
+		"key is free again after NotRun": {
 			{claim("a1", "b", ""), granted}, {settle("a1", notRun, ""), unknown}, {claim("a2", "c", ""), granted},
 		},
-		"a loss stays, though a late word says not run": {
+		"late NotRun does not undo a loss": {
 			{claim("a1", "b", ""), granted}, {settle("a1", mayHave, ""), lost}, {settle("a1", notRun, ""), lost}, {claim("a2", "b", "a1"), lost},
 		},
-		"the answer is found after the loss": {
+		"answer found after a loss": {
 			{claim("a1", "b", ""), granted}, {settle("a1", mayHave, ""), lost}, {settle("a1", ran, "slot 4"), recorded},
 		},
-		"a recorded answer never changes": {
+		"recorded answer never changes": {
 			{claim("a1", "b", ""), granted}, {settle("a1", ran, "slot 4"), recorded}, {settle("a1", mayHave, ""), recorded}, {settle("a1", notRun, ""), recorded},
 		},
-		"a look claims nothing": {
+		"lookup claims nothing": {
 			{lookUp("b"), wire.ClaimState_ClaimFree}, {claim("a1", "b", ""), granted}, {lookUp("b"), open}, {lookUp("c"), conflict}, {claim("a2", "b", ""), open},
 		},
-		"an answer too large to keep is lost": {
+		"answer above the size limit is lost": {
 			{claim("a1", "b", ""), granted}, {settle("a1", ran, strings.Repeat("x", 1<<20)), lost},
 		},
 	}
@@ -100,9 +100,9 @@
 	}
 }
 
-// A burst of bookings fills the table. If it made room by dropping a claim, a
-// resend of that booking would run again; so new ones are refused until the
-// windows of old ones end, on a clock that only committed ticks move.
+// A burst of requests fills the claim table. If a claim were dropped to make space, a
+// resend of its request would run again. New claims are therefore refused until the
+// windows of old ones end, by the state's clock, which only committed ticks advance.
 func TestClaimsAreNeverDroppedEarly(t *testing.T) {
 	t.Parallel()
 
@@ -127,9 +127,9 @@
 	require.Equal(t, 1, h.ledger.ClaimCount())
 }
 
-// More bookings come than a day's window holds. Keys that have outlived what
-// callers were promised make room, the oldest first, so that the desk goes on;
-// within that time none does, or a resend would book twice.
+// The claims of one window do not fit into the table. Claims whose guarantee has ended
+// are evicted, the oldest first, so that new requests are accepted. A claim within its
+// guarantee is never evicted, or a resend would run a second time.
 func TestFullClaimTableKeepsClaimsWithinGuarantee(t *testing.T) {
 	t.Parallel()
 
@@ -139,7 +139,7 @@
 	h := newHarness(t, limits)
 
 	granted := h.claim("0", "a", "b", "")
-	require.EqualValues(t, 60_000, granted.GetWindowMillis(), "callers are told what is sure")
+	require.EqualValues(t, 60_000, granted.GetWindowMillis(), "callers are told the guaranteed time")
 	h.tick(30_000)
 	require.Equal(t, wire.ClaimState_ClaimGranted, h.claim("1", "a", "b", "").GetState())
 	h.tick(29_999)
@@ -147,13 +147,13 @@
 	h.tick(1)
 	h.restart(limits)
 	require.Equal(t, wire.ClaimState_ClaimGranted, h.claim("2", "a", "b", "").GetState())
-	require.Equal(t, wire.ClaimState_ClaimOpen, h.claim("1", "a2", "b", "").GetState(), "the younger one stays")
+	require.Equal(t, wire.ClaimState_ClaimOpen, h.claim("1", "a2", "b", "").GetState(), "the newer claim is kept")
 	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("3", "a", "b", "").GetState())
 }
 
-// Two control VMs believe for a moment that they lead, and both move the clock
-// for the same span; one has a clock that leapt by days. Were both counted, or
-// the leap, windows would end early and a booking could run twice.
+// Two control VMs both believe that they lead and send a tick for the same interval;
+// one of them has a clock that jumped by days. If both ticks or the jump counted,
+// claim windows would end early and a request could run twice.
 func TestClockNeverRunsAheadOfRealTime(t *testing.T) {
 	t.Parallel()
 
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -6,14 +6,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// maxTick bounds one tick, so that a faulty control VM cannot end all claim
-// windows at once.
+// maxTick limits how far one tick advances the clock, so that a faulty control VM
+// cannot end all claim windows at once.
 const maxTick = time.Minute
 
-// clock is the time of the state. It never runs ahead of real time: a tick says
-// how long ago its sender applied the tick before it, measured on the sender's
-// monotonic clock, and is void when another tick came between. So a wall clock
-// that jumps, or two leaders at once, cannot end a claim's window early.
+// clock is the state's own time. It never runs ahead of real time: a tick carries the
+// time since its sender applied the previous tick, measured on the sender's monotonic
+// clock, and is ignored if another tick was committed in between. Neither a jump of a
+// wall clock nor two concurrent leaders can therefore end a claim's window early.
 type clock struct {
 	elapsed  time.Duration
 	lastTick uint64
@@ -37,7 +37,7 @@
 	return true
 }
 
-// TickIndex returns the log index of the last tick, which the next tick names.
+// TickIndex returns the log index of the last tick, which the next tick must name.
 func (l *Ledger) TickIndex() uint64 { return l.clock.lastTick }
 
 func (l *Ledger) applyTick(index uint64, tick *wire.Tick) {
--- a/internal/ledger/conflicts.go
+++ b/internal/ledger/conflicts.go
@@ -6,11 +6,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// conflictingChanges says what operators changed since the plan was made that matters
-// to it: the records it writes, and where it touches what services bear, every
-// record of that kind. It guards against two plans that were each sound alone,
-// such as two zones taken out at once. Processes that come and go do not count;
-// shortfalls looks at what they leave.
+// conflictingChanges returns the operators' changes since the plan's base version that
+// conflict with the plan: changes of a record that the plan writes, and, if the plan
+// changes capacity, of any record that affects capacity. Without it, two plans that
+// are each safe alone could both be applied, such as two that each take out one of two
+// zones. Processes that join or leave do not count here; capacityShortfalls covers
+// them.
 func (l *Ledger) conflictingChanges(plan *wire.Plan) []string {
 	written := map[string]bool{}
 	capacity := false
@@ -37,8 +38,8 @@
 	return out
 }
 
-// capacityShortfalls says for which services too few targets are left since the plan
-// was made, though the plan found enough.
+// capacityShortfalls returns the services whose targets no longer suffice after the
+// plan, although they did when the plan was made.
 func (l *Ledger) capacityShortfalls(plan *wire.Plan) []string {
 	if len(plan.GetNeeds()) == 0 {
 		return nil
--- a/internal/ledger/convergence_test.go
+++ b/internal/ledger/convergence_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// readerCopy is a reader's copy of the records, which follows by deltas.
+// readerCopy is a reader's copy of the records, updated by deltas.
 type readerCopy struct {
 	version uint64
 	records map[string]*wire.Record
@@ -35,10 +35,10 @@
 	c.version = d.Version
 }
 
-// A reader misses any number of changes, among them removals that are no longer
-// kept, and control VMs take snapshots and restart at different times. Every
-// reader must end with the same records, whichever VM it asks, and the VMs must
-// give the same results and the same snapshots.
+// Readers miss any number of changes, including removals whose tombstones were
+// dropped, and control VMs take snapshots and restart at different times. Every reader
+// must end with the same records whichever VM it polls, and the VMs must produce equal
+// results and snapshots.
 func TestReadersAndReplicasConverge(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/ledger/decisions.go
+++ b/internal/ledger/decisions.go
@@ -11,19 +11,19 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// decisionTable keeps the plans that wait for confirmation, and the decisions
-// with their answers. Numbers are shared by all operators, so that two of them
-// who race under one number cannot both win.
+// decisionTable keeps the plans that await confirmation, and the decisions with their
+// answers. All operators share one number space, so of two operators who race under
+// one number only one succeeds.
 type decisionTable struct {
 	limits    Limits
 	plans     []*wire.Plan
 	planBytes int
 	byNumber  map[uint64]*wire.DecisionEntry
-	// entries holds the decisions in the order in which they were made. It only
-	// grows at the end or is replaced, so that readers can share it.
+	// entries holds the decisions in the order in which they were made. It is only
+	// appended to or replaced, so that readers can share it.
 	entries []*wire.DecisionEntry
-	// floor is the largest number whose answer is no longer kept. A number up
-	// to it is refused, since nobody can tell any more whether it was decided.
+	// floor is the largest number whose answer was dropped. Numbers up to it are
+	// refused, since it is unknown whether they were decided.
 	floor uint64
 }
 
@@ -31,7 +31,7 @@
 	return decisionTable{limits: limits, byNumber: map[uint64]*wire.DecisionEntry{}}
 }
 
-// storePlan keeps a plan under an ID that no other plan ever has.
+// storePlan stores a plan under a unique ID.
 func (t *decisionTable) storePlan(index uint64, plan *wire.Plan) string {
 	stored := proto.CloneOf(plan)
 	stored.ID = fmt.Sprintf("P%d", index)
@@ -60,10 +60,11 @@
 	return nil
 }
 
-// previousAnswer answers a number that was decided or forgotten; nil means it is free.
-// The content is the plan, or another plan of the same intent: an operator whose
-// answer was lost may plan again before confirming again. Who sent it first is
-// in the answer.
+// previousAnswer returns the answer for a number that was already decided or lies at
+// or below the floor, or nil if the number is free. A resend matches if it confirms
+// the same plan or another plan of the same intent: an operator whose answer was lost
+// may make a new plan before confirming again. The answer names the operator who used
+// the number first.
 func (t *decisionTable) previousAnswer(d *wire.Decision, plan *wire.Plan) *wire.DecisionAnswer {
 	if d.GetNumber() <= t.floor {
 		return &wire.DecisionAnswer{State: wire.DecisionState_DecisionForgotten, Floor: t.floor}
@@ -101,8 +102,8 @@
 	}
 }
 
-// record records the first answer to a number. The smallest number is dropped
-// above the limit and raises the floor, so that it can never be decided again.
+// record stores the first answer to a number. Above the limit the smallest number is
+// dropped and raises the floor, so that it cannot be decided again.
 func (t *decisionTable) record(entry *wire.DecisionEntry) {
 	t.byNumber[entry.GetNumber()] = entry
 	t.entries = append(t.entries, entry)
@@ -120,7 +121,7 @@
 	delete(t.byNumber, smallest)
 }
 
-// lastIndex returns the log index of the latest decision.
+// lastIndex returns the log index of the latest decision, or zero.
 func (t *decisionTable) lastIndex() uint64 {
 	if len(t.entries) == 0 {
 		return 0
@@ -129,8 +130,8 @@
 	return t.entries[len(t.entries)-1].GetIndex()
 }
 
-// decide carries out the plan that d confirms, once, and keeps the answer. The
-// plan itself is dropped then: it may be large, and the answer names it.
+// decide applies the plan that d confirms, at most once, and stores the answer. It
+// drops the plan, which may be large; the answer names it.
 func (l *Ledger) decide(index uint64, d *wire.Decision) *wire.DecisionAnswer {
 	plan := l.decisions.plan(d.GetPlanID())
 
@@ -165,7 +166,7 @@
 	return answerOf(entry)
 }
 
-// checkPlan says whether plan may still be carried out, and why not.
+// checkPlan returns whether the plan may still be applied, and the reasons if not.
 func (l *Ledger) checkPlan(plan *wire.Plan) (state wire.DecisionState, details []string) {
 	if details = l.conflictingChanges(plan); len(details) > 0 {
 		return wire.DecisionState_DecisionBaseChanged, details
@@ -199,7 +200,7 @@
 	}
 }
 
-// maxDetailLines bounds the lines that are kept of one decision.
+// maxDetailLines limits the lines that are stored with one decision.
 const maxDetailLines = 40
 
 func changeTexts(changes []*wire.Change) []string {
--- a/internal/ledger/decisions_test.go
+++ b/internal/ledger/decisions_test.go
@@ -9,9 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Two operators take out different zones under number 7 at the same moment, and
-// both send again, since their answers were lost in a restart. One of the two
-// decisions stands; the other operator is told whose it is, each time.
+// Two operators confirm different plans under the same number and both resend after a
+// restart lost their answers. Exactly one decision is made; the other operator gets
+// the conflict and the first operator's name every time.
 func TestRacingDecisionsUnderOneNumber(t *testing.T) {
 	t.Parallel()
 
@@ -40,9 +40,9 @@
 	require.Nil(t, h.ledger.Records().Get("Zone/saraburi"))
 }
 
-// An operator's answer is lost. She makes the plan again, now against a state
-// in which it is carried out and then undone by another, and confirms under her
-// old number: she gets her first answer, and the zone does not go out again.
+// An operator's answer is lost, and another operator reverts the decision. The first
+// one makes the plan again and confirms it under the old number. The first answer is
+// repeated, and the zone is not taken out again.
 func TestResendWithNewPlanRepeatsFirstAnswer(t *testing.T) {
 	t.Parallel()
 
@@ -56,9 +56,9 @@
 	require.False(t, h.ledger.Records().Get("Zone/ayutthaya").GetZone().GetOut())
 }
 
-// Two plans are each sound alone: taking out one of two zones. Confirmed one
-// after the other they would leave no zone. The second is refused and names
-// what changed; a plan that touches no capacity is not held up by it.
+// Two plans each take out one of two zones and are safe alone. Applied one after the
+// other they would leave no zone, so the second is refused and names the change that
+// conflicts. A plan that does not affect capacity is still accepted.
 func TestPlanIsRefusedAfterConflictingDecision(t *testing.T) {
 	t.Parallel()
 
@@ -78,12 +78,13 @@
 	require.Equal(t, wire.DecisionState_DecisionMade, h.decide("non", 3, share).GetState())
 
 	again := h.decide("non", 2, p2)
-	require.True(t, again.GetRepeated(), "a refusal is an answer too")
+	require.True(t, again.GetRepeated(), "a refusal is stored and repeated as well")
 	require.Equal(t, wire.DecisionState_DecisionBaseChanged, again.GetState())
 }
 
-// A plan found enough targets left. Before it is confirmed a rack goes, and
-// what would remain cannot carry the load any more.
+// A plan leaves enough targets when it is made. Some targets are removed before it is
+// confirmed, and the remaining ones could no longer serve the load, so the decision is
+// refused.
 func TestTargetsLostBetweenPlanAndConfirm(t *testing.T) {
 	t.Parallel()
 
@@ -117,8 +118,8 @@
 	require.Nil(t, h.ledger.Records().Get("Zone/ayutthaya"))
 }
 
-// Decisions are kept in bounded number. An old one that is sent again after it
-// was forgotten must not be decided a second time.
+// The number of stored decisions is limited. A decision that is resent after it was
+// dropped must not be made a second time.
 func TestDroppedDecisionNumbersAreNotReused(t *testing.T) {
 	t.Parallel()
 
@@ -140,8 +141,8 @@
 	require.Equal(t, wire.DecisionState_DecisionNoPlan, h.decide("may", 9, "P999").GetState())
 }
 
-// Large plans that nobody confirms would fill the memory of the control VMs; the
-// oldest are dropped, and a plan is dropped once it is decided.
+// Large plans that are never confirmed would fill the memory of the control VMs. The
+// oldest plans are dropped above the limit, and every plan once it is decided.
 func TestStoredPlansAreBounded(t *testing.T) {
 	t.Parallel()
 
--- a/internal/ledger/documents.go
+++ b/internal/ledger/documents.go
@@ -6,18 +6,18 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// documentTable holds the configuration that a trusted caller put in force in one
-// step, under a number of its own and as it was sent.
+// documentTable holds the configuration document that a trusted caller put in force as
+// a whole. It keeps the document as it was sent, under the caller's own number.
 type documentTable struct {
 	current *wire.Document
-	// index is the log index of the last document or zone order that changed
-	// something. Entries order what they hear from several control VMs by it.
+	// index is the log index of the last document or zone change that had an effect.
+	// Entries use it to order the states that they receive from several control VMs.
 	index uint64
 }
 
-// applyDocument replaces the document by one with a higher number. A number that is not
-// higher changes nothing, also with other content: it may be an old order that
-// was sent again, and the number that was accepted first keeps its content.
+// applyDocument replaces the document by one with a higher number. Any other number is
+// ignored, even with different content: it may be a resend of an older document, and
+// the content first accepted under a number stays.
 func (l *Ledger) applyDocument(index uint64, d *wire.Document) {
 	if current := l.documents.current; current != nil && d.GetNumber() <= current.GetNumber() {
 		return
@@ -44,5 +44,6 @@
 }
 
 // Document returns the document in force, or nil, and the log index of the last
-// document or zone order that changed something. It is never changed, only replaced.
+// document or zone change that had an effect. A document is never changed, only
+// replaced.
 func (l *Ledger) Document() (*wire.Document, uint64) { return l.documents.current, l.documents.index }
--- a/internal/ledger/groups.go
+++ b/internal/ledger/groups.go
@@ -8,16 +8,17 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// InitialMapVersion is the version of a group's first map, which follows from its shape.
+// InitialMapVersion is the version of a group's first map, which is derived from the
+// group's shape.
 const InitialMapVersion = 1
 
-// groupTable holds what the log says of each lock-step group's expert map. It is
-// kept apart from the records that entries and agents follow: only the group's
-// own ranks need it, and a map weighs more than all other news of a day.
+// groupTable holds the committed state of each lock-step group's expert map. It is
+// kept apart from the records that entries and agents follow: only the group's own
+// ranks need it, and one map is larger than all other changes of a day.
 type groupTable map[string]*wire.GroupState
 
-// apply takes in an entry. What no longer fits changes nothing but AsOf, so that
-// proposers may repeat entries and two leaders may race.
+// apply applies a group entry. An entry that no longer fits the state changes only
+// AsOf, so proposers may repeat entries and two leaders may race.
 func (t groupTable) apply(index uint64, e *wire.GroupEntry) {
 	state := t[e.GetGroup()]
 	if state == nil {
@@ -37,12 +38,12 @@
 	t[e.GetGroup()] = next
 }
 
-// InitialRecord is the record of a group of which the log has said nothing yet.
+// InitialRecord returns the record of a group that has no log entries yet.
 func InitialRecord() expertmap.Record {
 	return expertmap.Record{Current: expertmap.Activation{Version: InitialMapVersion}}
 }
 
-// openedMaps returns the map of an entry that has just opened a switch.
+// openedMaps returns the map of the entry at index if that entry opened a switch.
 func openedMaps(index uint64, r expertmap.Record, e *wire.GroupEntry) []*wire.GroupMap {
 	if r.Open.Fence != expertmap.Fence(index) {
 		return nil
@@ -67,7 +68,7 @@
 	return out
 }
 
-// Groups returns what the log says of each group's map, by name. The states are
+// Groups returns the committed map state of each group, sorted by name. The states are
 // never changed, only replaced.
 func (l *Ledger) Groups() []*wire.GroupState { return l.groups.sorted() }
 
--- a/internal/ledger/harness_test.go
+++ b/internal/ledger/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// harness drives one ledger with commands at growing indexes.
+// harness applies commands to one ledger at increasing log indexes.
 type harness struct {
 	t      require.TestingT
 	ledger *ledger.Ledger
@@ -77,7 +77,7 @@
 	}}}).GetDecision()
 }
 
-// zonePlan is the plan, made now, to put a zone in or out of use.
+// zonePlan returns a plan against the current state that takes a zone out or back in.
 func (h *harness) zonePlan(zone string, out bool) *wire.Plan {
 	key := "Zone/" + zone
 	text := key + " in"
--- a/internal/ledger/keys.go
+++ b/internal/ledger/keys.go
@@ -6,7 +6,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// The prefixes of record keys.
+// Prefixes of record keys.
 const (
 	ServicePrefix   = "Service/"
 	ZonePrefix      = "Zone/"
@@ -19,7 +19,7 @@
 	GroupPrefix     = "Group/"
 )
 
-// KeyOf returns the key under which record is kept, or "" for one without a value.
+// KeyOf returns the key of a record, or "" for a record without a value.
 func KeyOf(record *wire.Record) string {
 	switch v := record.GetValue().(type) {
 	case *wire.Record_Service:
@@ -51,7 +51,7 @@
 	return StagedMapPrefix + m.GetGroup()
 }
 
-// operatorPrefixes are the kinds of records that only operators' decisions write.
+// operatorPrefixes are the prefixes of records that only operators' decisions write.
 var operatorPrefixes = []string{
 	ServicePrefix, ZonePrefix, TargetPrefix, WorkspacePrefix, StopPrefix, GroupPrefix,
 }
@@ -59,10 +59,10 @@
 // OperatorOwned reports whether only operators' decisions write the record at key.
 func OperatorOwned(key string) bool { return hasAnyPrefix(key, operatorPrefixes) }
 
-// capacityPrefixes are the kinds of records that decide how much a service bears.
+// capacityPrefixes are the prefixes of records that affect the capacity of a service.
 var capacityPrefixes = []string{ServicePrefix, ZonePrefix, TargetPrefix, StopPrefix}
 
-// AffectsCapacity reports whether the record at key decides how much a service bears.
+// AffectsCapacity reports whether the record at key affects the capacity of a service.
 func AffectsCapacity(key string) bool { return hasAnyPrefix(key, capacityPrefixes) }
 
 func hasAnyPrefix(key string, prefixes []string) bool {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger is the replicated state of parsleygate: services, zones, target
-// policies, workspaces, expert maps, planned stops, the directory of processes,
+// Package ledger implements the replicated state of parsleygate: services, zones,
+// target policies, workspaces, expert maps, planned stops, the directory of processes,
 // the claims of non-idempotent requests, and the operators' decisions. It is a
-// deterministic state machine over committed commands: it reads no clock, starts
-// no goroutine, and equal commands give equal states, results and snapshots.
+// deterministic state machine over committed commands: it reads no clock and starts no
+// goroutine, and equal commands produce equal states, results and snapshots.
 package ledger
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Ledger is the whole replicated state. One goroutine owns it. Limits must be
-// equal on all control VMs, since they decide results.
+// Ledger is the replicated state. It must be used by one goroutine. Limits must be
+// equal on all control VMs, since results depend on them.
 type Ledger struct {
 	Limits Limits
-	// OnGroupEntry is called after each entry about an expert map; nil for nobody.
+	// OnGroupEntry, if set, is called after each entry about an expert map.
 	OnGroupEntry func(index uint64, e *wire.GroupEntry)
 
 	index      uint64
@@ -31,7 +31,6 @@
 	documents  documentTable
 }
 
-// New returns an empty ledger.
 func New(limits Limits) *Ledger {
 	l := &Ledger{Limits: limits}
 	l.reset()
@@ -50,15 +49,15 @@
 	l.documents = documentTable{}
 }
 
-// Index returns the log index of the last command that was applied.
+// Index returns the log index of the last applied command.
 func (l *Ledger) Index() uint64 { return l.index }
 
-// Now returns the clock of the state, which only ticks move. It starts at the
-// Unix epoch and says nothing of the time of day.
+// Now returns the state's own time, which only ticks advance. It starts at the Unix
+// epoch and is unrelated to the time of day.
 func (l *Ledger) Now() time.Time { return l.clock.now() }
 
-// Apply carries out the command that was committed at index and returns its
-// result. A command at an index that was applied before changes nothing.
+// Apply applies the command that was committed at index and returns its result. A
+// command at an index that was already applied changes nothing.
 func (l *Ledger) Apply(index uint64, command []byte) []byte {
 	if index <= l.index {
 		return encode(&wire.Result{Fault: "the index was applied before"})
@@ -120,25 +119,27 @@
 	}
 }
 
-// Records returns the configuration as it is now, as an immutable value.
+// Records returns the current configuration as an immutable value.
 func (l *Ledger) Records() Records { return l.records.current() }
 
-// Decisions returns the kept decisions, the earliest first, and the number up
-// to which answers are no longer kept.
+// Decisions returns the stored decisions, the earliest first, and the largest number
+// whose answer was dropped.
 func (l *Ledger) Decisions() (entries []*wire.DecisionEntry, floor uint64) {
 	return l.decisions.entries, l.decisions.floor
 }
 
-// ChangeCount grows when a command changes what Records, Decisions or TickIndex return.
+// ChangeCount returns a counter that grows whenever a command changes what Records,
+// Decisions, TickIndex or Document return.
 func (l *Ledger) ChangeCount() uint64 { return l.changes }
 
-// ClaimCount returns how many claims are held.
+// ClaimCount returns the number of claims held.
 func (l *Ledger) ClaimCount() int { return len(l.claims.byKey) }
 
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		// Results hold only valid UTF-8 and no required field; Marshal has nothing to refuse.
+		// Results hold only valid UTF-8 and no required fields, so Marshal cannot
+		// fail.
 		panic(err)
 	}
 
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Limits bounds each table of the state.
+// Limits bounds the tables of the state.
 type Limits struct {
-	// MaxClaims is how many claims are held at once.
+	// MaxClaims limits the claims held at once.
 	MaxClaims int
-	// MaxClaimBytes bounds all recorded answers together; above it no new claim is granted.
+	// MaxClaimBytes limits the total size of recorded answers in bytes; above it no
+	// new claim is granted.
 	MaxClaimBytes int
-	// MaxAnswerBytes bounds one recorded answer; a larger one is recorded as lost.
+	// MaxAnswerBytes limits one recorded answer; a larger one is recorded as lost.
 	MaxAnswerBytes int
-	// ClaimGuarantee is how long a key is remembered whatever comes, on the clock of
-	// the state; callers are told this. ClaimWindow is how long it is remembered
-	// where there is room: a full table lets the oldest go that have outlived the
-	// guarantee.
+	// ClaimGuarantee is the minimum time for which a claim is kept, by the state's
+	// clock; callers are told this value. ClaimWindow is how long a claim is kept
+	// while the table has capacity: a full table evicts the oldest claims whose
+	// guarantee has ended.
 	ClaimGuarantee time.Duration
 	ClaimWindow    time.Duration
-	// MaxDecisions is how many decisions are kept for resends.
+	// MaxDecisions limits the decisions kept to answer resends.
 	MaxDecisions int
-	// MaxPlans is how many plans are kept for confirmation, and PlanBytes how large
-	// they are together; the latest one is kept whatever its size.
+	// MaxPlans limits the plans that await confirmation, and MaxPlanBytes their total
+	// size; the latest plan is kept whatever its size.
 	MaxPlans     int
 	MaxPlanBytes int
-	// MaxTombstones is how many removals are kept for deltas.
+	// MaxTombstones limits the removals kept for deltas.
 	MaxTombstones int
-	// MaxDeparted is how many processes that left are remembered.
+	// MaxDeparted limits the removed processes that are kept.
 	MaxDeparted int
-	// MinExpiries is how many processes may always be expired in a minute.
+	// MinExpiries is how many processes may always be expired per minute.
 	MinExpiries int
-	// ExpiryDivisor divides the directory: 4 lets a quarter of it be expired in a minute.
+	// ExpiryDivisor sets the part of the directory that may be expired per minute: 4
+	// means a quarter.
 	ExpiryDivisor int
 }
 
-// effectiveGuarantee is ClaimGuarantee, or the whole window where that is shorter or no
+// effectiveGuarantee returns ClaimGuarantee, or ClaimWindow if that is shorter or no
 // guarantee is set.
 func (l *Limits) effectiveGuarantee() time.Duration {
 	if l.ClaimGuarantee == 0 {
@@ -42,7 +44,8 @@
 	return min(l.ClaimGuarantee, l.ClaimWindow)
 }
 
-// DefaultLimits returns the limits for the size that parsleygate is designed for.
+// DefaultLimits returns the limits for the deployment size that parsleygate is
+// designed for.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxClaims:      131072,
--- a/internal/ledger/maps.go
+++ b/internal/ledger/maps.go
@@ -6,10 +6,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// putMap stages an expert map, or commits the staged one. The committed map of
-// the group stays in force, and is kept, while another is staged. The fencing
-// number is the log index, so that it grows with each change of any map and a
-// late order of an earlier one is known as such.
+// putMap stages an expert map, or commits the staged one. The committed map of the
+// group stays in force while another is staged. The fencing number is the log index,
+// so it grows with each change of any map, and a late order of an earlier map can be
+// recognised.
 func (l *Ledger) putMap(index uint64, m *wire.ExpertMap) *wire.MapAnswer {
 	committed := l.records.get(ExpertMapPrefix + m.GetGroup()).GetExpertMap()
 	staged := l.records.get(StagedMapPrefix + m.GetGroup()).GetExpertMap()
@@ -31,8 +31,9 @@
 	return &wire.MapAnswer{Accepted: true, Current: next}
 }
 
-// mapRejection guards one map for all ranks: a version once staged never changes
-// its placement, so ranks that staged it hold the same one when it is committed.
+// mapRejection returns why the map must be rejected, or "". It ensures that all ranks
+// use one map: a staged version never changes its placement, so the ranks that staged
+// it hold the same placement when it is committed.
 func mapRejection(committed, staged, m *wire.ExpertMap) string {
 	if m.GetGroup() == "" {
 		return "the map names no group"
--- a/internal/ledger/maps_test.go
+++ b/internal/ledger/maps_test.go
@@ -9,9 +9,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A planner stages maps, and its messages come late, doubled, or from a planner
-// that was replaced. If one version could get a second placement, or an old one
-// come back, ranks of a group would run different maps in one step.
+// Messages of a planner arrive late, duplicated, or from a planner that was replaced.
+// If a version could get a second placement, or an old version return, ranks of a
+// group would run different maps in one step.
 func TestMapVersionKeepsItsPlacement(t *testing.T) {
 	t.Parallel()
 
@@ -40,11 +40,11 @@
 		{"commit", 1, "", true, true, "one"},
 		{"commit again", 1, "", true, false, "one"},
 		{"stage an old version", 1, "late", false, false, "one"},
-		{"stage the next", 3, "three", false, true, "one"},
-		{"stage one between", 2, "two", false, false, "one"},
-		{"stage a newer one in its place", 4, "four", false, true, "one"},
-		{"commit the replaced one", 3, "", true, false, "one"},
-		{"commit the newer one", 4, "", true, true, "four"},
+		{"stage the next version", 3, "three", false, true, "one"},
+		{"stage a version in between", 2, "two", false, false, "one"},
+		{"replace it by a newer version", 4, "four", false, true, "one"},
+		{"commit the replaced version", 3, "", true, false, "one"},
+		{"commit the newer version", 4, "", true, true, "four"},
 	}
 
 	fencing := uint64(0)
--- a/internal/ledger/nodes.go
+++ b/internal/ledger/nodes.go
@@ -10,14 +10,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// departedRetention is how long the incarnation of a process that left is remembered.
+// departedRetention is how long the incarnation of a removed process is kept.
 const departedRetention = 24 * time.Hour
 
 // expiryWindow is the time over which expiries are counted.
 const expiryWindow = time.Minute
 
-// departureTable keeps, beside the node records, what guards them: the incarnations
-// of processes that left, and how many were expired lately.
+// departureTable guards the node records: it keeps the incarnations of removed
+// processes, and how many processes were expired in the current window.
 type departureTable struct {
 	limits Limits
 	nodes  map[string]*wire.DepartedNode
@@ -28,7 +28,8 @@
 	return departureTable{limits: limits, nodes: map[string]*wire.DepartedNode{}, window: &wire.ExpiryWindow{}}
 }
 
-// applyReports takes in what processes say of themselves and returns how many records changed.
+// applyReports applies processes' reports about themselves and returns how many
+// records changed.
 func (l *Ledger) applyReports(index uint64, reports *wire.NodeReports) uint32 {
 	var n uint32
 
@@ -75,7 +76,8 @@
 	return true
 }
 
-// removeFinishedStop removes the planned stop of an earlier incarnation: it was carried out.
+// removeFinishedStop removes the planned stop of an earlier incarnation, which has
+// ended.
 func (l *Ledger) removeFinishedStop(index uint64, node *wire.Node) {
 	stop := l.records.get(StopPrefix + node.GetID()).GetStop()
 	if stop != nil && stop.GetIncarnation() != 0 && stop.GetIncarnation() < node.GetIncarnation() {
@@ -83,9 +85,9 @@
 	}
 }
 
-// upToDate guards against late reports: one of an earlier incarnation, or an
-// earlier one of the same, would bring back an address or a boot id that is
-// gone. Incarnations and reports only grow, so the newer one is known.
+// upToDate reports whether a report is at least as new as the given one. An older
+// report would bring back an address or boot ID that no longer exists. Incarnations
+// and, within one incarnation, report numbers only grow.
 func upToDate(node *wire.Node, incarnation, report uint64) bool {
 	if node.GetIncarnation() != incarnation {
 		return node.GetIncarnation() > incarnation
@@ -94,8 +96,9 @@
 	return node.GetReport() >= report
 }
 
-// wasLeaving guards against a report from before the process began to leave:
-// it would get new work again. Within one incarnation leaving is never undone.
+// wasLeaving reports whether this incarnation has already begun to leave. Leaving is
+// never undone within an incarnation: an older report would make the process get new
+// work again.
 func wasLeaving(node, current *wire.Node, departed *wire.DepartedNode) bool {
 	if current != nil && current.GetIncarnation() == node.GetIncarnation() {
 		return current.GetLeaving()
@@ -104,8 +107,9 @@
 	return departed.GetIncarnation() == node.GetIncarnation() && departed.GetLeaving()
 }
 
-// barsReturn reports whether a process that left must not come back by this report.
-// One that was only expired may, under the same incarnation.
+// barsReturn reports whether a removed process must not return by this report. A
+// process that was only expired may return under the same incarnation; one that ended
+// may not.
 func barsReturn(departed *wire.DepartedNode, node *wire.Node) bool {
 	if !upToDate(node, departed.GetIncarnation(), departed.GetReport()) {
 		return true
@@ -121,11 +125,11 @@
 	return true
 }
 
-// applyExpiry removes processes that no control VM hears from, as many as the bound
-// allows, and returns how many. The bound guards against a fault of the control
-// VMs themselves, which shows as the silence of all processes at once: it would
-// empty the directory and stop all service. A share of the directory a minute
-// is believed, so a zone that is really gone leaves it in bounded time.
+// applyExpiry removes processes that have not polled any control VM, up to a limit per
+// window, and returns how many. The limit guards against a fault of the control VMs
+// themselves, in which all processes seem unresponsive at once: without it the
+// directory would become empty and every request would fail. A zone that really failed
+// is still removed in bounded time.
 func (l *Ledger) applyExpiry(index uint64, expiry *wire.Expiry) uint32 {
 	var n uint32
 
@@ -148,6 +152,8 @@
 	return n
 }
 
+// allowExpiry reports whether another process may be expired in the current window, and
+// counts it if so.
 func (d *departureTable) allowExpiry(now time.Time, live int) bool {
 	if !now.Before(fromMillis(d.window.GetStartMillis()).Add(expiryWindow)) || d.window.GetLimit() == 0 {
 		limit := max(d.limits.MinExpiries, live/d.limits.ExpiryDivisor)
@@ -186,7 +192,7 @@
 	}
 }
 
-// sorted returns the departed processes, the longest gone first.
+// sorted returns the removed processes, the earliest removal first.
 func (d *departureTable) sorted() []*wire.DepartedNode {
 	out := make([]*wire.DepartedNode, 0, len(d.nodes))
 	for _, departed := range d.nodes {
--- a/internal/ledger/nodes_test.go
+++ b/internal/ledger/nodes_test.go
@@ -10,9 +10,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A report of an agent is held up on the way while the agent moves on. If the
-// late one won, entries would send to an address, a boot id or a drained target
-// that is gone. Each case sends the second report after the first.
+// A report of an agent is delayed while the agent sends newer ones. If the late report
+// were applied, entries would send requests to an old address, an old boot ID or a
+// drained target. Each case applies the late report after the newer one.
 func TestLateReportsAreIgnored(t *testing.T) {
 	t.Parallel()
 
@@ -20,10 +20,10 @@
 	leaving.Leaving = true
 
 	cases := map[string]struct{ newer, late *wire.Node }{
-		"of an earlier incarnation":          {agent("a", 2, 1), agent("a", 1, 9)},
-		"of the same incarnation":            {agent("a", 2, 2), agent("a", 2, 1)},
-		"from before it began to leave":      {leaving, agent("a", 2, 1)},
-		"of an earlier one that was leaving": {agent("a", 3, 1), leaving},
+		"earlier incarnation":                    {agent("a", 2, 1), agent("a", 1, 9)},
+		"same incarnation":                       {agent("a", 2, 2), agent("a", 2, 1)},
+		"sent before the process began to leave": {leaving, agent("a", 2, 1)},
+		"earlier incarnation that was leaving":   {agent("a", 3, 1), leaving},
 	}
 
 	for name, c := range cases {
@@ -42,8 +42,9 @@
 	}
 }
 
-// An agent changes and changes back between two polls. Its number must be kept
-// though its words are the same, or the words between would win later.
+// An agent changes and changes back between two polls. The higher report number must
+// be stored although the content is the same; otherwise a late report from in between
+// would be applied.
 func TestReportNumberIsKeptForUnchangedNode(t *testing.T) {
 	t.Parallel()
 
@@ -57,8 +58,8 @@
 	require.Equal(t, "boot", h.node("a").GetBootID())
 }
 
-// An agent ends, or is expired while it is only cut off. One that ended must not
-// come back by its last words; one that was expired must, by its next poll.
+// One agent ends; another is expired while it is cut off. A late report must not bring
+// back the one that ended, but the next poll must bring back the expired one.
 func TestExpiredProcessReturnsAndEndedOneDoesNot(t *testing.T) {
 	t.Parallel()
 
@@ -77,12 +78,12 @@
 	h.report(agent("ended", 3, 1), agent("cut-off", 2, 1))
 	require.NotNil(t, h.node("ended"))
 	require.NotNil(t, h.node("cut-off"))
-	require.EqualValues(t, 0, h.expire(&wire.NodeName{ID: "cut-off", Incarnation: 1}), "an expiry decided before the restart")
+	require.EqualValues(t, 0, h.expire(&wire.NodeName{ID: "cut-off", Incarnation: 1}), "an expiry of an earlier incarnation is ignored")
 }
 
-// The control VMs' own network fails, and they hear from nobody. If they
-// believed it, the directory would be empty and every request refused. A zone
-// that is really gone must still leave the directory within minutes.
+// The control VMs' own network fails and they receive no polls. If they expired all
+// processes, the directory would be empty and every request refused. A zone that
+// really failed must still be removed within minutes.
 func TestExpiriesAreRateLimited(t *testing.T) {
 	t.Parallel()
 
@@ -104,8 +105,8 @@
 	require.EqualValues(t, 18, h.expire(names...))
 }
 
-// A planned stop names one incarnation. If it outlived the restart, the process
-// would be drained again as soon as it is back.
+// A planned stop names one incarnation. If it were kept after the process restarted,
+// the new incarnation would be drained at once.
 func TestStopIsRemovedAtNextIncarnation(t *testing.T) {
 	t.Parallel()
 
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -9,23 +9,24 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// change is one write to one record; record is nil where it was removed.
+// change is one write of one record; record is nil for a removal.
 type change struct {
 	version uint64
 	key     string
 	record  *wire.Record
 }
 
-// recordTable holds the configuration and, in order of version, its latest
-// changes. Records are never altered once they are in it, and changes only grow
-// at the end or are replaced as a whole, so that a Records value can share them.
+// recordTable holds the configuration and its latest changes, in order of version.
+// Records are never modified once stored, and changes is only appended to or replaced,
+// so that a Records value can share both.
 type recordTable struct {
 	live    map[string]*wire.Record
 	changes []change
 	version uint64
-	// tombstones holds the versions of the kept removals, and horizon the version
-	// of the latest one that is no longer kept. Both depend on commands alone,
-	// since results and snapshots depend on them; compaction does not.
+	// tombstones holds the versions of the retained removals, and horizon the version
+	// of the latest removal that was dropped. Results and snapshots depend on both, so
+	// both follow from the commands alone; when changes is compacted does not matter
+	// to them.
 	tombstones    map[string]uint64
 	horizon       uint64
 	maxTombstones int
@@ -62,8 +63,8 @@
 	}
 }
 
-// dropOldTombstones drops the older half of the kept removals. Readers older than
-// the horizon get everything.
+// dropOldTombstones drops the older half of the retained removals. Readers older than
+// the horizon get a full answer.
 func (t *recordTable) dropOldTombstones() {
 	versions := slices.Sorted(maps.Values(t.tombstones))
 	t.horizon = versions[len(versions)/2]
@@ -88,7 +89,7 @@
 	})
 }
 
-// withPrefix returns the live records whose keys begin with prefix, in order of key.
+// withPrefix returns the live records whose keys begin with prefix, sorted by key.
 func (t *recordTable) withPrefix(prefix string) []*wire.Record {
 	var out []*wire.Record
 
@@ -113,25 +114,25 @@
 
 // Records is the configuration at one version. It is immutable.
 type Records struct {
-	// Version is the log index that last changed a record.
+	// Version is the log index of the last change of a record.
 	Version uint64
 
 	horizon uint64
 	changes []change
 }
 
-// Delta is what changed after some version.
+// Delta holds the changes after some version.
 type Delta struct {
-	// Version is the version that the reader has after applying the delta.
+	// Version is the version that the reader has after it applied the delta.
 	Version uint64
-	// Full: Changed holds every record, and all others are to be dropped.
+	// Full means that Changed holds every record and that the reader drops all others.
 	Full    bool
 	Changed []*wire.Record
 	Removed []string
 }
 
-// DeltaSince returns what changed after version. Where the removals since then
-// are no longer kept, and for version 0, the delta is full.
+// DeltaSince returns the changes after version. The delta is full for version 0, and
+// if removals since version were dropped.
 func (r Records) DeltaSince(version uint64) Delta {
 	d := Delta{Version: r.Version, Full: version == 0 || version < r.horizon}
 	if d.Full {
@@ -164,7 +165,7 @@
 // All returns every record, in order of version.
 func (r Records) All() []*wire.Record { return r.DeltaSince(0).Changed }
 
-// lastPerKey returns the last change of each key after version, in order.
+// lastPerKey returns the last change of each key after version, in order of version.
 func lastPerKey(changes []change, version uint64) []change {
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].version > version })
 	seen := make(map[string]bool, len(changes)-first)
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Snapshot returns the whole state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states give equal bytes.
 func (l *Ledger) Snapshot() []byte {
 	s := &wire.LedgerSnapshot{
 		Index:        l.index,
@@ -46,11 +46,11 @@
 	return encode(s)
 }
 
-// Restore replaces the state by a snapshot. An error leaves the state as it was.
+// Restore replaces the state by a snapshot. On an error the state is unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	s := &wire.LedgerSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return eris.Wrap(err, "read the snapshot")
+		return eris.Wrap(err, "decode ledger snapshot")
 	}
 
 	l.reset()
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// restore merges records and tombstones, each in order of version. Within one
-// version the order has no meaning, as a key occurs once.
+// restore merges records and tombstones in order of version. The order within one
+// version does not matter, since each key occurs once.
 func (t *recordTable) restore(s *wire.LedgerSnapshot) {
 	tombstones := s.GetTombstones()
 
