--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -11,15 +11,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Base is the state that a plan is made against.
+// Base is the state against which a plan is made.
 type Base struct {
 	// Version is the configuration version of Records.
 	Version uint64
 	Records []*wire.Record
-	// Loads is what processes had in hand when they last polled, by ID.
+	// Loads holds the loads that processes last reported, by process ID.
 	Loads map[string]*wire.NodeLoad
-	// StopBlocker says why stopping the control VM of that name is not safe yet,
-	// or ""; nil means that no such stop is known to be unsafe.
+	// StopBlocker returns why the control VM of that name must not be stopped now, or
+	// "". Nil means that no stop is known to be unsafe.
 	StopBlocker func(name string) string
 }
 
@@ -32,8 +32,8 @@
 	return out
 }
 
-// Changes returns what the declaration would change in the state, in order of
-// kind. An error is of type *Error.
+// Changes returns the changes that the declaration would make to the state, ordered by
+// kind of section. An error is of type *Error.
 func (d *Declaration) Changes(base Base) ([]*wire.Change, error) {
 	current := base.byKey()
 	next := map[string]*wire.Record{}
@@ -69,8 +69,8 @@
 	return out, d.checkGroups(current, next)
 }
 
-// sortedSections returns the sections in order of kind: what adds to a record stands
-// after what declares it.
+// sortedSections returns the sections ordered by kind, so that a section that adds to
+// a record comes after the section that declares it.
 func (d *Declaration) sortedSections() []section {
 	out := slices.Clone(d.sections)
 	slices.SortStableFunc(out, func(a, b section) int {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// pinIncarnation lets a planned stop name the incarnation that runs now, so that the one
-// that is started afterwards is not stopped as well.
+// pinIncarnation sets the incarnation of a planned stop to the one that runs now, so
+// that the process is not stopped again after it restarts.
 func pinIncarnation(r *wire.Record, current map[string]*wire.Record) *wire.Record {
 	stop := r.GetStop()
 	if stop != nil && stop.GetIncarnation() == 0 {
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// checkShape refuses another shape for a group that exists. Its first map follows
-// from the declared shape, so ranks that hear of the change at different times
-// would load two different maps under one version.
+// checkShape rejects a change of an existing group's shape. The group's first map is
+// derived from its declared shape, so ranks that received the change at different
+// times would load different maps under one version.
 func (s *section) checkShape(current, next *wire.Group) *Error {
 	if current == nil {
 		return nil
@@ -134,8 +134,8 @@
 	}
 
 	return &Error{
-		Line: s.line, Section: s.heading(), Problem: "changes the shape of a group that exists",
-		Allowed: "another group under a new name, with the shape that is wanted",
+		Line: s.line, Section: s.heading(), Problem: "changes the shape of an existing group",
+		Allowed: "a new group under another name",
 	}
 }
 
@@ -157,7 +157,7 @@
 	return &wire.Change{Key: key, Before: before, After: after, Text: key + ": " + describeDiff(before, after)}
 }
 
-// describeDiff names the fields in which two records differ.
+// describeDiff lists the fields in which two records differ.
 func describeDiff(before, after *wire.Record) string {
 	was, is := fieldsOf(before), fieldsOf(after)
 
--- a/internal/intent/checks.go
+++ b/internal/intent/checks.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// checkNames warns of targets that the directory does not hold, which may be
-// mistyped, and refuses stops of unknown processes.
+// checkNames adds a warning for each target that is not in the directory and may be
+// mistyped, and a refusal for each stop of an unknown process.
 func checkNames(base Base, p *wire.Plan) {
 	nodes := map[string]*wire.Node{}
 
@@ -35,9 +35,10 @@
 	checkControlStops(base, nodes, p)
 }
 
-// checkControlStops refuses stops that the control VMs cannot bear: a second one
-// while the first VM still finishes would leave too few for a quorum, though
-// each alone is safe. Once it is gone, StopUnsafe sees that a replica is missing.
+// checkControlStops adds refusals for unsafe stops of control VMs. Two stops may each
+// be safe alone, but a second one before the first has ended could leave too few VMs
+// for a quorum. Once the first VM has stopped, StopBlocker reports the missing
+// replica.
 func checkControlStops(base Base, nodes map[string]*wire.Node, p *wire.Plan) {
 	var pending []string
 
@@ -73,8 +74,8 @@
 	}
 }
 
-// Undeclared returns the keys of operators' records that the declaration does
-// not mention. They stay as they are.
+// Undeclared returns the keys of the operators' records that the declaration does not
+// mention. They stay unchanged.
 func (d *Declaration) Undeclared(base Base) []string {
 	declared := map[string]bool{}
 	for _, s := range d.sections {
@@ -92,8 +93,8 @@
 	return out
 }
 
-// fieldsOf returns the fields of a record's value, for people to read. Those of
-// a record that does not exist are empty.
+// fieldsOf returns the fields of a record's value as readable text, by name. It is
+// empty for a nil record.
 func fieldsOf(r *wire.Record) map[string]string {
 	out := map[string]string{}
 	value := valueOf(r)
--- a/internal/intent/declaration.go
+++ b/internal/intent/declaration.go
@@ -1,10 +1,10 @@
-// Package intent reads the operators' declarations and works out plans: what a
-// declaration would change in the state, and what that costs.
+// Package intent reads operators' declarations and computes plans: what a declaration
+// would change in the state, and the cost of that change.
 //
-// What a declaration does not mention stays as it is: a section that is missing
-// leaves its record, a key that is missing leaves its value. A record goes only
-// by Removed = true in its section, so that a file cut short removes nothing,
-// and an urgent change needs no more than the one section that it is about.
+// What a declaration does not mention stays unchanged: without a section its record
+// stays, and without a key its value stays. A record is removed only by Removed = true
+// in its section. A truncated file therefore removes nothing, and an urgent change
+// needs only the section that it changes.
 package intent
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Declaration is a declaration that was read and checked.
+// Declaration is a parsed and validated declaration.
 type Declaration struct {
 	Source   string
 	sections []section
 }
 
-// section is one section with a known kind.
+// section is one section of a known kind.
 type section struct {
 	kind     *sectionKind
 	name     string
@@ -45,19 +45,18 @@
 
 func (s *section) key() string { return s.kind.prefix + s.name }
 
-// namePattern is what the names of zones, services, processes and so on look like.
+// namePattern matches the names of zones, services, processes and other objects.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 const allowedNames = "1 to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit"
 
-// MaxBytes is the largest declaration that is read.
+// MaxBytes is the maximum size of a declaration in bytes.
 const MaxBytes = 4 << 20
 
-// Error says what is wrong in a declaration, where, and what is allowed.
+// Error describes what is wrong in a declaration, where, and what is allowed.
 type Error = inifile.Error
 
-// Parse reads a declaration in INI. Source names it in errors, which are of
-// type *Error.
+// Parse parses a declaration in INI format. Errors are of type *Error and name source.
 func Parse(source string, data []byte) (*Declaration, error) {
 	file, err := inifile.Read(source, data, MaxBytes)
 	if err != nil {
@@ -91,7 +90,7 @@
 	}
 
 	if s.removed && len(s.settings) > 0 {
-		return nil, &Error{Line: s.line, Section: f.Name, Key: removedKey, Problem: "stands beside other keys", Allowed: "alone"}
+		return nil, &Error{Line: s.line, Section: f.Name, Key: removedKey, Problem: "is combined with other keys", Allowed: "alone"}
 	}
 
 	return s, nil
@@ -119,7 +118,7 @@
 		return &section{kind: k, name: name, line: line}, nil
 	}
 
-	return nil, &Error{Line: line, Section: heading, Problem: "is no known section", Allowed: sectionNames()}
+	return nil, &Error{Line: line, Section: heading, Problem: "is not a known section", Allowed: sectionNames()}
 }
 
 func sectionNames() string {
@@ -147,7 +146,7 @@
 
 	f, ok := s.kind.field(key)
 	if !ok {
-		fault.Problem, fault.Allowed = "is no known key", s.kind.keyNames()
+		fault.Problem, fault.Allowed = "is not a known key", s.kind.keyNames()
 		return fault
 	}
 
@@ -169,8 +168,8 @@
 	return nil
 }
 
-// Digest returns the SHA-256 of what was declared. Order, comments, blank lines
-// and the source's name do not count.
+// Digest returns the SHA-256 of the declared content and of override. The order of
+// sections and keys, comments, blank lines and the source's name do not affect it.
 func (d *Declaration) Digest(override bool) []byte {
 	lines := []string{fmt.Sprintf("override %t", override)}
 
@@ -189,7 +188,8 @@
 	return sum[:]
 }
 
-// applyTo returns held as the section declares it, or nil where it is removed.
+// applyTo returns current with the section's settings applied, or nil if the section
+// removes the record.
 func (s *section) applyTo(current *wire.Record) (*wire.Record, *Error) {
 	if s.removed {
 		return nil, nil
--- a/internal/intent/declaration_test.go
+++ b/internal/intent/declaration_test.go
@@ -16,9 +16,9 @@
 	// Output: trust.ini:2: [Zone "ayutthaya"] Out: has the bad value "yes"; allowed: true, false
 }
 
-// An operator mistypes a declaration. If a line were dropped without a word, a
-// zone would stay in use though the file says that it is out; so each fault is
-// refused with its place and what is allowed.
+// An operator mistypes a declaration. If a bad line were silently ignored, a zone
+// could stay in use although the file says that it is out. Every fault is therefore
+// rejected with its line and the allowed values.
 func TestInvalidDeclarations(t *testing.T) {
 	t.Parallel()
 
@@ -26,31 +26,31 @@
 		text string
 		want []string
 	}{
-		"unknown section":        {"[Zones \"a\"]\nOut = true", []string{"f.ini:1", "no known section", `[Zone "name"]`}},
-		"unknown key":            {"[Zone \"a\"]\n\nout = true", []string{"f.ini:3", `[Zone "a"] out`, "Region, Out, Removed"}},
-		"doubled section":        {"[Zone \"a\"]\nOut = true\n[Zone \"a\"]\nRegion = x", []string{"f.ini:3", "already given in line 1"}},
-		"doubled key":            {"[Zone \"a\"]\nOut = true\nOut = false", []string{"f.ini:3", "Out", "already given in line 2"}},
-		"key before any section": {"Out = true", []string{"f.ini:1", "before the first section"}},
-		"no setting":             {"[Zone \"a\"]\nOut", []string{"f.ini:2", "Key = value"}},
-		"open head":              {"[Zone \"a\"", []string{"f.ini:1", "not closed"}},
-		"comment after a head":   {"[Zone \"a\"] ; out", []string{"f.ini:1", "not closed"}},
-		"no name":                {"[Zone]\nOut = true", []string{"f.ini:1", "no proper name"}},
-		"name without quotes":    {"[Zone a]\nOut = true", []string{"f.ini:1", "double quotes"}},
-		"bad name":               {"[Zone \"a/b\"]\nOut = true", []string{"f.ini:1", "no proper name"}},
-		"default section":        {"[DEFAULT]\nOut = true", []string{"f.ini:1", "no known section"}},
-		"bad number":             {"[Workspace \"w\"]\nWeight = -1", []string{"f.ini:2", "whole number"}},
-		"weight of nothing":      {"[Workspace \"w\"]\nWeight = 0", []string{"f.ini:2", "from 1 to 1000000"}},
-		"bad priority":           {"[Workspace \"w\"]\nPriority = 1001", []string{"f.ini:2", "-1000 to 1000"}},
-		"bad call":               {"[Service \"s\"]\nIdempotentCalls = GET /a, post /b", []string{"f.ini:2", "METHOD /path"}},
-		"bad time":               {"[Service \"s\"]\nLongestRun = 90", []string{"f.ini:2", "90s"}},
-		"bad bytes":              {"[Service \"s\"]\nWeightBytes = 12GB", []string{"f.ini:2", "bytes"}},
-		"quoted value":           {"[Zone \"a\"]\nRegion = \"x\"", []string{"f.ini:2", "without quotes"}},
-		"comment after a value":  {"[Zone \"a\"]\nOut = true ; for the storm", []string{"f.ini:2", "true, false"}},
-		"removed and more":       {"[Zone \"a\"]\nRemoved = true\nOut = true", []string{"f.ini:1", "alone"}},
-		"not removed":            {"[Zone \"a\"]\nRemoved = false", []string{"f.ini:2", "leave the key out"}},
-		"removed cold limit":     {"[ColdLimit \"s\"]\nRemoved = true", []string{"f.ini:2", "Cold, Warm"}},
-		"dash key":               {"[Zone \"a\"]\n- = true", []string{"f.ini"}},
-		"too long":               {strings.Repeat("#", intent.MaxBytes+1), []string{"too long"}},
+		"unknown section":                {"[Zones \"a\"]\nOut = true", []string{"f.ini:1", "not a known section", `[Zone "name"]`}},
+		"unknown key":                    {"[Zone \"a\"]\n\nout = true", []string{"f.ini:3", `[Zone "a"] out`, "Region, Out, Removed"}},
+		"duplicate section":              {"[Zone \"a\"]\nOut = true\n[Zone \"a\"]\nRegion = x", []string{"f.ini:3", "already given in line 1"}},
+		"duplicate key":                  {"[Zone \"a\"]\nOut = true\nOut = false", []string{"f.ini:3", "Out", "already given in line 2"}},
+		"key before any section":         {"Out = true", []string{"f.ini:1", "before the first section"}},
+		"line without a value":           {"[Zone \"a\"]\nOut", []string{"f.ini:2", "Key = value"}},
+		"unclosed heading":               {"[Zone \"a\"", []string{"f.ini:1", "not closed"}},
+		"comment after a heading":        {"[Zone \"a\"] ; out", []string{"f.ini:1", "not closed"}},
+		"no name":                        {"[Zone]\nOut = true", []string{"f.ini:1", "no proper name"}},
+		"name without quotes":            {"[Zone a]\nOut = true", []string{"f.ini:1", "double quotes"}},
+		"bad name":                       {"[Zone \"a/b\"]\nOut = true", []string{"f.ini:1", "no proper name"}},
+		"default section":                {"[DEFAULT]\nOut = true", []string{"f.ini:1", "not a known section"}},
+		"bad number":                     {"[Workspace \"w\"]\nWeight = -1", []string{"f.ini:2", "whole number"}},
+		"zero weight":                    {"[Workspace \"w\"]\nWeight = 0", []string{"f.ini:2", "from 1 to 1000000"}},
+		"bad priority":                   {"[Workspace \"w\"]\nPriority = 1001", []string{"f.ini:2", "-1000 to 1000"}},
+		"bad call":                       {"[Service \"s\"]\nIdempotentCalls = GET /a, post /b", []string{"f.ini:2", "METHOD /path"}},
+		"bad duration":                   {"[Service \"s\"]\nLongestRun = 90", []string{"f.ini:2", "90s"}},
+		"bad size":                       {"[Service \"s\"]\nWeightBytes = 12GB", []string{"f.ini:2", "bytes"}},
+		"quoted value":                   {"[Zone \"a\"]\nRegion = \"x\"", []string{"f.ini:2", "without quotes"}},
+		"comment after a value":          {"[Zone \"a\"]\nOut = true ; for the storm", []string{"f.ini:2", "true, false"}},
+		"Removed with other keys":        {"[Zone \"a\"]\nRemoved = true\nOut = true", []string{"f.ini:1", "alone"}},
+		"Removed = false":                {"[Zone \"a\"]\nRemoved = false", []string{"f.ini:2", "leave the key out"}},
+		"Removed in a ColdLimit section": {"[ColdLimit \"s\"]\nRemoved = true", []string{"f.ini:2", "Cold, Warm"}},
+		"key of a single dash":           {"[Zone \"a\"]\n- = true", []string{"f.ini"}},
+		"too large":                      {strings.Repeat("#", intent.MaxBytes+1), []string{"too long"}},
 	}
 
 	for name, c := range cases {
@@ -81,7 +81,8 @@
 	})
 }
 
-// Order and comments are no content: the same number with them moved is the same decision.
+// A resent declaration must count as the same decision if only its order or comments
+// changed.
 func TestDigestIgnoresOrderAndComments(t *testing.T) {
 	t.Parallel()
 
--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -9,12 +9,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// headroomDivisor is the part of the load that should be left to spare after a plan;
-// below it the plan warns.
+// headroomDivisor sets the spare capacity below which a plan warns: 1/headroomDivisor
+// of the current load.
 const headroomDivisor = 4
 
-// Plan works out what the declaration would change against base, and what that
-// costs. An error is of type *Error.
+// Plan returns the changes that the declaration would make against base, and their
+// cost. An error is of type *Error.
 func (d *Declaration) Plan(base Base, operator string, override bool) (*wire.Plan, error) {
 	changes, err := d.Changes(base)
 	if err != nil {
@@ -36,15 +36,16 @@
 	return p, nil
 }
 
-// estimate compares the targets before and after the changes.
+// estimate compares the usable targets before and after the changes.
 type estimate struct {
 	base         Base
 	recordsAfter []*wire.Record
 	usableBefore map[string]*wire.Node
 	usableAfter  map[string]*wire.Node
-	// reloading are the services whose model changes, so that all targets load anew.
+	// reloading holds the services whose model changes: all their targets load it
+	// cold.
 	reloading map[string]bool
-	// services are the declarations after the changes.
+	// services holds the declarations after the changes.
 	services map[string]*wire.Service
 }
 
@@ -91,7 +92,7 @@
 	p.Warnings, p.Refusals = e.assess(p.GetNeeds())
 }
 
-// capacity sums what targets bear by service and zone.
+// capacity returns the capacity of the targets, sorted by service and zone.
 func (e *estimate) capacity() []*wire.CapacityLine {
 	lines := map[[2]string]*wire.CapacityLine{}
 
@@ -128,8 +129,8 @@
 	return out
 }
 
-// capacityDuring is what a target can be relied on to bear right after the change: its
-// cold limit where it starts cold.
+// capacityDuring returns the capacity of a target right after the change: its cold
+// limit if it starts cold.
 func (e *estimate) capacityDuring(node *wire.Node) uint32 {
 	service := e.services[node.GetService()]
 	warm := ledger.WarmCapacity(node, service.GetWarmLimit())
@@ -149,7 +150,8 @@
 	return e.usableBefore[node.GetID()] == nil || e.reloading[node.GetService()]
 }
 
-// drains lists the processes that leave and what they must finish first.
+// drains returns the processes that the changes remove or stop, with the work that
+// each must finish first.
 func (e *estimate) drains(changes []*wire.Change) []*wire.DrainLine {
 	draining := map[string]*wire.Node{}
 
@@ -213,8 +215,8 @@
 	return out
 }
 
-// needs compares, for each service whose capacity changes, what remains with
-// what its targets have in hand now.
+// needs compares the capacity during and after the changes with the current load, for
+// each service whose capacity changes.
 func (e *estimate) needs(capacity []*wire.CapacityLine) []*wire.NeedLine {
 	needed := map[string]uint32{}
 	for id, node := range e.usableBefore {
--- a/internal/intent/plan_test.go
+++ b/internal/intent/plan_test.go
@@ -13,8 +13,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// TestPlans carries declarations out against a small deployment: "base" builds
-// the state, "plan" prints what a declaration would do.
+// TestPlans runs the cases in testdata against a small deployment: "base" builds the
+// state, "plan" prints the plan of a declaration, "undeclared" the records that it
+// does not mention.
 func TestPlans(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -44,7 +45,7 @@
 	})
 }
 
-// newBase is a state with two agents of cooper-assist in each of three zones.
+// newBase returns a state with two agents of cooper-assist in each of three zones.
 func newBase(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
 	t.Helper()
 
--- a/internal/intent/reference.go
+++ b/internal/intent/reference.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// descriptions says what each section and key of a declaration does. Keys stand as Section.Key.
+// descriptions holds the text for each section and key, the latter as Section.Key.
 var descriptions = map[string]string{
 	"Zone":                    "An availability zone. Targets in a zone that is not declared get no work.",
 	"Zone.Region":             "The region of the zone.",
@@ -34,7 +34,7 @@
 	"Group.Slots":             "How many experts of a layer a rank holds.",
 }
 
-// Reference returns the reference of declarations, in Markdown.
+// Reference returns the reference of declarations in Markdown.
 func Reference() string {
 	var b strings.Builder
 
--- a/internal/intent/reference_test.go
+++ b/internal/intent/reference_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write the reference page")
 
-// Operators read the page; a section or key that it lacks or describes wrongly
-// would be found only by its error.
+// Operators rely on the reference page. Guards against a section or key that is
+// missing from the page or described wrongly there.
 func TestReferencePage(t *testing.T) {
 	t.Parallel()
 
@@ -27,5 +27,5 @@
 	page, err := os.ReadFile(referencePage)
 	require.NoError(t, err)
 	require.Equal(t, intent.Reference(), string(page), "go test ./internal/intent -update writes it")
-	require.NotContains(t, strings.ReplaceAll(string(page), " ", ""), "||", "a section or key without a meaning")
+	require.NotContains(t, strings.ReplaceAll(string(page), " ", ""), "||", "a section or key has no description")
 }
--- a/internal/intent/sections.go
+++ b/internal/intent/sections.go
@@ -17,12 +17,12 @@
 	set     func(r *wire.Record, value string) error
 }
 
-// sectionKind is one kind of section, and the record that it declares.
+// sectionKind is one kind of section, with the record that it declares.
 type sectionKind struct {
 	keyword string
 	prefix  string
-	// newRecord returns the record of a section that the state does not have yet;
-	// nil means that the record must exist.
+	// newRecord returns the record of a section that the state does not have yet. Nil
+	// means that the record must already exist.
 	newRecord func(name string) *wire.Record
 	fields    []field
 }
@@ -50,7 +50,7 @@
 	return strings.Join(names, ", ")
 }
 
-// removedKey removes the record that its section names.
+// removedKey is the key that removes the record of its section.
 const removedKey = "Removed"
 
 const (
@@ -64,10 +64,10 @@
 	allowedText     = "text"
 )
 
-var errInvalidValue = errors.New("the value is not of the kind")
+var errInvalidValue = errors.New("has a bad value")
 
-// sectionKinds are all sections that a declaration may have. ColdLimit stands after
-// Service, since it adds to the service's record.
+// sectionKinds are all kinds of sections that a declaration may have. ColdLimit comes
+// after Service, since it adds to the service's record.
 var sectionKinds = []*sectionKind{
 	{
 		keyword: "Zone", prefix: ledger.ZonePrefix,
@@ -201,7 +201,7 @@
 
 const maxWeight = 1_000_000
 
-// setWeight refuses a weight of zero, with which a workspace would never get a turn.
+// setWeight rejects a weight of zero: the workspace would never be scheduled.
 func setWeight(r *wire.Record, value string) error {
 	n, err := strconv.ParseUint(value, 10, 32)
 	if err != nil || n == 0 || n > maxWeight {
