--- a/internal/view/configuration.go
+++ b/internal/view/configuration.go
@@ -14,8 +14,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// configuration is the configuration at one version. It is immutable: apply copies
-// the tables that a change touches.
+// configuration is the configuration at one version. It is immutable: apply copies the
+// tables that it changes.
 type configuration struct {
 	services   map[string]*wire.Service
 	zones      map[string]*wire.Zone
@@ -28,7 +28,7 @@
 	groups     map[string]*wire.Group
 }
 
-// configEdit is a content in the making, with the tables that it has already copied.
+// configEdit is a configuration that is being built, with the tables already copied.
 type configEdit struct {
 	configuration
 	copied map[string]bool
@@ -60,7 +60,7 @@
 	return &e.configuration, nil
 }
 
-// maxBaseBytes bounds what one base may unpack to.
+// maxBaseBytes limits the decompressed size of the base records of one answer.
 const maxBaseBytes = 64 << 20
 
 func decodeBase(data []byte) ([]*wire.Record, error) {
@@ -70,16 +70,16 @@
 
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxBaseBytes+1))
 	if err != nil {
-		return nil, eris.Wrap(err, "unpack the base")
+		return nil, eris.Wrap(err, "decompress base records")
 	}
 
 	if len(plain) > maxBaseBytes {
-		return nil, eris.Errorf("the base unpacks to more than %d bytes", maxBaseBytes)
+		return nil, eris.Errorf("decompressed base records exceed %d bytes", maxBaseBytes)
 	}
 
 	set := &wire.RecordSet{}
 	if err := proto.Unmarshal(plain, set); err != nil {
-		return nil, eris.Wrap(err, "read the base")
+		return nil, eris.Wrap(err, "decode base records")
 	}
 
 	return set.GetRecords(), nil
@@ -135,7 +135,7 @@
 	}
 }
 
-// writable returns the table of a kind for writing, copied at its first write.
+// writable returns a table for writing. It copies the table before the first write.
 func writable[T any](e *configEdit, kind string, table *map[string]*T) map[string]*T {
 	if !e.copied[kind] {
 		e.copied[kind] = true
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -18,50 +18,53 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ClusterState is what an entry that is the door of its targets knows. It never changes.
+// ClusterState is the state that an entry received from all control VMs. It is
+// immutable.
 type ClusterState struct {
-	// Index orders states; Number is the operators' own of Table.
+	// Index orders states. Number is the operators' configuration number of Table.
 	Index    uint64
 	Number   uint64
 	Table    *routes.Table
 	ZonesOut []string
 	Targets  []directory.Target
-	// Entries is how many entries share the targets, this one included, and Roster those
-	// of them that are known by ID.
+	// Entries is the number of entries that share the targets, including this one.
+	// Roster holds those whose IDs are known.
 	Entries int
 	Roster  []shares.Node
-	// Relays are where some processes relay orders to engines, by the control VM that
-	// answered last.
+	// Relays are the addresses of processes that relay orders to engines, as reported
+	// by the control VM that answered last.
 	Relays []netip.AddrPort
-	// ControlsAnswered is how many control VMs have answered since the start.
+	// ControlsAnswered is the number of control VMs that have answered since the
+	// start.
 	ControlsAnswered int
-	// FirstAnswerAt is when the first of them answered.
+	// FirstAnswerAt is when the first control VM answered.
 	FirstAnswerAt time.Time
 }
 
-// ZoneOut reports whether the operators have taken the zone out.
-func (f *ClusterState) ZoneOut(zone string) bool { return slices.Contains(f.ZonesOut, zone) }
+// ZoneOut reports whether the zone is taken out.
+func (s *ClusterState) ZoneOut(zone string) bool { return slices.Contains(s.ZonesOut, zone) }
 
-// Follower follows every control VM at once. Targets announce themselves to any
-// one of them, so that one alone does not know them all; and a control VM that a
-// partition has cut off, or that wakes from a suspension, tells old news, which
-// the others outrank by its index. Set its exported fields before Run.
+// Follower polls all control VMs concurrently and merges their answers. A target
+// announces itself to any one control VM, so no single one has all targets. A control
+// VM that was partitioned or suspended may report an old state; the index identifies
+// the newest one. Set the exported fields before calling Init and Run.
 type Follower struct {
 	Cluster string
 	ID      string
 	Zone    string
-	// Seeds are the control VMs that the settings name; Seeds is called anew for
-	// each round of dials, since settings change.
+	// Seeds returns the control VMs in the settings. It is called at every refresh,
+	// since settings may change.
 	Seeds func() []netip.AddrPort
-	// Poll sends one question to a control VM. It must end when ctx does.
+	// Poll sends one poll to a control VM. It must return when ctx is done.
 	Poll func(ctx context.Context, control netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error)
-	// Leaving says that this process stops.
+	// Leaving, if set, reports whether this process is stopping.
 	Leaving func() bool
-	// Relay is where this process relays orders to engines; invalid where it does not.
+	// Relay is the address at which this process relays orders to engines; invalid if
+	// it does not.
 	Relay netip.AddrPort
-	// ServicesOnly leaves out routes and workspaces, for who takes no callers.
+	// ServicesOnly omits routes and workspaces, for processes that accept no callers.
 	ServicesOnly bool
-	// OnChange is called with each new state, one call at a time.
+	// OnChange is called with each new state, never concurrently.
 	OnChange func(*ClusterState)
 	Settings FollowerSettings
 	Logger   *slog.Logger
@@ -69,31 +72,31 @@
 	mu              sync.Mutex
 	merged          directory.MergedTargets
 	current         atomic.Pointer[ClusterState]
-	membersBySource map[netip.AddrPort][]netip.AddrPort // by who told
+	membersBySource map[netip.AddrPort][]netip.AddrPort // by the control VM that reported them
 	entryCounts     map[netip.AddrPort]uint32
-	rostersBySource map[netip.AddrPort][]shares.Node // by who told
+	rostersBySource map[netip.AddrPort][]shares.Node // by the control VM that reported them
 	answered        map[netip.AddrPort]bool
-	unreachable     map[netip.AddrPort]bool // whose word on entries is to be dropped
+	unreachable     map[netip.AddrPort]bool // whose rosters and counts are dropped at the next answer of another
 	tableFetch      tableFetch
 	cancels         map[netip.AddrPort]context.CancelFunc
 	pollers         sync.WaitGroup
 }
 
-// FollowerSettings are the intervals of a follower.
+// FollowerSettings holds the intervals of a follower.
 type FollowerSettings struct {
-	// MaxPollWait is how long a control VM may hold a question, and Timeout how long its
-	// answer may take beyond that. Together they are how long a connection that has
-	// gone silent keeps news from this entry.
+	// MaxPollWait is how long a control VM may hold a poll, and AnswerTimeout how long
+	// the answer may take beyond that. Their sum bounds how long an unresponsive
+	// connection delays updates.
 	MaxPollWait   time.Duration
 	AnswerTimeout time.Duration
-	// RetryDelay is the pause after a question that failed.
+	// RetryDelay is the delay after a failed poll.
 	RetryDelay time.Duration
-	// RefreshInterval is how often the list of control VMs is looked at.
+	// RefreshInterval is how often the list of control VMs is recomputed.
 	RefreshInterval time.Duration
 }
 
-// DefaultFollowerSettings returns intervals that bring news of a lost connection
-// within a second and cost 1.5 questions a second and control VM.
+// DefaultFollowerSettings returns intervals with which a lost connection is detected
+// within a second, at a cost of 1.5 polls per second and control VM.
 func DefaultFollowerSettings() FollowerSettings {
 	return FollowerSettings{
 		MaxPollWait: 600 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond,
@@ -121,10 +124,10 @@
 	f.current.Store(&ClusterState{Entries: 1})
 }
 
-// State returns what is known now. It is never nil after Init.
+// State returns the current state. It is never nil after Init.
 func (f *Follower) State() *ClusterState { return f.current.Load() }
 
-// Run follows until ctx ends.
+// Run polls until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
 	tick := time.NewTicker(f.Settings.RefreshInterval)
 	defer tick.Stop()
@@ -141,8 +144,8 @@
 	}
 }
 
-// refresh follows the control VMs of the settings and of the members as they are
-// now, and no others.
+// refresh starts polling new control VMs of the settings or the reported members, and
+// stops polling all others.
 func (f *Follower) refresh(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,11 +185,12 @@
 	}
 }
 
-// maxFailuresReachable is after how many failed questions in a row what a control VM told of entries
-// no longer counts, as soon as another one tells of them.
-const maxFailuresReachable = 40
+// unreachableAfterFailures is the number of consecutive failed polls after which the
+// entries that a control VM reported no longer count, once another control VM answers.
+const unreachableAfterFailures = 40
 
-// markUnreachable notes that a control VM has not answered for long.
+// markUnreachable marks a control VM as unreachable and requests its full roster at
+// the next poll.
 func (f *Follower) markUnreachable(control netip.AddrPort, c *controlState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,7 +199,7 @@
 	c.rosterHash = 0
 }
 
-// controlState is how far this entry knows one control VM's directory.
+// controlState is what this entry last received from one control VM.
 type controlState struct {
 	directoryBoot, directoryRevision uint64
 	rosterHash                       uint64
@@ -209,10 +213,10 @@
 	for ctx.Err() == nil {
 		if err := f.pollOnce(ctx, control, &c); err != nil {
 			if c.failures == 0 && ctx.Err() == nil {
-				f.Logger.Info("Control VM lost.", "control", control, "error", err)
+				f.Logger.Info("Poll of a control VM failed; retrying.", "control", control, "error", err)
 			}
 
-			if c.failures++; c.failures == maxFailuresReachable {
+			if c.failures++; c.failures == unreachableAfterFailures {
 				f.markUnreachable(control, &c)
 			}
 
@@ -222,7 +226,7 @@
 		}
 
 		if c.failures > 0 {
-			f.Logger.Info("Control VM answers again.", "control", control, "failures", c.failures)
+			f.Logger.Info("Control VM is reachable again.", "control", control, "failures", c.failures)
 		}
 
 		c.failures = 0
@@ -256,7 +260,8 @@
 		err = f.mergeAnswer(time.Now(), control, out, c)
 	}
 
-	// Before the table is taken in, another control VM would be asked for it once more.
+	// Ending the fetch before the table is merged would let another control VM be
+	// asked for it as well.
 	if fetch {
 		f.endTableFetch(control, err)
 	}
@@ -336,13 +341,13 @@
 	return nil
 }
 
-// mergeState takes in a later state. A table that it must hold and does not, since
-// this entry learnt a higher number meanwhile, leaves the table as it is.
+// mergeState merges a newer state. If it comes without its table, because this entry
+// has received a higher number meanwhile, the current table stays.
 func (f *Follower) mergeState(next *ClusterState, out *wire.FollowResponse) error {
 	if out.GetTable() != nil && out.GetNumber() > next.Number {
 		table, err := routes.NewTable(routes.FromWire(out.GetTable()))
 		if err != nil {
-			f.Logger.Error("The table of a control VM is invalid.", "number", out.GetNumber(), "error", err)
+			f.Logger.Error("Invalid route table received; keeping the current one.", "number", out.GetNumber(), "error", err)
 
 			return err
 		}
@@ -353,13 +358,13 @@
 		f.Logger.Info("Configuration in force.", "number", next.Number, "index", out.GetIndex(), "routes", len(table.Routes))
 	}
 
-	// A table that was asked for comes after the state that told of it.
+	// A requested table arrives after the state that announced it.
 	if out.GetIndex() <= next.Index {
 		return nil
 	}
 
 	if !slices.Equal(next.ZonesOut, out.GetZonesOut()) {
-		f.Logger.Info("Zones out.", "zones", out.GetZonesOut(), "index", out.GetIndex())
+		f.Logger.Info("Zones that are out changed.", "zones", out.GetZonesOut(), "index", out.GetIndex())
 	}
 
 	next.Index, next.ZonesOut = out.GetIndex(), out.GetZonesOut()
@@ -399,7 +404,7 @@
 	for _, w := range out.GetTargets() {
 		t, err := directory.FromWire(w, now)
 		if err != nil {
-			f.Logger.Warn("A target of a control VM cannot be read.", "target", w.GetID(), "error", err)
+			f.Logger.Warn("Invalid target received; ignoring it.", "target", w.GetID(), "error", err)
 
 			continue
 		}
@@ -414,14 +419,14 @@
 	next.Targets = f.merged.Targets()
 
 	for i := range ts {
-		f.Logger.Debug("Target.", "target", ts[i].ID, "service", ts[i].Service, "address", ts[i].Address, "state", ts[i].State)
+		f.Logger.Debug("Target updated.", "target", ts[i].ID, "service", ts[i].Service, "address", ts[i].Address, "state", ts[i].State)
 	}
 
 	return true
 }
 
-// maxEntryCount returns how many entries share the targets. Each control VM counts those
-// that follow it; the largest count misses the fewest.
+// maxEntryCount returns the number of entries that share the targets. Each control VM
+// counts the entries that poll it; the largest count misses the fewest.
 func (f *Follower) maxEntryCount() int {
 	n := uint32(1)
 	for _, c := range f.entryCounts {
@@ -431,8 +436,8 @@
 	return int(n)
 }
 
-// setRoster takes in the entries that a control VM named, and reports whether that may
-// have changed the roster.
+// setRoster stores the entries that a control VM reported, and reports whether the
+// merged roster may have changed.
 func (f *Follower) setRoster(control netip.AddrPort, out *wire.FollowResponse, c *controlState) bool {
 	delete(f.unreachable, control)
 
@@ -458,7 +463,7 @@
 	return true
 }
 
-// mergedRoster returns the entries that any control VM names, by ID.
+// mergedRoster returns the entries that any control VM reported, sorted by ID.
 func (f *Follower) mergedRoster() []shares.Node {
 	all := make(map[string]shares.Node)
 
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -22,7 +22,7 @@
 	controlTwo = netip.MustParseAddrPort("10.0.0.2:1")
 )
 
-// fakeControls are control VMs that a test drives.
+// fakeControls fakes control VMs whose answers a test sets.
 type fakeControls struct {
 	mu           sync.Mutex
 	answers      map[netip.AddrPort]*wire.FollowResponse
@@ -77,7 +77,7 @@
 	return f, start(t, f)
 }
 
-// start runs a follower until the function that it returns is called.
+// start runs a follower until the returned function is called.
 func start(t *testing.T, f *view.Follower) (stop func()) {
 	t.Helper()
 	f.Init()
@@ -97,8 +97,9 @@
 	}
 }
 
-// One control VM is cut off and shows an old configuration. An entry that has seen
-// the new one at another never goes back, whichever answers last.
+// A control VM is cut off and still reports an old configuration. An entry that has
+// received the new one from another control VM must never revert, whichever answers
+// last.
 func TestFollowerNeverRevertsToOlderState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -120,12 +121,12 @@
 		p.set(controlOne, &wire.FollowResponse{Index: 10, Number: 7, ZonesOut: []string{"b"}, DirectoryBoot: 1})
 		time.Sleep(2 * time.Second)
 		require.Equal(t, []string{"b"}, f.State().ZonesOut)
-		require.NotNil(t, f.State().Table.Service("new"), "a state without a table keeps the one that is known")
+		require.NotNil(t, f.State().Table.Service("new"), "a state without a table keeps the current table")
 	})
 }
 
 // A seed is replaced by a control VM that the settings do not name. The entry
-// learns of it from the others and follows it too.
+// discovers it through the other control VMs and polls it too.
 func TestFollowerDiscoversControlVMs(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -141,8 +142,8 @@
 	})
 }
 
-// A connection goes silent for good. The question is given up after a second, and
-// the next one, over a new connection, brings what was missed.
+// A connection becomes unresponsive for good. The poll times out after a second, and
+// the next one, over a new connection, delivers the missed update.
 func TestFollowerTimesOutUnresponsiveControlVM(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -163,8 +164,8 @@
 	})
 }
 
-// A control VM publishes a table, address or target that cannot be read. What is
-// known stays in force.
+// A control VM publishes an invalid table, address or target. The current state stays
+// in force.
 func TestFollowerKeepsStateOnInvalidAnswer(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -191,14 +192,14 @@
 	})
 }
 
-// A large configuration comes to a deployment with many control VMs. Guards against each of
-// them sending it to each entry, which filled links until questions failed: an entry fetches it
-// once, from its own zone, and from another zone where its own does not answer.
+// A large configuration is published in a deployment with many control VMs. If each of
+// them sent it to each entry, links would be saturated until polls time out. An entry
+// fetches it once, from its own zone, or from another zone if its own does not answer.
 func TestTableIsFetchedOnce(t *testing.T) {
 	t.Parallel()
 
-	for _, ownAnswers := range []bool{true, false} {
-		t.Run(fmt.Sprintf("own zone answers %v", ownAnswers), func(t *testing.T) {
+	for _, localAnswers := range []bool{true, false} {
+		t.Run(fmt.Sprintf("local zone answers %v", localAnswers), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				var (
@@ -207,17 +208,17 @@
 				)
 
 				sent := map[netip.AddrPort]int{}
-				own := netip.MustParseAddrPort("10.0.0.9:1")
+				localControl := netip.MustParseAddrPort("10.0.0.9:1")
 				lastSent := uint64(0)
-				began := time.Now()
-				number := func() uint64 { return 1 + uint64(time.Since(began)/(3*time.Second)) }
+				startedAt := time.Now()
+				number := func() uint64 { return 1 + uint64(time.Since(startedAt)/(3*time.Second)) }
 
 				for i := range 9 {
 					seeds = append(seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + i)}), 1))
 				}
 
 				ask := func(ctx context.Context, at netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error) {
-					if at == own && !ownAnswers && r.GetWaitMillis() > 0 {
+					if at == localControl && !localAnswers && r.GetWaitMillis() > 0 {
 						<-ctx.Done()
 
 						return nil, errCutOff
@@ -229,7 +230,7 @@
 					}
 
 					out := &wire.FollowResponse{Index: n, Number: n, DirectoryBoot: 1, Zone: "far"}
-					if at == own {
+					if at == localControl {
 						out.Zone = "z"
 					}
 
@@ -263,16 +264,17 @@
 				require.Equal(t, uint64(11), lastSent)
 				require.LessOrEqual(t, total, 12, "once for each of 11 changes, and once more at the start")
 
-				if ownAnswers {
-					require.GreaterOrEqual(t, sent[own], 10)
+				if localAnswers {
+					require.GreaterOrEqual(t, sent[localControl], 10)
 				}
 			})
 		})
 	}
 }
 
-// Two control VMs know some entries each, and one of them is lost for good. Guards against an
-// entry that counts too few of the others, and against one that counts lost ones for ever.
+// Two control VMs report some entries each, and one of them is lost for good. Guards
+// against an entry that counts too few other entries, and against one that counts lost
+// entries for ever.
 func TestRosterMergesControlVMsAndDropsUnreachableOnes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -305,7 +307,7 @@
 		require.Equal(t, 3, f.State().Entries)
 		p.set(controlOne, nil)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, "a b c", ids(), "it may be back soon")
+		require.Equal(t, "a b c", ids(), "a control VM that fails briefly still counts")
 		time.Sleep(20 * time.Second)
 		require.Equal(t, "b c", ids())
 	})
--- a/internal/view/pollstate_test.go
+++ b/internal/view/poll_state_test.go
@@ -26,8 +26,8 @@
 	return &wire.PollResponse{Version: version, Full: full, Changed: []*wire.Record{zoneRecord("a", version, out)}}
 }
 
-// A zone goes out at version 9. Then answers come that are late, doubled, or
-// cannot follow what is held; none may bring the zone back.
+// A zone is taken out at version 9. Answers that then arrive late, duplicated, or for
+// another version must not bring the zone back.
 func TestLateAndUnrelatedAnswersAreIgnored(t *testing.T) {
 	t.Parallel()
 
@@ -35,30 +35,30 @@
 		known  uint64
 		answer *wire.PollResponse
 	}{
-		"older and full":                {0, zoneAnswer(5, true, false)},
-		"an older delta":                {4, zoneAnswer(5, false, false)},
-		"doubled":                       {5, zoneAnswer(9, false, true)},
-		"a delta after another version": {5, zoneAnswer(12, false, false)},
-		"older, of a VM that is stale":  {9, &wire.PollResponse{Version: 5, Stale: true}},
+		"older, full":                    {0, zoneAnswer(5, true, false)},
+		"older delta":                    {4, zoneAnswer(5, false, false)},
+		"duplicate":                      {5, zoneAnswer(9, false, true)},
+		"delta for another version":      {5, zoneAnswer(12, false, false)},
+		"older, from a stale control VM": {9, &wire.PollResponse{Version: 5, Stale: true}},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			core := newPollState(4 * time.Second)
-			require.Equal(t, outcomeChanged, core.applyAnswer(start, 0, zoneAnswer(5, true, false)))
-			require.Equal(t, outcomeChanged, core.applyAnswer(start, 5, zoneAnswer(9, false, true)))
-			require.NotEqual(t, outcomeChanged, core.applyAnswer(start.Add(time.Hour), c.known, c.answer))
-			require.Equal(t, uint64(9), core.snapshot.Version)
-			require.False(t, core.snapshot.ZoneInUse("a"))
+			reader := newPollState(4 * time.Second)
+			require.Equal(t, outcomeChanged, reader.applyAnswer(start, 0, zoneAnswer(5, true, false)))
+			require.Equal(t, outcomeChanged, reader.applyAnswer(start, 5, zoneAnswer(9, false, true)))
+			require.NotEqual(t, outcomeChanged, reader.applyAnswer(start.Add(time.Hour), c.known, c.answer))
+			require.Equal(t, uint64(9), reader.snapshot.Version)
+			require.False(t, reader.snapshot.ZoneInUse("a"))
 		})
 	}
 }
 
-// A poll is answered at once, or held, by a control VM whose state is some time
-// old; messages take long on the way. The lease must never outlast the time at
-// which the state was surely current by more than its length.
+// A control VM whose state is some time old answers a poll at once, or holds it, and
+// messages are delayed. The lease must not end later than its length after the state
+// was certainly current.
 func TestLeaseStartsWhenStateWasCurrent(t *testing.T) {
 	t.Parallel()
 
@@ -66,48 +66,48 @@
 		answer *wire.PollResponse
 		want   time.Duration
 	}{
-		"current":           {&wire.PollResponse{Version: 1}, 4 * time.Second},
-		"aged":              {&wire.PollResponse{Version: 1, AgeMillis: 300}, 3700 * time.Millisecond},
-		"held":              {&wire.PollResponse{Version: 1, AgeMillis: 300, HeldMillis: 1000}, 4700 * time.Millisecond},
-		"a shorter lease":   {&wire.PollResponse{Version: 1, LeaseMillis: 2500}, 2500 * time.Millisecond},
-		"a longer lease":    {&wire.PollResponse{Version: 1, LeaseMillis: 9000}, 4 * time.Second},
-		"stale gives none":  {&wire.PollResponse{Version: 1, Stale: true}, 0},
-		"older than leases": {&wire.PollResponse{Version: 1, AgeMillis: 5000}, -time.Second},
+		"current":               {&wire.PollResponse{Version: 1}, 4 * time.Second},
+		"aged":                  {&wire.PollResponse{Version: 1, AgeMillis: 300}, 3700 * time.Millisecond},
+		"held":                  {&wire.PollResponse{Version: 1, AgeMillis: 300, HeldMillis: 1000}, 4700 * time.Millisecond},
+		"shorter lease granted": {&wire.PollResponse{Version: 1, LeaseMillis: 2500}, 2500 * time.Millisecond},
+		"longer lease granted":  {&wire.PollResponse{Version: 1, LeaseMillis: 9000}, 4 * time.Second},
+		"stale, no lease":       {&wire.PollResponse{Version: 1, Stale: true}, 0},
+		"older than the lease":  {&wire.PollResponse{Version: 1, AgeMillis: 5000}, -time.Second},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			core := newPollState(4 * time.Second)
-			core.applyAnswer(start, 0, c.answer)
+			reader := newPollState(4 * time.Second)
+			reader.applyAnswer(start, 0, c.answer)
 
-			until := core.snapshot.ValidUntil
+			until := reader.snapshot.ValidUntil
 			if c.answer.GetStale() {
 				require.True(t, until.IsZero())
 				return
 			}
 
 			require.Equal(t, c.want, until.Sub(start))
-			core.applyAnswer(start.Add(-time.Second), 1, c.answer)
-			require.Equal(t, until, core.snapshot.ValidUntil, "an answer to an earlier poll shortens nothing")
+			reader.applyAnswer(start.Add(-time.Second), 1, c.answer)
+			require.Equal(t, until, reader.snapshot.ValidUntil, "an answer to an earlier poll does not shorten the lease")
 		})
 	}
 }
 
-// A process numbers what it says of itself, so that a late poll never undoes a newer one.
+// A process numbers its reports, so that a late poll never undoes a newer one.
 func TestReportNumberGrowsWithEachChange(t *testing.T) {
 	t.Parallel()
 
-	core := newPollState(time.Second)
-	first := core.numberReport(&wire.Node{ID: "a", BootID: "1"})
-	require.Equal(t, first.GetReport(), core.numberReport(&wire.Node{ID: "a", BootID: "1"}).GetReport())
-	require.Greater(t, core.numberReport(&wire.Node{ID: "a", BootID: "2"}).GetReport(), first.GetReport())
+	reader := newPollState(time.Second)
+	first := reader.numberReport(&wire.Node{ID: "a", BootID: "1"})
+	require.Equal(t, first.GetReport(), reader.numberReport(&wire.Node{ID: "a", BootID: "1"}).GetReport())
+	require.Greater(t, reader.numberReport(&wire.Node{ID: "a", BootID: "2"}).GetReport(), first.GetReport())
 }
 
-// A reader misses hundreds of changes, asks VMs of which some lag behind, and
-// gets answers late, doubled, reordered and lost. Its version never falls, and
-// in the end it holds what the state holds.
+// A reader misses hundreds of changes, polls control VMs of which some lag behind, and
+// gets answers late, duplicated, reordered or not at all. Its version must never fall,
+// and after a last poll it must hold the complete state.
 func TestReaderConverges(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -115,7 +115,7 @@
 		limits.MaxTombstones = 8
 		state := ledger.New(limits)
 		history := []ledger.Records{state.Records()}
-		core := newPollState(4 * time.Second)
+		reader := newPollState(4 * time.Second)
 
 		var inFlight []answerInFlight
 
@@ -126,39 +126,39 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0, 1:
 				lag := rapid.IntRange(0, min(3, len(history)-1)).Draw(rt, "lag")
-				inFlight = append(inFlight, poll(core, history[len(history)-1-lag]))
+				inFlight = append(inFlight, poll(reader, history[len(history)-1-lag]))
 			case 2, 3:
 				if len(inFlight) > 0 {
-					before := core.snapshot.Version
+					before := reader.snapshot.Version
 					f := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(rt, "answer")]
-					core.applyAnswer(start, f.known, f.answer)
-					require.GreaterOrEqual(rt, core.snapshot.Version, before)
+					reader.applyAnswer(start, f.known, f.answer)
+					require.GreaterOrEqual(rt, reader.snapshot.Version, before)
 				}
 			}
 		}
 
-		f := poll(core, state.Records())
-		core.applyAnswer(start, f.known, f.answer)
+		f := poll(reader, state.Records())
+		reader.applyAnswer(start, f.known, f.answer)
 
 		all := state.Records().All()
-		require.Equal(rt, state.Records().Version, core.snapshot.Version)
-		require.Len(rt, core.snapshot.Nodes(), len(all))
+		require.Equal(rt, state.Records().Version, reader.snapshot.Version)
+		require.Len(rt, reader.snapshot.Nodes(), len(all))
 
 		for _, r := range all {
-			node, _ := core.snapshot.Node(r.GetNode().GetID())
+			node, _ := reader.snapshot.Node(r.GetNode().GetID())
 			require.True(rt, proto.Equal(r.GetNode(), node))
 		}
 	})
 }
 
-// answerInFlight is an answer on its way.
+// answerInFlight is an answer that has not arrived yet.
 type answerInFlight struct {
 	known  uint64
 	answer *wire.PollResponse
 }
 
-func poll(c *pollState, records ledger.Records) answerInFlight {
-	known := c.snapshot.Version
+func poll(p *pollState, records ledger.Records) answerInFlight {
+	known := p.snapshot.Version
 	answer := &wire.PollResponse{Version: records.Version}
 
 	if known == 0 || records.Version > known {
@@ -183,7 +183,7 @@
 	return data
 }
 
-// A target is passed over for each reason alone.
+// Each reason for excluding a target suffices alone.
 func TestAdmissibleTargets(t *testing.T) {
 	t.Parallel()
 
@@ -205,11 +205,11 @@
 		answer.Changed = append(answer.Changed, &wire.Record{Key: "Node/" + n.GetID(), Value: &wire.Record_Node{Node: n}})
 	}
 
-	core := newPollState(time.Second)
-	core.applyAnswer(start, 0, answer)
-	require.Len(t, core.snapshot.Targets("s"), 7)
+	reader := newPollState(time.Second)
+	reader.applyAnswer(start, 0, answer)
+	require.Len(t, reader.snapshot.Targets("s"), 7)
 
-	for _, target := range core.snapshot.Targets("s") {
+	for _, target := range reader.snapshot.Targets("s") {
 		require.Equal(t, target.Node.GetID() == "good", target.Admissible(), target.Node.GetID())
 	}
 }
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -1,7 +1,7 @@
-// Package view is the side of entries and agents in following the replicated
-// state: it polls the control VMs, holds what they answer as an immutable
-// snapshot, and knows until when that may be acted on. Nothing is kept on disk;
-// a process that restarts gets everything anew.
+// Package view lets entries and agents follow the replicated state. It polls the
+// control VMs, keeps their answers as an immutable snapshot, and tracks until when the
+// snapshot may be acted on. Nothing is stored on disk; a restarted process fetches the
+// complete state again.
 package view
 
 import (
@@ -18,25 +18,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Reader follows the replicated state. Set its exported fields before Run.
+// Reader follows the replicated state by polling one control VM at a time. Set its
+// exported fields before calling Init and Run.
 type Reader struct {
 	// Cluster names the deployment.
 	Cluster string
-	// Controls are the addresses of the control VMs.
+	// Controls holds the addresses of the control VMs.
 	Controls []netip.AddrPort
-	// Poll sends one poll to a control VM. It must end when ctx does.
+	// Poll sends one poll to a control VM. It must return when ctx is done.
 	Poll func(ctx context.Context, control netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error)
-	// Self says what this process is now; Report is filled in by the reader.
+	// Self describes this process; the reader sets Report.
 	Self func() *wire.Node
-	// Load says what this process has in hand; nil leaves it out.
+	// Load returns the current load of this process; if nil, no load is reported.
 	Load func() *wire.NodeLoad
-	// FindControls, if set, returns the control VMs to ask from now on, after each
-	// change of the configuration; at least one.
+	// FindControls, if set, is called after each change of the configuration and
+	// returns the control VMs to poll from then on, at least one.
 	FindControls func(*Snapshot) []netip.AddrPort
-	// OnChange is called from the goroutine of Run after each change of the
-	// configuration, with the new snapshot; nil means none.
+	// OnChange, if set, is called from Run's goroutine after each change of the
+	// configuration.
 	OnChange func(*Snapshot)
-	// Settings holds the intervals; the zero value stands for DefaultSettings.
+	// Settings holds the intervals; the zero value means DefaultSettings.
 	Settings Settings
 	Logger   *slog.Logger
 
@@ -46,24 +47,26 @@
 	failures     int
 }
 
-// Settings are the intervals of a reader.
+// Settings holds the intervals of a reader.
 type Settings struct {
-	// Lease is how long the process may act on a view after it was current. It
-	// must not exceed the control VMs' own.
+	// Lease is how long the process may act on a snapshot after it was current. It
+	// must not exceed the lease of the control VMs.
 	Lease time.Duration
 	// MaxPollWait is how long a control VM may hold a poll.
 	MaxPollWait time.Duration
-	// AnswerTimeout is how long a control VM may take beyond Wait.
+	// AnswerTimeout is how long an answer may take beyond MaxPollWait.
 	AnswerTimeout time.Duration
-	// FullAnswerTimeout is Timeout for a poll whose answer holds everything.
+	// FullAnswerTimeout is the minimum timeout of a poll whose answer holds the
+	// complete configuration.
 	FullAnswerTimeout time.Duration
-	// MinBackoff and BackoffMax bound the pause after a poll that failed.
+	// MinBackoff and MaxBackoff bound the delay after a failed poll.
 	MinBackoff, MaxBackoff time.Duration
-	// MinPollInterval is the least time between two polls.
+	// MinPollInterval is the delay between an answer and the next poll.
 	MinPollInterval time.Duration
 }
 
-// DefaultSettings returns the intervals for the size that parsleygate is designed for.
+// DefaultSettings returns the intervals for the deployment size that parsleygate is
+// designed for.
 func DefaultSettings() Settings {
 	return Settings{
 		Lease:             4 * time.Second,
@@ -76,8 +79,8 @@
 	}
 }
 
-// Init prepares the reader for Snapshot and Run. It must be called once, after
-// the exported fields are set.
+// Init prepares the reader for Snapshot and Run. It must be called once, after the
+// exported fields are set.
 func (r *Reader) Init() {
 	if r.Settings == (Settings{}) {
 		r.Settings = DefaultSettings()
@@ -92,14 +95,14 @@
 	r.current.Store(r.state.snapshot)
 }
 
-// Snapshot returns the configuration in force. It is never nil after Init, and
-// has version 0 until the first answer.
+// Snapshot returns the configuration in force. After Init it is never nil; its version
+// is 0 until the first answer.
 func (r *Reader) Snapshot() *Snapshot { return r.current.Load() }
 
-// Run polls until ctx ends.
+// Run polls until ctx is done.
 func (r *Reader) Run(ctx context.Context) error {
 	if len(r.Controls) == 0 {
-		return eris.New("no control VM is set")
+		return eris.New("no control VM addresses configured")
 	}
 
 	r.controlIndex = rand.IntN(len(r.Controls))
@@ -112,8 +115,8 @@
 	return nil
 }
 
-// Leave tells a control VM that this process has finished its work. Call it
-// after Run has returned; an error leaves the process to be expired.
+// Leave informs a control VM that this process has finished its work. Call it after
+// Run has returned. If it fails, the control VMs expire the process later.
 func (r *Reader) Leave(ctx context.Context) error {
 	request := r.newRequest()
 	request.Gone = true
@@ -152,20 +155,23 @@
 	return request
 }
 
-// pollWait returns how long the next poll may be held. It varies, since a change
-// answers the polls of all readers at once, and they would poll in step from then on.
+// pollWait returns how long the next poll may be held. It is random because a change
+// answers the polls of all readers at once, and without jitter they would stay
+// synchronised.
 func (r *Reader) pollWait() time.Duration {
 	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/pollWaitJitterDivisor+1)
 }
 
-// pollWaitJitterDivisor divides Wait: 4 lets a poll be held for three quarters of it at least.
+// pollWaitJitterDivisor sets the random part of MaxPollWait: 4 means up to a quarter
+// is subtracted.
 const pollWaitJitterDivisor = 4
 
-// errNotCurrent says that a control VM is not current, and another may be.
-var errNotCurrent = eris.New("the control VM is not current")
+// errUnusableAnswer means that a control VM's answer was stale or ignored; another control
+// VM may be current.
+var errUnusableAnswer = eris.New("answer of the control VM is stale or not applicable")
 
-// pollOnce sends one poll. Its deadline guards against a connection that went
-// silent: the poll is given up and the next control VM is tried.
+// pollOnce sends one poll. Its deadline guards against an unresponsive connection: the
+// poll times out, and the next one goes to another control VM.
 func (r *Reader) pollOnce(ctx context.Context) error {
 	request := r.newRequest()
 	limit := time.Duration(request.GetWaitMillis())*time.Millisecond + r.Settings.AnswerTimeout
@@ -201,14 +207,15 @@
 	}
 
 	if response.GetStale() || result == outcomeIgnored {
-		return errNotCurrent
+		return errUnusableAnswer
 	}
 
 	return nil
 }
 
-// delayNextPoll waits before the next poll: shortly after success, longer and with
-// jitter after failures, so that readers do not return all at once.
+// delayNextPoll waits before the next poll: MinPollInterval after a success, and
+// exponential backoff with jitter after a failure, so that readers do not all return
+// at once.
 func (r *Reader) delayNextPoll(ctx context.Context, err error) {
 	wait := r.Settings.MinPollInterval
 
--- a/internal/view/tablefetch.go
+++ b/internal/view/table_fetch.go
@@ -6,28 +6,32 @@
 )
 
 const (
-	// localZoneHeadStart is how long a table is left to the control VMs of the entry's own zone.
+	// localZoneHeadStart is how long only control VMs in the entry's own zone are
+	// asked for a new table.
 	localZoneHeadStart = 150 * time.Millisecond
-	// deferredPollWait is how long a question is held while a table is to be had.
+	// deferredPollWait is how long a poll may be held while a new table cannot be
+	// requested from this control VM yet.
 	deferredPollWait = 100 * time.Millisecond
 )
 
-// tableFetch decides from which control VM a table is fetched. A large one, sent by every control
-// VM to every entry at each change, filled links for a second, so that questions failed and
-// had it sent once more. Each entry fetches it from one of them, in its own zone where it can.
+// tableFetch chooses the control VM from which the entry fetches a new route table. If
+// every control VM sent a large table to every entry at each change, links would be
+// saturated for a second, polls would time out, and the table would be sent again.
+// Each entry therefore fetches it from one control VM, in its own zone if possible.
 type tableFetch struct {
 	localZone string
 	zones     map[netip.AddrPort]string
-	// announcedAt is when a control VM first told of a later table; zero while none did.
+	// announcedAt is when a control VM first announced a newer table; zero means none
+	// has.
 	announcedAt time.Time
-	// source is who is asked for one, until fetchUntil.
+	// source is the control VM that is being asked for the table, until deadline.
 	source   netip.AddrPort
 	deadline time.Time
 }
 
-// allowed reports whether a control VM that has a later table may be asked for it now. The first
-// call after the last table begins the time that is left to the own zone.
-func (t *tableFetch) allowed(now time.Time, control netip.AddrPort) bool {
+// mayFetch reports whether a control VM with a newer table may be asked for it now.
+// The first call after a table was received starts the head start of the local zone.
+func (t *tableFetch) mayFetch(now time.Time, control netip.AddrPort) bool {
 	if t.announcedAt.IsZero() {
 		t.announcedAt = now
 	}
@@ -49,8 +53,8 @@
 	return false
 }
 
-// startTableFetch reports whether a control VM that told of a table with that number is to be asked
-// for it, and how long it may hold the question.
+// startTableFetch reports whether to request the table from a control VM that
+// announced this table number, and how long that VM may hold the poll.
 func (f *Follower) startTableFetch(control netip.AddrPort, number uint64) (bool, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +64,7 @@
 	}
 
 	now := time.Now()
-	if !f.tableFetch.allowed(now, control) {
+	if !f.tableFetch.mayFetch(now, control) {
 		return false, deferredPollWait
 	}
 
@@ -69,8 +73,8 @@
 	return true, f.Settings.MaxPollWait
 }
 
-// endTableFetch takes in that the answer to a question for a table has come, or failed. After a
-// failure any control VM is as good.
+// endTableFetch records that a poll that requested the table was answered or failed.
+// After a failure, control VMs of all zones may be asked.
 func (f *Follower) endTableFetch(control netip.AddrPort, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
