--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -31,6 +31,7 @@
 	documents  documentTable
 }
 
+// New returns an empty ledger.
 func New(limits Limits) *Ledger {
 	l := &Ledger{Limits: limits}
 	l.reset()
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -217,7 +217,7 @@
 					seeds = append(seeds, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + i)}), 1))
 				}
 
-				ask := func(ctx context.Context, at netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error) {
+				poll := func(ctx context.Context, at netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error) {
 					if at == localControl && !localAnswers && r.GetWaitMillis() > 0 {
 						<-ctx.Done()
 
@@ -247,7 +247,7 @@
 				}
 
 				f := &view.Follower{
-					Cluster: "trust", ID: "e", Zone: "z", Seeds: func() []netip.AddrPort { return seeds }, Poll: ask,
+					Cluster: "trust", ID: "e", Zone: "z", Seeds: func() []netip.AddrPort { return seeds }, Poll: poll,
 					OnChange: func(*view.ClusterState) {},
 				}
 				stop := start(t, f)
--- a/internal/view/poll_state.go
+++ b/internal/view/poll_state.go
@@ -11,9 +11,9 @@
 // pollState applies the answers to polls, without I/O. Its version only grows, in
 // whatever order answers arrive.
 type pollState struct {
-	lease      time.Duration
-	snapshot   *Snapshot
-	lastReport *wire.Node
+	lease        time.Duration
+	snapshot     *Snapshot
+	lastReport   *wire.Node
 	reportNumber uint64
 }
 
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -36,6 +36,7 @@
 // Valid reports whether the lease still holds at now.
 func (s *Snapshot) Valid(now time.Time) bool { return now.Before(s.ValidUntil) }
 
+// Service returns the declaration of a service, if it is declared.
 func (s *Snapshot) Service(name string) (*wire.Service, bool) {
 	v, ok := s.config.services[name]
 	return v, ok
@@ -44,6 +45,7 @@
 // Services returns all services, sorted by name.
 func (s *Snapshot) Services() []*wire.Service { return sortedByName(s.config.services) }
 
+// Zone returns an availability zone, if it is declared.
 func (s *Snapshot) Zone(name string) (*wire.Zone, bool) {
 	v, ok := s.config.zones[name]
 	return v, ok
