--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -9,20 +9,20 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Claim claims the key of a non-idempotent request in the replicated state. An
-// error with FateUnknown may have granted the claim; asking again for the same
-// attempt is safe.
+// Claim claims the key of a non-idempotent request in the replicated state. If the error
+// has OutcomeUnknown, the claim may have been granted; retrying with the same attempt ID is
+// safe.
 func (s *Server) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	if err := checkKey(r.GetService(), r.GetKey()); err != nil {
 		return nil, err
 	}
 
 	if r.GetHolder() != nil && r.GetHolder().GetAttemptID() == "" {
-		return nil, missing("Holder.AttemptID")
+		return nil, missingField("Holder.AttemptID")
 	}
 
 	if len(r.GetBodyDigest()) == 0 {
-		return nil, missing("BodyDigest")
+		return nil, missingField("BodyDigest")
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_Claim{Claim: r}})
@@ -33,15 +33,15 @@
 	return result.GetClaim(), nil
 }
 
-// Settle records what became of the attempt that holds a claim. It may be sent
-// again after any error.
+// Settle records the outcome of the attempt that holds a claim. Retrying after any error is
+// safe.
 func (s *Server) Settle(ctx context.Context, r *wire.SettleRequest) (*wire.SettleResponse, error) {
 	if err := checkKey(r.GetService(), r.GetKey()); err != nil {
 		return nil, err
 	}
 
 	if r.GetAttemptID() == "" {
-		return nil, missing("AttemptID")
+		return nil, missingField("AttemptID")
 	}
 
 	result, err := s.propose(ctx, &wire.Command{Kind: &wire.Command_Settle{Settle: r}})
@@ -54,22 +54,22 @@
 
 func checkKey(service, key string) error {
 	if service == "" {
-		return missing("Service")
+		return missingField("Service")
 	}
 
 	if key == "" {
-		return missing("Key")
+		return missingField("Key")
 	}
 
 	return nil
 }
 
-// propose commits a command. Where the log cannot tell whether it was
-// committed, the error says so, and no caller may take it for a refusal.
+// propose commits a command. Its errors carry the outcome: with OutcomeUnknown the command
+// may have been committed, so the caller must not treat the error as a rejection.
 func (s *Server) propose(ctx context.Context, command *wire.Command) (*wire.Result, error) {
 	data, err := proto.Marshal(command)
 	if err != nil {
-		return nil, newFault(twirp.InvalidArgument, err.Error())
+		return nil, newRPCError(twirp.InvalidArgument, err.Error())
 	}
 
 	_, raw, err := s.Propose(ctx, data)
@@ -79,11 +79,11 @@
 
 	result := &wire.Result{}
 	if err := proto.Unmarshal(raw, result); err != nil {
-		return nil, proposalFault(twirp.Internal, err.Error(), OutcomeUnknown)
+		return nil, newProposalError(twirp.Internal, err.Error(), OutcomeUnknown)
 	}
 
 	if result.GetFault() != "" {
-		return nil, proposalFault(twirp.Internal, result.GetFault(), OutcomeNotDone)
+		return nil, newProposalError(twirp.Internal, result.GetFault(), OutcomeNotDone)
 	}
 
 	return result, nil
@@ -91,8 +91,8 @@
 
 func (s *Server) proposeError(err error) error {
 	if s.NotProposed(err) {
-		return proposalFault(twirp.Unavailable, "nothing was committed: "+err.Error(), OutcomeNotDone)
+		return newProposalError(twirp.Unavailable, "nothing was committed: "+err.Error(), OutcomeNotDone)
 	}
 
-	return proposalFault(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), OutcomeUnknown)
+	return newProposalError(twirp.Unavailable, "whether it was committed is unknown: "+err.Error(), OutcomeUnknown)
 }
--- a/internal/control/documents.go
+++ b/internal/control/documents.go
@@ -13,12 +13,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// maxDocument bounds a document as it was sent (bytes). It is what entries let
-// callers send at most by default, too.
-const maxDocument = 16 << 20
+// maxDocumentBytes bounds an uncompressed document. It equals the default limit of a
+// request body at entries.
+const maxDocumentBytes = 16 << 20
 
-// document is the configuration in force as it was sent, and the table that it
-// declares, read when it is first asked for.
+// document is the configuration in force as the operator sent it. Its route table is parsed
+// at the first use.
 type document struct {
 	number uint64
 	stored *wire.Document
@@ -28,37 +28,38 @@
 	err   error
 }
 
-// documentOf returns the document of the state, keeping what was read of it before.
-func documentOf(stored *wire.Document, before *published) *document {
+// newDocument returns the document for stored. It reuses the one in prev, with its parsed
+// table, if the stored document is the same.
+func newDocument(stored *wire.Document, prev *publishedState) *document {
 	if stored == nil {
 		return nil
 	}
 
-	if before != nil && before.document != nil && before.document.stored == stored {
-		return before.document
+	if prev != nil && prev.document != nil && prev.document.stored == stored {
+		return prev.document
 	}
 
 	return &document{number: stored.GetNumber(), stored: stored}
 }
 
-// read returns the table that the document declares.
-func (d *document) read(read func([]byte) (*wire.RouteTable, error)) (*wire.RouteTable, error) {
+// routeTable returns the route table of the document, and parses it at the first call.
+func (d *document) routeTable(parse func([]byte) (*wire.RouteTable, error)) (*wire.RouteTable, error) {
 	d.once.Do(func() {
-		var sent []byte
+		var data []byte
 
-		if sent, d.err = d.sent(); d.err == nil {
-			d.table, d.err = read(sent)
+		if data, d.err = d.uncompressed(); d.err == nil {
+			d.table, d.err = parse(data)
 		}
 	})
 
 	return d.table, d.err
 }
 
-// sent returns the document byte by byte as it was sent.
-func (d *document) sent() ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.stored.GetCompressed())), maxDocument+1))
+// uncompressed returns the bytes of the document as the operator sent them.
+func (d *document) uncompressed() ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.stored.GetCompressed())), maxDocumentBytes+1))
 
-	return data, eris.Wrap(err, "unpack the document")
+	return data, eris.Wrap(err, "decompress the document")
 }
 
 func compress(data []byte) ([]byte, error) {
@@ -80,18 +81,18 @@
 	return out.Bytes(), nil
 }
 
-// Adopt puts a document that the caller has checked in force in one step, under
-// the operator's own number. A number that is not higher than the one in force
-// is acknowledged and changes nothing: an order whose answer was lost is sent
-// again, and may arrive after later ones. An error with FateUnknown may have
-// adopted it; sending it again is safe.
-func (s *Server) Adopt(ctx context.Context, number uint64, sent []byte) error {
-	// What this VM has applied is committed, so a resend needs no second entry.
+// Adopt puts a document in force under the operator's number; the caller has validated the
+// document. A number that is not higher than the one in force is acknowledged without a
+// change: an operator resends a request whose answer was lost, and the resend may arrive
+// after later documents. After an error with OutcomeUnknown the document may be in force;
+// resending it is safe.
+func (s *Server) Adopt(ctx context.Context, number uint64, data []byte) error {
+	// What this VM has applied is committed, so a resend needs no second log entry.
 	if d := s.published.Load().document; d != nil && d.number >= number {
 		return nil
 	}
 
-	compressed, err := compress(sent)
+	compressed, err := compress(data)
 	if err != nil {
 		return err
 	}
@@ -103,17 +104,16 @@
 	return err
 }
 
-// UndeclaredError says that a zone or service that a caller names is not declared.
+// UndeclaredError reports that a request names a zone or service that is not declared.
 type UndeclaredError struct {
 	Kind string
 	Name string
 }
 
-// Error implements error.
 func (e *UndeclaredError) Error() string { return e.Kind + " " + e.Name + " is not declared" }
 
-// SetZoneOut takes a declared zone out or back in, in one step. It may be sent
-// again after any error but an *UndeclaredError.
+// SetZoneOut takes a declared zone out of use, or back into use, with a single command.
+// Retrying is safe after any error except an *UndeclaredError.
 func (s *Server) SetZoneOut(ctx context.Context, zone string, out bool) error {
 	region, ok := s.Zones[zone]
 	if !ok {
@@ -127,18 +127,18 @@
 	return err
 }
 
-// Document returns the newest document as it was sent; nil where none was
-// adopted yet. A quorum confirms it each time: a lease would rest on a clock
-// that stands still while a VM is suspended, and a VM that wakes would show an
-// old document as current.
+// Document returns the latest document as the operator sent it, or nil if there is none.
+// Each call confirms with a quorum that the document is current. A lease would not do: its
+// clock stops while the VM is suspended, and a resumed VM would return an old document as
+// current.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
 	_, index, err := s.ReadIndex(ctx)
 	if err != nil {
-		return nil, newFault(twirp.Unavailable, "this control VM cannot show that its state is current")
+		return nil, newRPCError(twirp.Unavailable, "this control VM cannot show that its state is current")
 	}
 
 	if !s.awaitApplied(ctx, index) {
-		return nil, newFault(twirp.Unavailable, "this control VM is behind")
+		return nil, newRPCError(twirp.Unavailable, "this control VM is behind")
 	}
 
 	d := s.published.Load().document
@@ -146,5 +146,5 @@
 		return nil, nil
 	}
 
-	return d.sent()
+	return d.uncompressed()
 }
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -19,16 +19,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// publishing is a control VM whose operators decide in one step.
-func publishing(t *testing.T) (*control.Server, *control.MemoryLog) {
+// startDocumentServer runs a control VM with documents until the test ends.
+func startDocumentServer(t *testing.T) (*control.Server, *control.MemoryLog) {
 	t.Helper()
 
-	s := newPublishing()
+	s := newDocumentServer()
 
-	return s, runPublishing(t, s)
+	return s, runDocumentServer(t, s)
 }
 
-func newPublishing() *control.Server {
+func newDocumentServer() *control.Server {
 	return &control.Server{
 		Cluster: "trust", VM: "c1",
 		Zones: map[string]string{"a": "r", "b": "r"}, AnnounceInterval: time.Second,
@@ -41,8 +41,9 @@
 	}
 }
 
-// runPublishing runs s over a log in memory until the test ends, after edits of it.
-func runPublishing(t *testing.T, s *control.Server, edits ...func(*control.Server)) *control.MemoryLog {
+// runDocumentServer applies the edits to s and runs it on an in-memory log until the test
+// ends.
+func runDocumentServer(t *testing.T, s *control.Server, edits ...func(*control.Server)) *control.MemoryLog {
 	t.Helper()
 
 	log := &control.MemoryLog{}
@@ -68,13 +69,13 @@
 	return log
 }
 
-// Operators race, resend after lost answers, and old changes arrive again. The
-// highest number rules, with the content under which it was accepted first; all of
-// them are acknowledged, and what is read back is what was sent.
-func TestDocumentsByTheirNumbers(t *testing.T) {
+// Operators adopt documents concurrently and resend them after lost answers, and old
+// changes arrive late. The highest number must win, with the content first accepted under
+// it. All of them must be acknowledged, and the document must be returned as it was sent.
+func TestHighestDocumentNumberWins(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		ctx := t.Context()
 
 		none, err := s.Document(ctx)
@@ -102,18 +103,18 @@
 	})
 }
 
-// A control VM is cut off from the others, or wakes from a suspension. It cannot
-// know whether its configuration is the newest, and says so rather than show it.
-func TestDocumentIsNotReadWithoutAQuorum(t *testing.T) {
+// A control VM without a quorum, or one resumed after a suspension, cannot tell whether its
+// document is the latest. It must return an error instead of the document.
+func TestDocumentReadNeedsQuorum(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		var cut atomic.Bool
+		var noQuorum atomic.Bool
 
-		s := newPublishing()
-		runPublishing(t, s, func(s *control.Server) {
+		s := newDocumentServer()
+		runDocumentServer(t, s, func(s *control.Server) {
 			read := s.ReadIndex
 			s.ReadIndex = func(ctx context.Context) (time.Time, uint64, error) {
-				if cut.Load() {
+				if noQuorum.Load() {
 					return time.Time{}, 0, errors.New("no quorum")
 				}
 
@@ -124,20 +125,20 @@
 
 		_, err := s.Document(t.Context())
 		require.NoError(t, err)
-		cut.Store(true)
+		noQuorum.Store(true)
 
 		_, err = s.Document(t.Context())
 		require.Error(t, err)
 	})
 }
 
-// The state that documents and zone orders make survives snapshots, which is what a
-// control VM that joins, or restarts, gets.
-func TestDocumentsOutliveASnapshot(t *testing.T) {
+// Documents and zone orders must be part of the snapshot from which a control VM starts
+// when it joins or restarts.
+func TestSnapshotKeepsDocumentAndZoneOrder(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		first, _ := publishing(t)
-		second, _ := publishing(t)
+		first, _ := startDocumentServer(t)
+		second, _ := startDocumentServer(t)
 		sent := "desk " + strings.Repeat("route ", 20000)
 
 		require.NoError(t, first.Adopt(t.Context(), 5, []byte(sent)))
@@ -158,16 +159,16 @@
 
 		got, err = second.Document(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, sent, string(got), "an older number changes nothing after a restart either")
+		require.Equal(t, sent, string(got), "an older number changed the document after a restart")
 	})
 }
 
-// A zone is taken out twice, since the first answer was lost, and back in. Zones
-// that nobody declared are refused.
-func TestZoneOrders(t *testing.T) {
+// Taking a zone out must be repeatable, as the answer may be lost, and reversible.
+// Undeclared zones must be rejected.
+func TestSetZoneOut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		follow := func() []string {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "e"})
 			require.NoError(t, err)
@@ -189,33 +190,33 @@
 	})
 }
 
-func announced(id, service, zone string) directory.Target {
+func newTarget(id, service, zone string) directory.Target {
 	return directory.Target{ID: id, StartTime: 1, Sequence: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
-// Another writer names targets of services and zones that nobody declared. Kept,
-// such a target could take the address of one that is there.
+// Announcements with undeclared services or zones must be rejected. If they were recorded,
+// such a target could take over the address of an existing one.
 func TestUndeclaredTargetsAreRefused(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 
 		var undeclared *control.UndeclaredError
 
-		require.NoError(t, s.Announce(t.Context(), announced("i1", "anything", "a")), "without a document nobody can tell")
+		require.NoError(t, s.Announce(t.Context(), newTarget("i1", "anything", "a")), "rejected although no document declares services yet")
 		require.NoError(t, s.Adopt(t.Context(), 1, []byte("desk first")))
-		require.NoError(t, s.Announce(t.Context(), announced("i2", "desk", "a")))
-		require.ErrorAs(t, s.Announce(t.Context(), announced("i3", "other", "a")), &undeclared)
-		require.ErrorAs(t, s.Announce(t.Context(), announced("i4", "desk", "z")), &undeclared)
+		require.NoError(t, s.Announce(t.Context(), newTarget("i2", "desk", "a")))
+		require.ErrorAs(t, s.Announce(t.Context(), newTarget("i3", "other", "a")), &undeclared)
+		require.ErrorAs(t, s.Announce(t.Context(), newTarget("i4", "desk", "z")), &undeclared)
 	})
 }
 
-// An entry that follows is told at once of a new document, a zone that goes out, a
-// target that comes and one that drains, though it asked to be held for longer.
-func TestFollowersAreWokenAtOnce(t *testing.T) {
+// A follower's held request must be answered at once when a document is adopted, a zone
+// goes out, or a target is announced or ends.
+func TestFollowReturnsOnChange(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		known := &wire.FollowRequest{Cluster: "trust", ID: "e", WaitMillis: 1500}
 		next := func() *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), known)
@@ -231,7 +232,7 @@
 		for i, change := range []func() error{
 			func() error { return s.Adopt(t.Context(), 1, []byte("desk first")) },
 			func() error { return s.SetZoneOut(t.Context(), "a", true) },
-			func() error { return s.Announce(t.Context(), announced("i1", "desk", "a")) },
+			func() error { return s.Announce(t.Context(), newTarget("i1", "desk", "a")) },
 			func() error { return s.Leave(t.Context(), "i1") },
 		} {
 			began := time.Now()
@@ -249,34 +250,35 @@
 
 		began := time.Now()
 		require.Empty(t, next().GetTargets())
-		require.Equal(t, 1500*time.Millisecond, time.Since(began), "nothing happened")
+		require.Equal(t, 1500*time.Millisecond, time.Since(began), "answered early without a change")
 	})
 }
 
-// Followers end their questions at any moment, as processes are killed. A question that
-// is given up just as it is answered must not read what is still being written: the race
-// detector saw it in a control VM of the soak.
-func TestFollowersLeaveAtAnyMoment(t *testing.T) {
+// Followers cancel their requests at any time, for example when their process is killed. A
+// request that is canceled while its answer is built must not return that answer: the
+// caller would read it during the write, which is a data race.
+func TestCanceledFollowDoesNotRaceWithItsAnswer(t *testing.T) {
 	t.Parallel()
 
-	s, _ := publishing(t)
+	s, _ := startDocumentServer(t)
 
 	for range 2000 {
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 
-		go leave()
+		go cancel()
 
 		_, _ = s.Follow(ctx, &wire.FollowRequest{Cluster: "trust", ID: "e"})
 	}
 }
 
-// An agent follows for the targets and services of its group. Six control VMs each sent
-// it all routes of a large configuration, over a link of 8 Mbit/s: it was deaf for a
-// second, its standby took it for gone, and the group stood still between the two.
-func TestWhoTakesNoCallersGetsNoRoutes(t *testing.T) {
+// Agents follow only for the targets and services of their group. When six control VMs each
+// sent an agent all routes of a large configuration over a link of 8 Mbit/s, the agent did
+// not respond for a second, its standby considered it failed, and the group made no
+// progress between the two.
+func TestServicesOnlyFollowGetsNoRoutes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newPublishing()
+		s := newDocumentServer()
 		s.ReadDocument = func([]byte) (*wire.RouteTable, error) {
 			return &wire.RouteTable{
 				Number: 1, Services: []*wire.RoutedService{{Name: "desk"}},
@@ -284,7 +286,7 @@
 			}, nil
 		}
 
-		runPublishing(t, s)
+		runDocumentServer(t, s)
 		require.NoError(t, s.Adopt(t.Context(), 1, []byte("desk first")))
 
 		out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "agent", ServicesOnly: true})
@@ -294,28 +296,28 @@
 		require.Empty(t, out.GetTable().GetRoutes())
 		require.Empty(t, out.GetTable().GetWorkspaces())
 
-		whole, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "entry"})
+		full, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "entry"})
 		require.NoError(t, err)
-		require.NotEmpty(t, whole.GetTable().GetRoutes(), "what others get is untouched")
+		require.NotEmpty(t, full.GetTable().GetRoutes(), "a follower without ServicesOnly got no routes")
 	})
 }
 
-// All control VMs are killed at once and start again. Their followers get the
-// targets that were known before at once, and the farewells with them; a saved
-// directory that is torn is no directory.
-func TestTargetsOutliveARestart(t *testing.T) {
+// All control VMs are killed at once and restart. Their followers must at once get the
+// targets known before, including the removed ones. A truncated file must count as no saved
+// directory.
+func TestTargetsSurviveRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		var (
-			mu   sync.Mutex
-			kept []byte
+			mu        sync.Mutex
+			savedData []byte
 		)
 
 		save := func(data []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 
-			kept = data
+			savedData = data
 
 			return nil
 		}
@@ -323,21 +325,21 @@
 			mu.Lock()
 			defer mu.Unlock()
 
-			return kept
+			return savedData
 		}
-		start := func(kept func() ([]byte, error), save func([]byte) error) *control.Server {
-			s := newPublishing()
-			s.LoadTargets, s.SaveTargets = kept, save
-			runPublishing(t, s)
+		start := func(savedData func() ([]byte, error), save func([]byte) error) *control.Server {
+			s := newDocumentServer()
+			s.LoadTargets, s.SaveTargets = savedData, save
+			runDocumentServer(t, s)
 
 			return s
 		}
 		first := start(func() ([]byte, error) { return nil, errors.New("none") }, save)
-		gone := announced("i2", "desk", "a")
-		gone.Address = netip.MustParseAddrPort("10.0.0.2:80")
+		removed := newTarget("i2", "desk", "a")
+		removed.Address = netip.MustParseAddrPort("10.0.0.2:80")
 
-		require.NoError(t, first.Announce(t.Context(), announced("i1", "desk", "a")))
-		require.NoError(t, first.Announce(t.Context(), gone))
+		require.NoError(t, first.Announce(t.Context(), newTarget("i1", "desk", "a")))
+		require.NoError(t, first.Announce(t.Context(), removed))
 		require.NoError(t, first.Leave(t.Context(), "i2"))
 		time.Sleep(time.Second)
 
@@ -350,7 +352,7 @@
 			require.Equal(t, w.GetID() == "i2", w.GetState() == wire.TargetState_TargetGone)
 		}
 
-		require.NoError(t, second.Announce(t.Context(), gone))
+		require.NoError(t, second.Announce(t.Context(), removed))
 
 		third := start(func() ([]byte, error) { return saved()[:len(saved())-3], nil }, nil)
 		out, err = third.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: "e"})
@@ -359,12 +361,12 @@
 	})
 }
 
-// Entries share what all of them together may do, so they must know how many they
-// are: those that leave or fell silent do not count.
-func TestFollowersAreCounted(t *testing.T) {
+// Entries divide shared limits by their number. Entries that are leaving or have stopped
+// sending requests must not count.
+func TestOnlyActiveFollowersAreCounted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := publishing(t)
+		s, _ := startDocumentServer(t)
 		follow := func(id string, leaving bool) *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: id, Leaving: leaving, Relay: "10.0.0.1:" + id[1:]})
 			require.NoError(t, err)
@@ -385,12 +387,13 @@
 	})
 }
 
-// All VMs lose power, and the first entry to ask is answered before the others have. Guards
-// against an entry that takes itself for the only one, and a whole limit for its own.
-func TestEntriesCountAgainAfterARestart(t *testing.T) {
+// All VMs lose power, and the first entry to send a request is answered before the others
+// have sent theirs. That entry must not count itself as the only one, or it would use the
+// complete shared limit.
+func TestRosterSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		var kept atomic.Pointer[[]byte]
+		var savedData atomic.Pointer[[]byte]
 
 		follow := func(s *control.Server, id string, hash uint64) *wire.FollowResponse {
 			out, err := s.Follow(t.Context(), &wire.FollowRequest{Cluster: "trust", ID: id, Zone: "z" + id, RosterHash: hash})
@@ -399,24 +402,24 @@
 			return out
 		}
 
-		first := newPublishing()
+		first := newDocumentServer()
 		first.LoadTargets = func() ([]byte, error) { return nil, errors.New("none") }
-		first.SaveTargets = func(data []byte) error { kept.Store(&data); return nil }
-		runPublishing(t, first)
+		first.SaveTargets = func(data []byte) error { savedData.Store(&data); return nil }
+		runDocumentServer(t, first)
 		follow(first, "e1", 0)
 		follow(first, "e2", 0)
 
-		told := follow(first, "e3", 0)
-		require.Len(t, told.GetRoster(), 3)
-		require.Equal(t, "ze1", told.GetRoster()[0].GetZone())
-		require.Empty(t, follow(first, "e3", told.GetRosterHash()).GetRoster(), "it has not changed")
+		out := follow(first, "e3", 0)
+		require.Len(t, out.GetRoster(), 3)
+		require.Equal(t, "ze1", out.GetRoster()[0].GetZone())
+		require.Empty(t, follow(first, "e3", out.GetRosterHash()).GetRoster(), "sent the unchanged roster again")
 		time.Sleep(2 * time.Second)
 
-		second := newPublishing()
-		second.LoadTargets = func() ([]byte, error) { return *kept.Load(), nil }
-		runPublishing(t, second)
+		second := newDocumentServer()
+		second.LoadTargets = func() ([]byte, error) { return *savedData.Load(), nil }
+		runDocumentServer(t, second)
 		require.Len(t, follow(second, "e2", 0).GetRoster(), 3)
 		time.Sleep(5 * time.Second)
-		require.Len(t, follow(second, "e2", 0).GetRoster(), 1, "those that do not ask count no longer")
+		require.Len(t, follow(second, "e2", 0).GetRoster(), 1, "counted entries that stopped sending requests")
 	})
 }
--- /dev/null
+++ b/internal/control/savedtargets.go
@@ -0,0 +1,108 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/parsleygate/parsleygate/internal/directory"
+	"github.com/parsleygate/parsleygate/internal/wire"
+)
+
+// saveIfChanged saves the directory of targets and the roster if they changed. Changes lost
+// in a power failure are announced again by the targets within one announcement interval.
+func (s *Server) saveIfChanged(targets *targetTracker) {
+	if s.SaveTargets == nil {
+		return
+	}
+
+	now := time.Now()
+	current := targets.currentRoster(now)
+
+	if targets.registry.Revision() == targets.savedRevision && current.hash == targets.savedRosterHash {
+		return
+	}
+
+	targets.savedRevision, targets.savedRosterHash = targets.registry.Revision(), current.hash
+
+	saved := &wire.FollowResponse{Roster: current.entries}
+
+	for _, t := range targets.registry.ChangedSince(0) {
+		saved.Targets = append(saved.Targets, t.ToWire(now))
+	}
+
+	data, err := proto.Marshal(saved)
+	if err != nil {
+		s.Logger.Warn("Encoding the directory of targets failed; it is not saved.", "error", err)
+
+		return
+	}
+
+	select {
+	case s.saveQueue <- data:
+	default:
+		// The previous save is still in progress on a slow disk. Retry at the next call.
+		targets.savedRevision = 0
+	}
+}
+
+// runTargetSaver writes the data queued by saveIfChanged. It has its own goroutine, since a
+// disk may block for seconds.
+func (s *Server) runTargetSaver(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case data := <-s.saveQueue:
+			if err := s.SaveTargets(data); err != nil {
+				s.Logger.Warn("Writing the directory of targets failed; it is not saved.", "error", err)
+			}
+		}
+	}
+}
+
+// restoreTargets loads the directory of targets and the roster of entries saved before a
+// restart. If all control VMs and entries are killed at once, entries without it would
+// reject callers until the targets have announced themselves again, and each entry would
+// count too few entries and use more than its share of a limit. Restored targets that have
+// ended do no harm: they do not answer, another target at the same address rejects requests
+// meant for them, and they soon count as unresponsive. Restored entries that send no
+// requests time out too.
+func (s *Server) restoreTargets(targets *targetTracker) {
+	if s.LoadTargets == nil {
+		return
+	}
+
+	data, err := s.LoadTargets()
+	saved := &wire.FollowResponse{}
+
+	if err == nil {
+		err = proto.Unmarshal(data, saved)
+	}
+
+	if err != nil {
+		s.Logger.Info("No saved directory of targets; starting with an empty one.", "error", err)
+
+		return
+	}
+
+	now := time.Now()
+
+	for _, w := range saved.GetTargets() {
+		t, err := directory.FromWire(w, now)
+		if err != nil {
+			s.Logger.Warn("Reading a saved target failed; skipping it.", "target", w.GetID(), "error", err)
+
+			continue
+		}
+
+		targets.registry.Restore(now, t)
+	}
+
+	for _, e := range saved.GetRoster() {
+		targets.recordFollower(e.GetID(), follower{lastRequest: now, zone: e.GetZone()})
+	}
+
+	s.Logger.Info("Restored the directory of targets saved before the restart.", "targets", len(saved.GetTargets()), "entries", len(saved.GetRoster()))
+}
--- /dev/null
+++ b/internal/directory/registry.go
@@ -0,0 +1,174 @@
+package directory
+
+import (
+	"slices"
+	"time"
+)
+
+// coldTolerance is how far the end of a cold start may shift before the target is published
+// again. Announcements carry the remaining time, which varies with their network delay.
+const coldTolerance = 300 * time.Millisecond
+
+// republishInterval is the time after which an unchanged target is published again with its
+// latest sequence number. A target may switch between control VMs: the previous one then
+// publishes it as unresponsive, and only a later sequence number overrides that.
+const republishInterval = 3 * time.Second
+
+// retention is how long removed and unresponsive targets are kept, so that a delayed
+// announcement does not bring them back. It exceeds the duration of partitions.
+const retention = 5 * time.Minute
+
+// Registry holds the targets that announced themselves to one control VM. It is not safe
+// for concurrent use.
+type Registry struct {
+	// AnnounceTimeout is the time without an announcement after which a target is
+	// unresponsive.
+	AnnounceTimeout time.Duration
+
+	targets  map[string]*registeredTarget
+	revision uint64
+}
+
+type registeredTarget struct {
+	Target
+
+	// lastAnnounced is when the last announcement arrived, published when it was last
+	// published, and revision the registry's revision at that change.
+	lastAnnounced time.Time
+	published     time.Time
+	revision      uint64
+}
+
+// Announce records an announcement and reports whether it is published to entries. An
+// announcement older than the recorded one is ignored.
+func (r *Registry) Announce(now time.Time, t Target) bool {
+	r.init()
+
+	known := r.targets[t.ID]
+
+	switch {
+	case known == nil:
+	case known.State == Removed && t.StartTime <= known.StartTime:
+		// A delayed announcement that was sent before the target ended.
+		return false
+	case !supersedes(&t, &known.Target):
+		if t.StartTime == known.StartTime && t.Sequence == known.Sequence {
+			known.lastAnnounced = now
+		}
+
+		return false
+	}
+
+	r.removePreviousHolders(now, &t)
+
+	if known != nil && known.State != Unresponsive && now.Sub(known.published) < republishInterval && equivalent(&known.Target, &t, coldTolerance) {
+		cold := known.ColdUntil
+		known.Target = t
+		known.ColdUntil = cold
+		known.lastAnnounced = now
+
+		return false
+	}
+
+	r.revision++
+	r.targets[t.ID] = &registeredTarget{Target: t, lastAnnounced: now, published: now, revision: r.revision}
+
+	return true
+}
+
+// Restore adds a target, possibly a removed one, that was saved before this control VM
+// restarted. The target's next announcement replaces it.
+func (r *Registry) Restore(now time.Time, t Target) {
+	r.init()
+
+	r.revision++
+	r.targets[t.ID] = &registeredTarget{Target: t, lastAnnounced: now, published: now, revision: r.revision}
+}
+
+// removePreviousHolders marks earlier targets with t's address as removed. Addresses of
+// ended targets are reused, also by targets of other services.
+func (r *Registry) removePreviousHolders(now time.Time, t *Target) {
+	for _, other := range r.targets {
+		if other.ID != t.ID && other.Address == t.Address && other.State != Removed && other.StartTime < t.StartTime {
+			r.setState(now, other, Removed)
+		}
+	}
+}
+
+// Leave records that a target has ended. An unknown target is recorded too: its
+// announcements may be delayed, or may have gone to another control VM.
+func (r *Registry) Leave(now time.Time, id string) {
+	r.init()
+
+	known := r.targets[id]
+	if known == nil {
+		known = &registeredTarget{Target: Target{ID: id}, lastAnnounced: now}
+		r.targets[id] = known
+	}
+
+	r.setState(now, known, Removed)
+}
+
+// Tick marks targets with missing announcements: ready ones as unresponsive, draining ones
+// as removed. It drops targets after the retention time. It reports whether entries need an
+// update.
+func (r *Registry) Tick(now time.Time) bool {
+	r.init()
+
+	changed := false
+
+	for id, t := range r.targets {
+		switch age := now.Sub(t.lastAnnounced); {
+		case age > retention:
+			delete(r.targets, id)
+		case age > r.AnnounceTimeout && (t.State == Ready || t.State == Draining):
+			state := Unresponsive
+			if t.State == Draining {
+				state = Removed
+			}
+
+			r.setState(t.lastAnnounced, t, state)
+
+			changed = true
+		}
+	}
+
+	return changed
+}
+
+func (r *Registry) setState(lastAnnounced time.Time, t *registeredTarget, s State) {
+	r.revision++
+	t.State = s
+	t.revision = r.revision
+	t.lastAnnounced = lastAnnounced
+}
+
+// Revision returns the current revision. It increases with each change that entries need.
+func (r *Registry) Revision() uint64 { return r.revision }
+
+// ChangedSince returns the targets that changed after revision, in the order of their
+// changes.
+func (r *Registry) ChangedSince(revision uint64) []Target {
+	var changed []*registeredTarget
+
+	for _, t := range r.targets {
+		if t.revision > revision {
+			changed = append(changed, t)
+		}
+	}
+
+	slices.SortFunc(changed, func(a, b *registeredTarget) int { return int(a.revision) - int(b.revision) })
+
+	out := make([]Target, 0, len(changed))
+	for _, t := range changed {
+		out = append(out, t.Target)
+	}
+
+	return out
+}
+
+func (r *Registry) init() {
+	if r.targets == nil {
+		r.targets = make(map[string]*registeredTarget)
+	}
+}
