--- a/internal/intent/plan_test.go
+++ b/internal/intent/plan_test.go
@@ -13,8 +13,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// TestPlans carries declarations out against a small deployment: "base" builds
-// the state, "plan" prints what a declaration would do.
+// TestPlans runs the cases in testdata against a small deployment: "base" builds the
+// state, "plan" prints the plan of a declaration, "undeclared" the records that it
+// does not mention.
 func TestPlans(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -28,7 +29,7 @@
 
 			switch d.Cmd {
 			case "base":
-				base = trust(t, declaration, d.HasArg("busy"))
+				base = newBase(t, declaration, d.HasArg("busy"))
 				return ""
 			case "undeclared":
 				return strings.Join(declaration.Undeclared(base), "\n") + "\n"
@@ -38,17 +39,17 @@
 					return err.Error() + "\n"
 				}
 
-				return show(p)
+				return formatPlan(p)
 			}
 		})
 	})
 }
 
-// trust is a state with two agents of cooper-assist in each of three zones.
-func trust(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
+// newBase returns a state with two agents of cooper-assist in each of three zones.
+func newBase(t *testing.T, declaration *intent.Declaration, busy bool) intent.Base {
 	t.Helper()
 
-	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopBlocker: unsafe}
+	base := intent.Base{Version: 9, Loads: map[string]*wire.NodeLoad{}, StopBlocker: stopBlocker}
 
 	for _, zone := range []string{"ang-thong", "ayutthaya", "saraburi"} {
 		for i := range 2 {
@@ -79,7 +80,7 @@
 	return base
 }
 
-func unsafe(name string) string {
+func stopBlocker(name string) string {
 	if name == "control-2" {
 		return "control-1 is still catching up"
 	}
@@ -87,7 +88,7 @@
 	return ""
 }
 
-func show(p *wire.Plan) string {
+func formatPlan(p *wire.Plan) string {
 	var b strings.Builder
 
 	for _, c := range p.GetChanges() {
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// filled returns a ledger with workspaces, processes, and claims of which each
-// holds a recorded answer of 400 bytes.
-func filled(b *testing.B, workspaces, nodes, claims int) *bed {
+// newFilledHarness returns a ledger with workspaces, processes, and claims that each
+// hold a recorded answer of 400 bytes.
+func newFilledHarness(b *testing.B, workspaces, nodes, claims int) *harness {
 	b.Helper()
 
-	out := newBed(b, ledger.DefaultLimits())
+	out := newHarness(b, ledger.DefaultLimits())
 	plan := &wire.Plan{}
 
 	for i := range workspaces {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// heap returns the bytes in use after a collection.
-func heap() int64 {
+// heapInUse returns the heap bytes in use after a garbage collection.
+func heapInUse() int64 {
 	var stats runtime.MemStats
 
 	runtime.GC()
@@ -56,7 +56,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkSnapshot measures snapshot and restore against the size of the state.
+// BenchmarkSnapshot measures writing and restoring a snapshot by size of the state.
 func BenchmarkSnapshot(b *testing.B) {
 	sizes := []struct{ workspaces, nodes, claims int }{
 		{10, 20, 0}, {13000, 1010, 0}, {13000, 1010, 10000}, {13000, 1010, 100000},
@@ -64,9 +64,9 @@
 
 	for _, s := range sizes {
 		name := fmt.Sprintf("workspaces=%d/nodes=%d/claims=%d", s.workspaces, s.nodes, s.claims)
-		before := heap()
-		state := filled(b, s.workspaces, s.nodes, s.claims)
-		used := heap() - before
+		before := heapInUse()
+		state := newFilledHarness(b, s.workspaces, s.nodes, s.claims)
+		used := heapInUse() - before
 
 		var data []byte
 
@@ -88,7 +88,7 @@
 
 // BenchmarkClaim measures a claim and its settlement.
 func BenchmarkClaim(b *testing.B) {
-	state := filled(b, 13000, 1010, 0)
+	state := newFilledHarness(b, 13000, 1010, 0)
 	limits := ledger.DefaultLimits()
 	i := 0
 
@@ -101,9 +101,10 @@
 	}
 }
 
-// BenchmarkDelta measures a reader's answer after one change, against the full one.
+// BenchmarkDelta measures the delta for a reader after one change, and the full
+// answer.
 func BenchmarkDelta(b *testing.B) {
-	state := filled(b, 13000, 1010, 0)
+	state := newFilledHarness(b, 13000, 1010, 0)
 	before := state.ledger.Records().Version
 	state.report(agent("agent-7", 2, 1))
 	records := state.ledger.Records()
--- a/internal/ledger/groups.go
+++ b/internal/ledger/groups.go
@@ -8,16 +8,17 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// InitialMapVersion is the version of a group's first map, which follows from its shape.
+// InitialMapVersion is the version of a group's first map, which is derived from the
+// group's shape.
 const InitialMapVersion = 1
 
-// groupTable holds what the log says of each lock-step group's expert map. It is
-// kept apart from the records that entries and agents follow: only the group's
-// own ranks need it, and a map weighs more than all other news of a day.
+// groupTable holds the committed state of each lock-step group's expert map. It is
+// kept apart from the records that entries and agents follow: only the group's own
+// ranks need it, and one map is larger than all other changes of a day.
 type groupTable map[string]*wire.GroupState
 
-// apply takes in an entry. What no longer fits changes nothing but AsOf, so that
-// proposers may repeat entries and two leaders may race.
+// apply applies a group entry. An entry that no longer fits the state changes only
+// AsOf, so proposers may repeat entries and two leaders may race.
 func (t groupTable) apply(index uint64, e *wire.GroupEntry) {
 	state := t[e.GetGroup()]
 	if state == nil {
@@ -28,8 +29,8 @@
 	record.Apply(expertmap.Fence(index), expertmap.EntryFromWire(e))
 
 	next := &wire.GroupState{Group: e.GetGroup(), Record: expertmap.RecordToWire(record)}
-	for _, m := range append(slices.Clone(state.GetMaps()), opened(index, record, e)...) {
-		if named(record, m.GetVersion()) {
+	for _, m := range append(slices.Clone(state.GetMaps()), openedMaps(index, record, e)...) {
+		if mapNeeded(record, m.GetVersion()) {
 			next.Maps = append(next.Maps, m)
 		}
 	}
@@ -37,13 +38,13 @@
 	t[e.GetGroup()] = next
 }
 
-// InitialRecord is the record of a group of which the log has said nothing yet.
+// InitialRecord returns the record of a group that has no log entries yet.
 func InitialRecord() expertmap.Record {
 	return expertmap.Record{Current: expertmap.Activation{Version: InitialMapVersion}}
 }
 
-// opened returns the map of an entry that has just opened a switch.
-func opened(index uint64, r expertmap.Record, e *wire.GroupEntry) []*wire.GroupMap {
+// openedMaps returns the map of the entry at index if that entry opened a switch.
+func openedMaps(index uint64, r expertmap.Record, e *wire.GroupEntry) []*wire.GroupMap {
 	if r.Open.Fence != expertmap.Fence(index) {
 		return nil
 	}
@@ -51,8 +52,8 @@
 	return []*wire.GroupMap{{Version: e.GetVersion(), Placement: e.GetPlacement()}}
 }
 
-// named reports whether a rank may still need the map.
-func named(r expertmap.Record, version uint64) bool {
+// mapNeeded reports whether a rank may still need the map.
+func mapNeeded(r expertmap.Record, version uint64) bool {
 	v := expertmap.Version(version)
 
 	return v == r.Current.Version || v == r.Current.Previous || v == r.Open.Version
@@ -67,7 +68,7 @@
 	return out
 }
 
-// Groups returns what the log says of each group's map, by name. The states are
+// Groups returns the committed map state of each group, sorted by name. The states are
 // never changed, only replaced.
 func (l *Ledger) Groups() []*wire.GroupState { return l.groups.sorted() }
 
--- a/internal/ledger/maps_test.go
+++ b/internal/ledger/maps_test.go
@@ -9,21 +9,21 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A planner stages maps, and its messages come late, doubled, or from a planner
-// that was replaced. If one version could get a second placement, or an old one
-// come back, ranks of a group would run different maps in one step.
-func TestExpertMaps(t *testing.T) {
+// Messages of a planner arrive late, duplicated, or from a planner that was replaced.
+// If a version could get a second placement, or an old version return, ranks of a
+// group would run different maps in one step.
+func TestMapVersionKeepsItsPlacement(t *testing.T) {
 	t.Parallel()
 
-	b := newBed(t, ledger.DefaultLimits())
+	h := newHarness(t, ledger.DefaultLimits())
 	put := func(version uint64, placement string, committed bool) *wire.MapAnswer {
-		b.restart(ledger.DefaultLimits())
+		h.restart(ledger.DefaultLimits())
 
-		return b.apply(&wire.Command{Kind: &wire.Command_ExpertMap{ExpertMap: &wire.ExpertMap{
+		return h.apply(&wire.Command{Kind: &wire.Command_ExpertMap{ExpertMap: &wire.ExpertMap{
 			Group: "g", MapVersion: version, Placement: []byte(placement), Committed: committed, Step: 7,
 		}}}).GetMap()
 	}
-	committed := func() *wire.ExpertMap { return b.ledger.Records().Get("ExpertMap/g").GetExpertMap() }
+	committed := func() *wire.ExpertMap { return h.ledger.Records().Get("ExpertMap/g").GetExpertMap() }
 
 	steps := []struct {
 		name      string
@@ -40,11 +40,11 @@
 		{"commit", 1, "", true, true, "one"},
 		{"commit again", 1, "", true, false, "one"},
 		{"stage an old version", 1, "late", false, false, "one"},
-		{"stage the next", 3, "three", false, true, "one"},
-		{"stage one between", 2, "two", false, false, "one"},
-		{"stage a newer one in its place", 4, "four", false, true, "one"},
-		{"commit the replaced one", 3, "", true, false, "one"},
-		{"commit the newer one", 4, "", true, true, "four"},
+		{"stage the next version", 3, "three", false, true, "one"},
+		{"stage a version in between", 2, "two", false, false, "one"},
+		{"replace it by a newer version", 4, "four", false, true, "one"},
+		{"commit the replaced version", 3, "", true, false, "one"},
+		{"commit the newer version", 4, "", true, true, "four"},
 	}
 
 	fencing := uint64(0)
@@ -60,5 +60,5 @@
 		}
 	}
 
-	require.Nil(t, b.ledger.Records().Get("StagedMap/g"))
+	require.Nil(t, h.ledger.Records().Get("StagedMap/g"))
 }
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -10,16 +10,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Snapshot returns the whole state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states give equal bytes.
 func (l *Ledger) Snapshot() []byte {
 	s := &wire.LedgerSnapshot{
 		Index:        l.index,
 		Version:      l.records.version,
 		Horizon:      l.records.horizon,
-		ClockMillis:  millis(l.clock.now()),
-		TickIndex:    l.clock.tickIndex,
-		Departed:     l.directory.sorted(),
-		ExpiryWindow: l.directory.window,
+		ClockMillis:  toMillis(l.clock.now()),
+		TickIndex:    l.clock.lastTick,
+		Departed:     l.departures.sorted(),
+		ExpiryWindow: l.departures.window,
 		Plans:        l.decisions.plans,
 		Decisions:    l.decisions.entries,
 		NumberFloor:  l.decisions.floor,
@@ -39,25 +39,25 @@
 		s.Records = append(s.Records, c.record)
 	}
 
-	for element := l.claims.order.Front(); element != nil; element = element.Next() {
+	for element := l.claims.byWindowEnd.Front(); element != nil; element = element.Next() {
 		s.Claims = append(s.Claims, element.Value.(*wire.ClaimEntry))
 	}
 
 	return encode(s)
 }
 
-// Restore replaces the state by a snapshot. An error leaves the state as it was.
+// Restore replaces the state by a snapshot. On an error the state is unchanged.
 func (l *Ledger) Restore(data []byte) error {
 	s := &wire.LedgerSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return eris.Wrap(err, "read the snapshot")
+		return eris.Wrap(err, "decode ledger snapshot")
 	}
 
 	l.reset()
 	l.index = s.GetIndex()
-	l.clock = clock{at: time.Duration(s.GetClockMillis()) * time.Millisecond, tickIndex: s.GetTickIndex()}
+	l.clock = clock{elapsed: time.Duration(s.GetClockMillis()) * time.Millisecond, lastTick: s.GetTickIndex()}
 	l.records.restore(s)
-	l.directory.restore(s)
+	l.departures.restore(s)
 	l.claims.restore(s)
 	l.decisions.restore(s)
 	l.restoreGroups(s)
@@ -66,14 +66,14 @@
 	return nil
 }
 
-// restore merges records and tombstones, each in order of version. Within one
-// version the order has no meaning, as a key occurs once.
+// restore merges records and tombstones in order of version. The order within one
+// version does not matter, since each key occurs once.
 func (t *recordTable) restore(s *wire.LedgerSnapshot) {
 	tombstones := s.GetTombstones()
 
 	for _, record := range s.GetRecords() {
 		for len(tombstones) > 0 && tombstones[0].GetVersion() <= record.GetVersion() {
-			t.restoreRemoval(tombstones[0])
+			t.restoreTombstone(tombstones[0])
 			tombstones = tombstones[1:]
 		}
 
@@ -82,21 +82,21 @@
 	}
 
 	for _, tombstone := range tombstones {
-		t.restoreRemoval(tombstone)
+		t.restoreTombstone(tombstone)
 	}
 
 	t.version = s.GetVersion()
 	t.horizon = s.GetHorizon()
 }
 
-func (t *recordTable) restoreRemoval(tombstone *wire.Tombstone) {
-	t.removed[tombstone.GetKey()] = tombstone.GetVersion()
+func (t *recordTable) restoreTombstone(tombstone *wire.Tombstone) {
+	t.tombstones[tombstone.GetKey()] = tombstone.GetVersion()
 	t.changes = append(t.changes, change{version: tombstone.GetVersion(), key: tombstone.GetKey()})
 }
 
-func (d *directory) restore(s *wire.LedgerSnapshot) {
+func (d *departureTable) restore(s *wire.LedgerSnapshot) {
 	for _, departed := range s.GetDeparted() {
-		d.departed[departed.GetID()] = departed
+		d.nodes[departed.GetID()] = departed
 	}
 
 	if s.GetExpiryWindow() != nil {
@@ -105,7 +105,7 @@
 }
 
 func (t *claimTable) restore(s *wire.LedgerSnapshot) {
-	t.order = list.New()
+	t.byWindowEnd = list.New()
 
 	for _, entry := range s.GetClaims() {
 		t.add(entry)
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -1,7 +1,7 @@
-// Package view is the side of entries and agents in following the replicated
-// state: it polls the control VMs, holds what they answer as an immutable
-// snapshot, and knows until when that may be acted on. Nothing is kept on disk;
-// a process that restarts gets everything anew.
+// Package view lets entries and agents follow the replicated state. It polls the
+// control VMs, keeps their answers as an immutable snapshot, and tracks until when the
+// snapshot may be acted on. Nothing is stored on disk; a restarted process fetches the
+// complete state again.
 package view
 
 import (
@@ -18,52 +18,55 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Reader follows the replicated state. Set its exported fields before Run.
+// Reader follows the replicated state by polling one control VM at a time. Set its
+// exported fields before calling Init and Run.
 type Reader struct {
 	// Cluster names the deployment.
 	Cluster string
-	// Controls are the addresses of the control VMs.
+	// Controls holds the addresses of the control VMs.
 	Controls []netip.AddrPort
-	// Poll sends one poll to a control VM. It must end when ctx does.
+	// Poll sends one poll to a control VM. It must return when ctx is done.
 	Poll func(ctx context.Context, control netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error)
-	// Self says what this process is now; Report is filled in by the reader.
+	// Self describes this process; the reader sets Report.
 	Self func() *wire.Node
-	// Load says what this process has in hand; nil leaves it out.
+	// Load returns the current load of this process; if nil, no load is reported.
 	Load func() *wire.NodeLoad
-	// FindControls, if set, returns the control VMs to ask from now on, after each
-	// change of the configuration; at least one.
+	// FindControls, if set, is called after each change of the configuration and
+	// returns the control VMs to poll from then on, at least one.
 	FindControls func(*Snapshot) []netip.AddrPort
-	// OnChange is called from the goroutine of Run after each change of the
-	// configuration, with the new snapshot; nil means none.
+	// OnChange, if set, is called from Run's goroutine after each change of the
+	// configuration.
 	OnChange func(*Snapshot)
-	// Settings holds the intervals; the zero value stands for DefaultSettings.
+	// Settings holds the intervals; the zero value means DefaultSettings.
 	Settings Settings
 	Logger   *slog.Logger
 
-	core    *core
-	current atomic.Pointer[Snapshot]
-	control int
-	fails   int
+	state        *pollState
+	current      atomic.Pointer[Snapshot]
+	controlIndex int
+	failures     int
 }
 
-// Settings are the intervals of a reader.
+// Settings holds the intervals of a reader.
 type Settings struct {
-	// Lease is how long the process may act on a view after it was current. It
-	// must not exceed the control VMs' own.
+	// Lease is how long the process may act on a snapshot after it was current. It
+	// must not exceed the lease of the control VMs.
 	Lease time.Duration
 	// MaxPollWait is how long a control VM may hold a poll.
 	MaxPollWait time.Duration
-	// AnswerTimeout is how long a control VM may take beyond Wait.
+	// AnswerTimeout is how long an answer may take beyond MaxPollWait.
 	AnswerTimeout time.Duration
-	// FullAnswerTimeout is Timeout for a poll whose answer holds everything.
+	// FullAnswerTimeout is the minimum timeout of a poll whose answer holds the
+	// complete configuration.
 	FullAnswerTimeout time.Duration
-	// MinBackoff and BackoffMax bound the pause after a poll that failed.
+	// MinBackoff and MaxBackoff bound the delay after a failed poll.
 	MinBackoff, MaxBackoff time.Duration
-	// MinPollInterval is the least time between two polls.
+	// MinPollInterval is the delay between an answer and the next poll.
 	MinPollInterval time.Duration
 }
 
-// DefaultSettings returns the intervals for the size that parsleygate is designed for.
+// DefaultSettings returns the intervals for the deployment size that parsleygate is
+// designed for.
 func DefaultSettings() Settings {
 	return Settings{
 		Lease:             4 * time.Second,
@@ -76,8 +79,8 @@
 	}
 }
 
-// Init prepares the reader for Snapshot and Run. It must be called once, after
-// the exported fields are set.
+// Init prepares the reader for Snapshot and Run. It must be called once, after the
+// exported fields are set.
 func (r *Reader) Init() {
 	if r.Settings == (Settings{}) {
 		r.Settings = DefaultSettings()
@@ -88,86 +91,89 @@
 	}
 
 	r.Logger = r.Logger.With("part", "view")
-	r.core = newCore(r.Settings.Lease)
-	r.current.Store(r.core.snapshot)
+	r.state = newPollState(r.Settings.Lease)
+	r.current.Store(r.state.snapshot)
 }
 
-// Snapshot returns the configuration in force. It is never nil after Init, and
-// has version 0 until the first answer.
+// Snapshot returns the configuration in force. After Init it is never nil; its version
+// is 0 until the first answer.
 func (r *Reader) Snapshot() *Snapshot { return r.current.Load() }
 
-// Run polls until ctx ends.
+// Run polls until ctx is done.
 func (r *Reader) Run(ctx context.Context) error {
 	if len(r.Controls) == 0 {
-		return eris.New("no control VM is set")
+		return eris.New("no control VM addresses configured")
 	}
 
-	r.control = rand.IntN(len(r.Controls))
+	r.controlIndex = rand.IntN(len(r.Controls))
 
 	for ctx.Err() == nil {
 		err := r.pollOnce(ctx)
-		r.pause(ctx, err)
+		r.delayNextPoll(ctx, err)
 	}
 
 	return nil
 }
 
-// Leave tells a control VM that this process has finished its work. Call it
-// after Run has returned; an error leaves the process to be expired.
+// Leave informs a control VM that this process has finished its work. Call it after
+// Run has returned. If it fails, the control VMs expire the process later.
 func (r *Reader) Leave(ctx context.Context) error {
-	request := r.request()
+	request := r.newRequest()
 	request.Gone = true
 	request.WaitMillis = 0
 
 	var err error
 
 	for range r.Controls {
-		_, err = r.Poll(ctx, r.Controls[r.control], request)
+		_, err = r.Poll(ctx, r.Controls[r.controlIndex], request)
 		if err == nil {
 			return nil
 		}
 
-		r.control = (r.control + 1) % len(r.Controls)
+		r.controlIndex = (r.controlIndex + 1) % len(r.Controls)
 	}
 
 	return err
 }
 
-func (r *Reader) request() *wire.PollRequest {
+func (r *Reader) newRequest() *wire.PollRequest {
 	request := &wire.PollRequest{
 		Cluster:      r.Cluster,
-		Node:         r.core.self(r.Self()),
-		KnownVersion: r.core.snapshot.Version,
-		WaitMillis:   uint64(r.wait().Milliseconds()),
+		Node:         r.state.numberReport(r.Self()),
+		KnownVersion: r.state.snapshot.Version,
+		WaitMillis:   uint64(r.pollWait().Milliseconds()),
 	}
 
 	if r.Load != nil {
 		request.Load = r.Load()
 	}
 
-	if r.fails > 0 || !r.core.snapshot.Valid(time.Now()) {
+	if r.failures > 0 || !r.state.snapshot.Valid(time.Now()) {
 		request.WaitMillis = 0
 	}
 
 	return request
 }
 
-// wait returns how long the next poll may be held. It varies, since a change
-// answers the polls of all readers at once, and they would poll in step from then on.
-func (r *Reader) wait() time.Duration {
-	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/waitSpread+1)
+// pollWait returns how long the next poll may be held. It is random because a change
+// answers the polls of all readers at once, and without jitter they would stay
+// synchronised.
+func (r *Reader) pollWait() time.Duration {
+	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/pollWaitJitterDivisor+1)
 }
 
-// waitSpread divides Wait: 4 lets a poll be held for three quarters of it at least.
-const waitSpread = 4
+// pollWaitJitterDivisor sets the random part of MaxPollWait: 4 means up to a quarter
+// is subtracted.
+const pollWaitJitterDivisor = 4
 
-// errStale says that a control VM is not current, and another may be.
-var errStale = eris.New("the control VM is not current")
+// errUnusableAnswer means that a control VM's answer was stale or ignored; another control
+// VM may be current.
+var errUnusableAnswer = eris.New("answer of the control VM is stale or not applicable")
 
-// pollOnce sends one poll. Its deadline guards against a connection that went
-// silent: the poll is given up and the next control VM is tried.
+// pollOnce sends one poll. Its deadline guards against an unresponsive connection: the
+// poll times out, and the next one goes to another control VM.
 func (r *Reader) pollOnce(ctx context.Context) error {
-	request := r.request()
+	request := r.newRequest()
 	limit := time.Duration(request.GetWaitMillis())*time.Millisecond + r.Settings.AnswerTimeout
 
 	if request.GetKnownVersion() == 0 {
@@ -179,48 +185,49 @@
 
 	sent := time.Now()
 
-	response, err := r.Poll(ctx, r.Controls[r.control], request)
+	response, err := r.Poll(ctx, r.Controls[r.controlIndex], request)
 	if err != nil {
 		return err
 	}
 
-	return r.take(sent, request.GetKnownVersion(), response)
+	return r.handleAnswer(sent, request.GetKnownVersion(), response)
 }
 
-func (r *Reader) take(sent time.Time, known uint64, response *wire.PollResponse) error {
-	result := r.core.answered(sent, known, response)
-	r.current.Store(r.core.snapshot)
+func (r *Reader) handleAnswer(sent time.Time, knownVersion uint64, response *wire.PollResponse) error {
+	result := r.state.applyAnswer(sent, knownVersion, response)
+	r.current.Store(r.state.snapshot)
 
 	if result == outcomeChanged && r.FindControls != nil {
-		r.Controls = r.FindControls(r.core.snapshot)
-		r.control = min(r.control, len(r.Controls)-1)
+		r.Controls = r.FindControls(r.state.snapshot)
+		r.controlIndex = min(r.controlIndex, len(r.Controls)-1)
 	}
 
 	if result == outcomeChanged && r.OnChange != nil {
-		r.OnChange(r.core.snapshot)
+		r.OnChange(r.state.snapshot)
 	}
 
 	if response.GetStale() || result == outcomeIgnored {
-		return errStale
+		return errUnusableAnswer
 	}
 
 	return nil
 }
 
-// pause waits before the next poll: shortly after success, longer and with
-// jitter after failures, so that readers do not return all at once.
-func (r *Reader) pause(ctx context.Context, err error) {
+// delayNextPoll waits before the next poll: MinPollInterval after a success, and
+// exponential backoff with jitter after a failure, so that readers do not all return
+// at once.
+func (r *Reader) delayNextPoll(ctx context.Context, err error) {
 	wait := r.Settings.MinPollInterval
 
 	if err == nil {
-		r.fails = 0
+		r.failures = 0
 	} else {
-		r.Logger.Debug("poll failed", "control", r.Controls[r.control], "error", err)
+		r.Logger.Debug("poll failed", "control", r.Controls[r.controlIndex], "error", err)
 
-		limit := min(r.Settings.MinBackoff<<min(r.fails, 10), r.Settings.MaxBackoff)
+		limit := min(r.Settings.MinBackoff<<min(r.failures, 10), r.Settings.MaxBackoff)
 		wait = limit/2 + rand.N(limit/2+1)
-		r.fails++
-		r.control = (r.control + 1) % len(r.Controls)
+		r.failures++
+		r.controlIndex = (r.controlIndex + 1) % len(r.Controls)
 	}
 
 	pauses.For(ctx, wait)
