--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside each target: its single door. It lets
-// requests through to the target, relays their answers, remembers attempts, and
-// passes orders on to the engine.
+// Package agent is the process beside each target through which all requests to the target
+// pass. It admits requests, relays the responses, keeps the outcomes of attempts, and forwards
+// orders to the engine.
 package agent
 
 import (
@@ -24,61 +24,61 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Agent is the single door of one target. Set the exported fields before Run.
+// Agent is the proxy of one target. Set the exported fields before Run.
 type Agent struct {
-	// ID names the agent and its target; it outlives restarts.
+	// ID identifies the agent and its target, across restarts.
 	ID   string
 	Zone string
-	// Incarnation is fresh at each start, and higher than any earlier one.
+	// Incarnation is unique to each start, and higher than any earlier one.
 	Incarnation uint64
-	// Address is where the agent listens, unless Listener is set.
+	// Address is the listen address if Listener is nil.
 	Address  netip.AddrPort
 	Listener net.Listener
-	// AnnounceListener takes announcements only, beside Listener; nil for none.
+	// AnnounceListener accepts announcements only, in addition to Listener. It may be nil.
 	AnnounceListener net.Listener
-	// Mount adds further services to the routes of Listener; nil for none.
+	// Mount adds further services to the routes of Listener. It may be nil.
 	Mount func(chi.Router)
-	// Authorize, if set, decides who may use the paths of Listener.
+	// Authorize, if set, wraps the handler of Listener and decides who may use which paths.
 	Authorize func(http.Handler) http.Handler
-	// View returns what the control configuration says now. It is called for each
-	// request, from many goroutines, and must not block.
+	// View returns the current control configuration. It is called for each request, from many
+	// goroutines, and must not block.
 	View func() admission.View
-	// HighestOrder returns the highest fencing number that the control configuration
-	// knows to have been given to this target before; nil where it keeps none.
+	// HighestOrder returns the highest fencing number that the control configuration has
+	// recorded for this target. It is nil if the configuration does not record it.
 	HighestOrder func() (number uint64, known bool)
-	// SendOrder carries an order to the engine; nil posts it as JSON. An error whose
-	// verdict is NotRun says that the order never reached the engine.
+	// SendOrder sends an order to the engine. If nil, the order is posted as JSON. An error
+	// with the verdict NotRun means that the order never reached the engine.
 	SendOrder func(ctx context.Context, to netip.AddrPort, o orders.Order) (orders.Result, error)
-	// Logger is optional.
-	Logger *slog.Logger
-	// Metrics is optional.
+	// Logger and Metrics are optional.
+	Logger   *slog.Logger
 	Metrics  metrics.Registry
 	Settings Settings
-	// Now is the clock; nil means time.Now.
+	// Now is the clock. The default is time.Now.
 	Now func() time.Time
 
-	once     sync.Once
-	door     door
-	desk     orderDesk
-	target   targetState
-	counters counters
-	dialer   targetDialer
-	// pending counts the bytes of requests that are read or in flight.
-	pending  *semaphore.Weighted
-	server   *http.Server
-	bound    netip.AddrPort
-	listened chan struct{}
-	drained  chan struct{}
-	// keepUntil is until when a leaving agent still answers asks, in Unix nanoseconds.
-	keepUntil atomic.Int64
-	// open counts the exchanges whose last frame is not out yet.
-	open  atomic.Int64
-	leave sync.Once
+	prepareOnce sync.Once
+	admitter    admitter
+	orders      orderExecutor
+	target      targetState
+	counters    counters
+	client      targetClient
+	// pendingBytes limits the total size of the requests that are being read or in flight.
+	pendingBytes  *semaphore.Weighted
+	server        *http.Server
+	listenAddress netip.AddrPort
+	listening     chan struct{}
+	drained       chan struct{}
+	// answerQueriesUntil is the time, in Unix nanoseconds, until which a draining agent stays
+	// up for queries about undelivered responses.
+	answerQueriesUntil atomic.Int64
+	// openExchanges counts the exchanges whose last frame has not been written yet.
+	openExchanges atomic.Int64
+	shutdownOnce  sync.Once
 }
 
-// prepare fills what the caller left out.
+// prepare sets defaults and creates the internal state.
 func (a *Agent) prepare() {
-	a.once.Do(func() {
+	a.prepareOnce.Do(func() {
 		if a.Now == nil {
 			a.Now = time.Now
 		}
@@ -93,24 +93,25 @@
 			a.Metrics = metrics.NewRegistry()
 		}
 
-		a.Settings.fill()
+		a.Settings.applyDefaults()
 		a.counters = newCounters(a.Metrics)
-		a.dialer = newTargetDialer(a.Settings)
-		a.pending = semaphore.NewWeighted(int64(a.Settings.MaxPendingBytes))
-		a.listened = make(chan struct{})
+		a.client = newTargetClient(a.Settings)
+		a.pendingBytes = semaphore.NewWeighted(int64(a.Settings.MaxPendingBytes))
+		a.listening = make(chan struct{})
 		a.drained = make(chan struct{})
-		a.door.view = a.View
-		a.door.core = admission.Core{
+		a.admitter.view = a.View
+		a.admitter.core = admission.Core{
 			AgentID:     a.ID,
 			Incarnation: a.Incarnation,
 			Started:     a.Now(),
 			Settings:    a.Settings.Admission,
 		}
-		a.desk.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.UnsettledOrderTimeout}
+		a.orders.core = orders.Core{AgentID: a.ID, Incarnation: a.Incarnation, UnsettledTimeout: a.Settings.UnsettledOrderTimeout}
 	})
 }
 
-// Run serves until Drain has finished or ctx ends. An ended ctx cuts off what is in flight.
+// Run serves until Drain has finished or ctx ends. The end of ctx cancels all requests in
+// flight.
 func (a *Agent) Run(ctx context.Context) error {
 	a.prepare()
 
@@ -123,43 +124,43 @@
 	defer cancel()
 
 	a.server = &http.Server{
-		Handler:           a.guarded(),
+		Handler:           a.handler(),
 		ReadHeaderTimeout: a.Settings.ReadTimeout,
 		IdleTimeout:       a.Settings.IdleTimeout,
 		MaxHeaderBytes:    a.Settings.MaxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(a.Logger.Handler(), slog.LevelDebug),
-		ConnContext:       boundAcks(a.Settings.AckTimeout),
+		ConnContext:       setUserTimeout(a.Settings.AckTimeout),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
-	close(a.listened)
-	a.Logger.Info("Agent listens.", "address", a.bound, "incarnation", a.Incarnation)
+	close(a.listening)
+	a.Logger.Info("agent is listening", "address", a.listenAddress, "incarnation", a.Incarnation)
 
 	stopAnnounce := a.serveAnnouncements()
 	defer stopAnnounce()
 
-	served := make(chan error, 1)
-	go func() { served <- a.server.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- a.server.Serve(ln) }()
 
-	ticked := make(chan struct{})
+	tickerDone := make(chan struct{})
 
 	go func() {
-		defer close(ticked)
+		defer close(tickerDone)
 		a.tick(ctx)
 	}()
 
-	err = a.wait(ctx, served)
+	err = a.wait(ctx, serveErr)
 
 	cancel()
-	<-ticked
-	a.dialer.closeIdle()
+	<-tickerDone
+	a.client.closeIdle()
 
 	return err
 }
 
-// wait returns when the server has ended, by Drain, by ctx or by a fault.
-func (a *Agent) wait(ctx context.Context, served <-chan error) error {
+// wait returns when the server has ended because of Drain, ctx or an error.
+func (a *Agent) wait(ctx context.Context, serveErr <-chan error) error {
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		if !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve")
 		}
@@ -170,7 +171,7 @@
 	case <-ctx.Done():
 		_ = a.server.Close()
 
-		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+		if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve")
 		}
 
@@ -190,15 +191,15 @@
 		}
 	}
 
-	a.bound = a.Address
+	a.listenAddress = a.Address
 	if addr, ok := ln.Addr().(*net.TCPAddr); ok {
-		a.bound = addr.AddrPort()
+		a.listenAddress = addr.AddrPort()
 	}
 
 	return ln, nil
 }
 
-// tick lets the core look at the time.
+// tick passes the time to the admission core once per TickInterval.
 func (a *Agent) tick(ctx context.Context) {
 	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
@@ -208,12 +209,12 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			a.door.tick(a.Now())
+			a.admitter.tick(a.Now())
 		}
 	}
 }
 
-// Node reports the agent for the membership.
+// Node returns the agent's membership record.
 func (a *Agent) Node() *wire.Node {
 	a.prepare()
 
@@ -224,7 +225,7 @@
 		Zone:        a.Zone,
 		Address:     a.address().String(),
 		Incarnation: a.Incarnation,
-		Leaving:     a.door.leaving(),
+		Leaving:     a.admitter.draining(),
 	}
 
 	if t != nil {
@@ -238,8 +239,8 @@
 	return n
 }
 
-// Service is what the target carries; empty while none has announced itself. It is
-// cheap enough to be called by View.
+// Service returns the service of the target, or "" before the first announcement. It is cheap
+// enough to be called by View.
 func (a *Agent) Service() string {
 	if t := a.target.load(); t != nil {
 		return t.Service
@@ -248,19 +249,19 @@
 	return ""
 }
 
-// address is where the agent listens, or is set to listen.
+// address returns the actual listen address, or the configured one before the agent listens.
 func (a *Agent) address() netip.AddrPort {
 	select {
-	case <-a.listened:
-		return a.bound
+	case <-a.listening:
+		return a.listenAddress
 	default:
 		return a.Address
 	}
 }
 
-// Ready is closed once the agent listens and its address is known.
+// Ready returns a channel that is closed once the agent listens and its address is known.
 func (a *Agent) Ready() <-chan struct{} {
 	a.prepare()
 
-	return a.listened
+	return a.listening
 }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -12,93 +12,93 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// A caller would be cut off by a planned stop. Streams are open when the agent is
-// told to leave; new work is refused as not run, and the agent goes when all are done.
+// Guards against a planned stop that breaks streams. With streams open, a draining agent must
+// refuse new requests as not run and stop only when all streams are complete.
 func TestDrainFinishesStreams(t *testing.T) {
 	t.Parallel()
 
 	const streams = 8
 
-	g := newGate()
-	r := newRig(t, httpTarget(t, g.serve("text/event-stream")), nil)
+	bt := newBlockingTarget()
+	r := newFixture(t, httpTarget(t, bt.serve("text/event-stream")), nil)
 	drained := make(chan error, 1)
 
-	type open struct {
+	type openStream struct {
 		resp   *http.Response
-		answer answer
-		read   func(a *answer)
+		answer response
+		read   func(a *response)
 	}
 
-	var opens []*open
+	var open []*openStream
 
-	late := r.booking("/book", "late")
+	refused := r.nonIdempotentRequest("/book", "late")
 
 	for range streams {
 		resp, frames := r.open(context.Background(), r.request("/draft", "x")) //nolint:bodyclose // closed below
-		opens = append(opens, &open{resp: resp, read: func(a *answer) { a.add(frames) }})
-		<-g.started
+		open = append(open, &openStream{resp: resp, read: func(a *response) { a.readFrame(frames) }})
+		<-bt.started
 	}
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
 	require.Eventually(t, func() bool { return r.agent.Node().GetLeaving() }, 5*time.Second, time.Millisecond)
-	a := r.do(late)
+	a := r.do(refused)
 	a.requireRefused(t, wire.Verdict_NotRun, "Stopping")
 	require.Zero(t, r.credit().GetSlots())
 	require.Empty(t, drained)
-	close(g.release)
+	close(bt.release)
 
-	for _, o := range opens {
-		for o.answer.end == nil && o.answer.err == nil {
-			o.read(&o.answer)
+	for _, s := range open {
+		for s.answer.end == nil && s.answer.err == nil {
+			s.read(&s.answer)
 		}
 
-		o.answer.requireWhole(t, "first last")
-		o.resp.Body.Close()
+		s.answer.requireComplete(t, "first last")
+		s.resp.Body.Close()
 	}
 
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-r.runErr)
 }
 
-// lineHandler calls seen at one line of the log.
-type lineHandler struct {
-	line string
-	seen func()
+// messageHandler calls onMessage for each log record with the given message.
+type messageHandler struct {
+	message   string
+	onMessage func()
 }
 
-func (h lineHandler) Enabled(context.Context, slog.Level) bool { return true }
-func (h lineHandler) WithAttrs([]slog.Attr) slog.Handler       { return h }
-func (h lineHandler) WithGroup(string) slog.Handler            { return h }
+func (h messageHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (h messageHandler) WithAttrs([]slog.Attr) slog.Handler       { return h }
+func (h messageHandler) WithGroup(string) slog.Handler            { return h }
 
-func (h lineHandler) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == h.line {
-		h.seen()
+func (h messageHandler) Handle(_ context.Context, r slog.Record) error {
+	if r.Message == h.message {
+		h.onMessage()
 	}
 
 	return nil
 }
 
-// A booking that ran would be reported as one that may have run: its entry's
-// connection broke, and the agent left before the entry could ask.
-func TestDrainWaitsForAsks(t *testing.T) {
+// Guards against a request that ran being reported as one that may have run, because its
+// entry's connection broke and the agent stopped before the entry could query the outcome.
+func TestDrainWaitsForAttemptQueries(t *testing.T) {
 	t.Parallel()
 
-	g := newGate()
-	noticed := make(chan struct{})
-	r := newRig(t, httpTarget(t, g.serve("text/plain")), func(a *Agent) {
-		a.Logger = slog.New(lineHandler{line: "The entry is gone.", seen: func() { close(noticed) }})
+	bt := newBlockingTarget()
+	disconnected := make(chan struct{})
+	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) {
+		a.Logger = slog.New(messageHandler{message: "entry disconnected", onMessage: func() { close(disconnected) }})
 		a.Settings.AttemptQueryWait = 4 * time.Second
 		a.Settings.TickInterval = time.Millisecond
 	})
-	req := r.booking("/book", "x")
+	req := r.nonIdempotentRequest("/book", "x")
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, frames := r.open(ctx, req)
 
-	var a answer
-	a.add(frames)
-	<-g.started
+	var a response
+	a.readFrame(frames)
+	<-bt.started
 	cancel()
 	resp.Body.Close()
 
@@ -106,26 +106,26 @@
 
 	go func() { drained <- r.agent.Drain(context.Background()) }()
 
-	<-noticed
-	close(g.release)
+	<-disconnected
+	close(bt.release)
 	require.Eventually(t, func() bool { return r.agent.Dump().Load.InFlight == 0 }, 5*time.Second, time.Millisecond)
-	time.Sleep(20 * time.Millisecond) // an agent that doesn't wait is gone by now
-	require.Equal(t, "first last", string(r.ask(req, true).GetAnswer().GetBody()))
+	time.Sleep(20 * time.Millisecond) // time in which an agent that does not wait would stop
+	require.Equal(t, "first last", string(r.queryAttempt(req, true).GetAnswer().GetBody()))
 	r.client.CloseIdleConnections()
 	require.NoError(t, <-drained)
-	require.NoError(t, <-r.done)
+	require.NoError(t, <-r.runErr)
 }
 
-// A booking's entry is gone, and its agent is told to leave. The core has let go of
-// the request, and its answer is not out yet: an agent that goes now cannot be asked.
+// Guards against stopping between the release of a request by the admission core and the end
+// of its exchange. A disconnected entry could then no longer query the response.
 func TestDrainWaitsForOpenExchanges(t *testing.T) {
 	t.Parallel()
 
-	r := newRig(t, httpTarget(t, newGate().serve("text/plain")), nil)
-	r.agent.door.leave()
+	r := newFixture(t, httpTarget(t, newBlockingTarget().serve("text/plain")), nil)
+	r.agent.admitter.drain()
 	require.True(t, r.agent.idle())
-	r.agent.open.Add(1)
+	r.agent.openExchanges.Add(1)
 	require.False(t, r.agent.idle())
-	r.agent.open.Add(-1)
+	r.agent.openExchanges.Add(-1)
 	require.True(t, r.agent.idle())
 }
--- a/internal/agent/frames.go
+++ b/internal/agent/frames.go
@@ -10,46 +10,46 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// FramesContentType is the content type of an answer stream: wire.Frame messages, each
-// behind its length as a varint.
+// FramesContentType is the content type of a response stream: a sequence of wire.Frame
+// messages, each preceded by its length as a varint.
 const FramesContentType = "application/x-parsleygate-frames"
 
-// frameWriter writes frames to an entry. It is used by one goroutine at a time.
+// frameWriter writes frames to an entry. It is not safe for concurrent use.
 type frameWriter struct {
-	w     http.ResponseWriter
-	rc    *http.ResponseController
-	stall time.Duration
-	begun bool
+	w             http.ResponseWriter
+	rc            *http.ResponseController
+	writeTimeout  time.Duration
+	headerWritten bool
 }
 
-func newFrameWriter(w http.ResponseWriter, stall time.Duration) *frameWriter {
-	return &frameWriter{w: w, rc: http.NewResponseController(w), stall: stall}
+func newFrameWriter(w http.ResponseWriter, writeTimeout time.Duration) *frameWriter {
+	return &frameWriter{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout}
 }
 
-// write sends one frame, and what add kept back. It blocks while the entry reads
-// slowly, which is what slows the target down; an entry that takes nothing for
-// stall is given up.
+// write sends a frame and any buffered ones. It blocks while the entry reads slowly, which
+// applies backpressure to the target, and fails once the entry has read nothing for
+// writeTimeout.
 func (f *frameWriter) write(frame *wire.Frame) error {
-	if err := f.add(frame); err != nil {
+	if err := f.buffer(frame); err != nil {
 		return err
 	}
 
-	return eris.Wrap(f.rc.Flush(), "flush a frame")
+	return eris.Wrap(f.rc.Flush(), "flush a frame to the entry")
 }
 
-// add writes one frame that may wait for the next one.
-func (f *frameWriter) add(frame *wire.Frame) error {
-	if !f.begun {
-		f.begun = true
+// buffer writes a frame without flushing it.
+func (f *frameWriter) buffer(frame *wire.Frame) error {
+	if !f.headerWritten {
+		f.headerWritten = true
 		f.w.Header().Set("Content-Type", FramesContentType)
 		f.w.WriteHeader(http.StatusOK)
 	}
 
-	if err := f.rc.SetWriteDeadline(time.Now().Add(f.stall)); err != nil {
+	if err := f.rc.SetWriteDeadline(time.Now().Add(f.writeTimeout)); err != nil {
 		return eris.Wrap(err, "set the write deadline")
 	}
 
 	_, err := protodelim.MarshalTo(f.w, frame)
 
-	return eris.Wrap(err, "write a frame")
+	return eris.Wrap(err, "write a frame to the entry")
 }
--- a/internal/ledger/decisions.go
+++ b/internal/ledger/decisions.go
@@ -11,19 +11,19 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// decisionTable keeps the plans that wait for confirmation, and the decisions
-// with their answers. Numbers are shared by all operators, so that two of them
-// who race under one number cannot both win.
+// decisionTable keeps the plans that await confirmation, and the decisions with their
+// answers. All operators share one number space, so of two operators who race under
+// one number only one succeeds.
 type decisionTable struct {
 	limits    Limits
 	plans     []*wire.Plan
 	planBytes int
 	byNumber  map[uint64]*wire.DecisionEntry
-	// entries holds the decisions in the order in which they were made. It only
-	// grows at the end or is replaced, so that readers can share it.
+	// entries holds the decisions in the order in which they were made. It is only
+	// appended to or replaced, so that readers can share it.
 	entries []*wire.DecisionEntry
-	// floor is the largest number whose answer is no longer kept. A number up
-	// to it is refused, since nobody can tell any more whether it was decided.
+	// floor is the largest number whose answer was dropped. Numbers up to it are
+	// refused, since it is unknown whether they were decided.
 	floor uint64
 }
 
@@ -31,18 +31,18 @@
 	return decisionTable{limits: limits, byNumber: map[uint64]*wire.DecisionEntry{}}
 }
 
-// store keeps a plan under an ID that no other plan ever has.
-func (t *decisionTable) store(index uint64, plan *wire.Plan) string {
-	kept := proto.CloneOf(plan)
-	kept.ID = fmt.Sprintf("P%d", index)
-	t.plans = append(t.plans, kept)
-	t.planBytes += proto.Size(kept)
+// storePlan stores a plan under a unique ID.
+func (t *decisionTable) storePlan(index uint64, plan *wire.Plan) string {
+	stored := proto.CloneOf(plan)
+	stored.ID = fmt.Sprintf("P%d", index)
+	t.plans = append(t.plans, stored)
+	t.planBytes += proto.Size(stored)
 
 	for len(t.plans) > t.limits.MaxPlans || len(t.plans) > 1 && t.planBytes > t.limits.MaxPlanBytes {
 		t.dropPlan(0)
 	}
 
-	return kept.GetID()
+	return stored.GetID()
 }
 
 func (t *decisionTable) dropPlan(i int) {
@@ -60,11 +60,12 @@
 	return nil
 }
 
-// repeat answers a number that was decided or forgotten; nil means it is free.
-// The content is the plan, or another plan of the same intent: an operator whose
-// answer was lost may plan again before confirming again. Who sent it first is
-// in the answer.
-func (t *decisionTable) repeat(d *wire.Decision, plan *wire.Plan) *wire.DecisionAnswer {
+// previousAnswer returns the answer for a number that was already decided or lies at
+// or below the floor, or nil if the number is free. A resend matches if it confirms
+// the same plan or another plan of the same intent: an operator whose answer was lost
+// may make a new plan before confirming again. The answer names the operator who used
+// the number first.
+func (t *decisionTable) previousAnswer(d *wire.Decision, plan *wire.Plan) *wire.DecisionAnswer {
 	if d.GetNumber() <= t.floor {
 		return &wire.DecisionAnswer{State: wire.DecisionState_DecisionForgotten, Floor: t.floor}
 	}
@@ -101,9 +102,9 @@
 	}
 }
 
-// keep records the first answer to a number. The smallest number is dropped
-// above the limit and raises the floor, so that it can never be decided again.
-func (t *decisionTable) keep(entry *wire.DecisionEntry) {
+// record stores the first answer to a number. Above the limit the smallest number is
+// dropped and raises the floor, so that it cannot be decided again.
+func (t *decisionTable) record(entry *wire.DecisionEntry) {
 	t.byNumber[entry.GetNumber()] = entry
 	t.entries = append(t.entries, entry)
 
@@ -120,8 +121,8 @@
 	delete(t.byNumber, smallest)
 }
 
-// last returns the log index of the latest decision.
-func (t *decisionTable) last() uint64 {
+// lastIndex returns the log index of the latest decision, or zero.
+func (t *decisionTable) lastIndex() uint64 {
 	if len(t.entries) == 0 {
 		return 0
 	}
@@ -129,12 +130,12 @@
 	return t.entries[len(t.entries)-1].GetIndex()
 }
 
-// decide carries out the plan that d confirms, once, and keeps the answer. The
-// plan itself is dropped then: it may be large, and the answer names it.
+// decide applies the plan that d confirms, at most once, and stores the answer. It
+// drops the plan, which may be large; the answer names it.
 func (l *Ledger) decide(index uint64, d *wire.Decision) *wire.DecisionAnswer {
 	plan := l.decisions.plan(d.GetPlanID())
 
-	if answer := l.decisions.repeat(d, plan); answer != nil {
+	if answer := l.decisions.previousAnswer(d, plan); answer != nil {
 		return answer
 	}
 
@@ -151,23 +152,23 @@
 		Source:       plan.GetSource(),
 		Index:        index,
 	}
-	entry.State, entry.Details = l.judge(plan)
+	entry.State, entry.Details = l.checkPlan(plan)
 
 	if entry.GetState() == wire.DecisionState_DecisionMade {
-		l.carryOut(index, plan)
-		entry.Details = texts(plan.GetChanges())
+		l.applyPlan(index, plan)
+		entry.Details = changeTexts(plan.GetChanges())
 	}
 
 	entry.Version = l.records.version
-	l.decisions.keep(entry)
+	l.decisions.record(entry)
 	l.decisions.dropPlan(slices.Index(l.decisions.plans, plan))
 
 	return answerOf(entry)
 }
 
-// judge says whether plan may still be carried out, and why not.
-func (l *Ledger) judge(plan *wire.Plan) (state wire.DecisionState, details []string) {
-	if details = l.baseChanges(plan); len(details) > 0 {
+// checkPlan returns whether the plan may still be applied, and the reasons if not.
+func (l *Ledger) checkPlan(plan *wire.Plan) (state wire.DecisionState, details []string) {
+	if details = l.conflictingChanges(plan); len(details) > 0 {
 		return wire.DecisionState_DecisionBaseChanged, details
 	}
 
@@ -179,14 +180,14 @@
 		return wire.DecisionState_DecisionRefused, plan.GetRefusals()
 	}
 
-	if details = l.shortfalls(plan); len(details) > 0 {
+	if details = l.capacityShortfalls(plan); len(details) > 0 {
 		return wire.DecisionState_DecisionBaseChanged, details
 	}
 
 	return wire.DecisionState_DecisionMade, nil
 }
 
-func (l *Ledger) carryOut(index uint64, plan *wire.Plan) {
+func (l *Ledger) applyPlan(index uint64, plan *wire.Plan) {
 	for _, c := range plan.GetChanges() {
 		if c.GetKind() == wire.ChangeKind_ChangeRemove {
 			l.records.remove(index, c.GetKey())
@@ -199,14 +200,14 @@
 	}
 }
 
-// maxDetails bounds the lines that are kept of one decision.
-const maxDetails = 40
+// maxDetailLines limits the lines that are stored with one decision.
+const maxDetailLines = 40
 
-func texts(changes []*wire.Change) []string {
+func changeTexts(changes []*wire.Change) []string {
 	var out []string
 
 	for i, c := range changes {
-		if i == maxDetails {
+		if i == maxDetailLines {
 			return append(out, fmt.Sprintf("and %d more changes", len(changes)-i))
 		}
 
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -9,24 +9,25 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// change is one write to one record; record is nil where it was removed.
+// change is one write of one record; record is nil for a removal.
 type change struct {
 	version uint64
 	key     string
 	record  *wire.Record
 }
 
-// recordTable holds the configuration and, in order of version, its latest
-// changes. Records are never altered once they are in it, and changes only grow
-// at the end or are replaced as a whole, so that a Records value can share them.
+// recordTable holds the configuration and its latest changes, in order of version.
+// Records are never modified once stored, and changes is only appended to or replaced,
+// so that a Records value can share both.
 type recordTable struct {
 	live    map[string]*wire.Record
 	changes []change
 	version uint64
-	// removed holds the versions of the kept removals, and horizon the version
-	// of the latest one that is no longer kept. Both depend on commands alone,
-	// since results and snapshots depend on them; compaction does not.
-	removed       map[string]uint64
+	// tombstones holds the versions of the retained removals, and horizon the version
+	// of the latest removal that was dropped. Results and snapshots depend on both, so
+	// both follow from the commands alone; when changes is compacted does not matter
+	// to them.
+	tombstones    map[string]uint64
 	horizon       uint64
 	maxTombstones int
 }
@@ -34,7 +35,7 @@
 func newRecordTable(maxTombstones int) recordTable {
 	return recordTable{
 		live:          map[string]*wire.Record{},
-		removed:       map[string]uint64{},
+		tombstones:    map[string]uint64{},
 		maxTombstones: maxTombstones,
 	}
 }
@@ -44,8 +45,8 @@
 func (t *recordTable) put(version uint64, record *wire.Record) {
 	record.Version = version
 	t.live[record.Key] = record
-	delete(t.removed, record.Key)
-	t.add(change{version: version, key: record.Key, record: record})
+	delete(t.tombstones, record.Key)
+	t.appendChange(change{version: version, key: record.Key, record: record})
 }
 
 func (t *recordTable) remove(version uint64, key string) {
@@ -54,42 +55,42 @@
 	}
 
 	delete(t.live, key)
-	t.removed[key] = version
-	t.add(change{version: version, key: key})
+	t.tombstones[key] = version
+	t.appendChange(change{version: version, key: key})
 
-	if len(t.removed) > t.maxTombstones {
-		t.forgetRemovals()
+	if len(t.tombstones) > t.maxTombstones {
+		t.dropOldTombstones()
 	}
 }
 
-// forgetRemovals drops the older half of the kept removals. Readers older than
-// the horizon get everything.
-func (t *recordTable) forgetRemovals() {
-	versions := slices.Sorted(maps.Values(t.removed))
+// dropOldTombstones drops the older half of the retained removals. Readers older than
+// the horizon get a full answer.
+func (t *recordTable) dropOldTombstones() {
+	versions := slices.Sorted(maps.Values(t.tombstones))
 	t.horizon = versions[len(versions)/2]
 
-	maps.DeleteFunc(t.removed, func(_ string, version uint64) bool { return version <= t.horizon })
+	maps.DeleteFunc(t.tombstones, func(_ string, version uint64) bool { return version <= t.horizon })
 }
 
-func (t *recordTable) add(c change) {
+func (t *recordTable) appendChange(c change) {
 	t.version = c.version
 	t.changes = append(t.changes, c)
 
-	if len(t.changes) > 2*(len(t.live)+len(t.removed))+16 {
+	if len(t.changes) > 2*(len(t.live)+len(t.tombstones))+16 {
 		t.compact()
 	}
 }
 
 // compact drops the changes that no reader needs any more.
 func (t *recordTable) compact() {
-	kept := latest(t.changes, 0)
-	t.changes = slices.DeleteFunc(kept, func(c change) bool {
+	last := lastPerKey(t.changes, 0)
+	t.changes = slices.DeleteFunc(last, func(c change) bool {
 		return c.record == nil && c.version <= t.horizon
 	})
 }
 
-// byKind returns the live records whose keys begin with prefix, in order of key.
-func (t *recordTable) byKind(prefix string) []*wire.Record {
+// withPrefix returns the live records whose keys begin with prefix, sorted by key.
+func (t *recordTable) withPrefix(prefix string) []*wire.Record {
 	var out []*wire.Record
 
 	for key, record := range t.live {
@@ -103,7 +104,7 @@
 	return out
 }
 
-func (t *recordTable) view() Records {
+func (t *recordTable) current() Records {
 	return Records{
 		Version: t.version,
 		horizon: t.horizon,
@@ -113,32 +114,32 @@
 
 // Records is the configuration at one version. It is immutable.
 type Records struct {
-	// Version is the log index that last changed a record.
+	// Version is the log index of the last change of a record.
 	Version uint64
 
 	horizon uint64
 	changes []change
 }
 
-// Delta is what changed after some version.
+// Delta holds the changes after some version.
 type Delta struct {
-	// Version is the version that the reader has after applying the delta.
+	// Version is the version that the reader has after it applied the delta.
 	Version uint64
-	// Full: Changed holds every record, and all others are to be dropped.
+	// Full means that Changed holds every record and that the reader drops all others.
 	Full    bool
 	Changed []*wire.Record
 	Removed []string
 }
 
-// DeltaSince returns what changed after version. Where the removals since then
-// are no longer kept, and for version 0, the delta is full.
+// DeltaSince returns the changes after version. The delta is full for version 0, and
+// if removals since version were dropped.
 func (r Records) DeltaSince(version uint64) Delta {
 	d := Delta{Version: r.Version, Full: version == 0 || version < r.horizon}
 	if d.Full {
 		version = 0
 	}
 
-	for _, c := range latest(r.changes, version) {
+	for _, c := range lastPerKey(r.changes, version) {
 		switch {
 		case c.record != nil:
 			d.Changed = append(d.Changed, c.record)
@@ -164,8 +165,8 @@
 // All returns every record, in order of version.
 func (r Records) All() []*wire.Record { return r.DeltaSince(0).Changed }
 
-// latest returns the last change of each key after version, in order.
-func latest(changes []change, version uint64) []change {
+// lastPerKey returns the last change of each key after version, in order of version.
+func lastPerKey(changes []change, version uint64) []change {
 	first := sort.Search(len(changes), func(i int) bool { return changes[i].version > version })
 	seen := make(map[string]bool, len(changes)-first)
 
--- a/internal/popularity/tracker_test.go
+++ b/internal/popularity/tracker_test.go
@@ -30,9 +30,9 @@
 	// Output: [0.6 0.2 0.1 0.1] 1h0m0s
 }
 
-// Reports are lost, doubled and late. Whatever arrives, the window must hold
-// each token once, up to the newest report seen.
-func TestObserveCountsOnce(t *testing.T) {
+// Reports may be lost, duplicated or late. In any case the window must count
+// each token once, up to the newest report received.
+func TestObserveCountsEveryTokenOnce(t *testing.T) {
 	t.Parallel()
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -69,30 +69,31 @@
 }
 
 func observe(t require.TestingT, tr *popularity.Tracker, r *popularity.Report) bool {
-	news, err := tr.Observe(r)
+	accepted, err := tr.Observe(r)
 	require.NoError(t, err)
 
-	return news
+	return accepted
 }
 
-// An engine restarts and its counters begin at zero again. Taken as a
-// difference that would wrap to an enormous count, and one expert would seem to
-// carry the whole group.
-func TestEngineRestart(t *testing.T) {
+// After a restart, an engine's counters start at zero. An unsigned difference
+// to the earlier counters would wrap to an enormous count, and one expert would
+// seem to receive all tokens of the group.
+func TestEngineRestartDoesNotWrapCounts(t *testing.T) {
 	t.Parallel()
 
 	tr := newTracker()
 	observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 9, Tokens: []uint64{900, 900, 900, 900}})
 	require.True(t, observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 1, Tokens: []uint64{5, 0, 0, 0}}))
-	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "an earlier incarnation is old news")
+	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "a report of an earlier incarnation is dropped")
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 2, Tokens: []uint64{15, 10, 10, 10}})
 	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 3, Tokens: []uint64{0, 10, 10, 10}})
 	tr.CloseWindow(time.Unix(60, 0))
 	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.TokenShares())
 }
 
-// run feeds windows of layers whose shares follow f and returns the tracker.
-func run(windows, layers, experts int, f func(window int) []float64) *popularity.Tracker {
+// feedWindows feeds windows with the shares returned by f to a tracker and
+// returns the tracker.
+func feedWindows(windows, layers, experts int, f func(window int) []float64) *popularity.Tracker {
 	tr := newTracker()
 	tr.Layers, tr.Experts = layers, experts
 	counts := make([]uint64, layers*experts)
@@ -107,9 +108,9 @@
 	return tr
 }
 
-// Demand shifts at once, say as a fair opens. An average that clings to the
-// past keeps steps slow for many minutes; yet usual noise must still be averaged.
-func TestSuddenShift(t *testing.T) {
+// After a sudden shift in demand, an average that adapts slowly keeps steps
+// slow for many minutes. Normal noise must still be averaged.
+func TestSuddenShiftIsAdoptedAtOnce(t *testing.T) {
 	t.Parallel()
 
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -120,7 +121,7 @@
 
 		return shares
 	}
-	tr := run(20, 1, 4, func(w int) []float64 {
+	tr := feedWindows(20, 1, 4, func(w int) []float64 {
 		if w < 18 {
 			return noisy(0.4, 0.3, 0.2, 0.1)
 		}
@@ -128,16 +129,16 @@
 		return noisy(0.1, 0.2, 0.3, 0.4)
 	})
 	require.InDeltaSlice(t, []float64{0.1, 0.2, 0.3, 0.4}, tr.TokenShares(), 0.02)
-	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not make popularity short-lived")
+	require.Greater(t, tr.Decay(), 30*time.Minute, "one shift does not shorten the decay estimate")
 }
 
-func TestLifeFollowsDrift(t *testing.T) {
+func TestDecayFollowsDrift(t *testing.T) {
 	t.Parallel()
 
 	for _, minutes := range []float64{5, 20, 50} {
 		rng := rand.New(rand.NewPCG(2, 2))
 		z := make([]float64, 8*64)
-		tr := run(60, 8, 64, func(int) []float64 {
+		tr := feedWindows(60, 8, 64, func(int) []float64 {
 			shares := make([]float64, len(z))
 			for i := range z {
 				z[i] += -z[i]/minutes + math.Sqrt(2/minutes)*rng.NormFloat64()
@@ -150,9 +151,9 @@
 	}
 }
 
-// A rank stalls. It reports little work for much busy time and must not be
-// given an equal share; a rank that merely has not reported yet counts as ordinary.
-func TestSpeeds(t *testing.T) {
+// A stalled rank reports little work for a long busy time and must not get an
+// equal share. A rank that has not reported yet counts as normal.
+func TestSpeedOfStalledRank(t *testing.T) {
 	t.Parallel()
 
 	tr := newTracker()
@@ -168,14 +169,14 @@
 	speeds := tr.Speeds()
 	require.Equal(t, 1.0, speeds[0])
 	require.Less(t, speeds[1], 0.15)
-	require.Equal(t, 1.0, speeds[2], "never measured")
+	require.Equal(t, 1.0, speeds[2], "not measured yet")
 }
 
-func TestObserveRefuses(t *testing.T) {
+func TestObserveErrors(t *testing.T) {
 	t.Parallel()
 
 	_, err := newTracker().Observe(&popularity.Report{Rank: 3})
-	require.EqualError(t, err, "report with Rank 3, want 3")
+	require.EqualError(t, err, "invalid report: Rank is 3, group has 3")
 	_, err = newTracker().Observe(&popularity.Report{Tokens: make([]uint64, 5)})
-	require.EqualError(t, err, "report with Tokens 5, want 4")
+	require.EqualError(t, err, "invalid report: Tokens is 5, group has 4")
 }
