--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -13,22 +13,22 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// BenchmarkPropose measures commits a second through the leader, over HTTP on
-// loopback and real disks, by how many callers wait at a time. Without group
-// sync (batch=1) is the baseline.
+// BenchmarkPropose measures commits per second through the leader, over HTTP on loopback
+// and with real disks, for several numbers of concurrent callers. The baseline is batch=1,
+// where each request has its own disk sync.
 func BenchmarkPropose(b *testing.B) {
 	for _, n := range []int{1, 3} {
 		for _, batch := range []int{1, 512} {
 			for _, callers := range []int{1, 64, 512} {
 				b.Run(fmt.Sprintf("replicas=%d/batch=%d/callers=%d", n, batch, callers), func(b *testing.B) {
-					propose(b, n, batch, callers)
+					benchmarkPropose(b, n, batch, callers)
 				})
 			}
 		}
 	}
 }
 
-func propose(b *testing.B, n, batch, callers int) {
+func benchmarkPropose(b *testing.B, n, batch, callers int) {
 	g := newHTTPGroup(b, n, func(r *replica.Replica) {
 		r.MaxBatch = batch
 		r.Apply = func(uint64, []byte) []byte { return nil }
@@ -37,16 +37,16 @@
 	})
 	defer g.stop()
 
-	leader := g.leader(b)
+	leader := g.waitForLeader(b)
 	before := leader.Status().Disk
 	command := make([]byte, 200)
-	work := make(chan struct{}, callers)
+	requests := make(chan struct{}, callers)
 
-	var done sync.WaitGroup
+	var workers sync.WaitGroup
 	for range callers {
-		done.Go(func() {
-			for range work {
-				if _, _, err := leader.Propose(within(30*time.Second), command); err != nil {
+		workers.Go(func() {
+			for range requests {
+				if _, _, err := leader.Propose(timeoutContext(30*time.Second), command); err != nil {
 					b.Error(err)
 				}
 			}
@@ -56,11 +56,11 @@
 	b.ResetTimer()
 
 	for range b.N {
-		work <- struct{}{}
+		requests <- struct{}{}
 	}
 
-	close(work)
-	done.Wait()
+	close(requests)
+	workers.Wait()
 	b.StopTimer()
 
 	after := leader.Status().Disk
@@ -69,8 +69,9 @@
 	b.ReportMetric(float64(after.Syncs-before.Syncs)/float64(b.N), "syncs/commit")
 }
 
-func (g *httpGroup) leader(t testing.TB) *replica.Replica {
-	_, _, err := g.nodes[0].Propose(within(30*time.Second), []byte("first"))
+// waitForLeader commits a first command and returns the leader.
+func (g *httpGroup) waitForLeader(t testing.TB) *replica.Replica {
+	_, _, err := g.nodes[0].Propose(timeoutContext(30*time.Second), []byte("first"))
 	require.NoError(t, err)
 
 	for {
@@ -82,15 +83,14 @@
 	}
 }
 
-// BenchmarkRead measures reads a second that are shown as current, at the leader
-// and at a follower.
+// BenchmarkRead measures linearizable reads per second, at the leader and at a follower.
 func BenchmarkRead(b *testing.B) {
 	for _, at := range []string{"leader", "follower"} {
 		b.Run(at, func(b *testing.B) {
 			g := newHTTPGroup(b, 3, nil)
 			defer g.stop()
 
-			r := g.leader(b)
+			r := g.waitForLeader(b)
 			for _, other := range g.nodes {
 				if at == "follower" && other.Status().State != "Leader" {
 					r = other
@@ -101,7 +101,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if _, _, err := r.ReadIndex(within(10 * time.Second)); err != nil {
+					if _, _, err := r.ReadIndex(timeoutContext(10 * time.Second)); err != nil {
 						b.Error(err)
 					}
 				}
@@ -112,8 +112,8 @@
 	}
 }
 
-// BenchmarkCatchUp measures how long a new learner takes to hold the whole
-// state, over HTTP on loopback, by the size of the state.
+// BenchmarkCatchUp measures the time until a new learner has the entire state, over HTTP
+// on loopback, for several sizes of the state.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, mib := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("MiB=%d", mib), func(b *testing.B) {
@@ -134,13 +134,13 @@
 					r.Restore = func([]byte) error { return nil }
 					r.HeartbeatInterval, r.ElectionTimeout = quorum.DefaultHeartbeatInterval, quorum.DefaultElectionTimeout
 				})
-				leader := g.leader(b)
-				_, _, err := leader.Propose(within(10*time.Second), []byte("second"))
+				leader := g.waitForLeader(b)
+				_, _, err := leader.Propose(timeoutContext(10*time.Second), []byte("second"))
 				require.NoError(b, err)
 				b.StartTimer()
 
 				learner := g.nodes[1]
-				require.NoError(b, leader.AddLearner(within(10*time.Second), quorum.Member{ID: learner.ID, Addr: learner.Addr}))
+				require.NoError(b, leader.AddLearner(timeoutContext(10*time.Second), quorum.Member{ID: learner.ID, Addr: learner.Addr}))
 
 				for learner.Status().Applied < leader.Status().Commit {
 					time.Sleep(time.Millisecond)
@@ -154,8 +154,8 @@
 	}
 }
 
-// BenchmarkIdle measures what a group costs while nothing happens: a second of
-// it is one operation. Bytes and processor time are for the whole group.
+// BenchmarkIdle measures the network and CPU use of an idle group. One operation is one
+// second. Bytes and CPU time are totals of the group.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{3, 7} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
@@ -164,10 +164,10 @@
 			})
 			defer g.stop()
 
-			g.leader(b)
+			g.waitForLeader(b)
 			time.Sleep(time.Second)
 
-			cpu, bytes := processorTime(b), g.passed()
+			cpu, bytes := cpuTime(b), g.proxiedBytes()
 
 			b.ResetTimer()
 
@@ -178,22 +178,24 @@
 			b.StopTimer()
 
 			seconds := b.Elapsed().Seconds()
-			b.ReportMetric(float64(g.passed()-bytes)/seconds, "bytes/s")
-			b.ReportMetric(100*(processorTime(b)-cpu).Seconds()/seconds, "%core")
+			b.ReportMetric(float64(g.proxiedBytes()-bytes)/seconds, "bytes/s")
+			b.ReportMetric(100*(cpuTime(b)-cpu).Seconds()/seconds, "%core")
 		})
 	}
 }
 
-func (g *httpGroup) passed() int64 {
+// proxiedBytes returns the number of bytes that all proxies have read.
+func (g *httpGroup) proxiedBytes() int64 {
 	n := int64(0)
-	for _, r := range g.relays {
-		n += r.passed.Load()
+	for _, p := range g.proxies {
+		n += p.bytes.Load()
 	}
 
 	return n
 }
 
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time of this process.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/replica/http_test.go
+++ b/internal/replica/http_test.go
@@ -20,64 +20,65 @@
 	"github.com/parsleygate/parsleygate/internal/replica"
 )
 
-// relay passes connections on to a server, until they are silenced: open ones
-// then pass nothing any more, without being closed, while new ones work.
-type relay struct {
+// blackholeProxy forwards TCP connections to upstream. After a call to blackhole, the
+// connections open at that time stay open but deliver no more data, while new connections
+// work.
+type blackholeProxy struct {
 	net.Listener
-	to     string
-	passed atomic.Int64 // bytes, both ways
+	upstream string
+	bytes    atomic.Int64 // read from both sides
 
 	mu    sync.Mutex
-	open  []*link
-	tasks sync.WaitGroup
+	conns []*proxiedConn
+	wg    sync.WaitGroup
 }
 
-type link struct {
-	a, b   net.Conn
-	mu     sync.Mutex
-	silent bool
+type proxiedConn struct {
+	client, server net.Conn
+	mu             sync.Mutex
+	dropping       bool
 }
 
-func (r *relay) run() {
+func (p *blackholeProxy) run() {
 	for {
-		a, err := r.Accept()
+		client, err := p.Accept()
 		if err != nil {
 			return
 		}
 
-		b, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", p.upstream)
 		if err != nil {
-			a.Close()
+			client.Close()
 
 			continue
 		}
 
-		l := &link{a: a, b: b}
+		conn := &proxiedConn{client: client, server: server}
 
-		r.mu.Lock()
-		r.open = append(r.open, l)
-		r.mu.Unlock()
-		r.tasks.Go(func() { l.pass(a, b, &r.passed) })
-		r.tasks.Go(func() { l.pass(b, a, &r.passed) })
+		p.mu.Lock()
+		p.conns = append(p.conns, conn)
+		p.mu.Unlock()
+		p.wg.Go(func() { conn.copy(client, server, &p.bytes) })
+		p.wg.Go(func() { conn.copy(server, client, &p.bytes) })
 	}
 }
 
-func (l *link) pass(from, to net.Conn, passed *atomic.Int64) {
+func (c *proxiedConn) copy(from, to net.Conn, total *atomic.Int64) {
 	buf := make([]byte, 32<<10)
 
 	for {
 		n, err := from.Read(buf)
-		passed.Add(int64(n))
+		total.Add(int64(n))
 
-		l.mu.Lock()
-		silent := l.silent
-		l.mu.Unlock()
+		c.mu.Lock()
+		dropping := c.dropping
+		c.mu.Unlock()
 
-		if !silent && n > 0 {
+		if !dropping && n > 0 {
 			_, _ = to.Write(buf[:n])
 		}
 
-		if errors.Is(err, io.EOF) && !silent {
+		if errors.Is(err, io.EOF) && !dropping {
 			to.Close()
 		}
 
@@ -87,29 +88,30 @@
 	}
 }
 
-// silence makes all open connections silent for good and counts them.
-func (r *relay) silence() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// blackhole makes all open connections drop their data permanently, and returns the
+// number of connections accepted so far.
+func (p *blackholeProxy) blackhole() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 
-	for _, l := range r.open {
-		l.mu.Lock()
-		l.silent = true
-		l.mu.Unlock()
+	for _, conn := range p.conns {
+		conn.mu.Lock()
+		conn.dropping = true
+		conn.mu.Unlock()
 	}
 
-	return len(r.open)
+	return len(p.conns)
 }
 
-func (r *relay) shut() {
-	r.Close()
+func (p *blackholeProxy) closeAll() {
+	p.Close()
 
-	for _, l := range r.open {
-		l.a.Close()
-		l.b.Close()
+	for _, conn := range p.conns {
+		conn.client.Close()
+		conn.server.Close()
 	}
 
-	r.tasks.Wait()
+	p.wg.Wait()
 }
 
 func listen(t testing.TB) net.Listener {
@@ -123,28 +125,29 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// httpGroup is a group over real connections on loopback, each through a relay.
+// httpGroup is a group of replicas that communicate by HTTP on loopback, through one proxy
+// in front of each replica.
 type httpGroup struct {
-	nodes  []*replica.Replica
-	states []*ledger
-	relays []*relay
-	stop   func()
+	nodes   []*replica.Replica
+	states  []*ledger
+	proxies []*blackholeProxy
+	stop    func()
 }
 
-func newHTTPGroup(t testing.TB, n int, tune func(*replica.Replica)) *httpGroup {
+func newHTTPGroup(t testing.TB, n int, configure func(*replica.Replica)) *httpGroup {
 	g := &httpGroup{}
 	ctx, cancel := context.WithCancel(context.Background())
 
 	var (
 		founders []quorum.Member
 		servers  []*http.Server
-		tasks    sync.WaitGroup
+		wg       sync.WaitGroup
 	)
 
 	for i := range n {
-		r := &relay{Listener: listen(t)}
-		g.relays = append(g.relays, r)
-		founders = append(founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addrOf(r)})
+		proxy := &blackholeProxy{Listener: listen(t)}
+		g.proxies = append(g.proxies, proxy)
+		founders = append(founders, quorum.Member{ID: fmt.Sprint("vm", i), Addr: addrOf(proxy)})
 	}
 
 	for i, m := range founders {
@@ -155,19 +158,19 @@
 			HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond,
 		}
 
-		if tune != nil {
-			tune(node)
+		if configure != nil {
+			configure(node)
 		}
 
 		l := listen(t)
-		g.relays[i].to = l.Addr().String()
+		g.proxies[i].upstream = l.Addr().String()
 		server := &http.Server{Handler: node.Handler()}
 		servers = append(servers, server)
 		g.nodes, g.states = append(g.nodes, node), append(g.states, state)
 
-		tasks.Go(func() { _ = server.Serve(l) })
-		tasks.Go(g.relays[i].run)
-		tasks.Go(func() { _ = node.Run(ctx) })
+		wg.Go(func() { _ = server.Serve(l) })
+		wg.Go(g.proxies[i].run)
+		wg.Go(func() { _ = node.Run(ctx) })
 	}
 
 	g.stop = func() {
@@ -175,36 +178,36 @@
 
 		for i := range servers {
 			servers[i].Close()
-			g.relays[i].shut()
+			g.proxies[i].closeAll()
 		}
 
-		tasks.Wait()
+		wg.Wait()
 	}
 
 	return g
 }
 
-// A stateful device between the VMs forgets all open connections: they carry
-// nothing any more, in no direction, for good, and nobody closes them. New
-// ones work. Every replica must notice, dial anew and go on.
-func TestSilentConnectionsAreDialledAnew(t *testing.T) { //nolint:paralleltest // looks for leaked goroutines
+// A stateful network device between the VMs drops the state of all open connections. They
+// deliver no more data in either direction and are never closed, while new connections
+// work. Every replica must time out, dial again and continue.
+func TestBlackholedConnectionsAreRedialled(t *testing.T) { //nolint:paralleltest // checks for leaked goroutines
 	defer goleak.VerifyNone(t)
 
 	g := newHTTPGroup(t, 3, nil)
 	defer g.stop()
 
 	for i, n := range g.nodes {
-		_, _, err := n.Propose(within(20*time.Second), []byte(fmt.Sprint(i)))
+		_, _, err := n.Propose(timeoutContext(20*time.Second), []byte(fmt.Sprint(i)))
 		require.NoError(t, err)
 	}
 
-	for _, r := range g.relays {
-		require.NotZero(t, r.silence())
+	for _, p := range g.proxies {
+		require.NotZero(t, p.blackhole())
 	}
 
 	for i, n := range g.nodes {
 		require.Eventually(t, func() bool {
-			_, _, err := n.ReadIndex(within(time.Second))
+			_, _, err := n.ReadIndex(timeoutContext(time.Second))
 
 			return err == nil
 		}, 30*time.Second, 10*time.Millisecond)
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -11,13 +11,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// loop steps the core. Events that are waiting together share one sync.
+// loop passes requests, messages and ticks to the core. All events queued at the same
+// time share one disk sync.
 func (r *Replica) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 
 	for {
-		if err := r.settle(); err != nil {
+		if err := r.processBatches(); err != nil {
 			return err
 		}
 
@@ -29,65 +30,67 @@
 		case <-timer.C:
 			r.core.Step(time.Now(), quorum.Tick{})
 		case req := <-r.requests:
-			r.request(req)
+			r.stepRequest(req)
 		case env := <-r.inbox:
-			r.receive(env)
+			r.stepEnvelope(env)
 		}
 
-		r.drain()
+		r.drainQueues()
 	}
 }
 
-// drain takes in what else is waiting, up to a limit that keeps ticks on time.
-func (r *Replica) drain() {
+// drainQueues processes further queued events, at most MaxBatch with the first one, so
+// that ticks stay on time.
+func (r *Replica) drainQueues() {
 	for range r.MaxBatch - 1 {
 		select {
 		case req := <-r.requests:
-			r.request(req)
+			r.stepRequest(req)
 		case env := <-r.inbox:
-			r.receive(env)
+			r.stepEnvelope(env)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Replica) request(req request) {
-	r.lastID++
-	r.waiting[r.lastID] = req.done
-	r.core.Step(time.Now(), req.event(r.lastID))
+func (r *Replica) stepRequest(req request) {
+	r.lastRequestID++
+	r.pending[r.lastRequestID] = req.result
+	r.core.Step(time.Now(), req.newEvent(r.lastRequestID))
 }
 
-func (r *Replica) receive(env *wire.PeerEnvelope) {
+func (r *Replica) stepEnvelope(env *wire.PeerEnvelope) {
 	for _, w := range env.GetMessages() {
 		m, err := quorum.MessageFromWire(w)
 		if err != nil {
-			r.Logger.Warn("Ignored a message.", "err", err)
+			r.Logger.Warn("Dropped an invalid peer message.", "err", err)
 
 			continue
 		}
 
-		// A VM that lost its disk takes part under a new ID at its old address, where
-		// messages to the one that it was still arrive.
+		// A VM that lost its disk rejoins with a new ID at its old address. Messages for
+		// the old ID still arrive there.
 		if m.To != r.ID {
 			continue
 		}
 
 		if addr, err := netip.ParseAddrPort(env.GetAddress()); err == nil {
-			r.learned[m.From] = addr
+			r.learnedAddrs[m.From] = addr
 		}
 
 		r.core.Step(time.Now(), quorum.Received{Message: m})
 	}
 }
 
-// settle does what the core asks for until there is nothing left.
-func (r *Replica) settle() error {
+// processBatches executes the core's batches, and takes a snapshot if one is due, until
+// the core has no more work.
+func (r *Replica) processBatches() error {
 	for {
 		b := r.core.Take()
 		if b.Empty() {
-			if !r.compact() {
-				r.publish()
+			if !r.snapshotIfDue() {
+				r.publishStatus()
 
 				return nil
 			}
@@ -95,30 +98,30 @@
 			continue
 		}
 
-		if err := r.do(b); err != nil {
+		if err := r.executeBatch(b); err != nil {
 			return err
 		}
 	}
 }
 
-// do carries out one batch. The order matters: see quorum.Batch.
-func (r *Replica) do(b quorum.Batch) error {
-	r.sendAll(b.SendNow)
+// executeBatch executes one batch. quorum.Batch defines the order of the steps.
+func (r *Replica) executeBatch(b quorum.Batch) error {
+	r.sendMessages(b.SendNow)
 
 	if err := r.journal.Write(b.Persist); err != nil {
 		return eris.Wrap(err, "write journal")
 	}
 
 	r.core.Synced()
-	r.sendAll(b.Send)
+	r.sendMessages(b.Send)
 
 	if b.Restore != nil {
 		if err := r.Restore(b.Restore.Data); err != nil {
-			return eris.Wrapf(err, "restore the snapshot at %d", b.Restore.Index)
+			return eris.Wrapf(err, "restore the snapshot at index %d", b.Restore.Index)
 		}
 
-		r.applied = b.Restore.Index
-		r.snapshot = b.Restore.Index
+		r.appliedIndex = b.Restore.Index
+		r.snapshotIndex = b.Restore.Index
 	}
 
 	for _, c := range b.Apply {
@@ -126,56 +129,57 @@
 	}
 
 	for _, a := range b.Answers {
-		r.answer(a.ID, outcome{verdict: a.Verdict, reason: a.Reason})
+		r.complete(a.ID, outcome{verdict: a.Verdict, reason: a.Reason})
 	}
 
 	for _, d := range b.Reads {
-		r.answer(d.ID, outcome{done: !d.Failed, index: d.Index})
+		r.complete(d.ID, outcome{succeeded: !d.Failed, index: d.Index})
 	}
 
 	return r.core.Err()
 }
 
 func (r *Replica) apply(c quorum.Committed) {
-	out := outcome{done: true, index: c.Entry.Index}
+	out := outcome{succeeded: true, index: c.Entry.Index}
 
 	if c.Entry.Kind == quorum.EntryCommand {
 		out.result = r.Apply(c.Entry.Index, c.Entry.Command)
-		r.commits++
-		r.unsaved += len(c.Entry.Command)
+		r.appliedCommands++
+		r.bytesSinceSnapshot += len(c.Entry.Command)
 	}
 
-	r.applied = c.Entry.Index
-	r.answer(c.ProposalID, out)
+	r.appliedIndex = c.Entry.Index
+	r.complete(c.ProposalID, out)
 }
 
-func (r *Replica) answer(id uint64, out outcome) {
-	done, ok := r.waiting[id]
+func (r *Replica) complete(id uint64, out outcome) {
+	result, ok := r.pending[id]
 	if !ok {
 		return
 	}
 
-	delete(r.waiting, id)
-	done <- out
+	delete(r.pending, id)
+	result <- out
 }
 
-// compact takes a snapshot if one is due.
-func (r *Replica) compact() bool {
-	if r.applied-r.snapshot < r.SnapshotThreshold && r.unsaved < snapshotBytes {
+// snapshotIfDue takes a snapshot if enough entries or bytes were applied since the last
+// one, and reports whether it did.
+func (r *Replica) snapshotIfDue() bool {
+	if r.appliedIndex-r.snapshotIndex < r.SnapshotThreshold && r.bytesSinceSnapshot < snapshotThresholdBytes {
 		return false
 	}
 
-	r.snapshot = r.applied
-	r.unsaved = 0
-	r.core.Step(time.Now(), quorum.SnapshotTaken{Index: r.applied, Data: r.Snapshot()})
+	r.snapshotIndex = r.appliedIndex
+	r.bytesSinceSnapshot = 0
+	r.core.Step(time.Now(), quorum.SnapshotTaken{Index: r.appliedIndex, Data: r.Snapshot()})
 
 	return true
 }
 
-// failWaiting answers all who wait when the replica stops. What they proposed
-// may still be committed by the others.
-func (r *Replica) failWaiting() {
-	for id := range r.waiting {
-		r.answer(id, outcome{reason: reasonStopped})
+// failPending fails all pending requests when the replica stops. Their verdict is
+// MayHaveRun, because the other replicas may still commit a pending proposal.
+func (r *Replica) failPending() {
+	for id := range r.pending {
+		r.complete(id, outcome{reason: reasonStopped})
 	}
 }
--- a/internal/replica/order.go
+++ b/internal/replica/request.go
@@ -11,15 +11,17 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// CauseNoQuorum is the cause of errors while no leader can commit.
+// CauseNoQuorum is the cause of errors while no leader can commit, and of all reasons
+// without a cause of their own.
 const CauseNoQuorum verdict.Cause = "NoQuorum"
 
 const (
-	reasonStopped quorum.Reason = "ReplicaStopped"
-	reasonCluster quorum.Reason = "AnotherCluster"
+	reasonStopped      quorum.Reason = "ReplicaStopped"
+	reasonOtherCluster quorum.Reason = "AnotherCluster"
 )
 
-// RequestError says why a proposal, change or read was refused or left open.
+// RequestError is the reason why a proposal, membership change, leadership transfer or
+// read failed or has an unknown outcome.
 type RequestError struct {
 	Reason quorum.Reason
 }
@@ -27,131 +29,132 @@
 // Error implements error.
 func (e *RequestError) Error() string { return "replica: " + string(e.Reason) }
 
-// request is an event of a caller, on its way to the core.
+// request is a queued event for the core, with the channel for its outcome.
 type request struct {
-	event func(id uint64) quorum.Event
-	done  chan outcome
+	newEvent func(id uint64) quorum.Event
+	result   chan outcome
 }
 
-// outcome is what became of a request.
+// outcome is the result of a request.
 type outcome struct {
-	done    bool
-	index   uint64
-	result  []byte
-	verdict verdict.Verdict
-	reason  quorum.Reason
+	succeeded bool
+	index     uint64
+	result    []byte
+	verdict   verdict.Verdict
+	reason    quorum.Reason
 }
 
-// Propose commits command through the leader, wherever it is, and returns what
-// Apply returned for it there. The error holds a verdict: only NotRun means that
-// the command is not and will not be applied. Without a deadline in ctx it takes
-// at most DefaultTimeout.
+// Propose commits command through the leader, which may be another replica, and returns
+// its log index and the result of Apply at the leader. The error has a verdict. Only
+// NotRun guarantees that the command is not and will not be applied. If ctx has no
+// deadline, DefaultTimeout applies.
 func (r *Replica) Propose(ctx context.Context, command []byte) (uint64, []byte, error) {
-	out, err := r.order(ctx, &wire.PeerOrder{Kind: wire.PeerOrderKind_PeerOrderPropose, Command: command})
+	out, err := r.submit(ctx, &wire.PeerOrder{Kind: wire.PeerOrderKind_PeerOrderPropose, Command: command})
 
 	return out.index, out.result, err
 }
 
-// ReadIndex returns a time and an index: state applied up to at least index, as this
-// replica's is when Read returns, was current as of asOf, the local time at
-// which Read was called.
+// ReadIndex performs a linearizable read. When it returns, this replica has applied the
+// log up to index, and its state includes everything that was committed at asOf. AsOf is
+// the local time of the call.
 func (r *Replica) ReadIndex(ctx context.Context) (asOf time.Time, index uint64, err error) {
 	asOf = time.Now()
 
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 
-	until, _ := ctx.Deadline()
-	out := r.ask(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: until} })
+	deadline, _ := ctx.Deadline()
+	out := r.submitEvent(ctx, func(id uint64) quorum.Event { return quorum.ReadRequested{ID: id, Deadline: deadline} })
 
-	if !out.done {
-		// A read changes nothing, so it may always be repeated.
-		return time.Time{}, 0, refusal(outcome{verdict: verdict.NotRun, reason: quorum.ReasonTimeout})
+	if !out.succeeded {
+		// A read changes nothing, so the caller may always retry it.
+		return time.Time{}, 0, outcomeError(outcome{verdict: verdict.NotRun, reason: quorum.ReasonTimeout})
 	}
 
 	return asOf, out.index, nil
 }
 
-// AddLearner adds a member that receives the log and has no vote.
+// AddLearner adds a non-voting member that receives the log.
 func (r *Replica) AddLearner(ctx context.Context, m quorum.Member) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderAddLearner, Member: quorum.MemberToWire(m),
 	})
 
 	return err
 }
 
-// Promote makes a learner a voter. It is refused until the learner is up to date.
+// Promote makes a learner a voter. It fails while the learner lags behind the log.
 func (r *Replica) Promote(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderPromote, Member: &wire.QuorumMember{ID: id},
 	})
 
 	return err
 }
 
-// Remove takes a member out for good. It is refused where too few voters that
-// are up to date would remain, and for the leader, which hands over first.
+// Remove removes a member permanently. It fails if too few up-to-date voters would
+// remain, and for the leader, which must transfer its leadership first.
 func (r *Replica) Remove(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderRemove, Member: &wire.QuorumMember{ID: id},
 	})
 
 	return err
 }
 
-// TransferLeadership hands leadership to the voter named to, or to the most up
-// to date one if it is empty. It returns nil once the old leader has stepped down.
+// TransferLeadership transfers leadership to the voter to, or to the most up-to-date
+// voter if to is empty. It returns nil once the old leader has stepped down.
 func (r *Replica) TransferLeadership(ctx context.Context, to string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderTransfer, Member: &wire.QuorumMember{ID: to},
 	})
 
 	return err
 }
 
-// CheckStop returns nil if the group can go on without the member, however the
-// others are: it asks them now, where Status tells what it last heard.
+// CheckStop returns nil if the group keeps a quorum without the member. The leader
+// confirms this with a new round to the other members, whereas Status returns the last
+// known state.
 func (r *Replica) CheckStop(ctx context.Context, id string) error {
-	_, err := r.order(ctx, &wire.PeerOrder{
+	_, err := r.submit(ctx, &wire.PeerOrder{
 		Kind: wire.PeerOrderKind_PeerOrderCheckStop, Member: &wire.QuorumMember{ID: id},
 	})
 
 	return err
 }
 
-// order gives an order here or, if another replica leads, there. While nobody
-// leads it tries again until ctx ends; it never gives an order twice that may
-// have run.
-func (r *Replica) order(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
-	ctx, cancel := bounded(ctx)
+// submit runs a request on this replica or, if another replica leads, on that one. It
+// retries transient failures until ctx ends, for example while there is no leader. It
+// never retries a request that may have run.
+func (r *Replica) submit(ctx context.Context, o *wire.PeerOrder) (outcome, error) {
+	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 
 	for {
-		out := r.give(ctx, o)
+		out := r.submitLocal(ctx, o)
 		if out.reason == quorum.ReasonNotLeader {
 			out = r.forward(ctx, o)
 		}
 
 		switch {
-		case out.done:
+		case out.succeeded:
 			return out, nil
-		case out.verdict != verdict.NotRun || !isPassing(out.reason):
-			return out, refusal(out)
+		case out.verdict != verdict.NotRun || !isTransient(out.reason):
+			return out, outcomeError(out)
 		}
 
 		select {
 		case <-ctx.Done():
-			return out, refusal(out)
+			return out, outcomeError(out)
 		case <-r.stopped:
-			return out, refusal(out)
+			return out, outcomeError(out)
 		case <-time.After(r.HeartbeatInterval / 4):
 		}
 	}
 }
 
-// isPassing reports whether a refusal may soon be over.
-func isPassing(reason quorum.Reason) bool {
+// isTransient reports whether a request refused for reason may succeed on a retry.
+func isTransient(reason quorum.Reason) bool {
 	switch reason {
 	case quorum.ReasonNotLeader, quorum.ReasonTransferring, quorum.ReasonMembersChanging:
 		return true
@@ -160,14 +163,14 @@
 	}
 }
 
-// give gives an order to this replica's core.
-func (r *Replica) give(ctx context.Context, o *wire.PeerOrder) outcome {
+// submitLocal runs a request on this replica's core.
+func (r *Replica) submitLocal(ctx context.Context, o *wire.PeerOrder) outcome {
 	m, err := quorum.MemberFromWire(o.GetMember())
 	if err != nil {
 		return outcome{verdict: verdict.NotRun, reason: quorum.ReasonBadAddress}
 	}
 
-	out := r.ask(ctx, func(id uint64) quorum.Event {
+	out := r.submitEvent(ctx, func(id uint64) quorum.Event {
 		switch o.GetKind() {
 		case wire.PeerOrderKind_PeerOrderAddLearner:
 			return quorum.ChangeRequested{ID: id, Kind: quorum.AddLearner, Member: m}
@@ -183,16 +186,16 @@
 			return quorum.Proposed{ID: id, Command: o.GetCommand()}
 		}
 	})
-	out.done = out.done || out.verdict == verdict.Ran
+	out.succeeded = out.succeeded || out.verdict == verdict.Ran
 
 	return out
 }
 
-// ask hands an event to the core and waits for what becomes of it.
-func (r *Replica) ask(ctx context.Context, event func(id uint64) quorum.Event) outcome {
-	r.prepare()
+// submitEvent queues an event for the core and waits for its outcome.
+func (r *Replica) submitEvent(ctx context.Context, newEvent func(id uint64) quorum.Event) outcome {
+	r.init()
 
-	req := request{event: event, done: make(chan outcome, 1)}
+	req := request{newEvent: newEvent, result: make(chan outcome, 1)}
 
 	select {
 	case <-r.stopped:
@@ -209,7 +212,7 @@
 	}
 
 	select {
-	case out := <-req.done:
+	case out := <-req.result:
 		return out
 	case <-ctx.Done():
 		return outcome{reason: quorum.ReasonTimeout}
@@ -217,14 +220,14 @@
 	}
 
 	select {
-	case out := <-req.done:
+	case out := <-req.result:
 		return out
 	default:
 		return outcome{reason: reasonStopped}
 	}
 }
 
-// forward gives an order to the leader, if one is known.
+// forward sends a request to the leader. It fails with NotRun if no other leader is known.
 func (r *Replica) forward(ctx context.Context, o *wire.PeerOrder) outcome {
 	notRun := outcome{verdict: verdict.NotRun, reason: quorum.ReasonNotLeader}
 
@@ -234,16 +237,16 @@
 	}
 
 	o.Cluster = r.Cluster
-	if until, ok := ctx.Deadline(); ok {
-		o.RemainingMillis = uint64(max(1, time.Until(until).Milliseconds()))
+	if deadline, ok := ctx.Deadline(); ok {
+		o.RemainingMillis = uint64(max(1, time.Until(deadline).Milliseconds()))
 	}
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	go r.cancelWithTerm(ctx, cancel, r.Status().Term)
+	go r.cancelOnNewLeader(ctx, cancel, r.Status().Term)
 
-	answer, err := r.forwardTo(ctx, leader, o)
+	resp, err := r.forwardTo(ctx, leader, o)
 
 	switch {
 	case errors.Is(err, ErrNotSent):
@@ -252,14 +255,15 @@
 		return outcome{reason: quorum.ReasonTimeout}
 	}
 
-	out := outcome{done: answer.GetDone(), index: answer.GetIndex(), result: answer.GetResult()}
-	out.reason = quorum.Reason(answer.GetReason())
+	out := outcome{succeeded: resp.GetDone(), index: resp.GetIndex(), result: resp.GetResult()}
+	out.reason = quorum.Reason(resp.GetReason())
 
-	if answer.GetNotRun() {
+	if resp.GetNotRun() {
 		out.verdict = verdict.NotRun
 	}
 
-	// The leader has stopped since this replica last heard of it. Another one follows.
+	// The leader has stopped since it last contacted this replica. Treat this as
+	// transient, because another leader will be elected.
 	if out.reason == reasonStopped {
 		out.reason = quorum.ReasonNotLeader
 	}
@@ -267,10 +271,10 @@
 	return out
 }
 
-// cancelWithTerm calls cancel once a later term has a leader. The one of term
-// may be cut off without a word, and its answer would be waited for until the
-// caller's deadline.
-func (r *Replica) cancelWithTerm(ctx context.Context, cancel context.CancelFunc, term uint64) {
+// cancelOnNewLeader calls cancel once a term later than term has a leader. Without it, a
+// request forwarded to a leader that has become unreachable would wait until the caller's
+// deadline.
+func (r *Replica) cancelOnNewLeader(ctx context.Context, cancel context.CancelFunc, term uint64) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -284,7 +288,7 @@
 	}
 }
 
-// leaderAddr returns where the leader is, if it is another replica.
+// leaderAddr returns the leader's address, if another replica leads.
 func (r *Replica) leaderAddr() (netip.AddrPort, bool) {
 	s := r.Status()
 	if s.Leader == "" || s.Leader == r.ID {
@@ -294,7 +298,7 @@
 	return s.LeaderAddr, s.LeaderAddr.IsValid()
 }
 
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
@@ -302,7 +306,7 @@
 	return context.WithTimeout(ctx, DefaultTimeout)
 }
 
-func refusal(out outcome) error {
+func outcomeError(out outcome) error {
 	cause := CauseNoQuorum
 
 	switch out.reason {
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -15,41 +15,42 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ErrNotSent says that an order did not leave this replica.
-var ErrNotSent = errors.New("replica: order not sent")
+// ErrNotSent reports that a request was not sent to the leader.
+var ErrNotSent = errors.New("replica: request not sent")
 
 const (
-	// queuePerPeer bounds the envelopes that wait for one peer; more are dropped.
-	queuePerPeer = 64
-	idleTimeout  = 2 * time.Second
-	// maxMerged bounds what is sent in one call, maxBody what is read from one.
-	maxMerged   = 2 << 20
-	maxBody     = 16 << 20
-	idlePerPeer = 16
+	// maxQueuedEnvelopes bounds the queue of one peer. Further envelopes are dropped.
+	maxQueuedEnvelopes = 64
+	idleConnTimeout    = 2 * time.Second
+	// maxMergedBytes is the size from which no more queued envelopes are merged into one
+	// call. maxBodyBytes bounds a request body that the handler reads.
+	maxMergedBytes      = 2 << 20
+	maxBodyBytes        = 16 << 20
+	maxIdleConnsPerPeer = 16
 )
 
-// transport sends by HTTP, to each peer over a connection of its own, one call
-// at a time. A call that is not answered in time ends its connection, and the
-// next one dials anew: a connection that something on the way has forgotten
-// stays silent for good, while new ones work.
+// transport sends messages by HTTP, one call at a time per peer, over a separate
+// connection for each peer. A failed or timed-out call closes the connection and the next
+// call dials again: when a stateful network device drops a connection's state, that
+// connection never delivers anything more, while new connections work.
 type transport struct {
 	scheme  string
 	client  *http.Client
 	timeout time.Duration
 
-	mu     sync.Mutex
-	peers  map[netip.AddrPort]*peer
-	closed bool
-	done   sync.WaitGroup
+	mu      sync.Mutex
+	peers   map[netip.AddrPort]*peer
+	closed  bool
+	workers sync.WaitGroup
 }
 
-// peer is the queue towards one address.
+// peer is the send queue for one address.
 type peer struct {
 	queue  chan *wire.PeerEnvelope
 	client *http.Client
 }
 
-func (r *Replica) transport() *transport {
+func (r *Replica) newTransport() *transport {
 	return &transport{
 		scheme: r.scheme(), client: r.Client, timeout: r.ElectionTimeout / 2, peers: map[netip.AddrPort]*peer{},
 	}
@@ -63,7 +64,8 @@
 	return r.Scheme
 }
 
-// send queues env. It does not block; with a full queue env is dropped.
+// send queues env for the peer at an address. It does not block, and drops env if the
+// queue is full.
 func (t *transport) send(to netip.AddrPort, env *wire.PeerEnvelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,10 +76,10 @@
 
 	p := t.peers[to]
 	if p == nil {
-		p = &peer{queue: make(chan *wire.PeerEnvelope, queuePerPeer), client: newClient(t.client)}
+		p = &peer{queue: make(chan *wire.PeerEnvelope, maxQueuedEnvelopes), client: newClient(t.client)}
 		t.peers[to] = p
 
-		t.done.Add(1)
+		t.workers.Add(1)
 
 		go t.run(p, t.scheme+"://"+to.String())
 	}
@@ -89,16 +91,16 @@
 }
 
 func (t *transport) run(p *peer, url string) {
-	defer t.done.Done()
+	defer t.workers.Done()
 	defer p.client.CloseIdleConnections()
 
-	c := wire.NewPeerProtobufClient(url, p.client)
+	client := wire.NewPeerProtobufClient(url, p.client)
 
 	for env := range p.queue {
-		merge(env, p.queue)
+		mergeQueued(env, p.queue)
 
 		ctx, cancel := context.WithTimeout(context.Background(), t.timeout)
-		_, err := c.Deliver(ctx, env)
+		_, err := client.Deliver(ctx, env)
 
 		cancel()
 
@@ -108,16 +110,17 @@
 	}
 }
 
-// merge adds to env what else is waiting for the same peer.
-func merge(env *wire.PeerEnvelope, queue chan *wire.PeerEnvelope) {
-	for proto.Size(env) < maxMerged {
+// mergeQueued appends to env the messages of further envelopes queued for the same peer,
+// until env has reached maxMergedBytes.
+func mergeQueued(env *wire.PeerEnvelope, queue chan *wire.PeerEnvelope) {
+	for proto.Size(env) < maxMergedBytes {
 		select {
-		case more, ok := <-queue:
+		case next, ok := <-queue:
 			if !ok {
 				return
 			}
 
-			env.Messages = append(env.Messages, more.GetMessages()...)
+			env.Messages = append(env.Messages, next.GetMessages()...)
 		default:
 			return
 		}
@@ -133,39 +136,39 @@
 	}
 	t.mu.Unlock()
 
-	t.done.Wait()
+	t.workers.Wait()
 }
 
-// newClient returns a client with connections of its own, set up as base's are.
+// newClient returns a client with its own connection pool and base's transport settings.
 func newClient(base *http.Client) *http.Client {
 	tr := &http.Transport{}
 
 	if base != nil {
-		if own, ok := base.Transport.(*http.Transport); ok {
-			tr = own.Clone()
+		if baseTransport, ok := base.Transport.(*http.Transport); ok {
+			tr = baseTransport.Clone()
 		}
 	}
 
-	// A connection that was idle for long may have been forgotten on the way.
-	tr.IdleConnTimeout = idleTimeout
-	tr.MaxIdleConnsPerHost = idlePerPeer
+	// A network device may have dropped the state of a connection that was idle for long.
+	tr.IdleConnTimeout = idleConnTimeout
+	tr.MaxIdleConnsPerHost = maxIdleConnsPerPeer
 
 	return &http.Client{Transport: tr}
 }
 
-// forwardTo gives an order to the leader. It returns ErrNotSent if no connection
-// could be opened.
+// forwardTo sends a request to the leader at an address. It returns ErrNotSent if the
+// connection could not be opened.
 func (r *Replica) forwardTo(ctx context.Context, to netip.AddrPort, o *wire.PeerOrder) (*wire.PeerOrderAnswer, error) {
 	if r.Forward != nil {
 		return r.Forward(ctx, to, o)
 	}
 
-	answer, err := wire.NewPeerProtobufClient(r.scheme()+"://"+to.String(), r.forwarder).Give(ctx, o)
+	resp, err := wire.NewPeerProtobufClient(r.scheme()+"://"+to.String(), r.forwardClient).Give(ctx, o)
 
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return nil, ErrNotSent
 	}
 
-	return answer, eris.Wrap(err, "forward")
+	return resp, eris.Wrap(err, "forward")
 }
--- a/internal/replica/transport_test.go
+++ b/internal/replica/transport_test.go
@@ -14,17 +14,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// The leader's process has just died and nothing listens there any more. An
-// order that could not even be sent may be given again; callers need not be
-// told that it may have run.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// The leader's process has ended and nothing listens at its address. The request was not
+// sent, so forwardTo must return ErrNotSent, which allows a retry and the verdict NotRun.
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	t.Parallel()
 
 	to, err := loopback.Address()
 	require.NoError(t, err)
 
 	r := &Replica{ID: "vm0", Cluster: "test"}
-	r.prepare()
+	r.init()
 
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -33,8 +32,9 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// A message of each kind arrives as it was sent, also where its fields are empty.
-func TestMessagesTravelWhole(t *testing.T) {
+// Each kind of message must survive encoding and decoding unchanged, also with empty
+// fields. A message without a known body must give an error.
+func TestMessagesRoundTrip(t *testing.T) {
 	t.Parallel()
 
 	members := quorum.Members{{ID: "a", Birth: 3, Addr: netip.MustParseAddrPort("[::1]:7"), Role: quorum.Learner}, {ID: "b"}}
