--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -183,7 +183,7 @@
 	e := &role.Entry{
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Region: s.Process.Region,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
-		Controls: role.NewControls(s.ControlAddresses(), p.identity), Limits: limits, Leave: s.Entry.ShutdownDelay,
+		Controls: role.NewControlClient(s.ControlAddresses(), p.identity), Limits: limits, ShutdownDelay: s.Entry.ShutdownDelay,
 		Logs: p.logs, Dump: p.dump,
 	}
 
@@ -199,7 +199,7 @@
 	a := &role.Agent{
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
-		Controls: role.NewControls(s.ControlAddresses(), p.identity),
+		Controls: role.NewControlClient(s.ControlAddresses(), p.identity),
 		Settings: agent.Settings{
 			Admission:      admission.Settings{CreditLife: s.Agent.CreditLifetime, AnnounceTimeout: s.Agent.AnnounceTimeout},
 			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetIdleTimeout: s.Agent.TargetIdleTimeout,
@@ -213,7 +213,7 @@
 			return err
 		}
 
-		a.Announce = announce
+		a.AnnounceListener = announce
 	}
 
 	return a.Run(ctx)
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/routing.go
@@ -12,9 +12,9 @@
 
 	"github.com/parsleygate/parsleygate/internal/control"
 	"github.com/parsleygate/parsleygate/internal/journal"
+	"github.com/parsleygate/parsleygate/internal/membership"
 	"github.com/parsleygate/parsleygate/internal/retries"
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/roster"
 	"github.com/parsleygate/parsleygate/internal/settings"
 	"github.com/parsleygate/parsleygate/internal/wire"
 	"github.com/parsleygate/parsleygate/platform"
@@ -34,13 +34,13 @@
 		return err
 	}
 
-	e := &role.RoutingEntry{
-		Datagrams: datagrams, AgentPort: s.Seeds.Port,
-		Relay: s.Process.AdminAddress, EngineAt: platform.Engine, Internal: p.internal,
-		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Ready: ready,
-		Seeds: p.seeds(), Dialect: platform.Dialect(), Readiness: platform.Readiness,
-		Budget:     &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
-		StopWithin: s.Routing.StopTimeout, Logs: p.logs, Dump: p.dump,
+	e := &role.DirectEntry{
+		LoadConn: datagrams, AgentPort: s.Seeds.Port,
+		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.internal,
+		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, ReadyListener: ready,
+		Seeds: p.seeds(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
+		Budget:      &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
+		StopTimeout: s.Routing.StopTimeout, Logs: p.logs, Dump: p.dump,
 	}
 
 	return e.Run(ctx)
@@ -56,8 +56,8 @@
 	}
 
 	a := &role.RankAgent{
-		Datagrams: datagrams,
-		ID:        s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seeds(),
+		LoadConn: datagrams,
+		ID:       s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seeds(),
 		Engine: platform.Engine(s.Rank.EngineAddress), EngineAt: platform.Engine,
 		Logs: p.logs, Dump: p.dump,
 	}
@@ -73,10 +73,10 @@
 		return eris.Wrap(err, "close listener")
 	}
 
-	e := &role.Endings{
-		Once:   func(ctx context.Context) error { return runControlOnce(ctx, p) },
-		Clear:  func() error { return os.RemoveAll(p.settings.Control.DataFolder) },
-		Logger: p.logs.Logger("control"),
+	e := &role.Supervisor{
+		RunOnce:      func(ctx context.Context) error { return runControlOnce(ctx, p) },
+		ClearDataDir: func() error { return os.RemoveAll(p.settings.Control.DataFolder) },
+		Logger:       p.logs.Logger("control"),
 	}
 
 	return e.Run(ctx)
@@ -105,8 +105,8 @@
 		VM: self.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Incarnation: role.IncarnationAt(time.Now()),
 		Listener: listener, Identity: p.identity, Dir: filepath.Join(filepath.Clean(s.Control.DataFolder), "log"),
 		Logs: p.logs, Dump: p.dump, Founders: self.Founders(),
-		Automatic:      &role.Automatic{Settings: roster.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seeds()},
-		TrustedNetwork: s.Process.TrustedNetwork, Operators: operators, Zones: s.Zones, AnnounceEvery: s.Operating.AnnounceInterval,
+		AutoMembership: &role.AutoMembership{Settings: membership.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seeds()},
+		TrustedNetwork: s.Process.TrustedNetwork, OperatorListener: operators, Zones: s.Zones, AnnounceInterval: s.Operating.AnnounceInterval,
 		ReadDocument: func(sent []byte) (*wire.RouteTable, error) {
 			d, err := platform.ReadDocument(sent)
 			if err != nil {
@@ -115,7 +115,7 @@
 
 			return d.ToWire(), nil
 		},
-		Operate: func(server *control.Server) http.Handler { return operatorsOf(server, p) },
+		OperatorHandler: func(server *control.Server) http.Handler { return operatorsOf(server, p) },
 	}
 
 	if s.Control.Volatile {
--- a/internal/expertgroup/simulation_test.go
+++ b/internal/expertgroup/simulation_test.go
@@ -170,9 +170,9 @@
 	address := w.rankAgents()[n].Address
 	r := &rank.Rank{
 		Group: groupName, Number: n,
-		Address:  func() netip.AddrPort { return address },
-		FirstMap: first.Encode,
-		Peers: func() []netip.AddrPort {
+		EngineAddress: func() netip.AddrPort { return address },
+		InitialMap:    first.Encode,
+		PeerAddresses: func() []netip.AddrPort {
 			var out []netip.AddrPort
 			for _, p := range w.rankAgents() {
 				if p.Rank != n {
@@ -182,7 +182,7 @@
 
 			return out
 		},
-		AskPeer:    w.askPeer,
+		QueryPeer:  w.askPeer,
 		CallEngine: func(q *http.Request) (*http.Response, error) { return w.callEngine(n, q) },
 		Logger:     slog.New(slog.DiscardHandler),
 	}
--- a/internal/local/control.go
+++ b/internal/local/control.go
@@ -50,7 +50,7 @@
 			VM: m.ID, Cluster: l.Deployment.Cluster, Zone: l.Deployment.Zones[i],
 			Incarnation: role.IncarnationAt(time.Now()), Listener: listeners[i],
 			Dir: filepath.Join(l.Dir, m.ID), Founders: members,
-			Peers: slices.Delete(slices.Clone(members), i, i+1), Logs: l.Logs, Experts: localExperts(),
+			Peers: slices.Delete(slices.Clone(members), i, i+1), Logs: l.Logs, ExpertSettings: localExperts(),
 			Dump: l.newDump("control", m.ID),
 		}
 		c.Build()
--- a/internal/local/entries.go
+++ b/internal/local/entries.go
@@ -29,7 +29,7 @@
 	e := &role.Entry{
 		ID: id, Cluster: l.Deployment.Cluster, Zone: zone, Region: l.Deployment.Region,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: listener,
-		Controls: role.NewControls(l.operators, nil), Limits: entry.DefaultLimits(),
+		Controls: role.NewControlClient(l.operators, nil), Limits: entry.DefaultLimits(),
 		Logs: l.Logs, Dump: l.newDump("entry", id),
 	}
 	g.Go(func() error { return e.Run(ctx) })
--- a/internal/local/targets.go
+++ b/internal/local/targets.go
@@ -60,7 +60,7 @@
 	a := &role.Agent{
 		ID: t.AgentID, Cluster: l.Deployment.Cluster, Zone: zone,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: door,
-		Controls: role.NewControls(l.operators, nil),
+		Controls: role.NewControlClient(l.operators, nil),
 		Logs:     l.Logs, Dump: l.newDump("agent", t.AgentID),
 	}
 	agents.Go(func() error { return a.Run(ctx) })
--- a/internal/roster/roster.go
+++ b/internal/membership/roster.go
@@ -1,4 +1,4 @@
-// Package roster decides how the set of control VMs changes by itself: which
+// Package membership decides how the set of control VMs changes by itself: which
 // learner gets a vote, and which member that is lost leaves the set. It has no
 // goroutine and reads no clock.
 //
@@ -6,7 +6,7 @@
 // new ID as a learner. It gets a vote once it holds the log, and only then the
 // lost one loses its own: at no time does a majority hold what was acknowledged
 // in fewer places than the votes say.
-package roster
+package membership
 
 import (
 	"net/netip"
@@ -17,33 +17,33 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// VolatileMark stands in the ID of a member whose disk does not outlive its process.
+// VolatileIDMarker stands in the ID of a member whose disk does not outlive its process.
 // It never gets a vote: what it acknowledged would be gone with each restart.
-const VolatileMark = "-volatile-"
+const VolatileIDMarker = "-volatile-"
 
 // Settings are the tunable numbers of a Roster.
 type Settings struct {
 	// Voters is how many votes there are to be: one more than twice the losses that
 	// must be borne.
 	Voters int
-	// LostAfter is how long a voter must be silent before another VM takes its place.
+	// VoterTimeout is how long a voter must be silent before another VM takes its place.
 	// It is longer than a planned restart.
-	LostAfter time.Duration
-	// ForgetAfter is how long a learner may be silent before it is taken out.
-	ForgetAfter time.Duration
+	VoterTimeout time.Duration
+	// LearnerTimeout is how long a learner may be silent before it is taken out.
+	LearnerTimeout time.Duration
 }
 
 // DefaultSettings returns the numbers for a set that bears lost losses.
 func DefaultSettings(lost int) Settings {
-	return Settings{Voters: 2*lost + 1, LostAfter: 4 * time.Second, ForgetAfter: 30 * time.Second}
+	return Settings{Voters: 2*lost + 1, VoterTimeout: 4 * time.Second, LearnerTimeout: 30 * time.Second}
 }
 
 // ChangeKind is what is done with a member.
 type ChangeKind uint8
 
 const (
-	// Keep changes nothing.
-	Keep ChangeKind = iota
+	// NoChange changes nothing.
+	NoChange ChangeKind = iota
 	// Promote gives a learner a vote.
 	Promote
 	// Remove takes a member out.
@@ -56,19 +56,19 @@
 	ID   string
 }
 
-// Roster is a leader's memory of who has been silent since when.
-type Roster struct {
+// Manager is a leader's memory of who has been silent since when.
+type Manager struct {
 	Settings Settings
 
 	seen map[string]time.Time
 }
 
-// Forget drops what was seen. A VM that does not lead calls it: what it saw in an
+// Reset drops what was seen. A VM that does not lead calls it: what it saw in an
 // earlier term says nothing of now.
-func (r *Roster) Forget() { r.seen = nil }
+func (r *Manager) Reset() { r.seen = nil }
 
 // Decide returns the next change, by what the leader named self knows of the members.
-func (r *Roster) Decide(now time.Time, self string, members []quorum.MemberStatus) Change {
+func (r *Manager) Decide(now time.Time, self string, members []quorum.MemberStatus) Change {
 	r.see(now, members)
 
 	voters := 0
@@ -89,7 +89,7 @@
 	}
 
 	for _, m := range members {
-		if m.Member.Role == quorum.Learner && r.silence(now, m.Member.ID) > r.Settings.ForgetAfter {
+		if m.Member.Role == quorum.Learner && r.silence(now, m.Member.ID) > r.Settings.LearnerTimeout {
 			return Change{Kind: Remove, ID: m.Member.ID}
 		}
 	}
@@ -97,7 +97,7 @@
 	return Change{}
 }
 
-func (r *Roster) see(now time.Time, members []quorum.MemberStatus) {
+func (r *Manager) see(now time.Time, members []quorum.MemberStatus) {
 	if r.seen == nil {
 		r.seen = make(map[string]time.Time)
 	}
@@ -109,11 +109,11 @@
 	}
 }
 
-func (r *Roster) silence(now time.Time, id string) time.Duration { return now.Sub(r.seen[id]) }
+func (r *Manager) silence(now time.Time, id string) time.Duration { return now.Sub(r.seen[id]) }
 
 // lostVoter returns the voter to take out: one whose address has a new member,
 // which is proof that its disk is gone, before one that is only silent.
-func (r *Roster) lostVoter(now time.Time, self string, members []quorum.MemberStatus) string {
+func (r *Manager) lostVoter(now time.Time, self string, members []quorum.MemberStatus) string {
 	silent := ""
 
 	for _, m := range members {
@@ -125,7 +125,7 @@
 			return m.Member.ID
 		}
 
-		if silent == "" && r.silence(now, m.Member.ID) > r.Settings.LostAfter {
+		if silent == "" && r.silence(now, m.Member.ID) > r.Settings.VoterTimeout {
 			silent = m.Member.ID
 		}
 	}
@@ -141,11 +141,11 @@
 
 // nextVoter returns the learner to promote: up to date, the first by ID, so that a
 // new leader goes on with the same one.
-func (r *Roster) nextVoter(members []quorum.MemberStatus) string {
+func (r *Manager) nextVoter(members []quorum.MemberStatus) string {
 	next := ""
 
 	for _, m := range members {
-		if m.Member.Role == quorum.Learner && m.Active && m.UpToDate && !strings.Contains(m.Member.ID, VolatileMark) &&
+		if m.Member.Role == quorum.Learner && m.Active && m.UpToDate && !strings.Contains(m.Member.ID, VolatileIDMarker) &&
 			(next == "" || strings.Compare(m.Member.ID, next) < 0) {
 			next = m.Member.ID
 		}
--- a/internal/roster/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package membership_test
 
 import (
 	"net/netip"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/parsleygate/parsleygate/internal/membership"
 	"github.com/parsleygate/parsleygate/internal/quorum"
-	"github.com/parsleygate/parsleygate/internal/roster"
 )
 
 var begin = time.Unix(1000, 0)
@@ -28,20 +28,20 @@
 func TestLostDisk(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(1)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	lost := voter("c3", false)
 	back := member("c3-new", "10.0.0.3:1", quorum.Learner, true, false)
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), lost, back}
 
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", members), "it does not hold the log yet")
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members), "it does not hold the log yet")
 
 	members[3].UpToDate = true
-	require.Equal(t, roster.Change{Kind: roster.Promote, ID: "c3-new"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c3-new"}, r.Decide(begin, "c1", members))
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, roster.Change{Kind: roster.Remove, ID: "c3"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(begin, "c1", members))
 
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", []quorum.MemberStatus{members[0], members[1], members[3]}))
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", []quorum.MemberStatus{members[0], members[1], members[3]}))
 }
 
 // A control VM restarts, which takes two seconds, while a spare one is there. Its
@@ -49,17 +49,17 @@
 func TestRestartIsNoLoss(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(1)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	members := []quorum.MemberStatus{
 		voter("c1", true), voter("c2", true), voter("c3", false), member("c4-x", "10.0.0.4:1", quorum.Learner, true, true),
 	}
 
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", members))
-	require.Equal(t, roster.Change{}, r.Decide(begin.Add(2*time.Second), "c1", members))
-	require.Equal(t, roster.Change{Kind: roster.Promote, ID: "c4-x"}, r.Decide(begin.Add(5*time.Second), "c1", members), "it is gone for good")
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin.Add(2*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c4-x"}, r.Decide(begin.Add(5*time.Second), "c1", members), "it is gone for good")
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, roster.Change{Kind: roster.Remove, ID: "c3"}, r.Decide(begin.Add(5*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(begin.Add(5*time.Second), "c1", members))
 }
 
 // Two losses are to be borne: the three seeds that formed the set are joined by two
@@ -67,20 +67,20 @@
 func TestGrowsToTheVotesThatAreNeeded(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(2)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(2)}
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), voter("c3", true)}
 
 	for _, id := range []string{"d4", "d5", "d6"} {
 		members = append(members, member(id, "10.0.0."+id[1:]+":1", quorum.Learner, true, true))
 	}
 
-	require.Equal(t, roster.Change{Kind: roster.Promote, ID: "d4"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d4"}, r.Decide(begin, "c1", members))
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, roster.Change{Kind: roster.Promote, ID: "d5"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d5"}, r.Decide(begin, "c1", members))
 
 	members[4].Member.Role = quorum.Voter
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
 }
 
 // Nobody stands in for a silent voter: it keeps its vote. Without it the set would
@@ -88,36 +88,36 @@
 func TestSilentVoterWithoutASuccessorStays(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(1)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), voter("c3", false)}
 	r.Decide(begin, "c1", members)
-	require.Equal(t, roster.Change{}, r.Decide(begin.Add(time.Hour), "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin.Add(time.Hour), "c1", members))
 }
 
 // A control VM without a disk follows. However few votes there are, it gets none.
 func TestVolatileMemberNeverVotes(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(1)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	members := []quorum.MemberStatus{
-		voter("c1", true), voter("c2", true), member("c3"+roster.VolatileMark+"ab", "10.0.0.3:1", quorum.Learner, true, true),
+		voter("c1", true), voter("c2", true), member("c3"+membership.VolatileIDMarker+"ab", "10.0.0.3:1", quorum.Learner, true, true),
 	}
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
 }
 
 // The leader never takes itself out, and a learner that is gone is forgotten.
 func TestLeaderStaysAndOldLearnersGo(t *testing.T) {
 	t.Parallel()
 
-	r := &roster.Roster{Settings: roster.DefaultSettings(1)}
+	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	members := []quorum.MemberStatus{
 		voter("c1", false), voter("c2", true), voter("c3", true), voter("c4", true),
 		member("c5-x", "10.0.0.5:1", quorum.Learner, false, false),
 	}
-	require.Equal(t, roster.Change{}, r.Decide(begin, "c1", members))
-	require.Equal(t, roster.Change{}, r.Decide(begin.Add(20*time.Second), "c1", members))
-	require.Equal(t, roster.Change{Kind: roster.Remove, ID: "c5-x"}, r.Decide(begin.Add(31*time.Second), "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(begin.Add(20*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c5-x"}, r.Decide(begin.Add(31*time.Second), "c1", members))
 
-	r.Forget()
-	require.Equal(t, roster.Change{}, r.Decide(begin.Add(32*time.Second), "c2", members), "a new leader counts anew")
+	r.Reset()
+	require.Equal(t, membership.Change{}, r.Decide(begin.Add(32*time.Second), "c2", members), "a new leader counts anew")
 }
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -35,17 +35,17 @@
 type Rank struct {
 	Group  string
 	Number int
-	// Started is the agent's incarnation, in seconds.
-	Started uint64
-	// Address returns where the engine is, as it announced itself.
-	Address func() netip.AddrPort
-	// FirstMap returns the map that follows from the group's shape; nil while
+	// AgentStartSeconds is the agent's incarnation, in seconds.
+	AgentStartSeconds uint64
+	// EngineAddress returns where the engine is, as it announced itself.
+	EngineAddress func() netip.AddrPort
+	// InitialMap returns the map that follows from the group's shape; nil while
 	// the group is not declared.
-	FirstMap func() []byte
-	// Peers returns the agents of the group's other ranks.
-	Peers func() []netip.AddrPort
-	// AskPeer asks a peer for the end of a switch.
-	AskPeer func(ctx context.Context, peer netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error)
+	InitialMap func() []byte
+	// PeerAddresses returns the agents of the group's other ranks.
+	PeerAddresses func() []netip.AddrPort
+	// QueryPeer asks a peer for the end of a switch.
+	QueryPeer func(ctx context.Context, peer netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error)
 	// CallEngine sends one HTTP request to the engine; nil stands for an HTTP
 	// client of the rank's own.
 	CallEngine func(*http.Request) (*http.Response, error)
@@ -90,7 +90,7 @@
 // an agent that died and was back within one would be taken for its former life,
 // which knew which map rules, and would never be told.
 func (r *Rank) incarnation(now time.Time) uint64 {
-	started := time.Unix(int64(r.Started), 0)
+	started := time.Unix(int64(r.AgentStartSeconds), 0)
 	if now.Before(started) {
 		now = started
 	}
@@ -164,14 +164,14 @@
 // not the boot last read: between that and the core's word of a restart, an
 // order that follows from what was known before would reach the new process.
 func (r *Rank) job(a expertmap.Action) *job {
-	c := &engineClient{call: r.CallEngine, address: r.Address(), bootID: r.boot, placement: r.placement}
+	c := &engineClient{call: r.CallEngine, address: r.EngineAddress(), bootID: r.boot, placement: r.placement}
 
 	return &job{action: a, boot: r.boot, engine: c.engine()}
 }
 
 func (r *Rank) placement(version uint64) []byte {
 	if version == 1 {
-		return r.FirstMap()
+		return r.InitialMap()
 	}
 
 	for _, m := range r.maps.Load().maps {
@@ -204,12 +204,12 @@
 }
 
 func (r *Rank) askPeers(ctx context.Context) {
-	for _, peer := range r.Peers() {
+	for _, peer := range r.PeerAddresses() {
 		r.work.Go(func() {
 			askCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 
-			a, err := r.AskPeer(askCtx, peer, &wire.RankQuestion{Group: r.Group, Rank: uint32(r.Number)})
+			a, err := r.QueryPeer(askCtx, peer, &wire.RankQuestion{Group: r.Group, Rank: uint32(r.Number)})
 			if err != nil || a.GetRecord() == nil {
 				return
 			}
@@ -234,7 +234,7 @@
 		}
 
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		s, err := (&engineClient{call: r.CallEngine, address: r.Address()}).state(callCtx)
+		s, err := (&engineClient{call: r.CallEngine, address: r.EngineAddress()}).state(callCtx)
 
 		cancel()
 
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -30,12 +30,12 @@
 	Zone        string
 	Incarnation uint64
 	Listener    net.Listener
-	// Announce takes the target's announcements over loopback, in plaintext; nil
+	// AnnounceListener takes the target's announcements over loopback, in plaintext; nil
 	// where Listener itself is plaintext.
-	Announce net.Listener
+	AnnounceListener net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
-	Controls *Controls
+	Controls *ControlClient
 	Settings agent.Settings
 	Logs     logs.Output
 	Dump     *dump.Dump
@@ -89,14 +89,14 @@
 
 	r.shell = &agent.Agent{
 		ID: r.ID, Zone: r.Zone, Incarnation: r.Incarnation,
-		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.Announce, Authorize: guardAgent,
+		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.AnnounceListener, Authorize: guardAgent,
 		Mount: func(routes chi.Router) { routes.Mount(wire.RankPathPrefix, wire.NewRankServer(&rankService{role: r})) },
 		View:  r.view, Logger: r.Logs.Logger("agent"), Metrics: r.Dump.Metrics, Settings: r.Settings,
 	}
 	r.reader = &view.Reader{
 		Cluster: r.Cluster, Controls: r.Controls.Addresses, Poll: r.Controls.Poll,
 		Self: r.shell.Node, Load: r.load, Logger: r.Logs.Logger("view"),
-		FindControls: r.Controls.Learn,
+		FindControls: r.Controls.Discover,
 		OnChange:     func(s *view.Snapshot) { stopIfPlanned(s, r.ID, r.stop) },
 	}
 	r.reader.Init()
--- a/internal/role/automatic.go
+++ b/internal/role/automatic.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/parsleygate/parsleygate/internal/membership"
 	"github.com/parsleygate/parsleygate/internal/quorum"
-	"github.com/parsleygate/parsleygate/internal/roster"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -22,9 +22,9 @@
 	joinTimeout = 900 * time.Millisecond
 )
 
-// Automatic lets the control VMs find and replace each other.
-type Automatic struct {
-	Settings roster.Settings
+// AutoMembership lets the control VMs find and replace each other.
+type AutoMembership struct {
+	Settings membership.Settings
 	// Seeds returns where some other control VMs serve the system's own processes.
 	Seeds func() []netip.AddrPort
 }
@@ -32,11 +32,11 @@
 // keepSet joins the control set where this VM is not in it, and tends it while
 // this VM leads.
 func (r *Control) keepSet(ctx context.Context) {
-	if r.Automatic == nil {
+	if r.AutoMembership == nil {
 		return
 	}
 
-	core := &roster.Roster{Settings: r.Automatic.Settings}
+	core := &membership.Manager{Settings: r.AutoMembership.Settings}
 	tick := time.NewTicker(rosterEvery)
 
 	defer tick.Stop()
@@ -54,7 +54,7 @@
 		case len(r.Founders) == 0 && !r.isMember():
 			r.join(ctx)
 		default:
-			core.Forget()
+			core.Reset()
 		}
 	}
 }
@@ -63,9 +63,9 @@
 	return slices.ContainsFunc(r.replica.Status().Members, func(m quorum.MemberStatus) bool { return m.Member.ID == r.VM })
 }
 
-func (r *Control) tendSet(ctx context.Context, core *roster.Roster) {
+func (r *Control) tendSet(ctx context.Context, core *membership.Manager) {
 	change := core.Decide(time.Now(), r.VM, r.replica.Status().Members)
-	if change.Kind == roster.Keep {
+	if change.Kind == membership.NoChange {
 		return
 	}
 
@@ -76,7 +76,7 @@
 
 	what := "promote"
 
-	if change.Kind == roster.Remove {
+	if change.Kind == membership.Remove {
 		what = "remove"
 		err = r.replica.Remove(ctx, change.ID)
 	} else {
@@ -90,7 +90,7 @@
 func (r *Control) join(ctx context.Context) {
 	own, _ := netip.ParseAddrPort(r.Listener.Addr().String())
 
-	for _, seed := range r.Automatic.Seeds() {
+	for _, seed := range r.AutoMembership.Seeds() {
 		if seed == own {
 			continue
 		}
@@ -122,11 +122,11 @@
 
 // serveOperators serves the deployment's own operators and targets until ctx ends.
 func (r *Control) serveOperators(ctx context.Context) error {
-	if r.Operators == nil {
+	if r.OperatorListener == nil {
 		return nil
 	}
 
-	web := &http.Server{Handler: r.Operate(r.server), ReadHeaderTimeout: controlTry}
+	web := &http.Server{Handler: r.OperatorHandler(r.server), ReadHeaderTimeout: controlTry}
 
 	go func() {
 		<-ctx.Done()
@@ -134,5 +134,5 @@
 		_ = shutDown(web)
 	}()
 
-	return serve(web, r.Operators, "operators")
+	return serve(web, r.OperatorListener, "operators")
 }
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -59,21 +59,21 @@
 
 	// TrustedNetwork hears plaintext from beyond loopback too.
 	TrustedNetwork bool
-	// Automatic is set where the control VMs find and replace each other.
-	Automatic *Automatic
-	// Operators takes operators who decide in one step, and targets' announcements;
+	// AutoMembership is set where the control VMs find and replace each other.
+	AutoMembership *AutoMembership
+	// OperatorListener takes operators who decide in one step, and targets' announcements;
 	// Operate makes its handler. Both may be nil.
-	Operators net.Listener
-	Operate   func(*control.Server) http.Handler
+	OperatorListener net.Listener
+	OperatorHandler  func(*control.Server) http.Handler
 	// ReadDocument, Zones and AnnounceEvery are the server's.
-	ReadDocument  func(sent []byte) (*wire.RouteTable, error)
-	Zones         map[string]string
-	AnnounceEvery time.Duration
+	ReadDocument     func(sent []byte) (*wire.RouteTable, error)
+	Zones            map[string]string
+	AnnounceInterval time.Duration
 	// TargetsFile is where the directory of targets is kept beyond a restart; empty for nowhere.
 	TargetsFile string
 
-	// Experts tunes the expert maps of groups; the zero value stands for the defaults.
-	Experts expertgroup.Settings
+	// ExpertSettings tunes the expert maps of groups; the zero value stands for the defaults.
+	ExpertSettings expertgroup.Settings
 
 	server   *control.Server
 	director *expertgroup.Director
@@ -96,7 +96,7 @@
 	}
 
 	address, _ := netip.ParseAddrPort(r.Listener.Addr().String())
-	r.client = NewControls(nil, r.Identity).client
+	r.client = NewControlClient(nil, r.Identity).client
 	r.replica = &replica.Replica{
 		ID: r.VM, Cluster: r.Cluster, Dir: r.Dir, Files: r.Files, Addr: address, Founders: r.Founders,
 		Client: r.client, Logger: r.Logs.Logger("replica"),
@@ -106,7 +106,7 @@
 		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, ReadIndex: r.read,
 		NotProposed: func(err error) bool { return verdict.Of(err) == verdict.NotRun },
 		IsLeader:    r.leads, StopUnsafe: r.stopUnsafe, FindPeers: r.findPeers, Self: r.self,
-		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceInterval: r.AnnounceEvery, ControlAddresses: r.controlAddresses,
+		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceInterval: r.AnnounceInterval, ControlAddresses: r.controlAddresses,
 		Logger: r.Logs.Logger("control"),
 	}
 
--- a/internal/role/controls.go
+++ b/internal/role/controls.go
@@ -26,8 +26,8 @@
 	controlIdle = 15 * time.Second
 )
 
-// Controls is the way of an entry or agent to the control VMs.
-type Controls struct {
+// ControlClient is the way of an entry or agent to the control VMs.
+type ControlClient struct {
 	// Addresses are those of the control VMs by the settings.
 	Addresses []netip.AddrPort
 
@@ -37,10 +37,10 @@
 	learnt atomic.Pointer[[]netip.AddrPort]
 }
 
-// Learn adds the control VMs of the directory to those of the settings, and
+// Discover adds the control VMs of the directory to those of the settings, and
 // returns all. A VM that replaced another is asked without a change of settings;
 // one that is gone costs a try now and then.
-func (c *Controls) Learn(s *view.Snapshot) []netip.AddrPort {
+func (c *ControlClient) Discover(s *view.Snapshot) []netip.AddrPort {
 	all := slices.Clone(c.Addresses)
 
 	for _, n := range s.Nodes() {
@@ -59,7 +59,7 @@
 }
 
 // all returns the control VMs of settings and directory.
-func (c *Controls) all() []netip.AddrPort {
+func (c *ControlClient) all() []netip.AddrPort {
 	if learnt := c.learnt.Load(); learnt != nil {
 		return *learnt
 	}
@@ -67,12 +67,12 @@
 	return c.Addresses
 }
 
-// NewControls returns the way to the control VMs at addresses. Without an
+// NewControlClient returns the way to the control VMs at addresses. Without an
 // identity it is plaintext.
-func NewControls(addresses []netip.AddrPort, id *identity.Identity) *Controls {
+func NewControlClient(addresses []netip.AddrPort, id *identity.Identity) *ControlClient {
 	dialer := &identity.Dialer{Identity: id, Timeout: controlDial}
 
-	return &Controls{
+	return &ControlClient{
 		Addresses: addresses,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: dialer.Dial, IdleConnTimeout: controlIdle,
@@ -82,15 +82,15 @@
 }
 
 // Close closes the idle connections.
-func (c *Controls) Close() { c.client.CloseIdleConnections() }
+func (c *ControlClient) Close() { c.client.CloseIdleConnections() }
 
-func (c *Controls) at(address netip.AddrPort) wire.Control {
+func (c *ControlClient) at(address netip.AddrPort) wire.Control {
 	return wire.NewControlProtobufClient("http://"+address.String(), c.client)
 }
 
 // Poll sends one poll to one control VM. A poll that failed may have met a
 // connection that went silent, so its idle sisters are dropped too.
-func (c *Controls) Poll(ctx context.Context, address netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
+func (c *ControlClient) Poll(ctx context.Context, address netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
 	resp, err := c.at(address).Poll(ctx, r)
 	if err != nil {
 		c.client.CloseIdleConnections()
@@ -101,7 +101,7 @@
 
 // Claim claims a key at any control VM. A claim whose answer was lost is asked
 // for again at the next: the same attempt is granted again.
-func (c *Controls) Claim(ctx context.Context, r *wire.ClaimRequest) (resp *wire.ClaimResponse, err error) {
+func (c *ControlClient) Claim(ctx context.Context, r *wire.ClaimRequest) (resp *wire.ClaimResponse, err error) {
 	err = c.each(ctx, func(ctx context.Context, control wire.Control) error {
 		resp, err = control.Claim(ctx, r)
 
@@ -112,7 +112,7 @@
 }
 
 // Settle settles a claim at any control VM.
-func (c *Controls) Settle(ctx context.Context, r *wire.SettleRequest) (resp *wire.SettleResponse, err error) {
+func (c *ControlClient) Settle(ctx context.Context, r *wire.SettleRequest) (resp *wire.SettleResponse, err error) {
 	err = c.each(ctx, func(ctx context.Context, control wire.Control) error {
 		resp, err = control.Settle(ctx, r)
 
@@ -123,7 +123,7 @@
 }
 
 // each tries one control VM after the other, the one that answered last first.
-func (c *Controls) each(ctx context.Context, try func(context.Context, wire.Control) error) error {
+func (c *ControlClient) each(ctx context.Context, try func(context.Context, wire.Control) error) error {
 	all := c.all()
 	first := int(c.last.Load())
 
--- a/internal/role/director.go
+++ b/internal/role/director.go
@@ -14,8 +14,8 @@
 func (r *Control) Director() *expertgroup.Director { return r.director }
 
 func (r *Control) newDirector() *expertgroup.Director {
-	if r.Experts.TickInterval == 0 {
-		r.Experts = expertgroup.DefaultSettings()
+	if r.ExpertSettings.TickInterval == 0 {
+		r.ExpertSettings = expertgroup.DefaultSettings()
 	}
 
 	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDial}
@@ -29,7 +29,7 @@
 		},
 		// The server is made after the director, which it tells of applied entries.
 		Propose: func(ctx context.Context, e *wire.GroupEntry) error { return r.server.ProposeGroup(ctx, e) },
-		Groups:  r.groups, RankAgents: r.ranks, Settings: r.Experts, Logger: r.Logs.Logger("experts"),
+		Groups:  r.groups, RankAgents: r.ranks, Settings: r.ExpertSettings, Logger: r.Logs.Logger("experts"),
 		SendOrder: func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Order(ctx, o)
 		},
--- a/internal/role/endings.go
+++ b/internal/role/endings.go
@@ -19,22 +19,22 @@
 // what a supervisor takes to start a process again, which is what it saves.
 const folderRetry = 500 * time.Millisecond
 
-// Endings run a control VM again where its part in the set has ended and its process
+// Supervisor run a control VM again where its part in the set has ended and its process
 // need not: it was taken out of the set, or its disk refuses. The fields are set
 // before Run.
-type Endings struct {
-	// Once runs the control VM until its part ends.
-	Once func(ctx context.Context) error
-	// Clear empties the data folder, which makes another member of the VM.
-	Clear  func() error
-	Logger *slog.Logger
+type Supervisor struct {
+	// RunOnce runs the control VM until its part ends.
+	RunOnce func(ctx context.Context) error
+	// ClearDataDir empties the data folder, which makes another member of the VM.
+	ClearDataDir func() error
+	Logger       *slog.Logger
 }
 
 // Run runs the control VM until ctx ends, or until it fails in a way that waiting
 // does not mend.
-func (e *Endings) Run(ctx context.Context) error {
+func (e *Supervisor) Run(ctx context.Context) error {
 	for {
-		err := e.Once(ctx)
+		err := e.RunOnce(ctx)
 
 		var removed *quorum.RemovedError
 
@@ -42,15 +42,15 @@
 		case errors.As(err, &removed):
 			e.Logger.Warn("Taken out of the control set: joining anew.", "id", removed.ID)
 
-			if err := e.Clear(); err != nil {
-				if !FolderRefuses(err) {
+			if err := e.ClearDataDir(); err != nil {
+				if !IsStorageUnavailable(err) {
 					return eris.Wrap(err, "clear the data folder")
 				}
 
 				// The next run is told again that its member was removed.
 				e.Logger.Warn("The data folder cannot be cleared yet.", "error", err)
 			}
-		case FolderRefuses(err):
+		case IsStorageUnavailable(err):
 			// A full or read-only disk would end the process at each of its starts, many times
 			// a minute, and bury the line that says why. What was acknowledged stays on the
 			// disk: the journal is opened anew, as after a restart.
@@ -65,10 +65,10 @@
 	}
 }
 
-// FolderRefuses reports whether err says that files cannot be read or written now:
+// IsStorageUnavailable reports whether err says that files cannot be read or written now:
 // the disk is full, or read-only, or gone. Files that hold something wrong are not
 // meant, nothing mends them by itself.
-func FolderRefuses(err error) bool {
+func IsStorageUnavailable(err error) bool {
 	var (
 		write *journal.WriteError
 		path  *fs.PathError
--- a/internal/role/endings_test.go
+++ b/internal/role/endings_test.go
@@ -36,8 +36,8 @@
 		defer stop()
 
 		began := time.Now()
-		e := &role.Endings{
-			Once: func(ctx context.Context) error {
+		e := &role.Supervisor{
+			RunOnce: func(ctx context.Context) error {
 				starts = append(starts, time.Since(began))
 
 				if n := len(starts); n <= len(errs) {
@@ -48,8 +48,8 @@
 
 				return nil
 			},
-			Clear:  func() error { cleared++; return nil },
-			Logger: slog.New(slog.DiscardHandler),
+			ClearDataDir: func() error { cleared++; return nil },
+			Logger:       slog.New(slog.DiscardHandler),
 		}
 		out = e.Run(ctx)
 	})
@@ -100,14 +100,14 @@
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
 
 	_, err := role.OpenMember(filepath.Join(file, "data"), seedOne, []netip.AddrPort{seedOne}, bootstrap)
-	require.True(t, role.FolderRefuses(err), "%v", err)
+	require.True(t, role.IsStorageUnavailable(err), "%v", err)
 
 	torn := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(torn, "member.json"), []byte("{torn"), 0o600))
 
 	_, err = role.OpenMember(torn, seedOne, []netip.AddrPort{seedOne}, bootstrap)
 	require.Error(t, err)
-	require.False(t, role.FolderRefuses(err), "%v", err)
+	require.False(t, role.IsStorageUnavailable(err), "%v", err)
 }
 
 // A VM without a disk may not be allowed to write files at all: its process ended at
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -52,12 +52,12 @@
 	Listener net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
-	Controls *Controls
+	Controls *ControlClient
 	Limits   entry.Limits
-	// Leave is how long the entry goes on after it said that it leaves.
-	Leave time.Duration
-	Logs  logs.Output
-	Dump  *dump.Dump
+	// ShutdownDelay is how long the entry goes on after it said that it leaves.
+	ShutdownDelay time.Duration
+	Logs          logs.Output
+	Dump          *dump.Dump
 
 	reader *view.Reader
 	shell  *entry.Entry
@@ -124,7 +124,7 @@
 		Budget:  &retries.Budget{Rand: rand.New(rand.NewPCG(r.Incarnation, 1))},
 		View:    r.known,
 		Claim:   r.Controls.Claim, Settle: r.Controls.Settle,
-		Limits: r.Limits, ShutdownDelay: r.Leave, Logger: r.Logs.Logger("entry"), Seed: r.Incarnation,
+		Limits: r.Limits, ShutdownDelay: r.ShutdownDelay, Logger: r.Logs.Logger("entry"), Seed: r.Incarnation,
 	}
 
 	return r.describe()
@@ -155,7 +155,7 @@
 func (r *Entry) newReader(chooser *routing.Chooser) *view.Reader {
 	reader := &view.Reader{
 		Cluster: r.Cluster, Controls: r.Controls.Addresses, Poll: r.Controls.Poll,
-		Self: r.self, Load: r.load, Logger: r.Logs.Logger("view"), FindControls: r.Controls.Learn,
+		Self: r.self, Load: r.load, Logger: r.Logs.Logger("view"), FindControls: r.Controls.Discover,
 		// The chooser is told here, by the reader's one goroutine, and not over the
 		// bus: its handlers run side by side, and an older list of targets, applied
 		// last, would rule until the next change.
@@ -189,16 +189,16 @@
 	}
 }
 
-// ServiceRoom is what this entry may send to one service's targets, in a dump.
-type ServiceRoom struct {
+// ServiceCapacity is what this entry may send to one service's targets, in a dump.
+type ServiceCapacity struct {
 	Service string
 	Room    routing.Capacity
 }
 
-func (r *Entry) rooms() []ServiceRoom {
-	var out []ServiceRoom
+func (r *Entry) rooms() []ServiceCapacity {
+	var out []ServiceCapacity
 	for _, s := range r.reader.Snapshot().Services() {
-		out = append(out, ServiceRoom{Service: s.GetName(), Room: r.shell.Chooser.Capacity(time.Now(), s.GetName())})
+		out = append(out, ServiceCapacity{Service: s.GetName(), Room: r.shell.Chooser.Capacity(time.Now(), s.GetName())})
 	}
 
 	return out
--- a/internal/role/member.go
+++ b/internal/role/member.go
@@ -13,8 +13,8 @@
 
 	"github.com/rotisserie/eris"
 
+	"github.com/parsleygate/parsleygate/internal/membership"
 	"github.com/parsleygate/parsleygate/internal/quorum"
-	"github.com/parsleygate/parsleygate/internal/roster"
 )
 
 // Member is who a control VM is in the control set, as its data folder says. A
@@ -48,7 +48,7 @@
 // the deployment starts for the first time and own is a seed.
 func OpenMember(dir string, own netip.AddrPort, seeds []netip.AddrPort, o MemberOptions) (*Member, error) {
 	if o.Volatile {
-		return newMember(own, roster.VolatileMark), nil
+		return newMember(own, membership.VolatileIDMarker), nil
 	}
 
 	if err := os.MkdirAll(dir, memberDirMode); err != nil {
--- a/internal/role/member_test.go
+++ b/internal/role/member_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/parsleygate/parsleygate/internal/membership"
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/roster"
 )
 
 var (
@@ -64,7 +64,7 @@
 	m, err := role.OpenMember(t.TempDir(), seedOne, []netip.AddrPort{seedOne, seedTwo}, role.MemberOptions{Bootstrap: true, Volatile: true})
 	require.NoError(t, err)
 	require.Empty(t, m.Founders())
-	require.Contains(t, m.ID, roster.VolatileMark)
+	require.Contains(t, m.ID, membership.VolatileIDMarker)
 }
 
 // A member file that cannot be read is no reason to make another member.
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -45,11 +45,11 @@
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.Dial, DisableKeepAlives: true}}
 
 	return &rank.Rank{
-		Group: n.GetGroup(), Number: int(n.GetRank()), Started: r.Incarnation / uint64(time.Second),
-		Address:  r.shell.TargetAddress,
-		FirstMap: func() []byte { return r.firstMap(n.GetGroup()) },
-		Peers:    func() []netip.AddrPort { return r.peers(n.GetGroup()) },
-		AskPeer: func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error) {
+		Group: n.GetGroup(), Number: int(n.GetRank()), AgentStartSeconds: r.Incarnation / uint64(time.Second),
+		EngineAddress: r.shell.TargetAddress,
+		InitialMap:    func() []byte { return r.firstMap(n.GetGroup()) },
+		PeerAddresses: func() []netip.AddrPort { return r.peers(n.GetGroup()) },
+		QueryPeer: func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Ask(ctx, q)
 		},
 		Logger: r.Logs.Logger("rank"),
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -46,11 +46,11 @@
 	// Engine is the one on this VM, EngineAt another rank's: it is spoken to where
 	// the agent beside it does not answer.
 	Engine lockstep.Engine
-	// Datagrams takes entries' asks for loads.
-	Datagrams net.PacketConn
-	EngineAt  func(netip.AddrPort) lockstep.Engine
-	Logs      logs.Output
-	Dump      *dump.Dump
+	// LoadConn takes entries' asks for loads.
+	LoadConn net.PacketConn
+	EngineAt func(netip.AddrPort) lockstep.Engine
+	Logs     logs.Output
+	Dump     *dump.Dump
 
 	logger   *slog.Logger
 	follower *view.Follower
@@ -98,7 +98,7 @@
 	g, work := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(web, a.Listener, "ranks") })
 	g.Go(func() error {
-		t := &loadreport.Publisher{Cluster: a.Cluster, Conn: a.Datagrams, Load: a.load, Logger: a.logger}
+		t := &loadreport.Publisher{Cluster: a.Cluster, Conn: a.LoadConn, Load: a.load, Logger: a.logger}
 
 		return t.Run(work)
 	})
--- a/internal/role/routing.go
+++ b/internal/role/routing.go
@@ -48,33 +48,33 @@
 	stopReserve = 400 * time.Millisecond
 )
 
-// RoutingEntry is the role of an entry that is the door of its targets. Its
+// DirectEntry is the role of an entry that is the door of its targets. Its
 // fields are set before Run.
-type RoutingEntry struct {
+type DirectEntry struct {
 	ID      string
 	Cluster string
 	Zone    string
 	// Listener takes callers, Ready answers the balancer.
-	Listener net.Listener
-	Ready    net.Listener
-	// Datagrams takes agents' words on their engines' loads; AgentPort is where
+	Listener      net.Listener
+	ReadyListener net.Listener
+	// LoadConn takes agents' words on their engines' loads; AgentPort is where
 	// agents take asks for them.
-	Datagrams net.PacketConn
+	LoadConn  net.PacketConn
 	AgentPort uint16
-	// Relay is where Internal is served; agents reach EngineAt's engines through it.
-	Relay    netip.AddrPort
-	EngineAt func(netip.AddrPort) lockstep.Engine
-	Internal *http.ServeMux
+	// RelayAddr is where Internal is served; agents reach EngineAt's engines through it.
+	RelayAddr   netip.AddrPort
+	EngineAt    func(netip.AddrPort) lockstep.Engine
+	InternalMux *http.ServeMux
 	// Seeds returns the control VMs of the settings as they are now.
 	Seeds func() []netip.AddrPort
 	// Dialect and Readiness are how the deployment speaks.
-	Dialect   relay.Dialect
-	Readiness func(ready func() bool) http.Handler
-	Budget    *retries.SharedBudget
-	// StopWithin bounds a graceful stop.
-	StopWithin time.Duration
-	Logs       logs.Output
-	Dump       *dump.Dump
+	Dialect          relay.Dialect
+	ReadinessHandler func(ready func() bool) http.Handler
+	Budget           *retries.SharedBudget
+	// StopTimeout bounds a graceful stop.
+	StopTimeout time.Duration
+	Logs        logs.Output
+	Dump        *dump.Dump
 
 	follower *view.Follower
 	relay    *relay.Relay
@@ -85,7 +85,7 @@
 }
 
 // Run runs the role until ctx ends and the requests in flight have their answers.
-func (r *RoutingEntry) Run(ctx context.Context) error {
+func (r *DirectEntry) Run(ctx context.Context) error {
 	if err := r.build(); err != nil {
 		return err
 	}
@@ -97,13 +97,13 @@
 		Handler: r.relay, ReadHeaderTimeout: callerHeader, IdleTimeout: callerIdle, MaxHeaderBytes: callerHead,
 		ErrorLog: slog.NewLogLogger(logs.Discard().Handler(), slog.LevelDebug),
 	}
-	balancer := &http.Server{Handler: r.Readiness(r.isReady), ReadHeaderTimeout: callerHeader}
+	balancer := &http.Server{Handler: r.ReadinessHandler(r.isReady), ReadHeaderTimeout: callerHeader}
 
 	g, work := errgroup.WithContext(work)
 	g.Go(func() error { return r.follower.Run(work) })
 	g.Go(func() error { return r.listener().Run(work) })
 	g.Go(func() error { return serve(callers, r.Listener, "callers") })
-	g.Go(func() error { return serve(balancer, r.Ready, "balancer") })
+	g.Go(func() error { return serve(balancer, r.ReadyListener, "balancer") })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
@@ -126,9 +126,9 @@
 }
 
 // listener follows the loads of engines that have an agent.
-func (r *RoutingEntry) listener() *loadreport.Subscriber {
+func (r *DirectEntry) listener() *loadreport.Subscriber {
 	return &loadreport.Subscriber{
-		Cluster: r.Cluster, Conn: r.Datagrams,
+		Cluster: r.Cluster, Conn: r.LoadConn,
 		Agents: func() []netip.AddrPort {
 			var out []netip.AddrPort
 
@@ -154,12 +154,12 @@
 
 // leave goes on while the balancer still sends callers, then finishes what is in
 // hand. Answers end their connections meanwhile.
-func (r *RoutingEntry) leave(callers *http.Server) {
-	until := time.Now().Add(r.StopWithin - stopReserve)
+func (r *DirectEntry) leave(callers *http.Server) {
+	until := time.Now().Add(r.StopTimeout - stopReserve)
 
 	r.stopsAt.Store(&until)
 	r.logger.Info("Stopping: no new callers.", "until", time.Until(until))
-	time.Sleep(min(leaveTime, r.StopWithin/2))
+	time.Sleep(min(leaveTime, r.StopTimeout/2))
 
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
@@ -171,10 +171,10 @@
 	}
 }
 
-func (r *RoutingEntry) stopping() bool { return r.stopsAt.Load() != nil }
+func (r *DirectEntry) stopping() bool { return r.stopsAt.Load() != nil }
 
 // stops says when this entry ends, if it stops.
-func (r *RoutingEntry) stops() (time.Time, bool) {
+func (r *DirectEntry) stops() (time.Time, bool) {
 	at := r.stopsAt.Load()
 	if at == nil {
 		return time.Time{}, false
@@ -183,7 +183,7 @@
 	return *at, true
 }
 
-func (r *RoutingEntry) isReady() bool {
+func (r *DirectEntry) isReady() bool {
 	if r.stopping() || !r.relay.Ready() {
 		return false
 	}
@@ -193,11 +193,11 @@
 	return f.ControlsAnswered > 1 || time.Since(f.FirstAnswerAt) > settleTime
 }
 
-func (r *RoutingEntry) build() error {
+func (r *DirectEntry) build() error {
 	r.logger = r.Logs.Logger("entry")
 	r.follower = &view.Follower{
 		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.ask,
-		Leaving: r.stopping, Relay: r.Relay, Logger: r.Logs.Logger("view"),
+		Leaving: r.stopping, Relay: r.RelayAddr, Logger: r.Logs.Logger("view"),
 		OnChange: func(f *view.ClusterState) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
@@ -209,7 +209,7 @@
 
 	r.follower.Init()
 	r.relay.Init()
-	r.Internal.Handle(wire.EngineRelayPathPrefix, wire.NewEngineRelayServer(&engineRelay{cluster: r.Cluster, engines: engines{at: r.EngineAt}}))
+	r.InternalMux.Handle(wire.EngineRelayPathPrefix, wire.NewEngineRelayServer(&engineRelay{cluster: r.Cluster, engines: engines{at: r.EngineAt}}))
 	r.Dump.Add("Relay", func() any { return r.relay.Dump() })
 
 	if r.Dump.Metrics == nil {
--- a/internal/slopes/idle_test.go
+++ b/internal/slopes/idle_test.go
@@ -135,7 +135,7 @@
 	door := listen(f.b, &f.agents)
 	a := &role.Agent{
 		ID: fmt.Sprintf("desk-%d", i), Cluster: idleCluster, Zone: "z", Incarnation: 1, Listener: door,
-		Controls: role.NewControls(f.controls, nil), Logs: f.out, Dump: &dump.Dump{},
+		Controls: role.NewControlClient(f.controls, nil), Logs: f.out, Dump: &dump.Dump{},
 	}
 	f.group.Go(func() error { return a.Run(ctx) })
 
@@ -158,7 +158,7 @@
 func (f *fleet) entry(ctx context.Context, i int) {
 	e := &role.Entry{
 		ID: fmt.Sprintf("entry-%d", i), Cluster: idleCluster, Zone: "z", Region: "r", Incarnation: 1,
-		Listener: listen(f.b, &counter{}), Controls: role.NewControls(f.controls, nil),
+		Listener: listen(f.b, &counter{}), Controls: role.NewControlClient(f.controls, nil),
 		Limits: entry.DefaultLimits(), Logs: f.out, Dump: &dump.Dump{},
 	}
 	f.group.Go(func() error { return e.Run(ctx) })
--- a/internal/wholepath/bed_test.go
+++ b/internal/wholepath/bed_test.go
@@ -167,7 +167,7 @@
 	p := &process{line: newLine(b.t, address), dump: &dump.Dump{Role: "agent", ID: "agent-" + zones[i]}}
 	a := &role.Agent{
 		ID: "agent-" + zones[i], Cluster: cluster, Zone: zones[i], Incarnation: role.IncarnationAt(time.Now()),
-		Listener: p.line, Controls: role.NewControls(b.operators, nil), Logs: b.logs, Dump: p.dump,
+		Listener: p.line, Controls: role.NewControlClient(b.operators, nil), Logs: b.logs, Dump: p.dump,
 	}
 	b.follow(p, a.Run)
 	b.put(&b.agents[i], p)
@@ -177,7 +177,7 @@
 	p := &process{line: newLine(b.t, address), dump: &dump.Dump{Role: "entry", ID: "entry-" + zones[i]}}
 	e := &role.Entry{
 		ID: "entry-" + zones[i], Cluster: cluster, Zone: zones[i], Region: "r", Incarnation: role.IncarnationAt(time.Now()),
-		Listener: p.line, Controls: role.NewControls(b.operators, nil), Limits: entry.DefaultLimits(), Logs: b.logs, Dump: p.dump,
+		Listener: p.line, Controls: role.NewControlClient(b.operators, nil), Limits: entry.DefaultLimits(), Logs: b.logs, Dump: p.dump,
 	}
 	b.follow(p, e.Run)
 	b.put(&b.entries[i], p)
