--- a/cmd/parsleygate/cmds/load.go
+++ b/cmd/parsleygate/cmds/load.go
@@ -16,7 +16,7 @@
 
 func newLoad() *cobra.Command {
 	var (
-		l     load.Load
+		l     load.Generator
 		desks []string
 	)
 
@@ -37,7 +37,7 @@
 			report, err := l.Run(ctx)
 			report.Print(c.OutOrStdout())
 
-			if err == nil && report.Broken() {
+			if err == nil && report.HasViolations() {
 				err = eris.New("a promise broke")
 			}
 
@@ -56,7 +56,7 @@
 	f.IntVar(&l.Workspaces, "workspaces", 10, "how many workspaces the callers belong to")
 	f.DurationVar(&l.Timeout, "timeout", 10*time.Second, "each caller's deadline")
 	f.Uint64Var(&l.Seed, "seed", 1, "the same seed sends the same requests")
-	f.IntVar(&l.MostInFlight, "most-in-flight", 4096, "requests at once; those above are counted as not sent")
+	f.IntVar(&l.MaxInFlight, "most-in-flight", 4096, "requests at once; those above are counted as not sent")
 
 	return c
 }
--- a/cmd/parsleygate/cmds/local.go
+++ b/cmd/parsleygate/cmds/local.go
@@ -58,9 +58,9 @@
 func (f *localFlags) shape() (local.Deployment, error) {
 	switch f.deployment {
 	case "trust":
-		return local.Trust(), nil
+		return local.TrustDeployment(), nil
 	case "qurum":
-		return local.Qurum(), nil
+		return local.QurumDeployment(), nil
 	default:
 		return local.Deployment{}, eris.Errorf("--deployment %q; allowed: trust, qurum", f.deployment)
 	}
@@ -79,7 +79,7 @@
 
 	defer func() { _ = os.RemoveAll(dir) }()
 
-	l := &local.Local{
+	l := &local.Instance{
 		Deployment: shape, Logs: logs.Output{Writer: c.ErrOrStderr(), Debug: logs.ParseDebug(f.logOutput)},
 		Dir: dir, EntryPort: f.port + 1, OperatorPort: f.port,
 	}
@@ -101,14 +101,14 @@
 		c.Printf("callers:   %s (%s)\n", base, l.Deployment.Zones[i])
 	}
 
-	c.Printf("operators: %v\n\n", l.Operators())
+	c.Printf("operators: %v\n\n", l.ControlAddresses())
 	c.Println(localHint(l.Entries()[0], shape.Services[0].Name, shape.Services[1].Name))
 
 	if f.exercise > 0 {
 		g.Go(func() error {
 			defer stop()
 
-			x := &local.Exercise{Local: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
+			x := &local.Exercise{Instance: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
 
 			return x.Run(gctx)
 		})
--- a/cmd/parsleygate/cmds/standin.go
+++ b/cmd/parsleygate/cmds/standin.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 	"github.com/spf13/cobra"
 
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 // standinFlags are the flags of the standin command.
@@ -69,7 +69,7 @@
 	}
 
 	handler, take := f.target(address)
-	announcer := &standin.Announcer{Agent: agent, Every: time.Second, Take: take}
+	announcer := &testserver.Announcer{Agent: agent, Interval: time.Second, Current: take}
 
 	go announcer.Run(ctx)
 
@@ -88,14 +88,14 @@
 	return nil
 }
 
-func (f *standinFlags) target(address netip.AddrPort) (http.Handler, func() standin.Announcement) {
+func (f *standinFlags) target(address netip.AddrPort) (http.Handler, func() testserver.Announcement) {
 	if !f.model {
-		desk := &standin.Desk{}
+		desk := &testserver.BookingService{}
 
-		return desk.Handler(), func() standin.Announcement { return desk.Announcement(address, f.service, f.capacity) }
+		return desk.Handler(), func() testserver.Announcement { return desk.Announcement(address, f.service, f.capacity) }
 	}
 
-	e := &standin.Engine{StepBase: f.step, ColdLimit: f.cold, WarmAfter: 4 * f.cold}
+	e := &testserver.Engine{StepBase: f.step, ColdLimit: f.cold, WarmAfter: 4 * f.cold}
 
-	return e.Handler(), func() standin.Announcement { return e.Announcement(address, f.service, f.capacity) }
+	return e.Handler(), func() testserver.Announcement { return e.Announcement(address, f.service, f.capacity) }
 }
--- a/internal/wholepath/bed_test.go
+++ b/internal/e2e/bed_test.go
@@ -1,4 +1,4 @@
-package wholepath_test
+package e2e_test
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/quorum"
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -49,7 +49,7 @@
 	operators []netip.AddrPort
 	entries   [3]*process
 	agents    [3]*process
-	desks     [3]*standin.Desk
+	desks     [3]*testserver.BookingService
 
 	// loads counts loads, each of which has its own seed and so its own bookings.
 	loads uint64
@@ -140,7 +140,7 @@
 }
 
 func (b *bed) startDesk(i int) {
-	b.desks[i] = &standin.Desk{}
+	b.desks[i] = &testserver.BookingService{}
 	web := &http.Server{Handler: b.desks[i].Handler(), ReadHeaderTimeout: time.Second}
 	back := newLine(b.t, "127.0.0.1:0")
 
@@ -150,10 +150,10 @@
 	b.startAgent(i, address(b.t))
 
 	none := uint32(0)
-	announcer := &standin.Announcer{
-		Agent: netip.MustParseAddrPort(b.agents[i].line.Addr().String()), Every: 200 * time.Millisecond,
-		Take: func() standin.Announcement {
-			return standin.Announcement{
+	announcer := &testserver.Announcer{
+		Agent: netip.MustParseAddrPort(b.agents[i].line.Addr().String()), Interval: 200 * time.Millisecond,
+		Current: func() testserver.Announcement {
+			return testserver.Announcement{
 				BootID: b.desks[i].BootID(), Address: netip.MustParseAddrPort(back.Addr().String()),
 				Service: service, Capacity: 32, InFlight: &none,
 			}
@@ -336,9 +336,9 @@
 
 // load sends bookings, and holds every promise about them.
 func (b *bed) load(rate float64, d time.Duration, seed uint64) *load.Report {
-	l := &load.Load{
+	l := &load.Generator{
 		BookingService: service, DraftService: service, Rate: rate, Duration: d, BookingShare: 1, Tokens: 1, Workspaces: 3,
-		Timeout: 10 * time.Second, Seed: seed, MostInFlight: 1024, Runs: b.runs,
+		Timeout: 10 * time.Second, Seed: seed, MaxInFlight: 1024, Runs: b.runs,
 	}
 	for i := range b.entries {
 		l.Entries = append(l.Entries, "http://"+b.get(&b.entries[i]).line.Addr().String())
@@ -346,8 +346,8 @@
 
 	r, err := l.Run(context.Background())
 	require.NoError(b.t, err)
-	require.False(b.t, r.Broken(), "doubled %v, ran after NotRun %v, answered and not run %v, wrong %d",
-		r.Doubled, r.Lied, r.Lost, r.Count("Wrong"))
+	require.False(b.t, r.HasViolations(), "doubled %v, ran after NotRun %v, answered and not run %v, wrong %d",
+		r.Duplicated, r.RanAfterNotRun, r.AnsweredNotRun, r.Count("Wrong"))
 
 	return r
 }
--- a/internal/wholepath/line_test.go
+++ b/internal/e2e/line_test.go
@@ -1,4 +1,4 @@
-package wholepath_test
+package e2e_test
 
 import (
 	"context"
--- a/internal/expertgroup/simulation_test.go
+++ b/internal/expertgroup/simulation_test.go
@@ -23,7 +23,7 @@
 	"github.com/parsleygate/parsleygate/internal/ledger"
 	"github.com/parsleygate/parsleygate/internal/placement"
 	"github.com/parsleygate/parsleygate/internal/rank"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -46,7 +46,7 @@
 type simulation struct {
 	t          *testing.T
 	ctx        context.Context //nolint:containedctx // ends all goroutines of the simulation
-	group      *standin.Lockstep
+	group      *testserver.RankGroup
 	shape      placement.Shape
 	routers    [ranks]http.Handler
 	controlVMs [controlVMCount]*controlVM
@@ -87,8 +87,8 @@
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	shape := placement.Shape{Layers: 2, Ranks: ranks, SlotsPerRank: 4, Experts: 8}
 	w := &simulation{reference: ledger.New(ledger.DefaultLimits()), t: t, ctx: t.Context(), shape: shape, rng: rand.New(rand.NewPCG(seed, 1))}
-	w.group = &standin.Lockstep{
-		Shape: shape, StepTime: stepTime, Tokens: 4000, Skew: 1.2, DriftEvery: 25, Seed: seed, Speed: []float64{1, 1, 1, 1},
+	w.group = &testserver.RankGroup{
+		Shape: shape, StepTime: stepTime, TokensPerStep: 4000, Skew: 1.2, DriftInterval: 25, Seed: seed, Speed: []float64{1, 1, 1, 1},
 	}
 	w.group.Init()
 
@@ -451,7 +451,7 @@
 // step.
 func (w *simulation) waitFor(d time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		require.Zero(w.t, w.group.State().Mixed, "two ranks used different maps in a step")
+		require.Zero(w.t, w.group.State().MixedSteps, "two ranks used different maps in a step")
 
 		if ok != nil && ok() {
 			return true
@@ -511,7 +511,7 @@
 
 // allRanksNewerThan reports whether all ranks use a map newer than version.
 func (w *simulation) allRanksNewerThan(version uint64) bool {
-	for _, v := range w.group.State().Versions {
+	for _, v := range w.group.State().MapVersions {
 		if v <= version {
 			return false
 		}
--- a/internal/load/callers.go
+++ b/internal/load/callers.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/parsleygate/parsleygate/internal/pauses"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 // outcome is what a caller saw of one request.
@@ -50,9 +50,9 @@
 // lateSlack is how long before its caller's clock an entry's may end the wait.
 const lateSlack = 100 * time.Millisecond
 
-func (l *Load) draft(ctx context.Context, q *request) result {
+func (l *Generator) draft(ctx context.Context, q *request) result {
 	prompt := "draft for " + q.ref
-	body, _ := json.Marshal(standin.Draft{Prompt: prompt, Tokens: q.tokens})
+	body, _ := json.Marshal(testserver.DraftRequest{Prompt: prompt, Tokens: q.tokens})
 	start := time.Now()
 
 	resp, err := l.post(ctx, q, 0, l.DraftService+"/v1/drafts", body, "")
@@ -105,10 +105,10 @@
 
 	var want bytes.Buffer
 	for n := 1; n <= tokens; n++ {
-		want.WriteString(standin.Event(prompt, n))
+		want.WriteString(testserver.Event(prompt, n))
 	}
 
-	want.WriteString(standin.LastEvent)
+	want.WriteString(testserver.LastEvent)
 
 	if got != want.String() {
 		return wrong
@@ -119,8 +119,8 @@
 
 // book sends a booking, again under the same key and through other entries
 // while its caller does not know what became of it.
-func (l *Load) book(ctx context.Context, q *request) result {
-	body, _ := json.Marshal(standin.Booking{Ref: q.ref, Slot: q.slot()})
+func (l *Generator) book(ctx context.Context, q *request) result {
+	body, _ := json.Marshal(testserver.BookingRequest{Ref: q.ref, Slot: q.slot()})
 	start := time.Now()
 
 	var res result
@@ -141,7 +141,7 @@
 	return res
 }
 
-func (l *Load) bookOnce(ctx context.Context, q *request, try int, body []byte) result {
+func (l *Generator) bookOnce(ctx context.Context, q *request, try int, body []byte) result {
 	resp, err := l.post(ctx, q, try, l.BookingService+"/v1/bookings", body, "key-"+q.ref)
 	if err != nil {
 		return result{outcome: failed}
@@ -157,7 +157,7 @@
 		return result{outcome: cut}
 	}
 
-	var b standin.Booked
+	var b testserver.BookingResponse
 	if json.Unmarshal(got, &b) != nil || b.Ref != q.ref || b.Slot != q.slot() {
 		return result{outcome: wrong}
 	}
@@ -165,7 +165,7 @@
 	return result{outcome: answered}
 }
 
-func (l *Load) post(ctx context.Context, q *request, try int, path string, body []byte, key string) (*http.Response, error) {
+func (l *Generator) post(ctx context.Context, q *request, try int, path string, body []byte, key string) (*http.Response, error) {
 	base := l.Entries[(q.first+try)%len(l.Entries)]
 
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/"+path, bytes.NewReader(body))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -14,8 +14,8 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// Load is one run. Its fields are set before Run.
-type Load struct {
+// Generator is one run. Its fields are set before Run.
+type Generator struct {
 	// Entries are the base URLs of the entries; each request picks one.
 	Entries []string
 	// DraftService and BookingService are the services as callers name them.
@@ -33,8 +33,8 @@
 	// Timeout is each caller's deadline.
 	Timeout time.Duration
 	Seed    uint64
-	// MostInFlight bounds the requests at once; those above it are counted as not sent.
-	MostInFlight int
+	// MaxInFlight bounds the requests at once; those above it are counted as not sent.
+	MaxInFlight int
 	// Phase names the part of an exercise that a request belongs to; may be nil.
 	Phase func() string
 	// Runs returns how often each booking ran, from the back ends themselves; may be nil.
@@ -67,12 +67,12 @@
 )
 
 // Run sends the load and returns what came of it.
-func (l *Load) Run(ctx context.Context) (*Report, error) {
+func (l *Generator) Run(ctx context.Context) (*Report, error) {
 	l.report = newReport()
 	l.sent = make(map[string]outcome)
 	l.client = &http.Client{
 		Timeout:   l.Timeout + drainSlack,
-		Transport: &http.Transport{MaxIdleConnsPerHost: l.MostInFlight, DisableCompression: true},
+		Transport: &http.Transport{MaxIdleConnsPerHost: l.MaxInFlight, DisableCompression: true},
 	}
 	defer l.client.CloseIdleConnections()
 
@@ -93,10 +93,10 @@
 	return l.report, nil
 }
 
-func (l *Load) send(ctx context.Context) {
+func (l *Generator) send(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(l.Seed, 1))
 	zipf := rand.NewZipf(rnd, workspaceSkew, 1, uint64(max(1, l.Workspaces)-1))
-	slots := make(chan struct{}, l.MostInFlight)
+	slots := make(chan struct{}, l.MaxInFlight)
 	next := time.Now()
 	end := next.Add(l.Duration)
 
@@ -130,7 +130,7 @@
 	}
 }
 
-func (l *Load) draw(rnd *rand.Rand, zipf *rand.Zipf, n int) request {
+func (l *Generator) draw(rnd *rand.Rand, zipf *rand.Zipf, n int) request {
 	return request{
 		n:         n,
 		booking:   rnd.Float64() < l.BookingShare,
@@ -141,7 +141,7 @@
 	}
 }
 
-func (l *Load) one(ctx context.Context, q request) {
+func (l *Generator) one(ctx context.Context, q request) {
 	if q.booking {
 		l.tally(&q, l.book(ctx, &q))
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,13 +15,13 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/parsleygate/parsleygate/internal/load"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 // fake is an entry that misbehaves by order: bookings by book, drafts by draft.
 type fake struct {
-	book  func(f *fake, w http.ResponseWriter, b standin.Booking, try int)
-	draft func(w http.ResponseWriter, d standin.Draft)
+	book  func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int)
+	draft func(w http.ResponseWriter, d testserver.DraftRequest)
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -33,7 +33,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	var d standin.Draft
+	var d testserver.DraftRequest
 
 	if strings.HasSuffix(r.URL.Path, "/v1/drafts") {
 		_ = json.NewDecoder(r.Body).Decode(&d)
@@ -43,7 +43,7 @@
 		return
 	}
 
-	var b standin.Booking
+	var b testserver.BookingRequest
 
 	_ = json.NewDecoder(r.Body).Decode(&b)
 	f.seen = append(f.seen, fmt.Sprint(r.Header.Get("Parsleygate-Workspace"), b))
@@ -51,11 +51,11 @@
 	f.book(f, w, b, f.try[b.Ref])
 }
 
-func (f *fake) run(b standin.Booking) { f.runs[b.Ref]++ }
+func (f *fake) run(b testserver.BookingRequest) { f.runs[b.Ref]++ }
 
-func answer(w http.ResponseWriter, b standin.Booking) {
+func answer(w http.ResponseWriter, b testserver.BookingRequest) {
 	w.WriteHeader(http.StatusCreated)
-	_ = json.NewEncoder(w).Encode(standin.Booked{BookingID: "id", Ref: b.Ref, Slot: b.Slot})
+	_ = json.NewEncoder(w).Encode(testserver.BookingResponse{BookingID: "id", Ref: b.Ref, Slot: b.Slot})
 }
 
 func refuse(w http.ResponseWriter, v string) {
@@ -64,13 +64,13 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func right(d standin.Draft) string {
+func right(d testserver.DraftRequest) string {
 	var b strings.Builder
 	for n := 1; n <= d.Tokens; n++ {
-		b.WriteString(standin.Event(d.Prompt, n))
+		b.WriteString(testserver.Event(d.Prompt, n))
 	}
 
-	return b.String() + standin.LastEvent
+	return b.String() + testserver.LastEvent
 }
 
 func runLoad(t *testing.T, f *fake, share float64, phase func() string) *load.Report {
@@ -80,10 +80,10 @@
 	web := httptest.NewServer(f)
 	t.Cleanup(web.Close)
 
-	l := &load.Load{
+	l := &load.Generator{
 		Entries: []string{web.URL}, DraftService: "assist", BookingService: "desk",
 		Rate: 100, Duration: 100 * time.Millisecond, BookingShare: share, Tokens: 3, Workspaces: 3,
-		Timeout: 5 * time.Second, Seed: 5, MostInFlight: 64, Phase: phase,
+		Timeout: 5 * time.Second, Seed: 5, MaxInFlight: 64, Phase: phase,
 		Runs: func(context.Context) (map[string]int, error) { return f.runs, nil },
 	}
 	r, err := l.Run(t.Context())
@@ -106,21 +106,28 @@
 
 	cases := []struct {
 		name string
-		book func(f *fake, w http.ResponseWriter, b standin.Booking, try int)
+		book func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int)
 		want outcome
 	}{
-		{"answered", func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) { f.run(b); answer(w, b) }, outcome{count: "Answered"}},
-		{"doubled", func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) { f.run(b); f.run(b); answer(w, b) }, outcome{doubled: true, broken: true, count: "Answered"}},
-		{"ran after NotRun", func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) { f.run(b); refuse(w, "NotRun") }, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"not run", func(_ *fake, w http.ResponseWriter, _ standin.Booking, _ int) { refuse(w, "NotRun") }, outcome{count: "NotRun"}},
-		{"answered and not run", func(_ *fake, w http.ResponseWriter, b standin.Booking, _ int) { answer(w, b) }, outcome{lost: true, broken: true, count: "Answered"}},
-		{"may have run, and ran", func(f *fake, w http.ResponseWriter, b standin.Booking, try int) {
+		{"answered", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { f.run(b); answer(w, b) }, outcome{count: "Answered"}},
+		{"doubled", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.run(b)
+			f.run(b)
+			answer(w, b)
+		}, outcome{doubled: true, broken: true, count: "Answered"}},
+		{"ran after NotRun", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.run(b)
+			refuse(w, "NotRun")
+		}, outcome{lied: true, broken: true, count: "NotRun"}},
+		{"not run", func(_ *fake, w http.ResponseWriter, _ testserver.BookingRequest, _ int) { refuse(w, "NotRun") }, outcome{count: "NotRun"}},
+		{"answered and not run", func(_ *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { answer(w, b) }, outcome{lost: true, broken: true, count: "Answered"}},
+		{"may have run, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
 				f.run(b)
 			}
 			refuse(w, "MayHaveRun")
 		}, outcome{count: "MayHaveRun"}},
-		{"may have run, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b standin.Booking, try int) {
+		{"may have run, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
 				f.run(b)
 				refuse(w, "MayHaveRun")
@@ -128,14 +135,14 @@
 			}
 			refuse(w, "NotRun")
 		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"broken off, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b standin.Booking, try int) {
+		{"broken off, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
 				f.run(b)
 				abort(w)
 			}
 			refuse(w, "NotRun")
 		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"run again at a resend", func(f *fake, w http.ResponseWriter, b standin.Booking, try int) {
+		{"run again at a resend", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			f.run(b)
 			if try == 1 {
 				refuse(w, "MayHaveRun")
@@ -143,17 +150,19 @@
 			}
 			answer(w, b)
 		}, outcome{doubled: true, broken: true, count: "Answered"}},
-		{"another's answer", func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) {
+		{"another's answer", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.run(b)
 			b.Ref = "other"
 			answer(w, b)
 		}, outcome{broken: true, count: "Wrong"}},
-		{"another slot", func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) {
+		{"another slot", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.run(b)
 			b.Slot = "other"
 			answer(w, b)
 		}, outcome{broken: true, count: "Wrong"}},
-		{"no verdict", func(_ *fake, w http.ResponseWriter, _ standin.Booking, _ int) { w.WriteHeader(http.StatusBadGateway) }, outcome{broken: true, count: "Wrong"}},
+		{"no verdict", func(_ *fake, w http.ResponseWriter, _ testserver.BookingRequest, _ int) {
+			w.WriteHeader(http.StatusBadGateway)
+		}, outcome{broken: true, count: "Wrong"}},
 	}
 
 	for _, c := range cases {
@@ -161,7 +170,7 @@
 			t.Parallel()
 
 			r := runLoad(t, &fake{book: c.book}, 1, nil)
-			got := outcome{doubled: len(r.Doubled) > 0, lied: len(r.Lied) > 0, lost: len(r.Lost) > 0, broken: r.Broken(), count: c.want.count}
+			got := outcome{doubled: len(r.Duplicated) > 0, lied: len(r.RanAfterNotRun) > 0, lost: len(r.AnsweredNotRun) > 0, broken: r.HasViolations(), count: c.want.count}
 			require.Equal(t, c.want, got)
 			require.Positive(t, r.Count(c.want.count))
 		})
@@ -174,24 +183,24 @@
 
 	cases := []struct {
 		name  string
-		draft func(w http.ResponseWriter, d standin.Draft)
+		draft func(w http.ResponseWriter, d testserver.DraftRequest)
 		count string
 		want  bool
 	}{
-		{"whole", func(w http.ResponseWriter, d standin.Draft) { _, _ = w.Write([]byte(right(d))) }, "Answered", false},
-		{"cut", func(w http.ResponseWriter, d standin.Draft) {
+		{"whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d))) }, "Answered", false},
+		{"cut", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			_, _ = w.Write([]byte(right(d)[:10]))
 			_ = http.NewResponseController(w).Flush()
 			abort(w)
 		}, "Cut", false},
-		{"ended as if whole", func(w http.ResponseWriter, d standin.Draft) { _, _ = w.Write([]byte(right(d)[:10])) }, "Wrong", true},
-		{"another's", func(w http.ResponseWriter, d standin.Draft) {
+		{"ended as if whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d)[:10])) }, "Wrong", true},
+		{"another's", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			d.Prompt = "other"
 			_, _ = w.Write([]byte(right(d)))
 		}, "Wrong", true},
-		{"more than asked", func(w http.ResponseWriter, d standin.Draft) { _, _ = w.Write([]byte(right(d) + right(d))) }, "Wrong", true},
-		{"refused", func(w http.ResponseWriter, _ standin.Draft) { refuse(w, "NotRun") }, "NotRun", false},
-		{"broken off before the head", func(w http.ResponseWriter, _ standin.Draft) { abort(w) }, "Failed", false},
+		{"more than asked", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d) + right(d))) }, "Wrong", true},
+		{"refused", func(w http.ResponseWriter, _ testserver.DraftRequest) { refuse(w, "NotRun") }, "NotRun", false},
+		{"broken off before the head", func(w http.ResponseWriter, _ testserver.DraftRequest) { abort(w) }, "Failed", false},
 	}
 
 	for _, c := range cases {
@@ -199,7 +208,7 @@
 			t.Parallel()
 
 			r := runLoad(t, &fake{draft: c.draft}, 0, nil)
-			require.Equal(t, c.want, r.Broken())
+			require.Equal(t, c.want, r.HasViolations())
 			require.Positive(t, r.Count(c.count))
 		})
 	}
@@ -211,8 +220,8 @@
 
 	play := func() ([]string, *load.Report) {
 		f := &fake{
-			book:  func(f *fake, w http.ResponseWriter, b standin.Booking, _ int) { f.run(b); answer(w, b) },
-			draft: func(w http.ResponseWriter, d standin.Draft) { _, _ = w.Write([]byte(right(d))) },
+			book:  func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { f.run(b); answer(w, b) },
+			draft: func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d))) },
 		}
 		n := 0
 		r := runLoad(t, f, 0.5, func() string {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -24,26 +24,26 @@
 	// Counts is how many requests had each outcome, Causes why some were refused.
 	Counts map[string]int
 	Causes map[string]int
-	// First and Total are the waits of answered requests, in microseconds.
-	First *hdrhistogram.Histogram
-	Total *hdrhistogram.Histogram
+	// FirstToken and Total are the waits of answered requests, in microseconds.
+	FirstToken *hdrhistogram.Histogram
+	Total      *hdrhistogram.Histogram
 }
 
 // Report is what came of a run.
 type Report struct {
 	Rows []*Row
-	// Doubled bookings ran more than once. Lied ones ran after their last word was
+	// Duplicated bookings ran more than once. Lied ones ran after their last word was
 	// NotRun. Lost ones were answered and did not run.
-	Doubled []string
-	Lied    []string
-	Lost    []string
+	Duplicated     []string
+	RanAfterNotRun []string
+	AnsweredNotRun []string
 }
 
 func newReport() *Report { return &Report{} }
 
-// Broken reports whether a promise to a caller was broken.
-func (r *Report) Broken() bool {
-	n := len(r.Doubled) + len(r.Lied) + len(r.Lost)
+// HasViolations reports whether a promise to a caller was broken.
+func (r *Report) HasViolations() bool {
+	n := len(r.Duplicated) + len(r.RanAfterNotRun) + len(r.AnsweredNotRun)
 	for _, row := range r.Rows {
 		n += row.Counts[string(wrong)]
 	}
@@ -70,15 +70,15 @@
 
 	row := &Row{
 		Phase: phase, Kind: kind, Counts: make(map[string]int), Causes: make(map[string]int),
-		First: hdrhistogram.New(shortestMicros, longestMicros, digits),
-		Total: hdrhistogram.New(shortestMicros, longestMicros, digits),
+		FirstToken: hdrhistogram.New(shortestMicros, longestMicros, digits),
+		Total:      hdrhistogram.New(shortestMicros, longestMicros, digits),
 	}
 	r.Rows = append(r.Rows, row)
 
 	return row
 }
 
-func (l *Load) tally(q *request, res result) {
+func (l *Generator) tally(q *request, res result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -101,26 +101,26 @@
 
 	_ = row.Total.RecordValue(max(1, res.total.Microseconds()))
 	if res.first > 0 {
-		_ = row.First.RecordValue(res.first.Microseconds())
+		_ = row.FirstToken.RecordValue(res.first.Microseconds())
 	}
 }
 
 // judge holds what callers were told against what the back ends did.
-func (l *Load) judge(runs map[string]int) {
+func (l *Generator) judge(runs map[string]int) {
 	for ref, out := range l.sent {
 		switch n := runs[ref]; {
 		case n > 1:
-			l.report.Doubled = append(l.report.Doubled, ref)
+			l.report.Duplicated = append(l.report.Duplicated, ref)
 		case n == 1 && out == notRun:
-			l.report.Lied = append(l.report.Lied, ref)
+			l.report.RanAfterNotRun = append(l.report.RanAfterNotRun, ref)
 		case n == 0 && out == answered:
-			l.report.Lost = append(l.report.Lost, ref)
+			l.report.AnsweredNotRun = append(l.report.AnsweredNotRun, ref)
 		}
 	}
 
-	slices.Sort(l.report.Doubled)
-	slices.Sort(l.report.Lied)
-	slices.Sort(l.report.Lost)
+	slices.Sort(l.report.Duplicated)
+	slices.Sort(l.report.RanAfterNotRun)
+	slices.Sort(l.report.AnsweredNotRun)
 }
 
 var columns = []outcome{answered, notRun, unsure, cut, late, wrong, failed, notSent}
@@ -143,7 +143,7 @@
 	_ = t.Flush()
 	r.printCauses(w)
 	_, _ = fmt.Fprintf(w, "Bookings: %d doubled, %d ran after NotRun, %d answered but not run\n",
-		len(r.Doubled), len(r.Lied), len(r.Lost))
+		len(r.Duplicated), len(r.RanAfterNotRun), len(r.AnsweredNotRun))
 }
 
 func (row *Row) print(w io.Writer) {
@@ -153,7 +153,7 @@
 	}
 
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t\n",
-		millis(row.First, 50), millis(row.First, 95), millis(row.Total, 50), millis(row.Total, 95), millis(row.Total, 99))
+		millis(row.FirstToken, 50), millis(row.FirstToken, 95), millis(row.Total, 50), millis(row.Total, 95), millis(row.Total, 99))
 }
 
 func millis(h *hdrhistogram.Histogram, q float64) string {
--- a/internal/local/control.go
+++ b/internal/local/control.go
@@ -22,7 +22,7 @@
 const controlPortStep = 10
 
 // startControl starts a control VM in each availability zone.
-func (l *Local) startControl(ctx context.Context, g *errgroup.Group) error {
+func (l *Instance) startControl(ctx context.Context, g *errgroup.Group) error {
 	var (
 		listeners []net.Listener
 		members   []quorum.Member
@@ -63,7 +63,7 @@
 
 // declare commits the configuration that the deployment starts with, as an
 // operator's plan and its confirmation.
-func (l *Local) declare(ctx context.Context) error {
+func (l *Instance) declare(ctx context.Context) error {
 	server := l.controls[0].Server()
 
 	planned, err := l.plan(ctx, server)
@@ -90,7 +90,7 @@
 	planPause = 50 * time.Millisecond
 )
 
-func (l *Local) plan(ctx context.Context, server *control.Server) (*wire.PlanResponse, error) {
+func (l *Instance) plan(ctx context.Context, server *control.Server) (*wire.PlanResponse, error) {
 	request := &wire.PlanRequest{Operator: "local", Source: "local", Declaration: []byte(l.Deployment.Declaration())}
 
 	for try := 1; ; try++ {
--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -32,12 +32,12 @@
 	Zones    []string
 	Services []Service
 	// StepBase and StepEach are the engines' step times.
-	StepBase time.Duration
-	StepEach time.Duration
+	StepBase        time.Duration
+	StepPerSequence time.Duration
 }
 
-// Trust is the Ayutthaya Cooperage Trust's deployment of today.
-func Trust() Deployment {
+// TrustDeployment is the Ayutthaya Cooperage Trust's deployment of today.
+func TrustDeployment() Deployment {
 	return Deployment{
 		Cluster: "trust", Region: "central-th",
 		Zones: []string{"ayutthaya", "ang-thong", "saraburi"},
@@ -45,13 +45,13 @@
 			{Name: "cooper-assist", Model: true, PerZone: 4, ColdLimit: 2, WarmLimit: 16, Experts: 16, Layers: 4},
 			{Name: "job-desk", PerZone: 1, ColdLimit: 4, WarmLimit: 16},
 		},
-		StepBase: 4 * time.Millisecond, StepEach: 100 * time.Microsecond,
+		StepBase: 4 * time.Millisecond, StepPerSequence: 100 * time.Microsecond,
 	}
 }
 
-// Qurum is the Qurum Labs deployment of today.
-func Qurum() Deployment {
-	d := Trust()
+// QurumDeployment is the Qurum Labs deployment of today.
+func QurumDeployment() Deployment {
+	d := TrustDeployment()
 	d.Cluster, d.Region = "qurum", "muscat"
 	d.Zones = []string{"muscat-a", "muscat-b", "muscat-c"}
 	d.Services[0].Name = "assistant-pool"
--- a/internal/local/entries.go
+++ b/internal/local/entries.go
@@ -13,7 +13,7 @@
 	"github.com/parsleygate/parsleygate/internal/role"
 )
 
-func (l *Local) startEntry(ctx context.Context, g *errgroup.Group, zone string, n int) error {
+func (l *Instance) startEntry(ctx context.Context, g *errgroup.Group, zone string, n int) error {
 	port := uint16(0)
 	if l.EntryPort != 0 {
 		port = l.EntryPort + uint16(n)
@@ -38,7 +38,7 @@
 }
 
 // awaitTargets waits until every entry takes callers.
-func (l *Local) awaitTargets(ctx context.Context) error {
+func (l *Instance) awaitTargets(ctx context.Context) error {
 	for _, base := range l.Entries() {
 		if err := awaitService(ctx, base+"/"+l.Deployment.service(false)+"/v1/runs"); err != nil {
 			return err
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -15,7 +15,7 @@
 
 	"github.com/parsleygate/parsleygate/internal/load"
 	"github.com/parsleygate/parsleygate/internal/pauses"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 // Exercise drives load at a running deployment while a zone leaves and returns
 // and a target turns cold. Its fields are set before Run.
 type Exercise struct {
-	Local *Local
+	Instance *Instance
 	// Duration is the time of the whole exercise.
 	Duration time.Duration
 	// Rate is requests a second.
@@ -91,24 +91,24 @@
 	return nil
 }
 
-func (x *Exercise) load() *load.Load {
-	d := &x.Local.Deployment
+func (x *Exercise) load() *load.Generator {
+	d := &x.Instance.Deployment
 
-	return &load.Load{
-		Entries: x.Local.Entries(), DraftService: d.service(true), BookingService: d.service(false),
+	return &load.Generator{
+		Entries: x.Instance.Entries(), DraftService: d.service(true), BookingService: d.service(false),
 		Rate: x.Rate, Duration: x.Duration, BookingShare: 0.2, Tokens: 40, Workspaces: 10,
-		Timeout: 10 * time.Second, Seed: x.Seed, MostInFlight: 4096,
+		Timeout: 10 * time.Second, Seed: x.Seed, MaxInFlight: 4096,
 		Phase: func() string { return x.phase.Load().(string) },
-		Runs:  x.Local.Runs,
+		Runs:  x.Instance.Runs,
 	}
 }
 
 // Runs returns how often each booking ran, from all desks.
-func (l *Local) Runs(context.Context) (map[string]int, error) {
+func (l *Instance) Runs(context.Context) (map[string]int, error) {
 	all := make(map[string]int)
 
 	for _, t := range l.desks {
-		for ref, n := range t.Desk.Runs() {
+		for ref, n := range t.Bookings.Runs() {
 			all[ref] += n
 		}
 	}
@@ -119,7 +119,7 @@
 // script is what happens to the deployment while the load runs.
 func (x *Exercise) script(ctx context.Context) error {
 	phase := x.Duration / phases
-	zone := x.Local.Deployment.Zones[0]
+	zone := x.Instance.Deployment.Zones[0]
 
 	if !pauses.For(ctx, phase) {
 		return nil
@@ -154,7 +154,7 @@
 	}
 
 	x.phase.Store(phaseCold)
-	engines := x.Local.engines
+	engines := x.Instance.engines
 	engines[len(engines)-1].Engine.TurnCold()
 	x.restartOne(engines[len(engines)-2])
 
@@ -163,7 +163,7 @@
 	}
 
 	x.phase.Store(phaseLost)
-	x.lose(x.Local.Deployment.Zones[1])
+	x.lose(x.Instance.Deployment.Zones[1])
 
 	return nil
 }
@@ -171,7 +171,7 @@
 // lose ends all targets of a zone without notice, as the loss of its power does.
 // What they had in flight ends with them.
 func (x *Exercise) lose(zone string) {
-	for _, t := range slices.Concat(x.Local.engines, x.Local.desks) {
+	for _, t := range slices.Concat(x.Instance.engines, x.Instance.desks) {
 		if t.Zone == zone {
 			t.Stop()
 		}
@@ -180,7 +180,7 @@
 
 // decide takes a zone out or brings it back, as an operator does.
 func (x *Exercise) decide(ctx context.Context, number uint64, zone string, out bool) error {
-	controls := x.Local.controls
+	controls := x.Instance.controls
 
 	planned, err := askEach(ctx, len(controls), func(i int) (*wire.PlanResponse, error) {
 		return controls[i].Server().Plan(ctx, &wire.PlanRequest{
@@ -233,7 +233,7 @@
 
 	for time.Since(start) < forceBound {
 		// This control VM may not have heard of the decision yet: the leader made it.
-		r, err := x.Local.controls[0].Server().Status(ctx, &wire.StatusRequest{Number: number})
+		r, err := x.Instance.controls[0].Server().Status(ctx, &wire.StatusRequest{Number: number})
 		if d := r.GetDecisions(); err == nil && len(d) == 1 && d[0].GetInForce() {
 			return time.Since(start), nil
 		}
@@ -271,10 +271,10 @@
 }
 
 // sum adds up what count says of each engine in a zone.
-func (x *Exercise) sum(zone string, count func(standin.EngineState) int) int {
+func (x *Exercise) sum(zone string, count func(testserver.EngineState) int) int {
 	n := 0
 
-	for _, t := range x.Local.engines {
+	for _, t := range x.Instance.engines {
 		if t.Zone == zone {
 			n += count(t.Engine.State())
 		}
@@ -284,15 +284,15 @@
 }
 
 func (x *Exercise) inFlight(zone string) int {
-	return x.sum(zone, func(s standin.EngineState) int { return s.InFlight })
+	return x.sum(zone, func(s testserver.EngineState) int { return s.InFlight })
 }
 
 func (x *Exercise) begun(zone string) int {
-	n := x.sum(zone, func(s standin.EngineState) int { return s.Begun })
+	n := x.sum(zone, func(s testserver.EngineState) int { return s.Begun })
 
-	for _, t := range x.Local.desks {
+	for _, t := range x.Instance.desks {
 		if t.Zone == zone {
-			n += len(t.Desk.Runs())
+			n += len(t.Bookings.Runs())
 		}
 	}
 
@@ -301,7 +301,7 @@
 
 // restart starts the engines of a zone anew, as those of a zone that returns are.
 func (x *Exercise) restart(zone string) {
-	for _, t := range x.Local.engines {
+	for _, t := range x.Instance.engines {
 		if t.Zone == zone {
 			x.restartOne(t)
 		}
@@ -312,22 +312,22 @@
 func (x *Exercise) restartOne(t *Target) {
 	t.Engine.Restart()
 
-	if group := x.Local.groups[t.Group]; group != nil {
+	if group := x.Instance.groups[t.Group]; group != nil {
 		group.RestartRank(t.Rank)
 	}
 }
 
 func (x *Exercise) judge(r *load.Report) {
-	if r.Broken() {
+	if r.HasViolations() {
 		x.broken = append(x.broken, fmt.Sprintf("wrong answers %d, doubled %v, ran after NotRun %v, answered but not run %v",
-			r.Count("Wrong"), r.Doubled, r.Lied, r.Lost))
+			r.Count("Wrong"), r.Duplicated, r.RanAfterNotRun, r.AnsweredNotRun))
 	}
 
 	if n := r.Count("Cut"); n > 0 {
 		x.broken = append(x.broken, fmt.Sprintf("%d answers cut by planned changes", n))
 	}
 
-	for _, t := range x.Local.engines {
+	for _, t := range x.Instance.engines {
 		s := t.Engine.State()
 		if s.Early > 0 {
 			_, _ = fmt.Fprintf(x.Out, "%s began %d requests above its cold limit before its agent could know\n", t.AgentID, s.Early)
@@ -342,13 +342,13 @@
 // judgeGroups prints what became of the expert groups, and holds that no step
 // used two maps.
 func (x *Exercise) judgeGroups() {
-	for _, name := range slices.Sorted(maps.Keys(x.Local.groups)) {
-		s := x.Local.groups[name].State()
+	for _, name := range slices.Sorted(maps.Keys(x.Instance.groups)) {
+		s := x.Instance.groups[name].State()
 		_, _ = fmt.Fprintf(x.Out, "group %s: %d steps, maps in use %v, step-time skew p50 %.2f first quarter, %.2f last quarter\n",
-			name, s.Steps, s.Versions, median(s.Skews[:len(s.Skews)/4]), median(s.Skews[len(s.Skews)*3/4:]))
+			name, s.Steps, s.MapVersions, median(s.Skews[:len(s.Skews)/4]), median(s.Skews[len(s.Skews)*3/4:]))
 
-		if s.Mixed > 0 {
-			x.broken = append(x.broken, fmt.Sprintf("group %s used two maps in %d steps", name, s.Mixed))
+		if s.MixedSteps > 0 {
+			x.broken = append(x.broken, fmt.Sprintf("group %s used two maps in %d steps", name, s.MixedSteps))
 		}
 
 		if s.Steps == 0 {
--- a/internal/local/groups.go
+++ b/internal/local/groups.go
@@ -9,7 +9,7 @@
 
 	"github.com/parsleygate/parsleygate/internal/expertgroup"
 	"github.com/parsleygate/parsleygate/internal/placement"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 // The stand-in groups: steps of 10 ms, a popularity that is skewed and drifts.
@@ -32,7 +32,7 @@
 }
 
 // joinGroup makes the engine a rank of its zone's group, where the service has one.
-func (l *Local) joinGroup(ctx context.Context, g *errgroup.Group, t *Target, r chi.Router, n int) {
+func (l *Instance) joinGroup(ctx context.Context, g *errgroup.Group, t *Target, r chi.Router, n int) {
 	if t.Service.Experts == 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	t.Group, t.Rank = groupName(t.Service, t.Zone), n
 
 	if l.groups == nil {
-		l.groups = make(map[string]*standin.Lockstep)
+		l.groups = make(map[string]*testserver.RankGroup)
 	}
 
 	group := l.groups[t.Group]
@@ -58,10 +58,10 @@
 	group.Routes(r, n)
 }
 
-func newGroup(s Service, seed uint64) *standin.Lockstep {
-	group := &standin.Lockstep{
+func newGroup(s Service, seed uint64) *testserver.RankGroup {
+	group := &testserver.RankGroup{
 		Shape:    placement.Shape{Layers: s.Layers, Ranks: s.PerZone, SlotsPerRank: slotsOf(s), Experts: s.Experts},
-		StepTime: groupStep, Tokens: groupTokens, Skew: groupSkew, DriftEvery: groupDrift, Seed: seed,
+		StepTime: groupStep, TokensPerStep: groupTokens, Skew: groupSkew, DriftInterval: groupDrift, Seed: seed,
 	}
 	for range s.PerZone {
 		group.Speed = append(group.Speed, 1)
@@ -73,4 +73,4 @@
 }
 
 // Groups returns the stand-in groups by name.
-func (l *Local) Groups() map[string]*standin.Lockstep { return l.groups }
+func (l *Instance) Groups() map[string]*testserver.RankGroup { return l.groups }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -16,14 +16,14 @@
 	"github.com/parsleygate/parsleygate/internal/dump"
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 // announceEvery is the time between a stand-in's announcements.
 const announceEvery = time.Second
 
-// Local is one running deployment. Its exported fields are set before Run.
-type Local struct {
+// Instance is one running deployment. Its exported fields are set before Run.
+type Instance struct {
 	Deployment Deployment
 	Logs       logs.Output
 	// Dir holds the control VMs' data folders.
@@ -38,7 +38,7 @@
 	operators []netip.AddrPort
 	entries   []netip.AddrPort
 	engines   []*Target
-	groups    map[string]*standin.Lockstep
+	groups    map[string]*testserver.RankGroup
 	desks     []*Target
 	logger    *slog.Logger
 
@@ -54,8 +54,8 @@
 	// Address is where the stand-in itself takes requests.
 	Address netip.AddrPort
 	// Engine or Desk is set.
-	Engine *standin.Engine
-	Desk   *standin.Desk
+	Engine   *testserver.Engine
+	Bookings *testserver.BookingService
 	// Stop ends the stand-in without notice.
 	Stop func()
 	// Group and Rank are set for an engine that is part of an expert group.
@@ -64,7 +64,7 @@
 }
 
 // Entries returns the callers' base URLs. It is empty before Start has returned.
-func (l *Local) Entries() []string {
+func (l *Instance) Entries() []string {
 	var out []string
 	for _, a := range l.entries {
 		out = append(out, "http://"+a.String())
@@ -73,10 +73,10 @@
 	return out
 }
 
-// Operators returns the addresses of the control VMs, which operators use.
-func (l *Local) Operators() []netip.AddrPort { return l.operators }
+// ControlAddresses returns the addresses of the control VMs, which operators use.
+func (l *Instance) ControlAddresses() []netip.AddrPort { return l.operators }
 
-func (l *Local) newDump(kind, id string) *dump.Dump {
+func (l *Instance) newDump(kind, id string) *dump.Dump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -87,7 +87,7 @@
 }
 
 // WriteDumps writes the state of every role.
-func (l *Local) WriteDumps(w io.Writer) error {
+func (l *Instance) WriteDumps(w io.Writer) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -100,15 +100,15 @@
 	return nil
 }
 
-// Engines returns the model engines, and Desks the booking desks.
-func (l *Local) Engines() []*Target { return l.engines }
+// EngineTargets returns the model engines, and Desks the booking desks.
+func (l *Instance) EngineTargets() []*Target { return l.engines }
 
-// Desks returns the booking desks.
-func (l *Local) Desks() []*Target { return l.desks }
+// BookingTargets returns the booking desks.
+func (l *Instance) BookingTargets() []*Target { return l.desks }
 
 // Start starts everything in g, and returns once callers are welcome. All ends,
 // gracefully, after ctx does.
-func (l *Local) Start(ctx context.Context, g *errgroup.Group) error {
+func (l *Instance) Start(ctx context.Context, g *errgroup.Group) error {
 	l.logger = l.Logs.Logger("local")
 
 	// Entries leave first, then agents, then control, so that nobody is refused by
--- a/internal/local/path_bench_test.go
+++ b/internal/local/path_bench_test.go
@@ -32,12 +32,12 @@
 	}
 }
 
-func startBench(b *testing.B) *local.Local {
+func startBench(b *testing.B) *local.Instance {
 	b.Helper()
 
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	l := &local.Local{Deployment: benchDeployment(), Logs: logs.Output{Writer: io.Discard}, Dir: b.TempDir()}
+	l := &local.Instance{Deployment: benchDeployment(), Logs: logs.Output{Writer: io.Discard}, Dir: b.TempDir()}
 	require.NoError(b, l.Start(ctx, g))
 	b.Cleanup(func() {
 		stop()
@@ -89,7 +89,7 @@
 // control VMs with synced disks. CPU is of the whole process, callers included.
 func BenchmarkPath(b *testing.B) {
 	l := startBench(b)
-	direct := "http://" + l.Desks()[0].Address.String() + "/v1/bookings"
+	direct := "http://" + l.BookingTargets()[0].Address.String() + "/v1/bookings"
 	through := l.Entries()[0] + "/desk/v1/bookings"
 
 	var keys atomic.Int64
--- a/internal/local/targets.go
+++ b/internal/local/targets.go
@@ -12,10 +12,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-func (l *Local) startTarget(ctx context.Context, g, agents *errgroup.Group, zone string, s Service, n int) error {
+func (l *Instance) startTarget(ctx context.Context, g, agents *errgroup.Group, zone string, s Service, n int) error {
 	door, err := listen(ctx, 0)
 	if err != nil {
 		return err
@@ -36,9 +36,9 @@
 		return nil
 	})
 
-	announcer := &standin.Announcer{
-		Agent: door.Addr().(*net.TCPAddr).AddrPort(), Every: announceEvery,
-		Take: t.announcement,
+	announcer := &testserver.Announcer{
+		Agent: door.Addr().(*net.TCPAddr).AddrPort(), Interval: announceEvery,
+		Current: t.announcement,
 	}
 	t.connect(announcer)
 
@@ -68,10 +68,10 @@
 	return nil
 }
 
-func (l *Local) newStandin(ctx context.Context, g *errgroup.Group, t *Target, n int) http.Handler {
+func (l *Instance) newStandin(ctx context.Context, g *errgroup.Group, t *Target, n int) http.Handler {
 	if t.Service.Model {
-		t.Engine = &standin.Engine{
-			StepBase: l.Deployment.StepBase, StepEach: l.Deployment.StepEach,
+		t.Engine = &testserver.Engine{
+			StepBase: l.Deployment.StepBase, StepPerSequence: l.Deployment.StepPerSequence,
 			ColdLimit: int(t.Service.ColdLimit), WarmAfter: 4 * int(t.Service.ColdLimit),
 		}
 		l.engines = append(l.engines, t)
@@ -82,22 +82,22 @@
 		return r
 	}
 
-	t.Desk = &standin.Desk{}
+	t.Bookings = &testserver.BookingService{}
 	l.desks = append(l.desks, t)
 
-	return t.Desk.Handler()
+	return t.Bookings.Handler()
 }
 
 // connect lets an engine announce a restart at once, and take work only then.
-func (t *Target) connect(a *standin.Announcer) {
+func (t *Target) connect(a *testserver.Announcer) {
 	if t.Engine == nil {
 		return
 	}
 
 	again := make(chan struct{}, 1)
-	a.Again = again
-	a.Announced = t.Engine.Announced
-	t.Engine.Restarted = func() {
+	a.Trigger = again
+	a.OnAccepted = t.Engine.ConfirmAnnounced
+	t.Engine.OnRestart = func() {
 		select {
 		case again <- struct{}{}:
 		default:
@@ -105,9 +105,9 @@
 	}
 }
 
-func (t *Target) announcement() standin.Announcement {
+func (t *Target) announcement() testserver.Announcement {
 	if t.Engine == nil {
-		return t.Desk.Announcement(t.Address, t.Service.Name, int(t.Service.WarmLimit))
+		return t.Bookings.Announcement(t.Address, t.Service.Name, int(t.Service.WarmLimit))
 	}
 
 	a := t.Engine.Announcement(t.Address, t.Service.Name, int(t.Service.WarmLimit))
--- a/internal/slopes/idle_test.go
+++ b/internal/slopes/idle_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 	"github.com/parsleygate/parsleygate/internal/quorum"
 	"github.com/parsleygate/parsleygate/internal/role"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
@@ -140,10 +140,10 @@
 	f.group.Go(func() error { return a.Run(ctx) })
 
 	none := uint32(0)
-	announcer := &standin.Announcer{
-		Agent: netip.MustParseAddrPort(door.Addr().String()), Every: time.Second,
-		Take: func() standin.Announcement {
-			return standin.Announcement{
+	announcer := &testserver.Announcer{
+		Agent: netip.MustParseAddrPort(door.Addr().String()), Interval: time.Second,
+		Current: func() testserver.Announcement {
+			return testserver.Announcement{
 				Address: netip.MustParseAddrPort("127.0.0.1:9"), Service: "desk", BootID: "boot", Capacity: 16, InFlight: &none,
 			}
 		},
--- a/internal/slopes/token_test.go
+++ b/internal/slopes/token_test.go
@@ -30,7 +30,7 @@
 func BenchmarkTokens(b *testing.B) {
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	l := &local.Local{
+	l := &local.Instance{
 		Deployment: local.Deployment{
 			Cluster: "bench", Region: "r", Zones: []string{"z"}, StepBase: 5 * time.Millisecond,
 			Services: []local.Service{
@@ -48,7 +48,7 @@
 	})
 
 	ways := []struct{ name, url string }{
-		{"direct", "http://" + l.Engines()[0].Address.String() + "/v1/drafts"},
+		{"direct", "http://" + l.EngineTargets()[0].Address.String() + "/v1/drafts"},
 		{"path", l.Entries()[0] + "/assist/v1/drafts"},
 	}
 
--- a/internal/standin/announce.go
+++ b/internal/testserver/announce.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"bytes"
@@ -34,7 +34,7 @@
 
 // Announcement returns what the desk tells its agent now. It answers at once:
 // what it had in hand when its agent stopped is done.
-func (d *Desk) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
+func (d *BookingService) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
 	return Announcement{
 		BootID: d.BootID(), Address: address, Service: service, Capacity: capacity, InFlight: new(uint32),
 	}
@@ -44,20 +44,20 @@
 type Announcer struct {
 	// Agent is the address of the agent beside the target.
 	Agent netip.AddrPort
-	// Take returns the announcement as of now.
-	Take func() Announcement
-	// Every is the time between two announcements.
-	Every time.Duration
-	// Again is read for an announcement between two turns; may be nil.
-	Again <-chan struct{}
-	// Announced is called after the agent took an announcement; may be nil.
-	Announced func(bootID string)
+	// Current returns the announcement as of now.
+	Current func() Announcement
+	// Interval is the time between two announcements.
+	Interval time.Duration
+	// Trigger is read for an announcement between two turns; may be nil.
+	Trigger <-chan struct{}
+	// OnAccepted is called after the agent took an announcement; may be nil.
+	OnAccepted func(bootID string)
 }
 
 // Run announces until ctx ends. A failed try is repeated at the next turn.
 func (a *Announcer) Run(ctx context.Context) {
-	client := &http.Client{Timeout: a.Every}
-	tick := time.NewTicker(a.Every)
+	client := &http.Client{Timeout: a.Interval}
+	tick := time.NewTicker(a.Interval)
 
 	defer tick.Stop()
 
@@ -67,14 +67,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.Again:
+		case <-a.Trigger:
 		case <-tick.C:
 		}
 	}
 }
 
 func (a *Announcer) once(ctx context.Context, client *http.Client) {
-	announcement := a.Take()
+	announcement := a.Current()
 
 	body, err := json.Marshal(announcement)
 	if err != nil {
@@ -97,7 +97,7 @@
 
 	_ = resp.Body.Close()
 
-	if resp.StatusCode == http.StatusNoContent && a.Announced != nil {
-		a.Announced(announcement.BootID)
+	if resp.StatusCode == http.StatusNoContent && a.OnAccepted != nil {
+		a.OnAccepted(announcement.BootID)
 	}
 }
--- a/internal/standin/desk.go
+++ b/internal/testserver/desk.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"encoding/json"
@@ -9,31 +9,31 @@
 	"github.com/google/uuid"
 )
 
-// Booking is the request body of the stand-in booking service.
-type Booking struct {
+// BookingRequest is the request body of the stand-in booking service.
+type BookingRequest struct {
 	// Ref is the caller's own reference; two runs of one Ref are a doubled booking.
 	Ref  string
 	Slot string
 }
 
-// Booked is its answer.
-type Booked struct {
+// BookingResponse is its answer.
+type BookingResponse struct {
 	BookingID string
 	Ref       string
 	Slot      string
 }
 
-// Desk is a plain booking service. A booking must not be repeated: each run
+// BookingService is a plain booking service. A booking must not be repeated: each run
 // makes another one.
-type Desk struct {
+type BookingService struct {
 	mu   sync.Mutex
 	boot string
 	runs map[string]int
-	made map[string]Booked
+	made map[string]BookingResponse
 }
 
 // Runs returns how often each Ref was booked.
-func (d *Desk) Runs() map[string]int {
+func (d *BookingService) Runs() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -46,7 +46,7 @@
 }
 
 // BootID returns an id that is fresh at each start.
-func (d *Desk) BootID() string {
+func (d *BookingService) BootID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -58,7 +58,7 @@
 }
 
 // Handler returns the desk's HTTP interface.
-func (d *Desk) Handler() http.Handler {
+func (d *BookingService) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(echoRequestID)
 	r.Post("/v1/bookings", d.book)
@@ -68,8 +68,8 @@
 	return r
 }
 
-func (d *Desk) book(w http.ResponseWriter, r *http.Request) {
-	var b Booking
+func (d *BookingService) book(w http.ResponseWriter, r *http.Request) {
+	var b BookingRequest
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil || b.Slot == "" {
 		http.Error(w, "a booking needs Ref and Slot", http.StatusBadRequest)
 
@@ -79,23 +79,23 @@
 	writeJSON(w, http.StatusCreated, d.run(b))
 }
 
-func (d *Desk) run(b Booking) Booked {
+func (d *BookingService) run(b BookingRequest) BookingResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	if d.runs == nil {
 		d.runs = make(map[string]int)
-		d.made = make(map[string]Booked)
+		d.made = make(map[string]BookingResponse)
 	}
 
 	d.runs[b.Ref]++
-	done := Booked{BookingID: uuid.NewString(), Ref: b.Ref, Slot: b.Slot}
+	done := BookingResponse{BookingID: uuid.NewString(), Ref: b.Ref, Slot: b.Slot}
 	d.made[done.BookingID] = done
 
 	return done
 }
 
-func (d *Desk) show(w http.ResponseWriter, r *http.Request) {
+func (d *BookingService) show(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	b, ok := d.made[chi.URLParam(r, "id")]
 	d.mu.Unlock()
--- a/internal/standin/draft.go
+++ b/internal/testserver/draft.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Draft is the request body of the stand-in model service.
-type Draft struct {
+// DraftRequest is the request body of the stand-in model service.
+type DraftRequest struct {
 	Prompt string
 	// Tokens is how many tokens the answer has.
 	Tokens int
--- a/internal/standin/engine.go
+++ b/internal/testserver/engine.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for what stands outside the system:
+// Package testserver holds small stand-ins for what stands outside the system:
 // a model engine, a plain booking service, and callers' answers to check.
 // They serve `local`, the load tool and tests; they are no product.
-package standin
+package testserver
 
 import (
 	"context"
@@ -27,15 +27,15 @@
 // advance together, one token a step, and a step takes longer the more there are.
 type Engine struct {
 	// StepBase is the time of a step with one sequence, StepEach what each adds.
-	StepBase time.Duration
-	StepEach time.Duration
+	StepBase        time.Duration
+	StepPerSequence time.Duration
 	// ColdLimit is how many sequences a cold engine bears; more is counted in Overruns.
 	ColdLimit int
 	// WarmAfter is how many finished answers make a cold engine warm.
 	WarmAfter int
 
-	// Restarted is called at each Restart, to announce the new boot; may be nil.
-	Restarted func()
+	// OnRestart is called at each Restart, to announce the new boot; may be nil.
+	OnRestart func()
 
 	mu       sync.Mutex
 	bootID   string
@@ -80,9 +80,9 @@
 	}
 }
 
-// WordDelay is how long an engine's word of a change may take to its agent: the
+// MaxAnnounceDelay is how long an engine's word of a change may take to its agent: the
 // time between two announcements, and some slack.
-const WordDelay = 1200 * time.Millisecond
+const MaxAnnounceDelay = 1200 * time.Millisecond
 
 // TurnCold makes the engine cold without warning, and without an end of what it
 // has in flight. Nothing tells its agent before the next announcement.
@@ -101,16 +101,16 @@
 	e.turnColdLocked()
 	close(e.cut)
 	e.cut = make(chan struct{})
-	e.serving = e.Restarted == nil
+	e.serving = e.OnRestart == nil
 	e.mu.Unlock()
 
-	if e.Restarted != nil {
-		e.Restarted()
+	if e.OnRestart != nil {
+		e.OnRestart()
 	}
 }
 
-// Announced tells the engine that its agent knows of the boot with this id.
-func (e *Engine) Announced(bootID string) {
+// ConfirmAnnounced tells the engine that its agent knows of the boot with this id.
+func (e *Engine) ConfirmAnnounced(bootID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
@@ -156,7 +156,7 @@
 }
 
 func (e *Engine) draft(w http.ResponseWriter, r *http.Request) {
-	var d Draft
+	var d DraftRequest
 	if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Tokens < 1 {
 		http.Error(w, "a draft needs Prompt and Tokens", http.StatusBadRequest)
 
@@ -197,7 +197,7 @@
 	return n, eris.Wrap(err, "read Last-Event-ID")
 }
 
-func (e *Engine) stream(ctx context.Context, cut <-chan struct{}, w http.ResponseWriter, d Draft, from int) {
+func (e *Engine) stream(ctx context.Context, cut <-chan struct{}, w http.ResponseWriter, d DraftRequest, from int) {
 	flush := http.NewResponseController(w)
 
 	for n := from + 1; n <= d.Tokens; n++ {
@@ -233,7 +233,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	return e.StepBase + time.Duration(e.inFlight)*e.StepEach
+	return e.StepBase + time.Duration(e.inFlight)*e.StepPerSequence
 }
 
 // begin counts a sequence in. It returns the channel that a restart closes, and
@@ -259,7 +259,7 @@
 }
 
 func (e *Engine) countCold() {
-	if e.inFlight > e.ColdLimit && time.Since(e.coldAt) < WordDelay {
+	if e.inFlight > e.ColdLimit && time.Since(e.coldAt) < MaxAnnounceDelay {
 		e.early++
 
 		return
--- a/internal/standin/lockstep.go
+++ b/internal/testserver/lockstep.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"context"
@@ -14,21 +14,21 @@
 	"github.com/parsleygate/parsleygate/internal/rank"
 )
 
-// Lockstep is a stand-in group of ranks that advance in lock-step: a step begins
+// RankGroup is a stand-in group of ranks that advance in lock-step: a step begins
 // on all ranks or on none, and takes as long as its slowest rank. Each rank
 // picks its map by its own orders, and a step in which two ranks would use
 // different maps, or different contents under one version, is counted in Mixed.
-type Lockstep struct {
+type RankGroup struct {
 	Shape placement.Shape
 	// StepTime is the time of a balanced step; Tokens is how many each step routes.
-	StepTime time.Duration
-	Tokens   int
+	StepTime      time.Duration
+	TokensPerStep int
 	// Skew is the exponent of the experts' popularity, Drift the share of its
 	// order that changes each DriftEvery steps.
-	Skew       float64
-	DriftEvery int
-	Speed      []float64
-	Seed       uint64
+	Skew          float64
+	DriftInterval int
+	Speed         []float64
+	Seed          uint64
 
 	mu      sync.Mutex
 	ranks   []*lockRank
@@ -62,18 +62,18 @@
 	digest  uint64
 }
 
-// LockstepState is what a group tells of itself.
-type LockstepState struct {
+// RankGroupState is what a group tells of itself.
+type RankGroupState struct {
 	Steps uint64
-	// Mixed counts steps in which two ranks would have used different maps.
-	Mixed int
+	// MixedSteps counts steps in which two ranks would have used different maps.
+	MixedSteps int
 	// Skews holds each step's slowest rank's time over the mean.
-	Skews    []float64
-	Versions []uint64
+	Skews       []float64
+	MapVersions []uint64
 }
 
 // Init prepares the group. It is called once, before Run.
-func (g *Lockstep) Init() {
+func (g *RankGroup) Init() {
 	g.rnd = rand.New(rand.NewPCG(g.Seed, 7))
 	g.ranks = make([]*lockRank, g.Shape.Ranks)
 
@@ -90,7 +90,7 @@
 	}
 }
 
-func (g *Lockstep) newRank() *lockRank {
+func (g *RankGroup) newRank() *lockRank {
 	return &lockRank{
 		bootID: uuid.NewString(), maps: make(map[uint64]lockMap),
 		tokens: make([]uint64, g.Shape.Layers*g.Shape.Experts),
@@ -98,7 +98,7 @@
 }
 
 // RestartRank restarts the engine of one rank: it loses its maps and its orders.
-func (g *Lockstep) RestartRank(n int) {
+func (g *RankGroup) RestartRank(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -106,20 +106,20 @@
 }
 
 // State returns the group's state.
-func (g *Lockstep) State() LockstepState {
+func (g *RankGroup) State() RankGroupState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	s := LockstepState{Steps: g.step, Mixed: g.mixed, Skews: slices.Clone(g.skews)}
+	s := RankGroupState{Steps: g.step, MixedSteps: g.mixed, Skews: slices.Clone(g.skews)}
 	for _, r := range g.ranks {
-		s.Versions = append(s.Versions, r.version(g.step+1))
+		s.MapVersions = append(s.MapVersions, r.version(g.step+1))
 	}
 
 	return s
 }
 
 // Run steps until ctx ends.
-func (g *Lockstep) Run(ctx context.Context) {
+func (g *RankGroup) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t := time.NewTimer(g.advance())
 
@@ -165,7 +165,7 @@
 }
 
 // advance begins the next step if every rank is ready, and returns how long it takes.
-func (g *Lockstep) advance() time.Duration {
+func (g *RankGroup) advance() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -196,7 +196,7 @@
 }
 
 // compute works out a step's times and counts its tokens.
-func (g *Lockstep) compute(step uint64) time.Duration {
+func (g *RankGroup) compute(step uint64) time.Duration {
 	g.drift(step)
 
 	load := &placement.Load{Speed: g.Speed}
@@ -212,8 +212,8 @@
 	return time.Duration(float64(g.StepTime) * t.Slowest)
 }
 
-func (g *Lockstep) drift(step uint64) {
-	if g.DriftEvery == 0 || step%uint64(g.DriftEvery) != 0 {
+func (g *RankGroup) drift(step uint64) {
+	if g.DriftInterval == 0 || step%uint64(g.DriftInterval) != 0 {
 		return
 	}
 
@@ -225,8 +225,8 @@
 
 // count adds the step's tokens to what every rank has routed, and the time and
 // work of its own experts.
-func (g *Lockstep) count(m *placement.Map) {
-	per := float64(g.Tokens)
+func (g *RankGroup) count(m *placement.Map) {
+	per := float64(g.TokensPerStep)
 
 	for n, r := range g.ranks {
 		r.sequence++
@@ -245,7 +245,7 @@
 }
 
 // rankWork is the share of a layer's tokens that rank n computes.
-func (g *Lockstep) rankWork(m *placement.Map, l, n int, sum float64) float64 {
+func (g *RankGroup) rankWork(m *placement.Map, l, n int, sum float64) float64 {
 	work := 0.0
 
 	for _, e := range m.Rank(l, n) {
--- a/internal/standin/lockstep_http.go
+++ b/internal/testserver/lockstep_http.go
@@ -1,4 +1,4 @@
-package standin
+package testserver
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 )
 
 // Routes adds the interface of rank n to r.
-func (g *Lockstep) Routes(r chi.Router, n int) {
+func (g *RankGroup) Routes(r chi.Router, n int) {
 	r.Get(rank.GroupPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, g.rankState(n)) })
 	r.Post(rank.GroupPath, func(w http.ResponseWriter, q *http.Request) {
 		var o rank.EngineOrder
@@ -27,14 +27,14 @@
 }
 
 // BootID returns the boot of rank n's engine.
-func (g *Lockstep) BootID(n int) string {
+func (g *RankGroup) BootID(n int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	return g.ranks[n].bootID
 }
 
-func (g *Lockstep) rankState(n int) rank.EngineState {
+func (g *RankGroup) rankState(n int) rank.EngineState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -48,7 +48,7 @@
 
 // order carries out an order, and returns the status of its answer. Fencing
 // numbers are not checked: this engine stands for those that ignore them.
-func (g *Lockstep) order(n int, o *rank.EngineOrder) int {
+func (g *RankGroup) order(n int, o *rank.EngineOrder) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
--- a/internal/standin/standin_test.go
+++ b/internal/testserver/standin_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package testserver_test
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 
 	"github.com/parsleygate/parsleygate/internal/placement"
 	"github.com/parsleygate/parsleygate/internal/rank"
-	"github.com/parsleygate/parsleygate/internal/standin"
+	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
 func ExampleEvent() {
-	fmt.Print(standin.Event("hoops", 1))
+	fmt.Print(testserver.Event("hoops", 1))
 	// Output:
 	// id: 1
 	// data: {"Token":"jro"}
@@ -29,14 +29,14 @@
 // group is a lock-step group of two ranks with its interfaces.
 type group struct {
 	t      *testing.T
-	ranks  *standin.Lockstep
+	ranks  *testserver.RankGroup
 	router [2]chi.Router
 	maps   [2][]byte
 }
 
 func newGroup(t *testing.T) *group {
 	shape := placement.Shape{Layers: 1, Ranks: 2, SlotsPerRank: 2, Experts: 4}
-	g := &group{t: t, ranks: &standin.Lockstep{Shape: shape, StepTime: time.Millisecond, Tokens: 10, Speed: []float64{1, 1}}}
+	g := &group{t: t, ranks: &testserver.RankGroup{Shape: shape, StepTime: time.Millisecond, TokensPerStep: 10, Speed: []float64{1, 1}}}
 	g.ranks.Init()
 
 	for n := range g.router {
@@ -77,7 +77,7 @@
 	require.Equal(g.t, http.StatusNoContent, g.order(n, rank.EngineOrder{Do: rank.DoRun, RunVersion: version}))
 }
 
-func (g *group) steps(d time.Duration) standin.LockstepState {
+func (g *group) steps(d time.Duration) testserver.RankGroupState {
 	ctx, cancel := context.WithTimeout(g.t.Context(), d)
 	defer cancel()
 
@@ -114,7 +114,7 @@
 
 				s := g.steps(time.Second)
 				require.Positive(t, s.Steps)
-				require.Equal(t, c.mixed, s.Mixed > 0)
+				require.Equal(t, c.mixed, s.MixedSteps > 0)
 			})
 		})
 	}
