--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -130,7 +130,7 @@
 	}
 	defer stopAdmin()
 
-	watch := &logs.Standstill{Logger: p.logs.Logger("process")}
+	watch := &logs.StallDetector{Logger: p.logs.Logger("process")}
 	go watch.Run(ctx)
 
 	return run(ctx, p)
--- a/cmd/parsleygate/cmds/trace.go
+++ b/cmd/parsleygate/cmds/trace.go
@@ -27,7 +27,7 @@
 				lines = append(lines, more...)
 			}
 
-			return trace.Tell(c.OutOrStdout(), args[0], lines)
+			return trace.Print(c.OutOrStdout(), args[0], lines)
 		},
 	}
 }
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -24,7 +24,7 @@
 	for {
 		s.confirmOnce(ctx)
 
-		if !pauses.For(ctx, s.Settings.ReadIndexInterval) {
+		if !pauses.Sleep(ctx, s.Settings.ReadIndexInterval) {
 			return
 		}
 	}
@@ -47,7 +47,7 @@
 
 func (s *Server) awaitApplied(ctx context.Context, index uint64) bool {
 	for s.applied.Load() < index {
-		if !pauses.For(ctx, applyCheckInterval) {
+		if !pauses.Sleep(ctx, applyCheckInterval) {
 			return false
 		}
 	}
--- a/internal/control/trackers.go
+++ b/internal/control/trackers.go
@@ -133,7 +133,7 @@
 func (s *Server) runLeaderTasks(ctx context.Context) {
 	checker := newExpiryChecker(s.Settings.ExpiryTimeout)
 
-	for pauses.For(ctx, s.Settings.ExpiryCheckInterval) {
+	for pauses.Sleep(ctx, s.Settings.ExpiryCheckInterval) {
 		if s.IsLeader != nil && !s.IsLeader() {
 			checker.reset()
 			continue
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -144,7 +144,7 @@
 // sleepUntil sleeps until at or until ctx ends.
 func sleepUntil(ctx context.Context, at time.Time) {
 	if d := time.Until(at); d > 0 {
-		pauses.For(ctx, d)
+		pauses.Sleep(ctx, d)
 	}
 }
 
--- a/internal/load/callers.go
+++ b/internal/load/callers.go
@@ -133,7 +133,7 @@
 			return res
 		}
 
-		if !pauses.For(ctx, resendPause) {
+		if !pauses.Sleep(ctx, resendPause) {
 			return res
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -107,7 +107,7 @@
 		next = next.Add(time.Duration(rnd.ExpFloat64() / l.Rate * float64(time.Second)))
 		q := l.draw(rnd, zipf, n)
 
-		if next.After(end) || !pauses.For(ctx, time.Until(next)) {
+		if next.After(end) || !pauses.Sleep(ctx, time.Until(next)) {
 			return
 		}
 
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -121,7 +121,7 @@
 	phase := x.Duration / phases
 	zone := x.Instance.Deployment.Zones[0]
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -137,7 +137,7 @@
 
 	// A zone that was taken out is given back only when its work has finished.
 	for x.inFlight(zone) > 0 {
-		if !pauses.For(ctx, forceCheck) {
+		if !pauses.Sleep(ctx, forceCheck) {
 			return nil
 		}
 	}
@@ -149,7 +149,7 @@
 		return err
 	}
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -158,7 +158,7 @@
 	engines[len(engines)-1].Engine.TurnCold()
 	x.restartOne(engines[len(engines)-2])
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -221,7 +221,7 @@
 			return answer, err
 		}
 
-		if time.Since(start) >= forceBound || !pauses.For(ctx, forceCheck) {
+		if time.Since(start) >= forceBound || !pauses.Sleep(ctx, forceCheck) {
 			return answer, err
 		}
 	}
@@ -238,7 +238,7 @@
 			return time.Since(start), nil
 		}
 
-		if !pauses.For(ctx, forceCheck) {
+		if !pauses.Sleep(ctx, forceCheck) {
 			return 0, nil
 		}
 	}
@@ -259,7 +259,7 @@
 
 	before := x.begun(zone)
 
-	if !pauses.For(ctx, time.Until(end)) {
+	if !pauses.Sleep(ctx, time.Until(end)) {
 		return nil
 	}
 
--- a/internal/lockstep/director.go
+++ b/internal/lockstep/director.go
@@ -47,7 +47,7 @@
 	d.Logger.Info("Directing the group.", "epoch", d.Group.Epoch, "ranks", d.Group.Size)
 	defer d.Logger.Info("Stopped directing the group.", "epoch", d.Group.Epoch)
 
-	for pauses.For(ctx, d.Settings.PollInterval) {
+	for pauses.Sleep(ctx, d.Settings.PollInterval) {
 		d.runOnce(context.WithoutCancel(ctx))
 	}
 }
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -37,7 +37,7 @@
 		switch {
 		case missing == 0:
 			return nil
-		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
+		case !pauses.Sleep(ctx, s.Settings.SwitchPollInterval):
 			return fmt.Errorf("%w: %d ranks did not confirm the order in time", failure, missing)
 		}
 	}
--- a/internal/lockstep/release.go
+++ b/internal/lockstep/release.go
@@ -21,7 +21,7 @@
 		err := s.releaseOnce(ctx)
 		// The fencing numbers of another agent are unknown and may be higher. Each refusal
 		// doubles this agent's number, so a few attempts suffice.
-		if err == nil || !s.fenced.Load() || !pauses.For(ctx, s.Settings.SwitchPollInterval) {
+		if err == nil || !s.fenced.Load() || !pauses.Sleep(ctx, s.Settings.SwitchPollInterval) {
 			return err
 		}
 	}
--- a/internal/lockstep/standby.go
+++ b/internal/lockstep/standby.go
@@ -28,7 +28,7 @@
 	switcher := &Switcher{Group: s.Group, Settings: s.Settings, Logger: s.Logger}
 	missed := 0
 
-	for pauses.For(ctx, s.Settings.PollInterval) {
+	for pauses.Sleep(ctx, s.Settings.PollInterval) {
 		if s.DirectorAlive(ctx) {
 			missed = 0
 
@@ -58,7 +58,7 @@
 	defer cancel()
 
 	go func() {
-		for pauses.For(ctx, s.Settings.PollInterval) {
+		for pauses.Sleep(ctx, s.Settings.PollInterval) {
 			if s.DirectorAlive(ctx) {
 				cancel()
 			}
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -234,7 +234,7 @@
 		switch {
 		case err == nil && (!poll.Report.Holds || poll.Report.Held != step || poll.Report.Epoch != s.Group.Epoch):
 			return nil
-		case !pauses.For(ctx, s.Settings.SwitchPollInterval):
+		case !pauses.Sleep(ctx, s.Settings.SwitchPollInterval):
 			return errNotReleased
 		}
 	}
--- a/internal/logs/queue_test.go
+++ b/internal/logs/queue_test.go
@@ -60,13 +60,13 @@
 	taken := 0
 
 	for i := range 40 {
-		if s.Take(now.Add(time.Duration(i) * 50 * time.Millisecond)) {
+		if s.Allow(now.Add(time.Duration(i) * 50 * time.Millisecond)) {
 			taken++
 		}
 	}
 
 	require.Equal(t, 6, taken)
-	require.Equal(t, int64(34), s.Left())
+	require.Equal(t, int64(34), s.Suppressed())
 }
 
 // An error's line holds its text, and not the stack that wrapped errors carry.
--- a/internal/logs/sampler.go
+++ b/internal/logs/sampler.go
@@ -16,8 +16,8 @@
 	left    int64
 }
 
-// Take reports whether a line may be written at now.
-func (s *Sampler) Take(now time.Time) bool {
+// Allow reports whether a line may be written at now.
+func (s *Sampler) Allow(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Left returns how many lines were left out so far.
-func (s *Sampler) Left() int64 {
+// Suppressed returns how many lines were left out so far.
+func (s *Sampler) Suppressed() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
--- a/internal/logs/standstill.go
+++ b/internal/logs/standstill.go
@@ -18,11 +18,11 @@
 	standstillLeast = 400 * time.Millisecond
 )
 
-// Standstill tells of a process that did not run: its VM was suspended, or its
+// StallDetector tells of a process that did not run: its VM was suspended, or its
 // processor was taken away. What the process knows is older by that time, its
 // connections may be gone, and requests in hand seem to have taken that long; only
 // this line tells such a stop from a slow target. Its fields are set before Run.
-type Standstill struct {
+type StallDetector struct {
 	Logger *slog.Logger
 	// SinceBoot returns the time since the VM started, suspended time included; nil
 	// stands for the operating system's. The steady clock leaves that time out, and the
@@ -31,7 +31,7 @@
 }
 
 // Run looks at the clock until ctx ends.
-func (s *Standstill) Run(ctx context.Context) {
+func (s *StallDetector) Run(ctx context.Context) {
 	if s.SinceBoot == nil {
 		s.SinceBoot = sinceBoot
 	}
--- a/internal/logs/standstill_test.go
+++ b/internal/logs/standstill_test.go
@@ -28,7 +28,7 @@
 
 		began := time.Now()
 		ctx, stop := context.WithCancel(context.Background())
-		s := &logs.Standstill{
+		s := &logs.StallDetector{
 			Logger:    logs.Output{Writer: &out}.Logger("process"),
 			SinceBoot: func() (time.Duration, error) { return time.Since(began) + time.Duration(suspended.Load()), nil },
 		}
--- a/internal/pauses/pauses.go
+++ b/internal/pauses/pauses.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, and reports whether ctx still goes on then.
-func For(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d, and reports whether ctx still goes on then.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 
--- a/internal/pauses/pauses_test.go
+++ b/internal/pauses/pauses_test.go
@@ -21,9 +21,9 @@
 
 		defer stop()
 
-		require.True(t, pauses.For(ctx, 2*time.Second))
+		require.True(t, pauses.Sleep(ctx, 2*time.Second))
 		require.Equal(t, 2*time.Second, time.Since(began))
-		require.False(t, pauses.For(ctx, time.Hour))
+		require.False(t, pauses.Sleep(ctx, time.Hour))
 		require.Equal(t, 3*time.Second, time.Since(began))
 	})
 }
--- a/internal/relay/finish.go
+++ b/internal/relay/finish.go
@@ -18,7 +18,7 @@
 	p.relay.latencies.total.Update(millis(p.arrivedAt, now))
 	p.relay.durations.observe(p.service, now.Sub(p.arrivedAt))
 
-	if p.relay.completions.Take(now) {
+	if p.relay.completions.Allow(now) {
 		p.log(slog.LevelInfo, "Served.", append(p.gapAttrs(), "target", p.placed.Target.ID, "zone", p.placed.Target.Zone,
 			"status", p.status, "first", p.firstByte.Round(time.Millisecond))...)
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -43,7 +43,7 @@
 		{"Relay.Entries", "entries", "Entries that share the targets, this one included.", func(r *Relay) int64 { return int64(r.State().Entries) }},
 		{"Relay.ConfigurationNumber", "number", "The operators' number of the configuration in force.", func(r *Relay) int64 { return int64(r.State().Number) }},
 		{"Relay.StateIndex", "log index", "The log index of the state in force.", func(r *Relay) int64 { return int64(r.State().Index) }},
-		{"Relay.ServedLinesLeftOut", "lines", "Log lines of served requests that sampling left out.", func(r *Relay) int64 { return r.completions.Left() }},
+		{"Relay.ServedLinesLeftOut", "lines", "Log lines of served requests that sampling left out.", func(r *Relay) int64 { return r.completions.Suppressed() }},
 	}
 }
 
--- a/internal/role/endings.go
+++ b/internal/role/endings.go
@@ -59,7 +59,7 @@
 			return err
 		}
 
-		if !pauses.For(ctx, folderRetry) {
+		if !pauses.Sleep(ctx, folderRetry) {
 			return nil
 		}
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -149,9 +149,9 @@
 	"UnknownService":     "the operators removed the service while it waited",
 }
 
-// Tell writes the course of a request in words, in the order of the lines' times. The
+// Print writes the course of a request in words, in the order of the lines' times. The
 // clocks of VMs differ, so lines of different processes may stand a little apart.
-func Tell(w io.Writer, request string, lines []Line) error {
+func Print(w io.Writer, request string, lines []Line) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 
 	if len(lines) == 0 {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -32,7 +32,7 @@
 
 	var b strings.Builder
 
-	require.NoError(t, trace.Tell(&b, "r-1", append(first, second...)))
+	require.NoError(t, trace.Print(&b, "r-1", append(first, second...)))
 	require.Equal(t, `10:00:01.000  front-b-1  relay: Refused. Cause NoTarget: the service had no target that takes new work.
 10:00:01.500  entry-1.log  relay: Sent again. Cause AnswerBroken: the target's answer broke off, or was none.
       target: i-7
@@ -42,6 +42,6 @@
 `, b.String())
 
 	b.Reset()
-	require.NoError(t, trace.Tell(&b, "r-9", nil))
+	require.NoError(t, trace.Print(&b, "r-9", nil))
 	require.Contains(t, b.String(), "No line names request r-9")
 }
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -220,7 +220,7 @@
 				f.markUnreachable(control, &c)
 			}
 
-			pauses.For(ctx, f.Settings.RetryDelay)
+			pauses.Sleep(ctx, f.Settings.RetryDelay)
 
 			continue
 		}
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -230,5 +230,5 @@
 		r.controlIndex = (r.controlIndex + 1) % len(r.Controls)
 	}
 
-	pauses.For(ctx, wait)
+	pauses.Sleep(ctx, wait)
 }
