--- a/internal/wire/control.twirp.go
+++ b/internal/wire/control.twirp.go
@@ -31,7 +31,7 @@
 // Control Interface
 // =================
 
-// Control is what control VMs answer to entries and agents.
+// Control is served by control VMs to entries and agents.
 type Control interface {
 	Poll(context.Context, *PollRequest) (*PollResponse, error)
 
@@ -1084,7 +1084,7 @@
 // ControlPeer Interface
 // =====================
 
-// ControlPeer is what control VMs answer to each other, beside the replicated log.
+// ControlPeer is served by control VMs to each other, in addition to the replicated log.
 type ControlPeer interface {
 	Heard(context.Context, *HeardRequest) (*HeardResponse, error)
 }
--- a/internal/wire/groups.twirp.go
+++ b/internal/wire/groups.twirp.go
@@ -26,12 +26,13 @@
 // Rank Interface
 // ==============
 
-// Rank is what the agent of a rank answers.
+// Rank is served by the agent of a rank.
 type Rank interface {
-	// Order is sent again until its end shows in a status.
+	// Order is resent until a status shows its outcome.
 	Order(context.Context, *RankOrder) (*RankStatus, error)
 
-	// Ask is a peer's question for the end of a switch that it promised.
+	// Ask is sent by a peer that promised to hold for a switch and needs the switch's
+	// outcome.
 	Ask(context.Context, *RankQuestion) (*RankAnswer, error)
 
 	Report(context.Context, *RankQuestion) (*RankReport, error)
--- a/internal/wire/lockstep.twirp.go
+++ b/internal/wire/lockstep.twirp.go
@@ -26,7 +26,8 @@
 // RankPeer Interface
 // ==================
 
-// RankPeer is what the agent beside a rank answers to the group's directing agent.
+// RankPeer is served by the agent beside a rank to the directing agent of the group, and to
+// agents that forward its requests or sum counts for it.
 type RankPeer interface {
 	Look(context.Context, *LookRequest) (*LookAnswer, error)
 
@@ -1079,7 +1080,7 @@
 // EngineRelay Interface
 // =====================
 
-// EngineRelay is what entries answer to agents that direct a group.
+// EngineRelay is served by entries to the agents that direct a group.
 type EngineRelay interface {
 	Relay(context.Context, *RelayedOrder) (*EngineOrderAnswer, error)
 }
--- a/internal/wire/members.twirp.go
+++ b/internal/wire/members.twirp.go
@@ -26,7 +26,8 @@
 // Members Interface
 // =================
 
-// Members is what control VMs answer to operators about their own set.
+// Members is served by control VMs to operators. It lists and changes the set of control
+// VMs.
 type Members interface {
 	List(context.Context, *MembersRequest) (*MembersResponse, error)
 
--- a/internal/wire/operator.twirp.go
+++ b/internal/wire/operator.twirp.go
@@ -26,7 +26,7 @@
 // Operator Interface
 // ==================
 
-// Operator is what control VMs answer to operators.
+// Operator is served by control VMs to operators.
 type Operator interface {
 	Plan(context.Context, *PlanRequest) (*PlanResponse, error)
 
--- a/internal/wire/path.twirp.go
+++ b/internal/wire/path.twirp.go
@@ -26,7 +26,7 @@
 // Agent Interface
 // ===============
 
-// Agent is what an agent answers beside the framed request stream.
+// Agent is served by agents, in addition to the framed request stream.
 type Agent interface {
 	Grant(context.Context, *GrantRequest) (*GrantResponse, error)
 
--- a/internal/wire/quorum.twirp.go
+++ b/internal/wire/quorum.twirp.go
@@ -26,7 +26,7 @@
 // Peer Interface
 // ==============
 
-// Peer is what replicas answer to each other.
+// Peer is served by replicas to each other.
 type Peer interface {
 	Deliver(context.Context, *PeerEnvelope) (*PeerDelivered, error)
 
--- a/internal/wire/routes.twirp.go
+++ b/internal/wire/routes.twirp.go
@@ -26,7 +26,8 @@
 // Publisher Interface
 // ===================
 
-// Publisher is what control VMs answer to entries that are the doors of their targets.
+// Publisher is served by control VMs to entries that forward requests to targets directly,
+// without an agent in between, and to the agents beside ranks.
 type Publisher interface {
 	Follow(context.Context, *FollowRequest) (*FollowResponse, error)
 }
