--- a/scripts/footprint.sh
+++ b/scripts/footprint.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures memory and processor time at rest of separate processes: three control
-# VMs, an entry and an agent that follow 13,000 workspaces. Takes 40 s, on loopback
-# ports from 19710 on. It ends only what it started.
+# Measures the memory and CPU time of idle processes: three control VMs, and an entry and an
+# agent that follow a configuration of 13,000 workspaces. It takes 40 s and uses loopback
+# ports from 19710 on. It ends only processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
@@ -15,7 +15,7 @@
 go build -o "$dir/parsleygate" ./cmd/parsleygate
 cd "$dir"
 
-# start ROLE ID PORT writes the settings of a process and starts it.
+# start ROLE ID PORT writes the settings file of a process and starts the process.
 start() {
 	cat >"$2.ini" <<-INI
 		[Process]
@@ -37,7 +37,8 @@
 	pids[$2]=$!
 }
 
-ticks() { awk '{print $14+$15}' "/proc/${pids[$1]}/stat"; }
+# cpu_ticks ID prints the user and system CPU time of a process in clock ticks.
+cpu_ticks() { awk '{print $14+$15}' "/proc/${pids[$1]}/stat"; }
 
 start control control-1 19710
 start control control-2 19711
@@ -51,13 +52,13 @@
 ./parsleygate confirm "$plan" --control $controls --operator footprint >confirmed
 ./parsleygate status --control $controls
 sleep 5
-declare -A before
-for id in "${!pids[@]}"; do before[$id]=$(ticks "$id"); done
+declare -A ticks_before
+for id in "${!pids[@]}"; do ticks_before[$id]=$(cpu_ticks "$id"); done
 sleep 20
-hertz=$(getconf CLK_TCK)
+ticks_per_second=$(getconf CLK_TCK)
 for id in control-1 control-2 control-3 entry-1 agent-1; do
-	used=$(($(ticks "$id") - before[$id]))
-	memory=$(awk '/VmRSS/ {print $2}' "/proc/${pids[$id]}/status")
-	awk -v id="$id" -v kb="$memory" -v used="$used" -v hz="$hertz" \
+	used=$(($(cpu_ticks "$id") - ticks_before[$id]))
+	resident_kb=$(awk '/VmRSS/ {print $2}' "/proc/${pids[$id]}/status")
+	awk -v id="$id" -v kb="$resident_kb" -v used="$used" -v hz="$ticks_per_second" \
 		'BEGIN {printf "%-10s %5.1f MB  %.2f%% of a core\n", id, kb/1024, 100*used/hz/20}'
 done
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Generates internal/wire from its schema. Needs protoc 3.21, protoc-gen-go and protoc-gen-twirp.
+# Generates the Go code of internal/wire from its .proto files. Needs protoc 3.21,
+# protoc-gen-go and protoc-gen-twirp.
 set -euo pipefail
 cd "$(dirname "$0")/../internal/wire"
 PATH="$(go env GOPATH)/bin:$PATH"
--- a/scripts/generated.sh
+++ b/scripts/generated.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Fails where committed generated files differ from what the schema gives.
+# Fails if the committed generated files differ from what the .proto files generate.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-kept=$(mktemp -d)
-trap 'rm -rf "$kept"' EXIT
-cp internal/wire/*.go "$kept"
+committed=$(mktemp -d)
+trap 'rm -rf "$committed"' EXIT
+cp internal/wire/*.go "$committed"
 scripts/generate.sh
-diff -r "$kept" internal/wire --exclude='*.proto'
+diff -r "$committed" internal/wire --exclude='*.proto'
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md is worked out from, and prints them
-# under the command that gave them. It takes some 15 minutes on two cores.
-# With arguments it runs only the packages named, such as: scripts/slopes.sh ledger routing
+# Runs the benchmarks that docs/CAPACITY.md is calculated from: the cost of idle processes, and
+# the slopes with which costs grow. Prints the results below the command that produced them.
+# It takes about 15 minutes on two cores.
+# Arguments limit the run to the named packages, for example: scripts/slopes.sh ledger routing
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export GOMAXPROCS="${GOMAXPROCS:-2}"
 failed=0
 
-# slope runs the benchmarks of one package: package, pattern, time.
-slope() {
+# bench PACKAGE PATTERN TIME runs the benchmarks of one package that match the pattern.
+bench() {
 	local package=$1 pattern=$2 time=$3
-	if [ ${#wanted[@]} -gt 0 ] && [[ " ${wanted[*]} " != *" $package "* ]]; then
+	if [ ${#selected[@]} -gt 0 ] && [[ " ${selected[*]} " != *" $package "* ]]; then
 		return
 	fi
 	echo "## go test -run xxx -bench '$pattern' -benchtime $time -benchmem ./internal/$package"
@@ -24,19 +25,19 @@
 	grep -E '^Benchmark' <<<"$out"
 }
 
-wanted=("$@")
-slope slopes 'View|Idle|Director' 1x
-slope control 'Readers|FirstAnswer' 1x
-slope control InForce 5x
-slope ledger . 200x
-slope replica Propose 200x
-slope replica 'Read|Idle|CatchUp' 1x
-slope quorum 'WithoutLeader|IdleMessages' 100x
-slope admission . 1s
-slope routing 'Choose$|ChoosePrefix|SubsetOf' 1s
-slope fairness 'Offer|Memory' 1s
-slope prefix Memory 1x
-slope placement Decide 20x
-slope agent . 1s
-slope local 'Path|OpenStreams' 2s
+selected=("$@")
+bench slopes 'View|Idle|Director' 1x
+bench control 'Readers|FirstAnswer' 1x
+bench control InForce 5x
+bench ledger . 200x
+bench replica Propose 200x
+bench replica 'Read|Idle|CatchUp' 1x
+bench quorum 'WithoutLeader|IdleMessages' 100x
+bench admission . 1s
+bench routing 'Choose$|ChoosePrefix|SubsetOf' 1s
+bench fairness 'Offer|Memory' 1s
+bench prefix Memory 1x
+bench placement Decide 20x
+bench agent . 1s
+bench local 'Path|OpenStreams' 2s
 exit $failed
