--- a/internal/membership/roster.go
+++ b/internal/membership/membership.go
@@ -60,16 +60,16 @@
 type Manager struct {
 	Settings Settings
 
-	seen map[string]time.Time
+	lastActive map[string]time.Time
 }
 
 // Reset drops what was seen. A VM that does not lead calls it: what it saw in an
 // earlier term says nothing of now.
-func (r *Manager) Reset() { r.seen = nil }
+func (r *Manager) Reset() { r.lastActive = nil }
 
 // Decide returns the next change, by what the leader named self knows of the members.
 func (r *Manager) Decide(now time.Time, self string, members []quorum.MemberStatus) Change {
-	r.see(now, members)
+	r.observe(now, members)
 
 	voters := 0
 	for _, m := range members {
@@ -78,8 +78,8 @@
 		}
 	}
 
-	lost := r.lostVoter(now, self, members)
-	next := r.nextVoter(members)
+	lost := r.voterToRemove(now, self, members)
+	next := r.learnerToPromote(members)
 
 	switch {
 	case next != "" && (voters < r.Settings.Voters || lost != "" && voters <= r.Settings.Voters):
@@ -89,7 +89,7 @@
 	}
 
 	for _, m := range members {
-		if m.Member.Role == quorum.Learner && r.silence(now, m.Member.ID) > r.Settings.LearnerTimeout {
+		if m.Member.Role == quorum.Learner && r.inactiveFor(now, m.Member.ID) > r.Settings.LearnerTimeout {
 			return Change{Kind: Remove, ID: m.Member.ID}
 		}
 	}
@@ -97,51 +97,53 @@
 	return Change{}
 }
 
-func (r *Manager) see(now time.Time, members []quorum.MemberStatus) {
-	if r.seen == nil {
-		r.seen = make(map[string]time.Time)
+func (r *Manager) observe(now time.Time, members []quorum.MemberStatus) {
+	if r.lastActive == nil {
+		r.lastActive = make(map[string]time.Time)
 	}
 
 	for _, m := range members {
-		if _, known := r.seen[m.Member.ID]; m.Active || !known {
-			r.seen[m.Member.ID] = now
+		if _, known := r.lastActive[m.Member.ID]; m.Active || !known {
+			r.lastActive[m.Member.ID] = now
 		}
 	}
 }
 
-func (r *Manager) silence(now time.Time, id string) time.Duration { return now.Sub(r.seen[id]) }
+func (r *Manager) inactiveFor(now time.Time, id string) time.Duration {
+	return now.Sub(r.lastActive[id])
+}
 
-// lostVoter returns the voter to take out: one whose address has a new member,
+// voterToRemove returns the voter to take out: one whose address has a new member,
 // which is proof that its disk is gone, before one that is only silent.
-func (r *Manager) lostVoter(now time.Time, self string, members []quorum.MemberStatus) string {
-	silent := ""
+func (r *Manager) voterToRemove(now time.Time, self string, members []quorum.MemberStatus) string {
+	inactive := ""
 
 	for _, m := range members {
 		if m.Member.Role != quorum.Voter || m.Member.ID == self || m.Active {
 			continue
 		}
 
-		if replacedAt(m.Member.ID, m.Member.Addr, members) {
+		if hasReplacement(m.Member.ID, m.Member.Addr, members) {
 			return m.Member.ID
 		}
 
-		if silent == "" && r.silence(now, m.Member.ID) > r.Settings.VoterTimeout {
-			silent = m.Member.ID
+		if inactive == "" && r.inactiveFor(now, m.Member.ID) > r.Settings.VoterTimeout {
+			inactive = m.Member.ID
 		}
 	}
 
-	return silent
+	return inactive
 }
 
-func replacedAt(id string, at netip.AddrPort, members []quorum.MemberStatus) bool {
+func hasReplacement(id string, addr netip.AddrPort, members []quorum.MemberStatus) bool {
 	return slices.ContainsFunc(members, func(m quorum.MemberStatus) bool {
-		return m.Member.ID != id && m.Member.Addr == at && m.Active
+		return m.Member.ID != id && m.Member.Addr == addr && m.Active
 	})
 }
 
-// nextVoter returns the learner to promote: up to date, the first by ID, so that a
+// learnerToPromote returns the learner to promote: up to date, the first by ID, so that a
 // new leader goes on with the same one.
-func (r *Manager) nextVoter(members []quorum.MemberStatus) string {
+func (r *Manager) learnerToPromote(members []quorum.MemberStatus) string {
 	next := ""
 
 	for _, m := range members {
--- a/internal/membership/roster_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func member(id, addr string, role quorum.Role, active, upToDate bool) quorum.MemberStatus {
 	return quorum.MemberStatus{
@@ -25,7 +25,7 @@
 
 // A control VM loses its disk. It comes back at its address under a new ID. It gets
 // the vote once it holds the log, and then, not before, the lost member loses its own.
-func TestLostDisk(t *testing.T) {
+func TestMemberWithLostDiskIsReplaced(t *testing.T) {
 	t.Parallel()
 
 	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
@@ -33,20 +33,20 @@
 	back := member("c3-new", "10.0.0.3:1", quorum.Learner, true, false)
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), lost, back}
 
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members), "it does not hold the log yet")
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members), "it does not hold the log yet")
 
 	members[3].UpToDate = true
-	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c3-new"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c3-new"}, r.Decide(startTime, "c1", members))
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(startTime, "c1", members))
 
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", []quorum.MemberStatus{members[0], members[1], members[3]}))
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", []quorum.MemberStatus{members[0], members[1], members[3]}))
 }
 
 // A control VM restarts, which takes two seconds, while a spare one is there. Its
 // place must not go to the spare: each planned restart would move the whole log.
-func TestRestartIsNoLoss(t *testing.T) {
+func TestRestartingVoterKeepsItsVote(t *testing.T) {
 	t.Parallel()
 
 	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
@@ -54,17 +54,17 @@
 		voter("c1", true), voter("c2", true), voter("c3", false), member("c4-x", "10.0.0.4:1", quorum.Learner, true, true),
 	}
 
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
-	require.Equal(t, membership.Change{}, r.Decide(begin.Add(2*time.Second), "c1", members))
-	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c4-x"}, r.Decide(begin.Add(5*time.Second), "c1", members), "it is gone for good")
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(2*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c4-x"}, r.Decide(startTime.Add(5*time.Second), "c1", members), "it is gone for good")
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(begin.Add(5*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(startTime.Add(5*time.Second), "c1", members))
 }
 
 // Two losses are to be borne: the three seeds that formed the set are joined by two
 // more voters, and a sixth VM stays a learner.
-func TestGrowsToTheVotesThatAreNeeded(t *testing.T) {
+func TestLearnersArePromotedUpToTheNumberOfVoters(t *testing.T) {
 	t.Parallel()
 
 	r := &membership.Manager{Settings: membership.DefaultSettings(2)}
@@ -74,24 +74,24 @@
 		members = append(members, member(id, "10.0.0."+id[1:]+":1", quorum.Learner, true, true))
 	}
 
-	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d4"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d4"}, r.Decide(startTime, "c1", members))
 
 	members[3].Member.Role = quorum.Voter
-	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d5"}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "d5"}, r.Decide(startTime, "c1", members))
 
 	members[4].Member.Role = quorum.Voter
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
 }
 
 // Nobody stands in for a silent voter: it keeps its vote. Without it the set would
 // bear no further loss either, and it may come back with all that was acknowledged.
-func TestSilentVoterWithoutASuccessorStays(t *testing.T) {
+func TestInactiveVoterWithoutReplacementStays(t *testing.T) {
 	t.Parallel()
 
 	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), voter("c3", false)}
-	r.Decide(begin, "c1", members)
-	require.Equal(t, membership.Change{}, r.Decide(begin.Add(time.Hour), "c1", members))
+	r.Decide(startTime, "c1", members)
+	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(time.Hour), "c1", members))
 }
 
 // A control VM without a disk follows. However few votes there are, it gets none.
@@ -102,11 +102,11 @@
 	members := []quorum.MemberStatus{
 		voter("c1", true), voter("c2", true), member("c3"+membership.VolatileIDMarker+"ab", "10.0.0.3:1", quorum.Learner, true, true),
 	}
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
 }
 
 // The leader never takes itself out, and a learner that is gone is forgotten.
-func TestLeaderStaysAndOldLearnersGo(t *testing.T) {
+func TestLeaderStaysAndInactiveLearnersAreRemoved(t *testing.T) {
 	t.Parallel()
 
 	r := &membership.Manager{Settings: membership.DefaultSettings(1)}
@@ -114,10 +114,10 @@
 		voter("c1", false), voter("c2", true), voter("c3", true), voter("c4", true),
 		member("c5-x", "10.0.0.5:1", quorum.Learner, false, false),
 	}
-	require.Equal(t, membership.Change{}, r.Decide(begin, "c1", members))
-	require.Equal(t, membership.Change{}, r.Decide(begin.Add(20*time.Second), "c1", members))
-	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c5-x"}, r.Decide(begin.Add(31*time.Second), "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
+	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(20*time.Second), "c1", members))
+	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c5-x"}, r.Decide(startTime.Add(31*time.Second), "c1", members))
 
 	r.Reset()
-	require.Equal(t, membership.Change{}, r.Decide(begin.Add(32*time.Second), "c2", members), "a new leader counts anew")
+	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(32*time.Second), "c2", members), "a new leader counts anew")
 }
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -16,8 +16,8 @@
 // tells its state (GET).
 const GroupPath = "/v1/group"
 
-// maxState bounds an engine's state, in bytes.
-const maxState = 8 << 20
+// maxStateBytes bounds an engine's state, in bytes.
+const maxStateBytes = 8 << 20
 
 // The things that an engine is told to do.
 const (
@@ -63,14 +63,14 @@
 
 // engineClient reaches one boot of the rank's engine.
 type engineClient struct {
-	call      func(*http.Request) (*http.Response, error)
+	doRequest func(*http.Request) (*http.Response, error)
 	address   netip.AddrPort
 	bootID    string
 	placement func(v uint64) []byte
 }
 
-// engine returns the engine's side for the participant's actions.
-func (c *engineClient) engine() *expertmap.Engine {
+// actions returns the engine's side for the participant's actions.
+func (c *engineClient) actions() *expertmap.Engine {
 	return &expertmap.Engine{
 		Load: func(ctx context.Context, f expertmap.Fence, v expertmap.Version) error {
 			placement := c.placement(uint64(v))
@@ -78,23 +78,23 @@
 				return eris.Errorf("map %d has not come with any order yet", v)
 			}
 
-			return c.post(ctx, &EngineOrder{Do: DoLoad, Fence: uint64(f), Version: uint64(v), Placement: placement})
+			return c.sendOrder(ctx, &EngineOrder{Do: DoLoad, Fence: uint64(f), Version: uint64(v), Placement: placement})
 		},
 		Drop: func(ctx context.Context, v expertmap.Version) error {
-			return c.post(ctx, &EngineOrder{Do: DoDrop, Version: uint64(v)})
+			return c.sendOrder(ctx, &EngineOrder{Do: DoDrop, Version: uint64(v)})
 		},
 		Hold: func(ctx context.Context, f expertmap.Fence, s expertmap.Step) error {
-			return c.post(ctx, &EngineOrder{Do: DoHold, Fence: uint64(f), Step: uint64(s)})
+			return c.sendOrder(ctx, &EngineOrder{Do: DoHold, Fence: uint64(f), Step: uint64(s)})
 		},
 		Run: func(ctx context.Context, f expertmap.Fence, r expertmap.Activation) error {
-			return c.post(ctx, &EngineOrder{
+			return c.sendOrder(ctx, &EngineOrder{
 				Do: DoRun, Fence: uint64(f), RunVersion: uint64(r.Version), RunStep: uint64(r.Step), RunBefore: uint64(r.Previous),
 			})
 		},
 	}
 }
 
-func (c *engineClient) post(ctx context.Context, o *EngineOrder) error {
+func (c *engineClient) sendOrder(ctx context.Context, o *EngineOrder) error {
 	o.BootID = c.bootID
 
 	body, err := json.Marshal(o)
@@ -107,7 +107,7 @@
 		return eris.Wrap(err, "make order")
 	}
 
-	resp, err := c.call(r)
+	resp, err := c.doRequest(r)
 	if err != nil {
 		return eris.Wrap(err, "give order")
 	}
@@ -130,7 +130,7 @@
 		return nil, eris.Wrap(err, "ask engine")
 	}
 
-	resp, err := c.call(r)
+	resp, err := c.doRequest(r)
 	if err != nil {
 		return nil, eris.Wrap(err, "ask engine")
 	}
@@ -142,5 +142,5 @@
 
 	s := &EngineState{}
 
-	return s, eris.Wrap(json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxState)).Decode(s), "read engine's state")
+	return s, eris.Wrap(json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxStateBytes)).Decode(s), "read engine's state")
 }
--- a/internal/rank/jobs.go
+++ b/internal/rank/jobs.go
@@ -11,14 +11,14 @@
 // job is one order for one boot of the engine.
 type job struct {
 	action expertmap.Action
-	boot   string
+	bootID string
 	engine *expertmap.Engine
 }
 
 // jobQueue holds the orders that the engine has yet to get, in their order.
 type jobQueue struct {
-	// more gets a value when there may be jobs.
-	more chan struct{}
+	// notEmpty gets a value when there may be jobs.
+	notEmpty chan struct{}
 
 	mu   sync.Mutex
 	jobs []*job
@@ -38,12 +38,12 @@
 	q.jobs = append(q.jobs, j)
 
 	select {
-	case q.more <- struct{}{}:
+	case q.notEmpty <- struct{}{}:
 	default:
 	}
 }
 
-func (q *jobQueue) take() *job {
+func (q *jobQueue) pop() *job {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -62,31 +62,31 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	return len(q.jobs) > 0 && (q.jobs[0].action.Kind == expertmap.ActionRun || q.jobs[0].boot != j.boot)
+	return len(q.jobs) > 0 && (q.jobs[0].action.Kind == expertmap.ActionRun || q.jobs[0].bootID != j.bootID)
 }
 
-// carry gives the engine its orders, one after the other.
-func (r *Rank) carry(ctx context.Context) {
+// sendOrders gives the engine its orders, one after the other.
+func (r *Rank) sendOrders(ctx context.Context) {
 	for {
-		for j := r.jobs.take(); j != nil && ctx.Err() == nil; j = r.jobs.take() {
-			r.carryOne(ctx, j)
+		for j := r.jobs.pop(); j != nil && ctx.Err() == nil; j = r.jobs.pop() {
+			r.sendOrder(ctx, j)
 		}
 
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.jobs.more:
+		case <-r.jobs.notEmpty:
 		}
 	}
 }
 
-func (r *Rank) carryOne(ctx context.Context, j *job) {
-	err := r.call(ctx, j)
+func (r *Rank) sendOrder(ctx context.Context, j *job) {
+	err := r.sendOnce(ctx, j)
 
-	for err != nil && mustArrive(j.action) && ctx.Err() == nil && r.current(j) && !r.jobs.superseded(j) {
-		pause(ctx)
+	for err != nil && mustRetry(j.action) && ctx.Err() == nil && r.isCurrentBoot(j) && !r.jobs.superseded(j) {
+		waitBeforeRetry(ctx)
 
-		err = r.call(ctx, j)
+		err = r.sendOnce(ctx, j)
 	}
 
 	if err != nil {
@@ -97,48 +97,48 @@
 		return
 	}
 
-	r.post(ctx, func(ctx context.Context, now time.Time) {
-		if r.boot == j.boot {
-			r.held(ctx, now, j, err == nil)
+	r.postEvent(ctx, func(ctx context.Context, now time.Time) {
+		if r.bootID == j.bootID {
+			r.handleHoldResult(ctx, now, j, err == nil)
 		}
 	})
 }
 
-// held takes in the outcome of a hold. One that failed may stand all the same,
+// handleHoldResult takes in the outcome of a hold. One that failed may stand all the same,
 // where only its answer was lost. The rank has refused the switch then, so its
 // end will lift nothing, and the group would be held for good: the last Run is
 // given again. That is safe because a refused switch can't be committed.
-func (r *Rank) held(ctx context.Context, now time.Time, j *job, ok bool) {
-	r.do(ctx, r.core.Held(now, j.action.Fence, ok))
+func (r *Rank) handleHoldResult(ctx context.Context, now time.Time, j *job, ok bool) {
+	r.perform(ctx, r.participant.Held(now, j.action.Fence, ok))
 
 	if !ok && j.action.Step != 0 && r.lastRun != nil {
-		r.jobs.add(r.job(*r.lastRun))
+		r.jobs.add(r.newJob(*r.lastRun))
 	}
 }
 
-// mustArrive names the orders that are repeated until the engine took them. A
+// mustRetry names the orders that are repeated until the engine took them. A
 // hold that is not lifted holds the whole group for good: nothing else lifts it.
 // A hold of no step stops a rank that does not know which map rules.
-func mustArrive(a expertmap.Action) bool {
+func mustRetry(a expertmap.Action) bool {
 	return a.Kind == expertmap.ActionRun || (a.Kind == expertmap.ActionHold && a.Step == 0)
 }
 
-// current reports whether the engine's boot is still the one that the job is for.
-func (r *Rank) current(j *job) bool {
-	s := r.state.Load()
+// isCurrentBoot reports whether the engine's boot is still the one that the job is for.
+func (r *Rank) isCurrentBoot(j *job) bool {
+	s := r.engineState.Load()
 
-	return s != nil && s.BootID == j.boot
+	return s != nil && s.BootID == j.bootID
 }
 
-func (r *Rank) call(ctx context.Context, j *job) error {
+func (r *Rank) sendOnce(ctx context.Context, j *job) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	return j.engine.Do(ctx, j.action)
 }
 
-func pause(ctx context.Context) {
-	t := time.NewTimer(retryPause)
+func waitBeforeRetry(ctx context.Context) {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 
 	select {
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
-	watchEvery   = 2 * tickEvery
-	askAfter     = 500 * time.Millisecond
-	statusEvery  = time.Second
-	callTimeout  = time.Second
-	loadTimeout  = 5 * time.Minute
-	retryPause   = 100 * time.Millisecond
-	eventBuffer  = 256
-	maxMapsKept  = 4
-	peerIdleConn = 1
-	// restartBits is how many low bits of an incarnation count the engine's restarts.
-	restartBits = 20
+	tickInterval       = 50 * time.Millisecond
+	enginePollInterval = 2 * tickInterval
+	peerQueryInterval  = 500 * time.Millisecond
+	statusInterval     = time.Second
+	callTimeout        = time.Second
+	loadTimeout        = 5 * time.Minute
+	retryDelay         = 100 * time.Millisecond
+	eventBuffer        = 256
+	maxOrderMaps       = 4
+	maxIdleEngineConns = 1
+	// engineRestartBits is how many low bits of an incarnation count the engine's restarts.
+	engineRestartBits = 20
 )
 
 // Rank carries one rank. Its exported fields are set before Run.
@@ -51,39 +51,39 @@
 	CallEngine func(*http.Request) (*http.Response, error)
 	Logger     *slog.Logger
 
-	core   *expertmap.Participant
-	events chan event
-	jobs   jobQueue
-	work   sync.WaitGroup
-	// boot is the engine's boot that the core knows of, "" before the first word.
-	boot string
+	participant *expertmap.Participant
+	events      chan event
+	jobs        jobQueue
+	goroutines  sync.WaitGroup
+	// bootID is the engine's boot that the core knows of, "" before the first word.
+	bootID string
 	// lastRun is the last Run for that boot; nil where the rank does not know
 	// which map rules.
 	lastRun *expertmap.Action
 
-	status atomic.Pointer[wire.RankStatus]
-	state  atomic.Pointer[EngineState]
-	maps   atomic.Pointer[keptMaps]
+	lastStatus  atomic.Pointer[wire.RankStatus]
+	engineState atomic.Pointer[EngineState]
+	orderMaps   atomic.Pointer[mapsOfOrder]
 }
 
 // event runs in Run's goroutine; ctx is Run's, so that what follows from a call
 // outlives the call and ends with the rank.
 type event func(ctx context.Context, now time.Time)
 
-// keptMaps are the maps that came with an order, and how far the log was then.
-type keptMaps struct {
+// mapsOfOrder are the maps that came with an order, and how far the log was then.
+type mapsOfOrder struct {
 	asOf uint64
 	maps []*wire.GroupMap
 }
 
 // Init prepares the rank. It is called once, before Run and the service.
 func (r *Rank) Init() {
-	r.core = &expertmap.Participant{
-		Rank: r.Number, Incarnation: r.incarnation(time.Now()), StatusInterval: statusEvery, PeerQueryInterval: askAfter,
+	r.participant = &expertmap.Participant{
+		Rank: r.Number, Incarnation: r.incarnation(time.Now()), StatusInterval: statusInterval, PeerQueryInterval: peerQueryInterval,
 	}
 	r.events = make(chan event, eventBuffer)
-	r.jobs.more = make(chan struct{}, 1)
-	r.maps.Store(&keptMaps{})
+	r.jobs.notEmpty = make(chan struct{}, 1)
+	r.orderMaps.Store(&mapsOfOrder{})
 }
 
 // incarnation grows with every start of the agent. Whole seconds would not do:
@@ -95,23 +95,23 @@
 		now = started
 	}
 
-	return uint64(now.UnixMilli()) << restartBits
+	return uint64(now.UnixMilli()) << engineRestartBits
 }
 
 // Run carries the rank until ctx ends. The engine goes on by its standing orders.
 func (r *Rank) Run(ctx context.Context) error {
 	if r.CallEngine == nil {
-		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: peerIdleConn, IdleConnTimeout: time.Minute}}
+		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns, IdleConnTimeout: time.Minute}}
 		defer client.CloseIdleConnections()
 
 		r.CallEngine = client.Do
 	}
 
-	defer r.work.Wait()
-	r.work.Go(func() { r.carry(ctx) })
-	r.work.Go(func() { r.watch(ctx) })
+	defer r.goroutines.Wait()
+	r.goroutines.Go(func() { r.sendOrders(ctx) })
+	r.goroutines.Go(func() { r.pollEngine(ctx) })
 
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 
 	for {
@@ -121,37 +121,37 @@
 		case event := <-r.events:
 			event(ctx, time.Now())
 		case now := <-tick.C:
-			r.do(ctx, r.core.Tick(now))
+			r.perform(ctx, r.participant.Tick(now))
 		}
 	}
 }
 
-func (r *Rank) post(ctx context.Context, e event) {
+func (r *Rank) postEvent(ctx context.Context, e event) {
 	select {
 	case r.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-func (r *Rank) do(ctx context.Context, actions []expertmap.Action) {
+func (r *Rank) perform(ctx context.Context, actions []expertmap.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case expertmap.ActionStatus:
-			r.status.Store(expertmap.StatusToWire(a.Status))
+			r.lastStatus.Store(expertmap.StatusToWire(a.Status))
 		case expertmap.ActionQueryPeers:
-			r.askPeers(ctx)
+			r.queryPeers(ctx)
 		case expertmap.ActionLoad:
-			j := r.job(a)
-			r.work.Go(func() { r.load(ctx, j) })
+			j := r.newJob(a)
+			r.goroutines.Go(func() { r.load(ctx, j) })
 		case expertmap.ActionHold, expertmap.ActionRun, expertmap.ActionDrop:
-			r.note(a)
-			r.jobs.add(r.job(a))
+			r.recordRun(a)
+			r.jobs.add(r.newJob(a))
 		default:
 		}
 	}
 }
 
-func (r *Rank) note(a expertmap.Action) {
+func (r *Rank) recordRun(a expertmap.Action) {
 	switch {
 	case a.Kind == expertmap.ActionRun:
 		r.lastRun = &a
@@ -160,13 +160,13 @@
 	}
 }
 
-// job binds an action to the boot of the engine that the core knows of. It is
+// newJob binds an action to the boot of the engine that the core knows of. It is
 // not the boot last read: between that and the core's word of a restart, an
 // order that follows from what was known before would reach the new process.
-func (r *Rank) job(a expertmap.Action) *job {
-	c := &engineClient{call: r.CallEngine, address: r.EngineAddress(), bootID: r.boot, placement: r.placement}
+func (r *Rank) newJob(a expertmap.Action) *job {
+	c := &engineClient{doRequest: r.CallEngine, address: r.EngineAddress(), bootID: r.bootID, placement: r.placement}
 
-	return &job{action: a, boot: r.boot, engine: c.engine()}
+	return &job{action: a, bootID: r.bootID, engine: c.actions()}
 }
 
 func (r *Rank) placement(version uint64) []byte {
@@ -174,7 +174,7 @@
 		return r.InitialMap()
 	}
 
-	for _, m := range r.maps.Load().maps {
+	for _, m := range r.orderMaps.Load().maps {
 		if m.GetVersion() == version {
 			return m.GetPlacement()
 		}
@@ -192,38 +192,38 @@
 	err := j.engine.Do(loadCtx, a)
 	if err != nil {
 		r.Logger.Debug("map not loaded", "group", r.Group, "version", a.Version, "error", err)
-		pause(ctx)
+		waitBeforeRetry(ctx)
 	}
 
-	r.post(ctx, func(ctx context.Context, now time.Time) {
+	r.postEvent(ctx, func(ctx context.Context, now time.Time) {
 		// What a former process loaded is gone with it.
-		if r.boot == j.boot {
-			r.do(ctx, r.core.Loaded(now, a.Version, err == nil))
+		if r.bootID == j.bootID {
+			r.perform(ctx, r.participant.Loaded(now, a.Version, err == nil))
 		}
 	})
 }
 
-func (r *Rank) askPeers(ctx context.Context) {
+func (r *Rank) queryPeers(ctx context.Context) {
 	for _, peer := range r.PeerAddresses() {
-		r.work.Go(func() {
-			askCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		r.goroutines.Go(func() {
+			queryCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 
-			a, err := r.QueryPeer(askCtx, peer, &wire.RankQuestion{Group: r.Group, Rank: uint32(r.Number)})
+			a, err := r.QueryPeer(queryCtx, peer, &wire.RankQuestion{Group: r.Group, Rank: uint32(r.Number)})
 			if err != nil || a.GetRecord() == nil {
 				return
 			}
 
-			r.post(ctx, func(ctx context.Context, now time.Time) {
-				r.do(ctx, r.core.HandlePeerRecord(now, expertmap.RecordFromWire(a.GetRecord())))
+			r.postEvent(ctx, func(ctx context.Context, now time.Time) {
+				r.perform(ctx, r.participant.HandlePeerRecord(now, expertmap.RecordFromWire(a.GetRecord())))
 			})
 		})
 	}
 }
 
-// watch reads the engine's state again and again.
-func (r *Rank) watch(ctx context.Context) {
-	tick := time.NewTicker(watchEvery)
+// pollEngine reads the engine's state again and again.
+func (r *Rank) pollEngine(ctx context.Context) {
+	tick := time.NewTicker(enginePollInterval)
 	defer tick.Stop()
 
 	for {
@@ -234,32 +234,32 @@
 		}
 
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		s, err := (&engineClient{call: r.CallEngine, address: r.EngineAddress()}).state(callCtx)
+		s, err := (&engineClient{doRequest: r.CallEngine, address: r.EngineAddress()}).state(callCtx)
 
 		cancel()
 
 		if err == nil {
-			r.post(ctx, func(ctx context.Context, now time.Time) { r.heard(ctx, now, s) })
+			r.postEvent(ctx, func(ctx context.Context, now time.Time) { r.handleEngineState(ctx, now, s) })
 		}
 	}
 }
 
-// heard takes in the engine's state.
-func (r *Rank) heard(ctx context.Context, now time.Time, s *EngineState) {
-	restarted := r.boot != "" && r.boot != s.BootID
-	r.boot = s.BootID
-	r.state.Store(s)
+// handleEngineState takes in the engine's state.
+func (r *Rank) handleEngineState(ctx context.Context, now time.Time, s *EngineState) {
+	restarted := r.bootID != "" && r.bootID != s.BootID
+	r.bootID = s.BootID
+	r.engineState.Store(s)
 
 	if restarted {
 		r.lastRun = nil
-		r.do(ctx, r.core.EngineRestarted(now))
+		r.perform(ctx, r.participant.EngineRestarted(now))
 	}
 
 	if s.Joined > 0 {
-		r.do(ctx, r.core.Joined(expertmap.Step(s.Joined)))
+		r.perform(ctx, r.participant.Joined(expertmap.Step(s.Joined)))
 	}
 
 	if s.Missing > 0 {
-		r.do(ctx, r.core.Missing(expertmap.Version(s.Missing)))
+		r.perform(ctx, r.participant.Missing(expertmap.Version(s.Missing)))
 	}
 }
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -12,31 +12,31 @@
 
 // What a rank answers when it cannot yet.
 var (
-	errStarting error = twirp.NewError(twirp.Unavailable, "the rank has just started")
-	errBusy     error = twirp.NewError(twirp.DeadlineExceeded, "the rank is busy")
-	errUnheard  error = twirp.NewError(twirp.Unavailable, "the engine has not been heard of")
+	errStarting      error = twirp.NewError(twirp.Unavailable, "the rank has just started")
+	errBusy          error = twirp.NewError(twirp.DeadlineExceeded, "the rank is busy")
+	errNoEngineState error = twirp.NewError(twirp.Unavailable, "the engine has not been heard of")
 )
 
 // Order takes an order of the control leader and answers with the rank's status.
 // An order of no kind only asks for the status.
 func (r *Rank) Order(ctx context.Context, o *wire.RankOrder) (*wire.RankStatus, error) {
-	if err := r.mine(o.GetGroup(), o.GetRank()); err != nil {
+	if err := r.checkRank(o.GetGroup(), o.GetRank()); err != nil {
 		return nil, err
 	}
 
 	// Before the engine's first word there is no boot to give an order to. An
 	// order taken in then would be lost, and the engine would wait for it for good.
-	if r.state.Load() == nil {
-		return nil, errUnheard
+	if r.engineState.Load() == nil {
+		return nil, errNoEngineState
 	}
 
 	if o.GetKind() != wire.RankOrderKind_RankOrderNone {
-		if err := r.receive(ctx, o); err != nil {
+		if err := r.applyOrder(ctx, o); err != nil {
 			return nil, err
 		}
 	}
 
-	s := r.status.Load()
+	s := r.lastStatus.Load()
 	if s == nil {
 		return nil, errStarting
 	}
@@ -44,14 +44,14 @@
 	return s, nil
 }
 
-func (r *Rank) receive(ctx context.Context, o *wire.RankOrder) error {
+func (r *Rank) applyOrder(ctx context.Context, o *wire.RankOrder) error {
 	done := make(chan struct{})
 
-	r.post(ctx, func(ctx context.Context, now time.Time) {
+	r.postEvent(ctx, func(ctx context.Context, now time.Time) {
 		defer close(done)
 
-		r.keepMaps(o)
-		r.do(ctx, r.core.Receive(now, expertmap.OrderFromWire(o)))
+		r.storeMaps(o)
+		r.perform(ctx, r.participant.Receive(now, expertmap.OrderFromWire(o)))
 	})
 
 	select {
@@ -62,27 +62,27 @@
 	}
 }
 
-// keepMaps keeps the maps that came with an order. A late order brings those of
+// storeMaps keeps the maps that came with an order. A late order brings those of
 // its own time: kept, they would leave the engine without the map that rules now.
-func (r *Rank) keepMaps(o *wire.RankOrder) {
+func (r *Rank) storeMaps(o *wire.RankOrder) {
 	maps, asOf := o.GetMaps(), o.GetRecord().GetAsOf()
-	if len(maps) > 0 && len(maps) <= maxMapsKept && asOf >= r.maps.Load().asOf {
-		r.maps.Store(&keptMaps{asOf: asOf, maps: maps})
+	if len(maps) > 0 && len(maps) <= maxOrderMaps && asOf >= r.orderMaps.Load().asOf {
+		r.orderMaps.Store(&mapsOfOrder{asOf: asOf, maps: maps})
 	}
 }
 
 // Ask answers a peer that waits for the end of a switch.
 func (r *Rank) Ask(ctx context.Context, q *wire.RankQuestion) (*wire.RankAnswer, error) {
 	if q.GetGroup() != r.Group {
-		return nil, r.wrong(q.GetGroup())
+		return nil, r.wrongRankError(q.GetGroup())
 	}
 
 	answer := make(chan *wire.RankAnswer, 1)
 
-	r.post(ctx, func(context.Context, time.Time) {
+	r.postEvent(ctx, func(context.Context, time.Time) {
 		out := &wire.RankAnswer{}
 
-		for _, a := range r.core.HandlePeerQuery(int(q.GetRank())) {
+		for _, a := range r.participant.HandlePeerQuery(int(q.GetRank())) {
 			if a.Kind == expertmap.ActionAnswerPeer {
 				out.Record = expertmap.RecordToWire(a.Record)
 			}
@@ -101,13 +101,13 @@
 
 // Report tells what the engine has counted.
 func (r *Rank) Report(_ context.Context, q *wire.RankQuestion) (*wire.RankReport, error) {
-	if err := r.mine(q.GetGroup(), q.GetRank()); err != nil {
+	if err := r.checkRank(q.GetGroup(), q.GetRank()); err != nil {
 		return nil, err
 	}
 
-	s, status := r.state.Load(), r.status.Load()
+	s, status := r.engineState.Load(), r.lastStatus.Load()
 	if s == nil || status == nil {
-		return nil, errUnheard
+		return nil, errNoEngineState
 	}
 
 	report := &wire.RankReport{
@@ -121,14 +121,14 @@
 	return report, nil
 }
 
-func (r *Rank) mine(group string, number uint32) error {
+func (r *Rank) checkRank(group string, number uint32) error {
 	if group != r.Group || int(number) != r.Number {
-		return r.wrong(group)
+		return r.wrongRankError(group)
 	}
 
 	return nil
 }
 
-func (r *Rank) wrong(group string) error {
+func (r *Rank) wrongRankError(group string) error {
 	return twirp.NewError(twirp.NotFound, "this agent's target is no rank of "+group)
 }
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -41,7 +41,7 @@
 	Dump     *dump.Dump
 
 	reader *view.Reader
-	shell  *agent.Agent
+	agent  *agent.Agent
 	stop   context.CancelFunc
 	rank   atomic.Pointer[rank.Rank]
 }
@@ -63,13 +63,13 @@
 	g.Go(func() error {
 		defer stop()
 
-		return r.shell.Run(work)
+		return r.agent.Run(work)
 	})
 
 	select {
 	case <-ctx.Done():
 		// Every request has a deadline, so draining ends by itself.
-		if err := r.shell.Drain(context.WithoutCancel(ctx)); err != nil {
+		if err := r.agent.Drain(context.WithoutCancel(ctx)); err != nil {
 			r.Logs.Logger("agent").Warn("drain failed", slog.Any("error", err))
 		}
 	case <-work.Done():
@@ -77,7 +77,7 @@
 
 	err := g.Wait()
 
-	r.sayGone()
+	r.announceLeave()
 
 	return eris.Wrap(err, "run agent")
 }
@@ -87,25 +87,25 @@
 		r.Dump.Metrics = metrics.NewRegistry()
 	}
 
-	r.shell = &agent.Agent{
+	r.agent = &agent.Agent{
 		ID: r.ID, Zone: r.Zone, Incarnation: r.Incarnation,
-		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.AnnounceListener, Authorize: guardAgent,
+		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.AnnounceListener, Authorize: authorizeAgent,
 		Mount: func(routes chi.Router) { routes.Mount(wire.RankPathPrefix, wire.NewRankServer(&rankService{role: r})) },
 		View:  r.view, Logger: r.Logs.Logger("agent"), Metrics: r.Dump.Metrics, Settings: r.Settings,
 	}
 	r.reader = &view.Reader{
 		Cluster: r.Cluster, Controls: r.Controls.Addresses, Poll: r.Controls.Poll,
-		Self: r.shell.Node, Load: r.load, Logger: r.Logs.Logger("view"),
+		Self: r.agent.Node, Load: r.load, Logger: r.Logs.Logger("view"),
 		FindControls: r.Controls.Discover,
 		OnChange:     func(s *view.Snapshot) { stopIfPlanned(s, r.ID, r.stop) },
 	}
 	r.reader.Init()
 	r.Dump.Add("View", func() any { return viewState(r.reader.Snapshot()) })
-	r.Dump.Add("Agent", func() any { return r.shell.Dump() })
+	r.Dump.Add("Agent", func() any { return r.agent.Dump() })
 }
 
-// guardAgent lets entries send requests and ask, and control VMs give orders.
-func guardAgent(next http.Handler) http.Handler {
+// authorizeAgent lets entries send requests and ask, and control VMs give orders.
+func authorizeAgent(next http.Handler) http.Handler {
 	return identity.Authorize(next,
 		identity.Rule{Prefix: agent.RequestPath, Roles: []identity.Role{identity.RoleEntry}},
 		identity.Rule{Prefix: wire.AgentPathPrefix + "Give", Roles: []identity.Role{identity.RoleControl}},
@@ -118,7 +118,7 @@
 
 // load tells the control VMs, for plans, what the target has in hand.
 func (r *Agent) load() *wire.NodeLoad {
-	l := r.shell.Dump().Load
+	l := r.agent.Dump().Load
 
 	return &wire.NodeLoad{InFlight: l.InFlight + l.Unknown, Limit: l.Limit, Cold: l.Cold}
 }
@@ -131,7 +131,7 @@
 		ZoneOut: !s.ZoneInUse(r.Zone), Retired: s.Retired(r.ID) || s.Stopping(r.ID),
 	}
 
-	if service, ok := s.Service(r.shell.Service()); ok {
+	if service, ok := s.Service(r.agent.Service()); ok {
 		v.ColdLimit = service.GetColdLimit()
 		v.WarmLimit = service.GetWarmLimit()
 	}
@@ -139,7 +139,7 @@
 	return v
 }
 
-func (r *Agent) sayGone() {
+func (r *Agent) announceLeave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 
--- a/internal/role/named.go
+++ b/internal/role/authenticated.go
@@ -10,14 +10,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// namedControl holds processes to the names in their certificates: one could
+// authenticatedControl holds processes to the names in their certificates: one could
 // otherwise report another as leaving, and take it out of service.
-type namedControl struct {
+type authenticatedControl struct {
 	*control.Server
 }
 
 // Poll implements wire.Control.
-func (s *namedControl) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
+func (s *authenticatedControl) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if name := identity.PeerName(ctx); name != "" && name != r.GetNode().GetID() {
 		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate is of %s, the report of %s", name, r.GetNode().GetID())
 	}
@@ -25,30 +25,30 @@
 	return s.Server.Poll(ctx, r)
 }
 
-// namedOperator names operators by their certificates, so that history shows who
+// authenticatedOperator names operators by their certificates, so that history shows who
 // decided, whatever the command said.
-type namedOperator struct {
+type authenticatedOperator struct {
 	*control.Server
 }
 
 // Plan implements wire.Operator.
-func (s *namedOperator) Plan(ctx context.Context, r *wire.PlanRequest) (*wire.PlanResponse, error) {
-	r.Operator = nameOr(ctx, r.GetOperator())
+func (s *authenticatedOperator) Plan(ctx context.Context, r *wire.PlanRequest) (*wire.PlanResponse, error) {
+	r.Operator = operatorName(ctx, r.GetOperator())
 
 	return s.Server.Plan(ctx, r)
 }
 
 // Confirm implements wire.Operator.
-func (s *namedOperator) Confirm(ctx context.Context, r *wire.ConfirmRequest) (*wire.ConfirmResponse, error) {
-	r.Operator = nameOr(ctx, r.GetOperator())
+func (s *authenticatedOperator) Confirm(ctx context.Context, r *wire.ConfirmRequest) (*wire.ConfirmResponse, error) {
+	r.Operator = operatorName(ctx, r.GetOperator())
 
 	return s.Server.Confirm(ctx, r)
 }
 
-func nameOr(ctx context.Context, said string) string {
+func operatorName(ctx context.Context, claimed string) string {
 	if name := identity.PeerName(ctx); name != "" {
 		return name
 	}
 
-	return said
+	return claimed
 }
--- a/internal/role/named_test.go
+++ b/internal/role/authenticated_test.go
@@ -16,8 +16,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// contextOf returns the context of a request with a certificate of this name.
-func contextOf(t *testing.T, name string) context.Context {
+// contextWithCertificate returns the context of a request with a certificate of this name.
+func contextWithCertificate(t *testing.T, name string) context.Context {
 	t.Helper()
 
 	var ctx context.Context
@@ -35,17 +35,17 @@
 
 // A process with a proper certificate reports another one as leaving. Taken at
 // its word, it would empty a service.
-func TestProcessesReportForThemselves(t *testing.T) {
+func TestPollNodeMustMatchCertificate(t *testing.T) {
 	t.Parallel()
 
 	log := &control.MemoryLog{}
 	server := &control.Server{Cluster: "trust", Propose: log.Propose, ReadIndex: log.ReadIndex}
 	server.Init()
 	log.Apply = server.Apply
-	named := &namedControl{Server: server}
+	named := &authenticatedControl{Server: server}
 
-	_, err := named.Poll(contextOf(t, "entry-1"), &wire.PollRequest{Cluster: "trust", Node: &wire.Node{ID: "agent-1"}})
+	_, err := named.Poll(contextWithCertificate(t, "entry-1"), &wire.PollRequest{Cluster: "trust", Node: &wire.Node{ID: "agent-1"}})
 	require.ErrorContains(t, err, "the certificate is of entry-1, the report of agent-1")
-	require.Equal(t, "ann", nameOr(contextOf(t, "ann"), "mallory"))
-	require.Equal(t, "ann", nameOr(t.Context(), "ann"), "plaintext, on loopback only")
+	require.Equal(t, "ann", operatorName(contextWithCertificate(t, "ann"), "mallory"))
+	require.Equal(t, "ann", operatorName(t.Context(), "ann"), "plaintext, on loopback only")
 }
--- a/internal/role/automatic.go
+++ b/internal/role/automembership.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// rosterEvery is how often the leader looks at the control set, and how often a
+	// membershipInterval is how often the leader looks at the control set, and how often a
 	// VM that is not in it asks to join.
-	rosterEvery = 400 * time.Millisecond
-	// rosterTimeout bounds one change of the set.
-	rosterTimeout = 2 * time.Second
+	membershipInterval = 400 * time.Millisecond
+	// membershipChangeTimeout bounds one change of the set.
+	membershipChangeTimeout = 2 * time.Second
 	// joinTimeout bounds one question to join.
 	joinTimeout = 900 * time.Millisecond
 )
@@ -29,15 +29,15 @@
 	Seeds func() []netip.AddrPort
 }
 
-// keepSet joins the control set where this VM is not in it, and tends it while
+// manageMembership joins the control set where this VM is not in it, and tends it while
 // this VM leads.
-func (r *Control) keepSet(ctx context.Context) {
+func (r *Control) manageMembership(ctx context.Context) {
 	if r.AutoMembership == nil {
 		return
 	}
 
-	core := &membership.Manager{Settings: r.AutoMembership.Settings}
-	tick := time.NewTicker(rosterEvery)
+	manager := &membership.Manager{Settings: r.AutoMembership.Settings}
+	tick := time.NewTicker(membershipInterval)
 
 	defer tick.Stop()
 
@@ -49,12 +49,12 @@
 		}
 
 		switch {
-		case r.leads():
-			r.tendSet(ctx, core)
+		case r.isLeader():
+			r.changeMembership(ctx, manager)
 		case len(r.Founders) == 0 && !r.isMember():
 			r.join(ctx)
 		default:
-			core.Reset()
+			manager.Reset()
 		}
 	}
 }
@@ -63,41 +63,41 @@
 	return slices.ContainsFunc(r.replica.Status().Members, func(m quorum.MemberStatus) bool { return m.Member.ID == r.VM })
 }
 
-func (r *Control) tendSet(ctx context.Context, core *membership.Manager) {
-	change := core.Decide(time.Now(), r.VM, r.replica.Status().Members)
+func (r *Control) changeMembership(ctx context.Context, manager *membership.Manager) {
+	change := manager.Decide(time.Now(), r.VM, r.replica.Status().Members)
 	if change.Kind == membership.NoChange {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+	ctx, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
 	defer cancel()
 
 	var err error
 
-	what := "promote"
+	name := "promote"
 
 	if change.Kind == membership.Remove {
-		what = "remove"
+		name = "remove"
 		err = r.replica.Remove(ctx, change.ID)
 	} else {
 		err = r.replica.Promote(ctx, change.ID)
 	}
 
-	r.Logs.Logger("roster").Info("Control set changed.", "change", what, "member", change.ID, "error", err)
+	r.Logs.Logger("roster").Info("Control set changed.", "change", name, "member", change.ID, "error", err)
 }
 
 // join asks the seeds, one after the other, to be taken in as a learner.
 func (r *Control) join(ctx context.Context) {
-	own, _ := netip.ParseAddrPort(r.Listener.Addr().String())
+	self, _ := netip.ParseAddrPort(r.Listener.Addr().String())
 
 	for _, seed := range r.AutoMembership.Seeds() {
-		if seed == own {
+		if seed == self {
 			continue
 		}
 
-		try, cancel := context.WithTimeout(ctx, joinTimeout)
-		_, err := wire.NewMembersProtobufClient("http://"+seed.String(), r.client).Change(try, &wire.MemberChange{
-			Kind: wire.MemberChangeKind_MemberAdd, ID: r.VM, Address: own.String(),
+		attemptCtx, cancel := context.WithTimeout(ctx, joinTimeout)
+		_, err := wire.NewMembersProtobufClient("http://"+seed.String(), r.client).Change(attemptCtx, &wire.MemberChange{
+			Kind: wire.MemberChangeKind_MemberAdd, ID: r.VM, Address: self.String(),
 		})
 
 		cancel()
@@ -126,13 +126,13 @@
 		return nil
 	}
 
-	web := &http.Server{Handler: r.OperatorHandler(r.server), ReadHeaderTimeout: controlTry}
+	server := &http.Server{Handler: r.OperatorHandler(r.server), ReadHeaderTimeout: controlRequestTimeout}
 
 	go func() {
 		<-ctx.Done()
 
-		_ = shutDown(web)
+		_ = shutdownServer(server)
 	}()
 
-	return serve(web, r.OperatorListener, "operators")
+	return serve(server, r.OperatorListener, "operators")
 }
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	// stopTimeout bounds how long a stopping control VM waits for polls in hand.
-	stopTimeout = 3 * time.Second
-	// checkTimeout bounds the question whether a control VM may be stopped.
-	checkTimeout = 2 * time.Second
-	// handOverTimeout bounds the hand-over of leadership on a planned stop.
-	handOverTimeout = 3 * time.Second
+	// shutdownTimeout bounds how long a stopping control VM waits for polls in hand.
+	shutdownTimeout = 3 * time.Second
+	// stopCheckTimeout bounds the question whether a control VM may be stopped.
+	stopCheckTimeout = 2 * time.Second
+	// leadershipTransferTimeout bounds the hand-over of leadership on a planned stop.
+	leadershipTransferTimeout = 3 * time.Second
 )
 
 // Control is the control role. Its fields are set before Build.
@@ -75,12 +75,12 @@
 	// ExpertSettings tunes the expert maps of groups; the zero value stands for the defaults.
 	ExpertSettings expertgroup.Settings
 
-	server   *control.Server
-	director *expertgroup.Director
-	replica  *replica.Replica
-	client   *http.Client
-	view     groupView
-	peers    peerList
+	server      *control.Server
+	director    *expertgroup.Director
+	replica     *replica.Replica
+	client      *http.Client
+	groupCache  groupCache
+	peerTracker peerTracker
 }
 
 // Server returns the server, which exists after Build.
@@ -101,17 +101,17 @@
 		ID: r.VM, Cluster: r.Cluster, Dir: r.Dir, Files: r.Files, Addr: address, Founders: r.Founders,
 		Client: r.client, Logger: r.Logs.Logger("replica"),
 	}
-	r.peers.started = time.Now()
+	r.peerTracker.started = time.Now()
 	r.server = &control.Server{
-		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, ReadIndex: r.read,
+		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, ReadIndex: r.readIndex,
 		NotProposed: func(err error) bool { return verdict.Of(err) == verdict.NotRun },
-		IsLeader:    r.leads, StopUnsafe: r.stopUnsafe, FindPeers: r.findPeers, Self: r.self,
+		IsLeader:    r.isLeader, StopUnsafe: r.stopBlocker, FindPeers: r.findPeers, Self: r.self,
 		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceInterval: r.AnnounceInterval, ControlAddresses: r.controlAddresses,
 		Logger: r.Logs.Logger("control"),
 	}
 
 	if r.TargetsFile != "" {
-		r.server.SaveTargets = func(data []byte) error { return replaceFile(r.TargetsFile, data) }
+		r.server.SaveTargets = func(data []byte) error { return writeFileAtomic(r.TargetsFile, data) }
 		r.server.LoadTargets = func() ([]byte, error) { return os.ReadFile(filepath.Clean(r.TargetsFile)) }
 	}
 
@@ -124,9 +124,9 @@
 	r.Dump.Add("Replica", func() any { return r.replica.Status() })
 }
 
-// read leaves the index out: the replica has applied it when Read returns, and
+// readIndex leaves the index out: the replica has applied it when Read returns, and
 // entries of its own in the log never reach the ledger's count.
-func (r *Control) read(ctx context.Context) (time.Time, uint64, error) {
+func (r *Control) readIndex(ctx context.Context) (time.Time, uint64, error) {
 	asOf, _, err := r.replica.ReadIndex(ctx)
 
 	return asOf, 0, err
@@ -139,17 +139,17 @@
 	}
 }
 
-func (r *Control) leads() bool { return r.replica.Status().Leader == r.VM }
+func (r *Control) isLeader() bool { return r.replica.Status().Leader == r.VM }
 
-// stopUnsafe says why the control VM with that name should not be stopped now.
+// stopBlocker says why the control VM with that name should not be stopped now.
 // It asks the others anew: what was heard last may be older than a loss.
-func (r *Control) stopUnsafe(name string) string {
+func (r *Control) stopBlocker(name string) string {
 	isMember := func(m quorum.MemberStatus) bool { return m.Member.ID == name }
 	if !slices.ContainsFunc(r.replica.Status().Members, isMember) {
 		return ""
 	}
 
-	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stopCheckTimeout)
 	defer cancel()
 
 	if err := r.replica.CheckStop(ctx, name); err != nil {
@@ -164,7 +164,7 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 
-	web := &http.Server{Handler: r.handler(), ReadHeaderTimeout: controlTry}
+	server := &http.Server{Handler: r.handler(), ReadHeaderTimeout: controlRequestTimeout}
 
 	g, work := errgroup.WithContext(work)
 	g.Go(func() error { return r.replica.Run(work) })
@@ -172,12 +172,12 @@
 	g.Go(func() error { return r.director.Run(work) })
 	g.Go(func() error { return r.serveOperators(work) })
 	g.Go(func() error {
-		r.keepSet(work)
+		r.manageMembership(work)
 
 		return nil
 	})
 	g.Go(func() error {
-		if err := web.Serve(identity.MaybePeerListener(r.Identity, r.Listener)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(identity.MaybePeerListener(r.Identity, r.Listener)); !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrap(err, "serve control")
 		}
 
@@ -186,30 +186,30 @@
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-			r.handOver()
-		case <-r.stopPlanned(work):
-			r.handOver()
+			r.transferLeadership()
+		case <-r.plannedStop(work):
+			r.transferLeadership()
 		case <-work.Done():
 		}
 
 		defer stop()
 
-		return shutDown(web)
+		return shutdownServer(server)
 	})
 
 	return eris.Wrap(g.Wait(), "run control VM")
 }
 
-// stopCheck is how often a control VM looks whether the operators stop it.
-const stopCheck = 500 * time.Millisecond
+// stopPollInterval is how often a control VM looks whether the operators stop it.
+const stopPollInterval = 500 * time.Millisecond
 
-// stopPlanned returns a channel that is closed once the operators plan a stop of
+// plannedStop returns a channel that is closed once the operators plan a stop of
 // this VM. Started again, it stays up only when the stop has been removed.
-func (r *Control) stopPlanned(ctx context.Context) <-chan struct{} {
-	planned := make(chan struct{})
+func (r *Control) plannedStop(ctx context.Context) <-chan struct{} {
+	done := make(chan struct{})
 
 	go func() {
-		tick := time.NewTicker(stopCheck)
+		tick := time.NewTicker(stopPollInterval)
 		defer tick.Stop()
 
 		for !r.server.StopPlanned(r.VM) {
@@ -220,32 +220,32 @@
 			}
 		}
 
-		close(planned)
+		close(done)
 	}()
 
-	return planned
+	return done
 }
 
-func shutDown(web *http.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+func shutdownServer(server *http.Server) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 
-	if err := web.Shutdown(ctx); err != nil {
+	if err := server.Shutdown(ctx); err != nil {
 		// Polls that are held are asked again elsewhere; nothing of a caller is cut.
-		return eris.Wrap(web.Close(), "close control")
+		return eris.Wrap(server.Close(), "close control")
 	}
 
 	return nil
 }
 
-// handOver gives leadership to another control VM, so that a planned stop costs
+// transferLeadership gives leadership to another control VM, so that a planned stop costs
 // no election.
-func (r *Control) handOver() {
-	if !r.leads() || len(r.replica.Status().Members) < 2 {
+func (r *Control) transferLeadership() {
+	if !r.isLeader() || len(r.replica.Status().Members) < 2 {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
 
 	if err := r.replica.TransferLeadership(ctx, ""); err != nil {
@@ -255,8 +255,8 @@
 
 func (r *Control) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(wire.ControlPathPrefix, wire.NewControlServer(&namedControl{Server: r.server}))
-	mux.Handle(wire.OperatorPathPrefix, wire.NewOperatorServer(&namedOperator{Server: r.server}))
+	mux.Handle(wire.ControlPathPrefix, wire.NewControlServer(&authenticatedControl{Server: r.server}))
+	mux.Handle(wire.OperatorPathPrefix, wire.NewOperatorServer(&authenticatedOperator{Server: r.server}))
 	mux.Handle(wire.MembersPathPrefix, wire.NewMembersServer(&membersService{role: r}))
 	mux.Handle(wire.ControlPeerPathPrefix, wire.NewControlPeerServer(r.server))
 	mux.Handle(wire.PeerPathPrefix, r.replica.Handler())
@@ -266,12 +266,12 @@
 		return mux
 	}
 
-	return guardControl(mux)
+	return authorizeControl(mux)
 }
 
-// guardControl lets entries claim, entries and agents follow, operators decide,
+// authorizeControl lets entries claim, entries and agents follow, operators decide,
 // and control VMs agree among themselves.
-func guardControl(next http.Handler) http.Handler {
+func authorizeControl(next http.Handler) http.Handler {
 	followers := []identity.Role{identity.RoleEntry, identity.RoleAgent}
 
 	return identity.Authorize(next,
--- a/internal/role/controls.go
+++ b/internal/role/controlclient.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// controlDial bounds a dial to a control VM.
-	controlDial = 500 * time.Millisecond
-	// controlTry bounds one try of a claim at one control VM.
-	controlTry = 1200 * time.Millisecond
-	// controlIdle bounds how long an idle connection to a control VM is kept.
-	controlIdle = 15 * time.Second
+	// controlDialTimeout bounds a dial to a control VM.
+	controlDialTimeout = 500 * time.Millisecond
+	// controlRequestTimeout bounds one try of a claim at one control VM.
+	controlRequestTimeout = 1200 * time.Millisecond
+	// controlIdleTimeout bounds how long an idle connection to a control VM is kept.
+	controlIdleTimeout = 15 * time.Second
 )
 
 // ControlClient is the way of an entry or agent to the control VMs.
@@ -31,10 +31,10 @@
 	// Addresses are those of the control VMs by the settings.
 	Addresses []netip.AddrPort
 
-	client *http.Client
-	last   atomic.Uint32
-	// learnt are those that the directory holds beside.
-	learnt atomic.Pointer[[]netip.AddrPort]
+	client       *http.Client
+	lastAnswered atomic.Uint32
+	// discovered are those that the directory holds beside.
+	discovered atomic.Pointer[[]netip.AddrPort]
 }
 
 // Discover adds the control VMs of the directory to those of the settings, and
@@ -53,15 +53,15 @@
 		}
 	}
 
-	c.learnt.Store(&all)
+	c.discovered.Store(&all)
 
 	return all
 }
 
-// all returns the control VMs of settings and directory.
-func (c *ControlClient) all() []netip.AddrPort {
-	if learnt := c.learnt.Load(); learnt != nil {
-		return *learnt
+// allAddresses returns the control VMs of settings and directory.
+func (c *ControlClient) allAddresses() []netip.AddrPort {
+	if discovered := c.discovered.Load(); discovered != nil {
+		return *discovered
 	}
 
 	return c.Addresses
@@ -70,12 +70,12 @@
 // NewControlClient returns the way to the control VMs at addresses. Without an
 // identity it is plaintext.
 func NewControlClient(addresses []netip.AddrPort, id *identity.Identity) *ControlClient {
-	dialer := &identity.Dialer{Identity: id, Timeout: controlDial}
+	dialer := &identity.Dialer{Identity: id, Timeout: controlDialTimeout}
 
 	return &ControlClient{
 		Addresses: addresses,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext: dialer.Dial, IdleConnTimeout: controlIdle,
+			DialContext: dialer.Dial, IdleConnTimeout: controlIdleTimeout,
 			MaxIdleConnsPerHost: 4, DisableCompression: true,
 		}},
 	}
@@ -84,14 +84,14 @@
 // Close closes the idle connections.
 func (c *ControlClient) Close() { c.client.CloseIdleConnections() }
 
-func (c *ControlClient) at(address netip.AddrPort) wire.Control {
+func (c *ControlClient) rpcClient(address netip.AddrPort) wire.Control {
 	return wire.NewControlProtobufClient("http://"+address.String(), c.client)
 }
 
 // Poll sends one poll to one control VM. A poll that failed may have met a
 // connection that went silent, so its idle sisters are dropped too.
 func (c *ControlClient) Poll(ctx context.Context, address netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
-	resp, err := c.at(address).Poll(ctx, r)
+	resp, err := c.rpcClient(address).Poll(ctx, r)
 	if err != nil {
 		c.client.CloseIdleConnections()
 	}
@@ -102,7 +102,7 @@
 // Claim claims a key at any control VM. A claim whose answer was lost is asked
 // for again at the next: the same attempt is granted again.
 func (c *ControlClient) Claim(ctx context.Context, r *wire.ClaimRequest) (resp *wire.ClaimResponse, err error) {
-	err = c.each(ctx, func(ctx context.Context, control wire.Control) error {
+	err = c.tryEach(ctx, func(ctx context.Context, control wire.Control) error {
 		resp, err = control.Claim(ctx, r)
 
 		return err
@@ -113,7 +113,7 @@
 
 // Settle settles a claim at any control VM.
 func (c *ControlClient) Settle(ctx context.Context, r *wire.SettleRequest) (resp *wire.SettleResponse, err error) {
-	err = c.each(ctx, func(ctx context.Context, control wire.Control) error {
+	err = c.tryEach(ctx, func(ctx context.Context, control wire.Control) error {
 		resp, err = control.Settle(ctx, r)
 
 		return err
@@ -122,23 +122,23 @@
 	return resp, err
 }
 
-// each tries one control VM after the other, the one that answered last first.
-func (c *ControlClient) each(ctx context.Context, try func(context.Context, wire.Control) error) error {
-	all := c.all()
-	first := int(c.last.Load())
+// tryEach tries one control VM after the other, the one that answered last first.
+func (c *ControlClient) tryEach(ctx context.Context, call func(context.Context, wire.Control) error) error {
+	all := c.allAddresses()
+	first := int(c.lastAnswered.Load())
 
 	var err error
 
 	for i := range all {
 		n := (first + i) % len(all)
 
-		tryCtx, cancel := context.WithTimeout(ctx, controlTry)
-		err = try(tryCtx, c.at(all[n]))
+		attemptCtx, cancel := context.WithTimeout(ctx, controlRequestTimeout)
+		err = call(attemptCtx, c.rpcClient(all[n]))
 
 		cancel()
 
 		if err == nil {
-			c.last.Store(uint32(n))
+			c.lastAnswered.Store(uint32(n))
 
 			return nil
 		}
--- a/internal/role/counts.go
+++ b/internal/role/counts.go
@@ -13,29 +13,29 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errCounts says that what an agent told does not give the counts of all ranks asked about.
-var errCounts = errors.New("role: counts of a rank are not known yet")
+// errCountsUnknown says that what an agent told does not give the counts of all ranks asked about.
+var errCountsUnknown = errors.New("role: counts of a rank are not known yet")
 
 // countsKey names the counts of the engine beside an agent with those of others added.
-func countsKey(at string, others []string) string { return at + "+" + strings.Join(others, ",") }
+func countsKey(addr string, others []string) string { return addr + "+" + strings.Join(others, ",") }
 
-// askCounts asks another agent for its engine's counts, to which those of others are added
+// fetchCounts asks another agent for its engine's counts, to which those of others are added
 // there. What the two hold in common is not sent again.
-func (a *RankAgent) askCounts(ctx context.Context, at string, r *wire.LookRequest) (*wire.LookAnswer, []uint64, error) {
-	key := countsKey(at, r.GetOthers())
+func (a *RankAgent) fetchCounts(ctx context.Context, addr string, r *wire.LookRequest) (*wire.LookAnswer, []uint64, error) {
+	key := countsKey(addr, r.GetOthers())
 
 	a.mu.Lock()
-	h := a.heard[key]
+	decoder := a.countDecoders[key]
 
-	if h == nil {
-		h = &lockstep.CountDecoder{}
-		a.heard[key] = h
+	if decoder == nil {
+		decoder = &lockstep.CountDecoder{}
+		a.countDecoders[key] = decoder
 	}
 
-	r.Known = h.Mark
+	r.Known = decoder.Mark
 	a.mu.Unlock()
 
-	out, err := wire.NewRankPeerProtobufClient("http://"+at, a.peers).Look(ctx, r)
+	out, err := wire.NewRankPeerProtobufClient("http://"+addr, a.peerHTTP).Look(ctx, r)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "ask for counts")
 	}
@@ -43,26 +43,26 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	if !h.Decode(out) {
-		return nil, nil, errCounts
+	if !decoder.Decode(out) {
+		return nil, nil, errCountsUnknown
 	}
 
-	return out, slices.Clone(h.Counts), nil
+	return out, slices.Clone(decoder.Counts), nil
 }
 
-// forgetCounts forgets what agents told of the group that was directed before.
-func (a *RankAgent) forgetCounts() {
+// resetCounts forgets what agents told of the group that was directed before.
+func (a *RankAgent) resetCounts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	clear(a.heard)
+	clear(a.countDecoders)
 }
 
 // addCounts adds other agents' counts to l, and their paces. Where one does not answer, what
 // it told last stands: a sum over fewer ranks would look as if counts had fallen.
 func (a *RankAgent) addCounts(ctx context.Context, l *lockstep.PollResult, others []string) error {
 	type answer struct {
-		look   *wire.LookAnswer
+		poll   *wire.LookAnswer
 		counts []uint64
 	}
 
@@ -70,16 +70,16 @@
 
 	var g sync.WaitGroup
 
-	for i, at := range others {
+	for i, addr := range others {
 		g.Go(func() {
-			out, counts, err := a.askCounts(ctx, at, &wire.LookRequest{Cluster: a.Cluster, Counts: true})
+			out, counts, err := a.fetchCounts(ctx, addr, &wire.LookRequest{Cluster: a.Cluster, Counts: true})
 			if err != nil {
-				a.logger.Debug("Counts not heard.", "agent", at, "error", err)
+				a.logger.Debug("Counts not heard.", "agent", addr, "error", err)
 
-				counts = a.lastCounts(at)
+				counts = a.cachedCounts(addr)
 			}
 
-			answers[i] = answer{look: out, counts: counts}
+			answers[i] = answer{poll: out, counts: counts}
 		})
 	}
 
@@ -89,28 +89,28 @@
 
 	for _, got := range answers {
 		if len(got.counts) != len(l.Counts) {
-			return errCounts
+			return errCountsUnknown
 		}
 
 		for i, n := range got.counts {
 			l.Counts[i] += n
 		}
 
-		if got.look != nil {
-			l.Slowdowns[int(got.look.GetReport().GetRank())] = got.look.GetReport().GetPace()
+		if got.poll != nil {
+			l.Slowdowns[int(got.poll.GetReport().GetRank())] = got.poll.GetReport().GetPace()
 		}
 	}
 
 	return nil
 }
 
-// lastCounts returns what an agent told last of its own engine's counts.
-func (a *RankAgent) lastCounts(at string) []uint64 {
+// cachedCounts returns what an agent told last of its own engine's counts.
+func (a *RankAgent) cachedCounts(addr string) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	if h := a.heard[countsKey(at, nil)]; h != nil {
-		return slices.Clone(h.Counts)
+	if decoder := a.countDecoders[countsKey(addr, nil)]; decoder != nil {
+		return slices.Clone(decoder.Counts)
 	}
 
 	return nil
--- a/internal/role/routing.go
+++ b/internal/role/directentry.go
@@ -27,23 +27,23 @@
 )
 
 const (
-	// targetDial bounds a dial to a target: some times the longest way within a region.
-	targetDial = 300 * time.Millisecond
-	// targetHead bounds the head of a target's answer (bytes).
-	targetHead = 64 << 10
-	// callerHeader and callerIdle bound how long a caller may take for a head, and
+	// targetDialTimeout bounds a dial to a target: some times the longest way within a region.
+	targetDialTimeout = 300 * time.Millisecond
+	// maxTargetHeaderBytes bounds the head of a target's answer (bytes).
+	maxTargetHeaderBytes = 64 << 10
+	// callerHeaderTimeout and callerIdle bound how long a caller may take for a head, and
 	// how long its connection may be idle. They are above what operators declare, so
 	// that the caller closes first and no request crosses a close.
-	callerHeader = 10 * time.Second
-	callerIdle   = 90 * time.Second
-	// callerHead bounds the head of a request (bytes).
-	callerHead = 64 << 10
-	// settleTime is how long a started entry waits for a second control VM: the
+	callerHeaderTimeout = 10 * time.Second
+	callerIdleTimeout   = 90 * time.Second
+	// maxCallerHeaderBytes bounds the head of a request (bytes).
+	maxCallerHeaderBytes = 64 << 10
+	// secondControlWait is how long a started entry waits for a second control VM: the
 	// first may be cut off and tell an old configuration.
-	settleTime = 1500 * time.Millisecond
-	// leaveTime is how long a stopping entry goes on taking requests, for the
+	secondControlWait = 1500 * time.Millisecond
+	// drainDelay is how long a stopping entry goes on taking requests, for the
 	// balancer to notice: two questions of a second each, and the way.
-	leaveTime = 2600 * time.Millisecond
+	drainDelay = 2600 * time.Millisecond
 	// stopReserve is kept free at the end of a graceful stop.
 	stopReserve = 400 * time.Millisecond
 )
@@ -94,20 +94,20 @@
 	defer stop()
 
 	callers := &http.Server{
-		Handler: r.relay, ReadHeaderTimeout: callerHeader, IdleTimeout: callerIdle, MaxHeaderBytes: callerHead,
+		Handler: r.relay, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes,
 		ErrorLog: slog.NewLogLogger(logs.Discard().Handler(), slog.LevelDebug),
 	}
-	balancer := &http.Server{Handler: r.ReadinessHandler(r.isReady), ReadHeaderTimeout: callerHeader}
+	balancer := &http.Server{Handler: r.ReadinessHandler(r.isReady), ReadHeaderTimeout: callerHeaderTimeout}
 
 	g, work := errgroup.WithContext(work)
 	g.Go(func() error { return r.follower.Run(work) })
-	g.Go(func() error { return r.listener().Run(work) })
+	g.Go(func() error { return r.loadSubscriber().Run(work) })
 	g.Go(func() error { return serve(callers, r.Listener, "callers") })
 	g.Go(func() error { return serve(balancer, r.ReadyListener, "balancer") })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-			r.leave(callers)
+			r.drain(callers)
 		case <-work.Done():
 			_ = callers.Close()
 		}
@@ -125,8 +125,8 @@
 	return err
 }
 
-// listener follows the loads of engines that have an agent.
-func (r *DirectEntry) listener() *loadreport.Subscriber {
+// loadSubscriber follows the loads of engines that have an agent.
+func (r *DirectEntry) loadSubscriber() *loadreport.Subscriber {
 	return &loadreport.Subscriber{
 		Cluster: r.Cluster, Conn: r.LoadConn,
 		Agents: func() []netip.AddrPort {
@@ -144,24 +144,24 @@
 	}
 }
 
-func serve(web *http.Server, l net.Listener, whom string) error {
-	if err := web.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return eris.Wrapf(err, "serve %s", whom)
+func serve(server *http.Server, l net.Listener, name string) error {
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return eris.Wrapf(err, "serve %s", name)
 	}
 
 	return nil
 }
 
-// leave goes on while the balancer still sends callers, then finishes what is in
+// drain goes on while the balancer still sends callers, then finishes what is in
 // hand. Answers end their connections meanwhile.
-func (r *DirectEntry) leave(callers *http.Server) {
-	until := time.Now().Add(r.StopTimeout - stopReserve)
+func (r *DirectEntry) drain(callers *http.Server) {
+	deadline := time.Now().Add(r.StopTimeout - stopReserve)
 
-	r.stopsAt.Store(&until)
-	r.logger.Info("Stopping: no new callers.", "until", time.Until(until))
-	time.Sleep(min(leaveTime, r.StopTimeout/2))
+	r.stopsAt.Store(&deadline)
+	r.logger.Info("Stopping: no new callers.", "until", time.Until(deadline))
+	time.Sleep(min(drainDelay, r.StopTimeout/2))
 
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 
 	if err := callers.Shutdown(ctx); err != nil {
@@ -173,8 +173,8 @@
 
 func (r *DirectEntry) stopping() bool { return r.stopsAt.Load() != nil }
 
-// stops says when this entry ends, if it stops.
-func (r *DirectEntry) stops() (time.Time, bool) {
+// stopTime says when this entry ends, if it stops.
+func (r *DirectEntry) stopTime() (time.Time, bool) {
 	at := r.stopsAt.Load()
 	if at == nil {
 		return time.Time{}, false
@@ -190,26 +190,26 @@
 
 	f := r.follower.State()
 
-	return f.ControlsAnswered > 1 || time.Since(f.FirstAnswerAt) > settleTime
+	return f.ControlsAnswered > 1 || time.Since(f.FirstAnswerAt) > secondControlWait
 }
 
 func (r *DirectEntry) build() error {
 	r.logger = r.Logs.Logger("entry")
 	r.follower = &view.Follower{
-		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.ask,
+		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.poll,
 		Leaving: r.stopping, Relay: r.RelayAddr, Logger: r.Logs.Logger("view"),
 		OnChange: func(f *view.ClusterState) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
 		Dialect: r.Dialect, ID: r.ID, Zone: r.Zone, State: r.follower.State, Budget: r.Budget,
-		Transport: &targetclient.Client{DialTimeout: targetDial, MaxHeaderBytes: targetHead},
-		StopsAt:   r.stops, Logger: r.Logs.Logger("relay"),
+		Transport: &targetclient.Client{DialTimeout: targetDialTimeout, MaxHeaderBytes: maxTargetHeaderBytes},
+		StopsAt:   r.stopTime, Logger: r.Logs.Logger("relay"),
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 
 	r.follower.Init()
 	r.relay.Init()
-	r.InternalMux.Handle(wire.EngineRelayPathPrefix, wire.NewEngineRelayServer(&engineRelay{cluster: r.Cluster, engines: engines{at: r.EngineAt}}))
+	r.InternalMux.Handle(wire.EngineRelayPathPrefix, wire.NewEngineRelayServer(&engineRelay{cluster: r.Cluster, engines: engineCache{newEngine: r.EngineAt}}))
 	r.Dump.Add("Relay", func() any { return r.relay.Dump() })
 
 	if r.Dump.Metrics == nil {
--- a/internal/role/director.go
+++ b/internal/role/director.go
@@ -18,10 +18,10 @@
 		r.ExpertSettings = expertgroup.DefaultSettings()
 	}
 
-	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDial}
-	client := &http.Client{Transport: &http.Transport{DialContext: dialer.Dial, IdleConnTimeout: agentIdle}}
+	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDialTimeout}
+	client := &http.Client{Transport: &http.Transport{DialContext: dialer.Dial, IdleConnTimeout: agentIdleTimeout}}
 	d := &expertgroup.Director{
-		IsLeader: r.leads,
+		IsLeader: r.isLeader,
 		Barrier: func(ctx context.Context) error {
 			_, _, err := r.replica.ReadIndex(ctx)
 
@@ -29,7 +29,7 @@
 		},
 		// The server is made after the director, which it tells of applied entries.
 		Propose: func(ctx context.Context, e *wire.GroupEntry) error { return r.server.ProposeGroup(ctx, e) },
-		Groups:  r.groups, RankAgents: r.ranks, Settings: r.ExpertSettings, Logger: r.Logs.Logger("experts"),
+		Groups:  r.groups, RankAgents: r.rankAgents, Settings: r.ExpertSettings, Logger: r.Logs.Logger("experts"),
 		SendOrder: func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Order(ctx, o)
 		},
@@ -42,38 +42,38 @@
 	return d
 }
 
-// groupView is what the director reads of one configuration. It is worked out
+// groupCache is what the director reads of one configuration. It is worked out
 // once for each version: the director looks many times a second.
-type groupView struct {
+type groupCache struct {
 	version uint64
-	known   bool
+	valid   bool
 	groups  []*wire.Group
 	ranks   map[string][]expertgroup.RankAgent
 }
 
 func (r *Control) groups() []*wire.Group {
-	r.readGroups()
+	r.refreshGroupCache()
 
-	return r.view.groups
+	return r.groupCache.groups
 }
 
-func (r *Control) ranks(group string) []expertgroup.RankAgent {
-	r.readGroups()
+func (r *Control) rankAgents(group string) []expertgroup.RankAgent {
+	r.refreshGroupCache()
 
-	return r.view.ranks[group]
+	return r.groupCache.ranks[group]
 }
 
-func (r *Control) readGroups() {
+func (r *Control) refreshGroupCache() {
 	version := r.server.Version()
-	if r.view.known && r.view.version == version {
+	if r.groupCache.valid && r.groupCache.version == version {
 		return
 	}
 
-	r.view = groupView{version: version, known: true, ranks: make(map[string][]expertgroup.RankAgent)}
+	r.groupCache = groupCache{version: version, valid: true, ranks: make(map[string][]expertgroup.RankAgent)}
 
 	for _, record := range r.server.Configuration() {
 		if g := record.GetGroup(); g != nil {
-			r.view.groups = append(r.view.groups, g)
+			r.groupCache.groups = append(r.groupCache.groups, g)
 		}
 
 		n := record.GetNode()
@@ -83,7 +83,7 @@
 
 		if a, err := netip.ParseAddrPort(n.GetAddress()); err == nil {
 			node := expertgroup.RankAgent{Rank: int(n.GetRank()), Address: a}
-			r.view.ranks[n.GetGroup()] = append(r.view.ranks[n.GetGroup()], node)
+			r.groupCache.ranks[n.GetGroup()] = append(r.groupCache.ranks[n.GetGroup()], node)
 		}
 	}
 }
--- a/internal/role/enginerelay.go
+++ b/internal/role/enginerelay.go
@@ -11,26 +11,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// engines are the engines of other VMs that this process speaks to.
-type engines struct {
-	at func(netip.AddrPort) lockstep.Engine
+// engineCache are the engines of other VMs that this process speaks to.
+type engineCache struct {
+	newEngine func(netip.AddrPort) lockstep.Engine
 
-	mu    sync.Mutex
-	known map[netip.AddrPort]lockstep.Engine
+	mu        sync.Mutex
+	byAddress map[netip.AddrPort]lockstep.Engine
 }
 
-func (e *engines) of(address netip.AddrPort) lockstep.Engine {
+func (e *engineCache) get(address netip.AddrPort) lockstep.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	if e.known == nil {
-		e.known = make(map[netip.AddrPort]lockstep.Engine)
+	if e.byAddress == nil {
+		e.byAddress = make(map[netip.AddrPort]lockstep.Engine)
 	}
 
-	engine, ok := e.known[address]
+	engine, ok := e.byAddress[address]
 	if !ok {
-		engine = e.at(address)
-		e.known[address] = engine
+		engine = e.newEngine(address)
+		e.byAddress[address] = engine
 	}
 
 	return engine
@@ -39,7 +39,7 @@
 // engineRelay relays orders of directing agents to engines.
 type engineRelay struct {
 	cluster string
-	engines engines
+	engines engineCache
 }
 
 // Relay implements wire.EngineRelay.
@@ -53,5 +53,5 @@
 		return nil, twirp.InvalidArgumentError("Engine", "is no IP:port")
 	}
 
-	return &wire.EngineOrderAnswer{Result: r.engines.of(address).Order(ctx, o.GetOrder())}, nil
+	return &wire.EngineOrderAnswer{Result: r.engines.get(address).Order(ctx, o.GetOrder())}, nil
 }
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -27,17 +27,17 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// subsetDegree is how many targets of a service an entry keeps to.
-const subsetDegree = 30
+// subsetSize is how many targets of a service an entry keeps to.
+const subsetSize = 30
 
 // leaveTimeout bounds the last word of a process that ends to the control VMs.
 const leaveTimeout = 2 * time.Second
 
 // The entry's connections to agents: heartbeats come each second.
 const (
-	agentSilence = 3 * time.Second
-	agentDial    = 500 * time.Millisecond
-	agentIdle    = 20 * time.Second
+	agentReadTimeout = 3 * time.Second
+	agentDialTimeout = 500 * time.Millisecond
+	agentIdleTimeout = 20 * time.Second
 )
 
 // Entry is the entry role. Its fields are set before Run.
@@ -60,13 +60,13 @@
 	Dump          *dump.Dump
 
 	reader *view.Reader
-	shell  *entry.Entry
+	entry  *entry.Entry
 	bus    *events.Bus
 	stop   context.CancelFunc
 
 	// mu orders what the chooser is told: by each change, and later by a timer.
-	mu     sync.Mutex
-	keeper shares.SubsetCache
+	mu      sync.Mutex
+	subsets shares.SubsetCache
 }
 
 // Run runs the role until ctx ends and every request in flight has its answer.
@@ -88,7 +88,7 @@
 	<-r.bus.Running()
 	g.Go(func() error { return r.reader.Run(follow) })
 
-	err := r.shell.Run(ctx)
+	err := r.entry.Run(ctx)
 
 	stopFollowing()
 
@@ -96,7 +96,7 @@
 		err = waitErr
 	}
 
-	r.sayGone()
+	r.announceLeave()
 
 	return err
 }
@@ -110,28 +110,28 @@
 	r.bus = bus
 	r.bus.OnConfigurationChanged("LogConfiguration", r.logConfiguration)
 
-	r.keeper.SubsetSize = func(int, int) int { return subsetDegree }
+	r.subsets.SubsetSize = func(int, int) int { return subsetSize }
 
 	chooser := &routing.Chooser{Rand: rand.New(rand.NewPCG(r.Incarnation, 0)), Prefixes: &prefix.Index{}}
 	r.reader = r.newReader(chooser)
-	r.shell = &entry.Entry{
-		ID: r.ID, Zone: r.Zone, Region: r.Region, Listener: r.callers(),
+	r.entry = &entry.Entry{
+		ID: r.ID, Zone: r.Zone, Region: r.Region, Listener: r.callerListener(),
 		Agents: &agentclient.Client{
-			ReadTimeout: agentSilence, IdleConnTimeout: agentIdle,
-			Dial: (&identity.Dialer{Identity: r.Identity, Timeout: agentDial}).Dial,
+			ReadTimeout: agentReadTimeout, IdleConnTimeout: agentIdleTimeout,
+			Dial: (&identity.Dialer{Identity: r.Identity, Timeout: agentDialTimeout}).Dial,
 		},
 		Chooser: chooser,
 		Budget:  &retries.Budget{Rand: rand.New(rand.NewPCG(r.Incarnation, 1))},
-		View:    r.known,
+		View:    r.entryView,
 		Claim:   r.Controls.Claim, Settle: r.Controls.Settle,
 		Limits: r.Limits, ShutdownDelay: r.ShutdownDelay, Logger: r.Logs.Logger("entry"), Seed: r.Incarnation,
 	}
 
-	return r.describe()
+	return r.registerDiagnostics()
 }
 
-// callers returns the listener for callers, who need no certificate.
-func (r *Entry) callers() net.Listener {
+// callerListener returns the listener for callers, who need no certificate.
+func (r *Entry) callerListener() net.Listener {
 	if r.Identity == nil {
 		return r.Listener
 	}
@@ -139,17 +139,17 @@
 	return r.Identity.CallerListener(r.Listener)
 }
 
-func (r *Entry) describe() error {
+func (r *Entry) registerDiagnostics() error {
 	if r.Dump.Metrics == nil {
 		r.Dump.Metrics = metrics.NewRegistry()
 	}
 
 	r.Dump.Add("View", func() any { return viewState(r.reader.Snapshot()) })
-	r.Dump.Add("Requests", func() any { return r.shell.Counts() })
-	r.Dump.Add("Room", func() any { return r.rooms() })
-	r.Dump.Add("Queues", func() any { return r.shell.Queues() })
+	r.Dump.Add("Requests", func() any { return r.entry.Counts() })
+	r.Dump.Add("Room", func() any { return r.capacities() })
+	r.Dump.Add("Queues", func() any { return r.entry.Queues() })
 
-	return eris.Wrap(r.shell.Register(r.Dump.Metrics), "register metrics")
+	return eris.Wrap(r.entry.Register(r.Dump.Metrics), "register metrics")
 }
 
 func (r *Entry) newReader(chooser *routing.Chooser) *view.Reader {
@@ -160,8 +160,8 @@
 		// bus: its handlers run side by side, and an older list of targets, applied
 		// last, would rule until the next change.
 		OnChange: func(s *view.Snapshot) {
-			r.changeTargets(chooser)
-			r.announce(s)
+			r.updateTargets(chooser)
+			r.publishChange(s)
 			stopIfPlanned(s, r.ID, r.stop)
 		},
 	}
@@ -170,20 +170,20 @@
 	return reader
 }
 
-// changeTargets tells the chooser the targets by the latest configuration, and
+// updateTargets tells the chooser the targets by the latest configuration, and
 // again later where a subset could not be worked out anew yet.
-func (r *Entry) changeTargets(chooser *routing.Chooser) {
+func (r *Entry) updateTargets(chooser *routing.Chooser) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	chooser.ChangeTargets(r.targetsOf(r.reader.Snapshot()))
+	chooser.ChangeTargets(r.subsetTargets(r.reader.Snapshot()))
 
-	if wait, due := r.keeper.RecomputeDue(time.Now()); due {
-		time.AfterFunc(wait, func() { r.changeTargets(chooser) })
+	if wait, due := r.subsets.RecomputeDue(time.Now()); due {
+		time.AfterFunc(wait, func() { r.updateTargets(chooser) })
 	}
 }
 
-func (r *Entry) announce(s *view.Snapshot) {
+func (r *Entry) publishChange(s *view.Snapshot) {
 	if err := r.bus.ConfigurationChanged(events.ConfigurationChanged{Version: s.Version}); err != nil {
 		r.Logs.Logger("events").Warn("event lost", slog.Any("error", err))
 	}
@@ -195,10 +195,10 @@
 	Room    routing.Capacity
 }
 
-func (r *Entry) rooms() []ServiceCapacity {
+func (r *Entry) capacities() []ServiceCapacity {
 	var out []ServiceCapacity
 	for _, s := range r.reader.Snapshot().Services() {
-		out = append(out, ServiceCapacity{Service: s.GetName(), Room: r.shell.Chooser.Capacity(time.Now(), s.GetName())})
+		out = append(out, ServiceCapacity{Service: s.GetName(), Room: r.entry.Chooser.Capacity(time.Now(), s.GetName())})
 	}
 
 	return out
@@ -213,20 +213,20 @@
 	return &wire.Node{
 		ID: r.ID, Kind: wire.NodeKind_NodeEntry, Zone: r.Zone,
 		Address: r.Listener.Addr().String(), Incarnation: r.Incarnation,
-		Leaving: r.shell != nil && r.shell.Stopping(),
+		Leaving: r.entry != nil && r.entry.Stopping(),
 	}
 }
 
 // load tells the control VMs, for plans, what the entry has in hand.
 func (r *Entry) load() *wire.NodeLoad {
-	if r.shell == nil {
+	if r.entry == nil {
 		return nil
 	}
 
-	return &wire.NodeLoad{InFlight: uint32(r.shell.Counts().InFlight)}
+	return &wire.NodeLoad{InFlight: uint32(r.entry.Counts().InFlight)}
 }
 
-func (r *Entry) known() entry.View {
+func (r *Entry) entryView() entry.View {
 	s := r.reader.Snapshot()
 
 	return entry.View{
@@ -237,7 +237,7 @@
 	}
 }
 
-func (r *Entry) sayGone() {
+func (r *Entry) announceLeave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 
@@ -253,21 +253,21 @@
 	}
 }
 
-// targetsOf lists the targets of all services that this entry keeps to.
-func (r *Entry) targetsOf(s *view.Snapshot) routing.TargetsChanged {
+// subsetTargets lists the targets of all services that this entry keeps to.
+func (r *Entry) subsetTargets(s *view.Snapshot) routing.TargetsChanged {
 	var ev routing.TargetsChanged
 
-	entries := entriesOf(s)
+	entries := activeEntries(s)
 	now := time.Now()
 
 	for _, service := range s.Services() {
 		targets := s.Targets(service.GetName())
-		mine := r.keeper.Targets(now, service.GetName(), r.place(), entries, places(s, targets))
+		subset := r.subsets.Targets(now, service.GetName(), r.subsetNode(), entries, admissibleNodes(s, targets))
 
 		for _, t := range targets {
-			_, used := mine[t.Node.GetID()]
+			_, used := subset[t.Node.GetID()]
 			if address, err := netip.ParseAddrPort(t.Node.GetAddress()); err == nil && used {
-				ev.Targets = append(ev.Targets, targetOf(s, service.GetName(), address, t))
+				ev.Targets = append(ev.Targets, newTarget(s, service.GetName(), address, t))
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	return ev
 }
 
-func targetOf(s *view.Snapshot, service string, address netip.AddrPort, t view.Target) routing.Target {
+func newTarget(s *view.Snapshot, service string, address netip.AddrPort, t view.Target) routing.Target {
 	return routing.Target{
 		AgentID: t.Node.GetID(), Service: service, Addr: address,
 		Zone: t.Node.GetZone(), Region: regionOf(s, t.Node.GetZone()),
@@ -284,8 +284,8 @@
 	}
 }
 
-// entriesOf lists the entries that share the targets out among themselves.
-func entriesOf(s *view.Snapshot) []shares.Node {
+// activeEntries lists the entries that share the targets out among themselves.
+func activeEntries(s *view.Snapshot) []shares.Node {
 	var out []shares.Node
 
 	for _, n := range s.Nodes() {
@@ -297,8 +297,8 @@
 	return out
 }
 
-// places lists the targets that may get new work.
-func places(s *view.Snapshot, targets []view.Target) []shares.Node {
+// admissibleNodes lists the targets that may get new work.
+func admissibleNodes(s *view.Snapshot, targets []view.Target) []shares.Node {
 	var out []shares.Node
 
 	for _, t := range targets {
@@ -310,7 +310,7 @@
 	return out
 }
 
-func (r *Entry) place() shares.Node {
+func (r *Entry) subsetNode() shares.Node {
 	return shares.Node{ID: r.ID, Zone: r.Zone, Region: r.Region}
 }
 
--- a/internal/role/spread_test.go
+++ b/internal/role/fanout_test.go
@@ -20,8 +20,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// rankStub is an agent beside a rank whose engine a test plays.
-type rankStub struct {
+// fakeRankAgent is an agent beside a rank whose engine a test plays.
+type fakeRankAgent struct {
 	*RankAgent
 
 	mu     sync.Mutex
@@ -29,12 +29,12 @@
 	counts []uint64
 }
 
-// newRankStubs starts agents that answer each other. All listen at one port, each at a
+// newFakeRankAgents starts agents that answer each other. All listen at one port, each at a
 // loopback address of its own, as on VMs of their own.
-func newRankStubs(t *testing.T, n int) []*rankStub {
+func newFakeRankAgents(t *testing.T, n int) []*fakeRankAgent {
 	t.Helper()
 
-	var out []*rankStub
+	var out []*fakeRankAgent
 
 	address, err := loopback.Address()
 	require.NoError(t, err)
@@ -43,24 +43,24 @@
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:%d", rank/200+1, rank%200+1, address.Port()))
 		require.NoError(t, err)
 
-		s := &rankStub{counts: []uint64{uint64(rank + 1), 10}}
+		s := &fakeRankAgent{counts: []uint64{uint64(rank + 1), 10}}
 		s.RankAgent = &RankAgent{Cluster: "trust", Listener: listener, Engine: lockstep.Engine{
 			Report: func(context.Context) (lockstep.Report, error) {
-				return lockstep.Report{Rank: rank, Epoch: 1, Open: true, Armed: s.last().GetVersion()}, nil
+				return lockstep.Report{Rank: rank, Epoch: 1, Open: true, Armed: s.lastOrder().GetVersion()}, nil
 			},
 			Counts: func(context.Context) ([]uint64, error) { return append([]uint64(nil), s.counts...), nil },
-			Order:  s.take,
+			Order:  s.recordOrder,
 		}}
 		s.EngineAt = func(netip.AddrPort) lockstep.Engine {
 			return lockstep.Engine{
-				Report: func(context.Context) (lockstep.Report, error) { return lockstep.Report{}, errNotTold },
+				Report: func(context.Context) (lockstep.Report, error) { return lockstep.Report{}, errNoRankAnswer },
 				Order:  func(context.Context, *wire.EngineOrder) wire.EngineResult { return wire.EngineResult_EngineUnknown },
 			}
 		}
 		s.logger = logs.Discard()
-		s.engines.at = s.EngineAt
-		s.peers = newFollowClient()
-		s.heard = make(map[string]*lockstep.CountDecoder)
+		s.engines.newEngine = s.EngineAt
+		s.peerHTTP = newFollowClient()
+		s.countDecoders = make(map[string]*lockstep.CountDecoder)
 
 		mux := http.NewServeMux()
 		mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(s))
@@ -68,7 +68,7 @@
 		web := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 		go func() { _ = web.Serve(listener) }()
 
-		t.Cleanup(func() { _ = web.Close(); s.peers.CloseIdleConnections() })
+		t.Cleanup(func() { _ = web.Close(); s.peerHTTP.CloseIdleConnections() })
 
 		out = append(out, s)
 	}
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (s *rankStub) take(_ context.Context, o *wire.EngineOrder) wire.EngineResult {
+func (s *fakeRankAgent) recordOrder(_ context.Context, o *wire.EngineOrder) wire.EngineResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -85,7 +85,7 @@
 	return wire.EngineResult_EngineDone
 }
 
-func (s *rankStub) last() *wire.EngineOrder {
+func (s *fakeRankAgent) lastOrder() *wire.EngineOrder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -96,14 +96,14 @@
 	return s.orders[len(s.orders)-1]
 }
 
-func (s *rankStub) target() directory.Target {
+func (s *fakeRankAgent) target() directory.Target {
 	return directory.Target{Address: netip.MustParseAddrPort(s.Listener.Addr().String())}
 }
 
-func members(stubs []*rankStub) []*wire.SpreadMember {
+func fanOutMembers(agents []*fakeRankAgent) []*wire.SpreadMember {
 	var out []*wire.SpreadMember
 
-	for rank, s := range stubs {
+	for rank, s := range agents {
 		at := s.Listener.Addr().String()
 		out = append(out, &wire.SpreadMember{Rank: uint32(rank), Agent: at, Engine: at, Version: uint64(7 + rank)})
 	}
@@ -113,13 +113,13 @@
 
 // An order goes to ranks by way of the agent of one of them. Guards against a rank that is
 // left out or gets another's version, and against a look from before the order.
-func TestErrandReachesEachRank(t *testing.T) {
+func TestFanOutReachesEachRank(t *testing.T) {
 	t.Parallel()
 
-	stubs := newRankStubs(t, 5)
+	agents := newFakeRankAgents(t, 5)
 	order := &wire.EngineOrder{Kind: wire.EngineOrderKind_EngineOrderDisarm, Epoch: 1, Fence: 9, Cluster: "trust"}
 
-	answer, err := stubs[2].Spread(t.Context(), &wire.SpreadRequest{Cluster: "trust", Order: order, Members: members(stubs), LeftMillis: 10_000})
+	answer, err := agents[2].Spread(t.Context(), &wire.SpreadRequest{Cluster: "trust", Order: order, Members: fanOutMembers(agents), LeftMillis: 10_000})
 	require.NoError(t, err)
 	require.Len(t, answer.GetResults(), 5)
 
@@ -128,7 +128,7 @@
 		require.Equal(t, uint64(7+got.GetRank()), got.GetLook().GetReport().GetArmed(), "seen after the order")
 	}
 
-	for rank, s := range stubs {
+	for rank, s := range agents {
 		require.Len(t, s.orders, 1)
 		require.Equal(t, uint64(7+rank), s.orders[0].GetVersion())
 	}
@@ -136,52 +136,52 @@
 
 // A map goes to ranks whose agents do not know the one it is told as changes of. Guards
 // against a rank that never gets it.
-func TestMapReachesEachRank(t *testing.T) {
+func TestFanOutFallsBackToWholeMap(t *testing.T) {
 	t.Parallel()
 
-	stubs := newRankStubs(t, 4)
+	agents := newFakeRankAgents(t, 4)
 	first := lockstep.InitialMap(2, 8, 4)
 	next := first.Clone()
 	next[0][0], next[0][1] = next[0][1], next[0][0]
 
-	director := stubs[0]
+	director := agents[0]
 	director.maps.Put(3, first)
-	director.inUse = 3
+	director.activeVersion = 3
 
 	order := &wire.EngineOrder{Kind: wire.EngineOrderKind_EngineOrderPrepare, Epoch: 1, Fence: 9, Version: 4}
 	lockstep.SetMap(order, next)
 
-	r := &wire.SpreadRequest{Cluster: "trust", Members: members(stubs), LeftMillis: 10_000}
+	r := &wire.SpreadRequest{Cluster: "trust", Members: fanOutMembers(agents), LeftMillis: 10_000}
 	for _, m := range r.GetMembers() {
 		m.Version = 4
 	}
 
 	p := director.pack(order)
 
-	r.Order = p.changes
-	answer, err := stubs[1].peer(stubs[1].target()).Spread(t.Context(), r)
+	r.Order = p.delta
+	answer, err := agents[1].peer(agents[1].target()).Spread(t.Context(), r)
 	require.NoError(t, err)
 	require.True(t, answer.GetNoBase(), "it does not know map 3")
 
-	r.Order = p.whole
-	answer, err = director.peer(stubs[1].target()).Spread(t.Context(), r)
+	r.Order = p.full
+	answer, err = director.peer(agents[1].target()).Spread(t.Context(), r)
 	require.NoError(t, err)
 	require.Len(t, answer.GetResults(), 4)
 
-	for _, s := range stubs {
-		require.Equal(t, next, lockstep.MapFromOrder(s.last()))
+	for _, s := range agents {
+		require.Equal(t, next, lockstep.MapFromOrder(s.lastOrder()))
 	}
 }
 
 // The counts of ranks are added up by one agent again and again, while another one does not
 // answer. Guards against sums that fall, or that count additions twice.
-func TestCountsAreAddedUp(t *testing.T) {
+func TestCountsAreSummed(t *testing.T) {
 	t.Parallel()
 
-	stubs := newRankStubs(t, 3)
-	at := func(i int) string { return stubs[i].Listener.Addr().String() }
+	agents := newFakeRankAgents(t, 3)
+	at := func(i int) string { return agents[i].Listener.Addr().String() }
 	ask := func() []uint64 {
-		_, counts, err := stubs[0].askCounts(t.Context(), at(1), &wire.LookRequest{Cluster: "trust", Counts: true, Others: []string{at(2)}})
+		_, counts, err := agents[0].fetchCounts(t.Context(), at(1), &wire.LookRequest{Cluster: "trust", Counts: true, Others: []string{at(2)}})
 		require.NoError(t, err)
 
 		return counts
@@ -189,24 +189,24 @@
 
 	require.Equal(t, []uint64{2 + 3, 20}, ask())
 
-	stubs[1].counts = []uint64{12, 15}
+	agents[1].counts = []uint64{12, 15}
 	require.Equal(t, []uint64{12 + 3, 25}, ask())
-	require.NoError(t, stubs[2].Listener.Close())
-	stubs[2].Engine.Report = func(context.Context) (lockstep.Report, error) { return lockstep.Report{}, errNotTold }
+	require.NoError(t, agents[2].Listener.Close())
+	agents[2].Engine.Report = func(context.Context) (lockstep.Report, error) { return lockstep.Report{}, errNoRankAnswer }
 
-	stubs[1].counts = []uint64{14, 15}
+	agents[1].counts = []uint64{14, 15}
 	require.Equal(t, []uint64{14 + 3, 25}, ask(), "what it told last stands")
 }
 
 // One answer in ten is lost. Guards against a round that takes its whole time for it.
-func TestLateAnswersAreLeftOut(t *testing.T) {
+func TestGatherMostSkipsLateAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 
 		began := time.Now()
-		got := mostOf(ctx, 10, func(ctx context.Context, i int) int {
+		got := gatherMost(ctx, 10, func(ctx context.Context, i int) int {
 			if i == 4 {
 				<-ctx.Done()
 
--- a/internal/role/followclients.go
+++ b/internal/role/followclients.go
@@ -17,15 +17,15 @@
 	clients sync.Map // of *http.Client, by address
 }
 
-// ask asks a control VM over a connection of its own. One that went silent is
+// poll asks a control VM over a connection of its own. One that went silent is
 // given up with its question, and the next one dials anew.
-func (c *followClients) ask(ctx context.Context, control netip.AddrPort, q *wire.FollowRequest) (*wire.FollowResponse, error) {
-	kept, ok := c.clients.Load(control)
+func (c *followClients) poll(ctx context.Context, control netip.AddrPort, q *wire.FollowRequest) (*wire.FollowResponse, error) {
+	stored, ok := c.clients.Load(control)
 	if !ok {
-		kept, _ = c.clients.LoadOrStore(control, newFollowClient())
+		stored, _ = c.clients.LoadOrStore(control, newFollowClient())
 	}
 
-	client := kept.(*http.Client)
+	client := stored.(*http.Client)
 
 	out, err := wire.NewPublisherProtobufClient("http://"+control.String(), client).Follow(ctx, q)
 	if err != nil {
@@ -36,9 +36,9 @@
 }
 
 func newFollowClient() *http.Client {
-	dialer := &identity.Dialer{Timeout: controlDial}
+	dialer := &identity.Dialer{Timeout: controlDialTimeout}
 
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.Dial, IdleConnTimeout: controlIdle, MaxIdleConnsPerHost: 1, DisableCompression: true,
+		DialContext: dialer.Dial, IdleConnTimeout: controlIdleTimeout, MaxIdleConnsPerHost: 1, DisableCompression: true,
 	}}
 }
--- a/internal/role/member.go
+++ b/internal/role/member.go
@@ -32,8 +32,8 @@
 const (
 	memberDirMode  fs.FileMode = 0o750
 	memberFileMode fs.FileMode = 0o600
-	// memberSuffix is how many random bytes tell a member from others of its VM.
-	memberSuffix = 6
+	// memberSuffixBytes is how many random bytes tell a member from others of its VM.
+	memberSuffixBytes = 6
 )
 
 // MemberOptions say how a member is made.
@@ -46,9 +46,9 @@
 
 // OpenMember reads the member from the data folder, or makes one: a founder where
 // the deployment starts for the first time and own is a seed.
-func OpenMember(dir string, own netip.AddrPort, seeds []netip.AddrPort, o MemberOptions) (*Member, error) {
+func OpenMember(dir string, self netip.AddrPort, seeds []netip.AddrPort, o MemberOptions) (*Member, error) {
 	if o.Volatile {
-		return newMember(own, membership.VolatileIDMarker), nil
+		return newMember(self, membership.VolatileIDMarker), nil
 	}
 
 	if err := os.MkdirAll(dir, memberDirMode); err != nil {
@@ -66,21 +66,21 @@
 		return nil, eris.Wrap(err, "read "+memberFile)
 	}
 
-	m := newMember(own, "-")
-	if o.Bootstrap && slices.Contains(seeds, own) {
-		m = &Member{ID: own.Addr().String(), Found: seeds}
+	m := newMember(self, "-")
+	if o.Bootstrap && slices.Contains(seeds, self) {
+		m = &Member{ID: self.Addr().String(), Found: seeds}
 	}
 
 	return m, m.write(dir)
 }
 
 // newMember returns a member that joins, under an ID that no VM had before.
-func newMember(own netip.AddrPort, mark string) *Member {
-	var suffix [memberSuffix]byte
+func newMember(self netip.AddrPort, marker string) *Member {
+	var suffix [memberSuffixBytes]byte
 
 	_, _ = rand.Read(suffix[:]) // it never fails
 
-	return &Member{ID: own.Addr().String() + mark + hex.EncodeToString(suffix[:])}
+	return &Member{ID: self.Addr().String() + marker + hex.EncodeToString(suffix[:])}
 }
 
 // write makes the member durable before it says a word: else a power loss could
@@ -91,10 +91,10 @@
 		return eris.Wrap(err, "write "+memberFile)
 	}
 
-	return replaceFile(filepath.Join(dir, memberFile), data)
+	return writeFileAtomic(filepath.Join(dir, memberFile), data)
 }
 
-func syncFolder(dir string) error {
+func syncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
 		return eris.Wrap(err, "sync data folder")
@@ -103,9 +103,9 @@
 	return eris.Wrap(errors.Join(d.Sync(), d.Close()), "sync data folder")
 }
 
-// replaceFile replaces a file so that it is there as it was, or as it is to be, also
+// writeFileAtomic replaces a file so that it is there as it was, or as it is to be, also
 // after a loss of power.
-func replaceFile(path string, data []byte) error {
+func writeFileAtomic(path string, data []byte) error {
 	tmp := path + ".tmp"
 
 	f, err := os.OpenFile(filepath.Clean(tmp), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, memberFileMode)
@@ -122,7 +122,7 @@
 		return eris.Wrap(err, "write "+path)
 	}
 
-	return syncFolder(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
 // Founders returns the first members of the set, or none for one that joins.
--- a/internal/role/member_test.go
+++ b/internal/role/member_test.go
@@ -21,7 +21,7 @@
 // A control VM is the same member as long as its data folder is there, whatever its
 // settings say by then, and another one when the folder is lost: what the lost one
 // voted and acknowledged must not be counted for it.
-func TestMemberIsWhoItsFolderSays(t *testing.T) {
+func TestMemberIsReadFromDataFolder(t *testing.T) {
 	t.Parallel()
 
 	dir := t.TempDir()
@@ -49,7 +49,7 @@
 }
 
 // More VMs with disks than seeds start for the first time: those that are no seeds join.
-func TestMemberThatIsNoSeedJoins(t *testing.T) {
+func TestNonSeedJoins(t *testing.T) {
 	t.Parallel()
 
 	m, err := role.OpenMember(t.TempDir(), netip.MustParseAddrPort("10.0.0.3:7300"), []netip.AddrPort{seedOne, seedTwo}, bootstrap)
@@ -68,7 +68,7 @@
 }
 
 // A member file that cannot be read is no reason to make another member.
-func TestUnreadableMember(t *testing.T) {
+func TestCorruptMemberFileIsAnError(t *testing.T) {
 	t.Parallel()
 
 	dir := t.TempDir()
--- a/internal/role/members.go
+++ b/internal/role/membersservice.go
@@ -42,7 +42,7 @@
 // Change implements wire.Members.
 func (s *membersService) Change(ctx context.Context, c *wire.MemberChange) (*wire.MemberChanged, error) {
 	if err := s.change(ctx, c); err != nil {
-		return nil, memberFault(err)
+		return nil, memberChangeError(err)
 	}
 
 	s.role.Logs.Logger("control").Info("control VMs changed", "change", c.GetKind().String(), "id", c.GetID())
@@ -70,8 +70,8 @@
 	}
 }
 
-// memberFault says whether a change that failed may still come about.
-func memberFault(err error) error {
+// memberChangeError says whether a change that failed may still come about.
+func memberChangeError(err error) error {
 	if verdict.Of(err) == verdict.NotRun {
 		return twirp.NewError(twirp.FailedPrecondition, "nothing was changed: "+err.Error())
 	}
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -10,51 +10,51 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// peerGrace is how long a control VM that left the set is still asked whom it
+// formerPeerRetention is how long a control VM that left the set is still asked whom it
 // heard from. For a lease it may have answered polls as a member; a decision that
 // came into force without its word could then be acted against.
-const peerGrace = 10 * time.Second
+const formerPeerRetention = 10 * time.Second
 
-// peerList is the other control VMs by the members of the log, with those of the
+// peerTracker is the other control VMs by the members of the log, with those of the
 // settings while this process cannot know who left just before it started.
-type peerList struct {
+type peerTracker struct {
 	started time.Time
 
-	mu   sync.Mutex
-	seen map[string]peerSeen
+	mu    sync.Mutex
+	peers map[string]trackedPeer
 }
 
-// peerSeen is when a control VM was last a member, and where.
-type peerSeen struct {
-	member quorum.Member
-	at     time.Time
+// trackedPeer is when a control VM was last a member, and where.
+type trackedPeer struct {
+	member       quorum.Member
+	lastMemberAt time.Time
 }
 
-// of returns the control VMs to ask at now.
-func (l *peerList) of(now time.Time, self string, members, settings []quorum.Member) []quorum.Member {
+// update returns the control VMs to ask at now.
+func (l *peerTracker) update(now time.Time, self string, members, settings []quorum.Member) []quorum.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	if l.seen == nil {
-		l.seen = make(map[string]peerSeen)
+	if l.peers == nil {
+		l.peers = make(map[string]trackedPeer)
 	}
 
 	for _, m := range settings {
-		if now.Sub(l.started) < peerGrace {
-			l.seen[m.ID] = peerSeen{member: m, at: now}
+		if now.Sub(l.started) < formerPeerRetention {
+			l.peers[m.ID] = trackedPeer{member: m, lastMemberAt: now}
 		}
 	}
 
 	for _, m := range members {
-		l.seen[m.ID] = peerSeen{member: m, at: now}
+		l.peers[m.ID] = trackedPeer{member: m, lastMemberAt: now}
 	}
 
 	var out []quorum.Member
 
-	for id, p := range l.seen {
+	for id, p := range l.peers {
 		switch {
-		case now.Sub(p.at) > peerGrace:
-			delete(l.seen, id)
+		case now.Sub(p.lastMemberAt) > formerPeerRetention:
+			delete(l.peers, id)
 		case id != self:
 			out = append(out, p.member)
 		}
@@ -72,7 +72,7 @@
 
 	var out []control.Peer
 
-	for _, m := range r.peers.of(time.Now(), r.VM, members, r.Peers) {
+	for _, m := range r.peerTracker.update(time.Now(), r.VM, members, r.Peers) {
 		client := wire.NewControlPeerProtobufClient("http://"+m.Addr.String(), r.client)
 		out = append(out, control.Peer{Name: m.ID, RecentPolls: func(ctx context.Context) (*wire.HeardResponse, error) {
 			return client.Heard(ctx, &wire.HeardRequest{Cluster: r.Cluster})
--- a/internal/role/peers_test.go
+++ b/internal/role/peers_test.go
@@ -22,18 +22,18 @@
 // the removed one for as long as a process may hold a lease from it: a zone
 // would else be said to be out while that process still sends into it. Then it
 // is forgotten, or each later decision would wait for a VM that is gone.
-func TestPeersFollowTheMembers(t *testing.T) {
+func TestRemovedPeerIsKeptForALease(t *testing.T) {
 	t.Parallel()
 
 	start := time.Unix(1000, 0)
 	a, b, c, d := quorum.Member{ID: "a"}, quorum.Member{ID: "b"}, quorum.Member{ID: "c"}, quorum.Member{ID: "d"}
 	settings := []quorum.Member{b, c}
-	l := &peerList{started: start}
+	l := &peerTracker{started: start}
 
-	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.of(start, "a", nil, settings)), "by the settings at first")
+	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(start, "a", nil, settings)), "by the settings at first")
 
 	later := start.Add(time.Minute)
-	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.of(later, "a", []quorum.Member{a, b, c}, settings)))
-	require.ElementsMatch(t, []string{"b", "c", "d"}, idsOf(l.of(later.Add(time.Second), "a", []quorum.Member{a, b, d}, settings)))
-	require.ElementsMatch(t, []string{"b", "d"}, idsOf(l.of(later.Add(peerGrace+time.Second), "a", []quorum.Member{a, b, d}, settings)))
+	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(later, "a", []quorum.Member{a, b, c}, settings)))
+	require.ElementsMatch(t, []string{"b", "c", "d"}, idsOf(l.update(later.Add(time.Second), "a", []quorum.Member{a, b, d}, settings)))
+	require.ElementsMatch(t, []string{"b", "d"}, idsOf(l.update(later.Add(formerPeerRetention+time.Second), "a", []quorum.Member{a, b, d}, settings)))
 }
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -15,16 +15,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// rankCheck is how often an agent looks whether its target is a rank.
-const rankCheck = 200 * time.Millisecond
+// rankCheckInterval is how often an agent looks whether its target is a rank.
+const rankCheckInterval = 200 * time.Millisecond
 
 // runRank waits until the target announces itself as a rank of a group, and
 // carries that rank from then on.
 func (r *Agent) runRank(ctx context.Context) error {
-	tick := time.NewTicker(rankCheck)
+	tick := time.NewTicker(rankCheckInterval)
 	defer tick.Stop()
 
-	for r.shell.Node().GetGroup() == "" {
+	for r.agent.Node().GetGroup() == "" {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -32,23 +32,23 @@
 		}
 	}
 
-	k := r.newRank(r.shell.Node())
-	k.Init()
-	r.rank.Store(k)
-	r.Logs.Logger("rank").Info("target is a rank", "group", k.Group, "rank", k.Number)
+	rk := r.newRank(r.agent.Node())
+	rk.Init()
+	r.rank.Store(rk)
+	r.Logs.Logger("rank").Info("target is a rank", "group", rk.Group, "rank", rk.Number)
 
-	return k.Run(ctx)
+	return rk.Run(ctx)
 }
 
 func (r *Agent) newRank(n *wire.Node) *rank.Rank {
-	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDial}
+	dialer := &identity.Dialer{Identity: r.Identity, Timeout: agentDialTimeout}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.Dial, DisableKeepAlives: true}}
 
 	return &rank.Rank{
 		Group: n.GetGroup(), Number: int(n.GetRank()), AgentStartSeconds: r.Incarnation / uint64(time.Second),
-		EngineAddress: r.shell.TargetAddress,
-		InitialMap:    func() []byte { return r.firstMap(n.GetGroup()) },
-		PeerAddresses: func() []netip.AddrPort { return r.peers(n.GetGroup()) },
+		EngineAddress: r.agent.TargetAddress,
+		InitialMap:    func() []byte { return r.initialMap(n.GetGroup()) },
+		PeerAddresses: func() []netip.AddrPort { return r.peerAddresses(n.GetGroup()) },
 		QueryPeer: func(ctx context.Context, to netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error) {
 			return wire.NewRankProtobufClient("http://"+to.String(), client).Ask(ctx, q)
 		},
@@ -56,8 +56,8 @@
 	}
 }
 
-// firstMap returns the map that follows from the declared shape of a group.
-func (r *Agent) firstMap(group string) []byte {
+// initialMap returns the map that follows from the declared shape of a group.
+func (r *Agent) initialMap(group string) []byte {
 	g, ok := r.reader.Snapshot().Group(group)
 	if !ok {
 		return nil
@@ -71,8 +71,8 @@
 	return m.Encode()
 }
 
-// peers returns the addresses of the group's other ranks.
-func (r *Agent) peers(group string) []netip.AddrPort {
+// peerAddresses returns the addresses of the group's other ranks.
+func (r *Agent) peerAddresses(group string) []netip.AddrPort {
 	var out []netip.AddrPort
 
 	for _, n := range r.reader.Snapshot().Nodes() {
@@ -94,8 +94,8 @@
 }
 
 func (s *rankService) get() (*rank.Rank, error) {
-	if k := s.role.rank.Load(); k != nil {
-		return k, nil
+	if rk := s.role.rank.Load(); rk != nil {
+		return rk, nil
 	}
 
 	return nil, twirp.NewError(twirp.NotFound, "the target is no rank of a group")
@@ -103,30 +103,30 @@
 
 // Order implements wire.Rank.
 func (s *rankService) Order(ctx context.Context, o *wire.RankOrder) (*wire.RankStatus, error) {
-	k, err := s.get()
+	rk, err := s.get()
 	if err != nil {
 		return nil, err
 	}
 
-	return k.Order(ctx, o)
+	return rk.Order(ctx, o)
 }
 
 // Ask implements wire.Rank.
 func (s *rankService) Ask(ctx context.Context, q *wire.RankQuestion) (*wire.RankAnswer, error) {
-	k, err := s.get()
+	rk, err := s.get()
 	if err != nil {
 		return nil, err
 	}
 
-	return k.Ask(ctx, q)
+	return rk.Ask(ctx, q)
 }
 
 // Report implements wire.Rank.
 func (s *rankService) Report(ctx context.Context, q *wire.RankQuestion) (*wire.RankReport, error) {
-	k, err := s.get()
+	rk, err := s.get()
 	if err != nil {
 		return nil, err
 	}
 
-	return k.Report(ctx, q)
+	return rk.Report(ctx, q)
 }
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// rankWatch is how often an agent looks whether its rank is the first one.
-	rankWatch = 200 * time.Millisecond
-	// rankPeer bounds one question to another agent; then its engine is asked itself.
-	rankPeer = 70 * time.Millisecond
-	// rankSum bounds a question to one that asks others before it answers.
-	rankSum = 2 * rankPeer
-	// directorPeer bounds a question whether the directing agent lives: it may be slow while it
+	// rankWatchInterval is how often an agent looks whether its rank is the first one.
+	rankWatchInterval = 200 * time.Millisecond
+	// peerTimeout bounds one question to another agent; then its engine is asked itself.
+	peerTimeout = 70 * time.Millisecond
+	// peerSumTimeout bounds a question to one that asks others before it answers.
+	peerSumTimeout = 2 * peerTimeout
+	// directorCheckTimeout bounds a question whether the directing agent lives: it may be slow while it
 	// speaks to all ranks of a large group, and must not be taken for gone then.
-	directorPeer = 250 * time.Millisecond
-	// rankStop bounds how long a stopping agent finishes a switch.
-	rankStop = 3 * time.Second
+	directorCheckTimeout = 250 * time.Millisecond
+	// switchStopTimeout bounds how long a stopping agent finishes a switch.
+	switchStopTimeout = 3 * time.Second
 )
 
 // RankAgent is the role of an agent beside a rank of a lock-step group. Its fields
@@ -55,57 +55,57 @@
 	logger   *slog.Logger
 	follower *view.Follower
 	clients  followClients
-	peers    *http.Client
+	peerHTTP *http.Client
 
-	// relay is the entry that is tried first.
-	relay atomic.Int32
-	// tried is the highest version of a map that this agent tried, in any epoch.
-	tried uint64
+	// relayIndex is the entry that is tried first.
+	relayIndex atomic.Int32
+	// highestAttempted is the highest version of a map that this agent tried, in any epoch.
+	highestAttempted uint64
 
-	engines engines
+	engines engineCache
 
 	// mu guards the maps that this agent knows, and which of them is in use.
-	mu    sync.Mutex
-	maps  lockstep.MapCache
-	inUse uint64
-	// packed is the map that was packed last, for all ranks that it goes to.
-	packed *packedOrder
-	// told are counts as they were told to other agents, heard what they told of theirs.
-	told  lockstep.CountEncoder
-	heard map[string]*lockstep.CountDecoder
-	// helpers are which of its ranks helped last in each part of the group.
-	helpers map[int]int
+	mu            sync.Mutex
+	maps          lockstep.MapCache
+	activeVersion uint64
+	// lastPacked is the map that was packed last, for all ranks that it goes to.
+	lastPacked *packedOrder
+	// countEncoder are counts as they were told to other agents, heard what they told of theirs.
+	countEncoder  lockstep.CountEncoder
+	countDecoders map[string]*lockstep.CountDecoder
+	// helperIndex are which of its ranks helped last in each part of the group.
+	helperIndex map[int]int
 }
 
 // Run runs the role until ctx ends.
 func (a *RankAgent) Run(ctx context.Context) error {
 	a.logger = a.Logs.Logger("rank")
-	a.engines.at = a.EngineAt
+	a.engines.newEngine = a.EngineAt
 	a.Dump.Add("Rank", func() any {
 		r, err := a.Engine.Report(ctx)
 
 		return RankState{Report: r, Error: errorText(err)}
 	})
-	a.peers = newFollowClient()
-	a.told.Mark = uint64(time.Now().UnixMicro())
-	a.heard = make(map[string]*lockstep.CountDecoder)
+	a.peerHTTP = newFollowClient()
+	a.countEncoder.Mark = uint64(time.Now().UnixMicro())
+	a.countDecoders = make(map[string]*lockstep.CountDecoder)
 
 	mux := http.NewServeMux()
 	mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(a))
 
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: controlTry}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: controlRequestTimeout}
 
 	g, work := errgroup.WithContext(ctx)
-	g.Go(func() error { return serve(web, a.Listener, "ranks") })
+	g.Go(func() error { return serve(server, a.Listener, "ranks") })
 	g.Go(func() error {
 		t := &loadreport.Publisher{Cluster: a.Cluster, Conn: a.LoadConn, Load: a.load, Logger: a.logger}
 
 		return t.Run(work)
 	})
 	g.Go(func() error {
-		a.watch(work)
+		a.watchRank(work)
 
-		return eris.Wrap(web.Close(), "close ranks")
+		return eris.Wrap(server.Close(), "close ranks")
 	})
 
 	a.logger.Info("Started.", "zone", a.Zone)
@@ -119,10 +119,10 @@
 // standbyRank is the rank whose agent stands by for the directing one.
 const standbyRank = 1
 
-// watch directs the group while this VM's rank is its first one, and stands by
+// watchRank directs the group while this VM's rank is its first one, and stands by
 // while it is the second.
-func (a *RankAgent) watch(ctx context.Context) {
-	tick := time.NewTicker(rankWatch)
+func (a *RankAgent) watchRank(ctx context.Context) {
+	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
 
 	for {
@@ -149,7 +149,7 @@
 	defer stopFollowing()
 
 	a.follower = &view.Follower{
-		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.ask,
+		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.poll,
 		// A configuration of 1,773 routes, which each control VM sends as it changes, kept
 		// a link of 8 Mbit/s busy for a second, and the directing agent deaf.
 		ServicesOnly: true,
@@ -170,48 +170,48 @@
 
 	go func() {
 		defer close(done)
-		a.serveGroup(ctx, shape, r)
+		a.runGroup(ctx, shape, r)
 	}()
 
 	<-ctx.Done()
 
 	select {
 	case <-done:
-	case <-time.After(rankStop):
+	case <-time.After(switchStopTimeout):
 		a.logger.Warn("A switch was not finished in time.")
 	}
 }
 
-// serveGroup directs the group, or stands by.
-func (a *RankAgent) serveGroup(ctx context.Context, shape lockstep.Shape, r lockstep.Report) {
-	a.forgetCounts()
+// runGroup directs the group, or stands by.
+func (a *RankAgent) runGroup(ctx context.Context, shape lockstep.Shape, r lockstep.Report) {
+	a.resetCounts()
 
 	logger := a.Logs.Logger("experts")
-	ranks := lockstep.GroupClient{Size: r.Size, Epoch: r.Epoch, Poll: a.lookAt(r), Order: a.orderAt(r), FanOut: a.spreadOver(r)}
+	ranks := lockstep.GroupClient{Size: r.Size, Epoch: r.Epoch, Poll: a.pollFunc(r), Order: a.orderFunc(r), FanOut: a.fanOutFunc(r)}
 
 	if r.Rank == standbyRank {
 		s := &lockstep.Standby{
 			Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger,
-			DirectorAlive: func(ctx context.Context) bool { return a.answers(ctx, r, 0) },
+			DirectorAlive: func(ctx context.Context) bool { return a.peerAnswers(ctx, r, 0) },
 		}
 		s.Run(ctx)
 
 		return
 	}
 
-	d := &lockstep.Director{Shape: shape, Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, HighestAttempted: a.tried}
+	d := &lockstep.Director{Shape: shape, Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, HighestAttempted: a.highestAttempted}
 	d.Run(ctx)
-	a.tried = d.HighestAttempted
+	a.highestAttempted = d.HighestAttempted
 }
 
-// answers reports whether the agent beside a rank answers.
-func (a *RankAgent) answers(ctx context.Context, group lockstep.Report, rank int) bool {
+// peerAnswers reports whether the agent beside a rank answers.
+func (a *RankAgent) peerAnswers(ctx context.Context, group lockstep.Report, rank int) bool {
 	t, err := a.target(group, rank)
 	if err != nil {
 		return true
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, directorPeer)
+	ctx, cancel := context.WithTimeout(ctx, directorCheckTimeout)
 	defer cancel()
 
 	_, err = a.peer(t).Look(ctx, &wire.LookRequest{Cluster: a.Cluster})
@@ -221,8 +221,8 @@
 
 // watchEpoch ends ctx once the group has another epoch or this rank is not the
 // first one any more.
-func (a *RankAgent) watchEpoch(ctx context.Context, stop context.CancelFunc, was lockstep.Report) {
-	tick := time.NewTicker(rankWatch)
+func (a *RankAgent) watchEpoch(ctx context.Context, stop context.CancelFunc, initial lockstep.Report) {
+	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
 
 	for {
@@ -232,7 +232,7 @@
 		case <-tick.C:
 		}
 
-		if r, err := a.Engine.Report(ctx); err == nil && (r.Epoch != was.Epoch || r.Rank != was.Rank || r.Group != was.Group || r.Size != was.Size) {
+		if r, err := a.Engine.Report(ctx); err == nil && (r.Epoch != initial.Epoch || r.Rank != initial.Rank || r.Group != initial.Group || r.Size != initial.Size) {
 			stop()
 
 			return
@@ -245,7 +245,7 @@
 	for {
 		f := a.follower.State()
 
-		if ranks, service := a.ranks(f, r); len(ranks) == r.Size && f.Table != nil {
+		if ranks, service := a.rankTargets(f, r); len(ranks) == r.Size && f.Table != nil {
 			if s := f.Table.Service(service); s != nil && s.Experts.Sets > 0 {
 				return lockstep.Shape{
 					Sets: s.Experts.Sets, Experts: s.Experts.Experts, Ranks: r.Size,
@@ -261,7 +261,7 @@
 		select {
 		case <-ctx.Done():
 			return lockstep.Shape{}, false
-		case <-time.After(rankWatch / 4):
+		case <-time.After(rankWatchInterval / 4):
 		}
 	}
 }
--- a/internal/role/rankpeers.go
+++ b/internal/role/rankpeers.go
@@ -11,9 +11,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// ranks returns the targets of a group by rank, and their service. An earlier
+// rankTargets returns the targets of a group by rank, and their service. An earlier
 // incarnation that the directory still holds gives way to the later one.
-func (a *RankAgent) ranks(f *view.ClusterState, r lockstep.Report) (map[int]directory.Target, string) {
+func (a *RankAgent) rankTargets(f *view.ClusterState, r lockstep.Report) (map[int]directory.Target, string) {
 	out := make(map[int]directory.Target)
 	service := ""
 
@@ -27,15 +27,15 @@
 	return out, service
 }
 
-// errNoRank says that the directory names no target for a rank.
-var errNoRank = errors.New("role: the rank's target is not known")
+// errUnknownRank says that the directory names no target for a rank.
+var errUnknownRank = errors.New("role: the rank's target is not known")
 
 func (a *RankAgent) target(r lockstep.Report, rank int) (directory.Target, error) {
-	ranks, _ := a.ranks(a.follower.State(), r)
+	ranks, _ := a.rankTargets(a.follower.State(), r)
 
 	t, ok := ranks[rank]
 	if !ok {
-		return t, errNoRank
+		return t, errUnknownRank
 	}
 
 	return t, nil
@@ -44,22 +44,22 @@
 // peerAddress returns where the agent beside a target listens: at this agent's own
 // port.
 func (a *RankAgent) peerAddress(t directory.Target) string {
-	own, _ := netip.ParseAddrPort(a.Listener.Addr().String())
+	self, _ := netip.ParseAddrPort(a.Listener.Addr().String())
 
-	return netip.AddrPortFrom(t.Address.Addr(), own.Port()).String()
+	return netip.AddrPortFrom(t.Address.Addr(), self.Port()).String()
 }
 
 func (a *RankAgent) peer(t directory.Target) wire.RankPeer {
-	return wire.NewRankPeerProtobufClient("http://"+a.peerAddress(t), a.peers)
+	return wire.NewRankPeerProtobufClient("http://"+a.peerAddress(t), a.peerHTTP)
 }
 
-func (a *RankAgent) engineOf(t directory.Target) lockstep.Engine { return a.engines.of(t.Address) }
+func (a *RankAgent) engineClient(t directory.Target) lockstep.Engine { return a.engines.get(t.Address) }
 
-func (a *RankAgent) lookAt(group lockstep.Report) func(context.Context, int, lockstep.PollRequest) (lockstep.PollResult, error) {
+func (a *RankAgent) pollFunc(group lockstep.Report) func(context.Context, int, lockstep.PollRequest) (lockstep.PollResult, error) {
 	return func(ctx context.Context, rank int, q lockstep.PollRequest) (lockstep.PollResult, error) {
-		others := a.neighbours(group, rank, q)
+		others := a.countNeighbours(group, rank, q)
 		if rank == group.Rank {
-			return a.look(ctx, q, others)
+			return a.pollLocal(ctx, q, others)
 		}
 
 		t, err := a.target(group, rank)
@@ -67,46 +67,46 @@
 			return lockstep.PollResult{}, err
 		}
 
-		return a.lookAtRank(ctx, t, q, others)
+		return a.pollTarget(ctx, t, q, others)
 	}
 }
 
-// lookAtRank looks at the rank of a target by way of the agent beside it.
-func (a *RankAgent) lookAtRank(ctx context.Context, t directory.Target, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
-	if a.own(t) {
-		return a.look(ctx, q, others)
+// pollTarget looks at the rank of a target by way of the agent beside it.
+func (a *RankAgent) pollTarget(ctx context.Context, t directory.Target, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
+	if a.isLocal(t) {
+		return a.pollLocal(ctx, q, others)
 	}
 
-	within := rankPeer
+	timeout := peerTimeout
 	if len(others) > 0 {
-		within = rankSum
+		timeout = peerSumTimeout
 	}
 
-	try, cancel := context.WithTimeout(ctx, within)
+	attemptCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
 	r := &wire.LookRequest{Cluster: a.Cluster, Counts: q.Counts, Lists: q.Experts, Others: others}
 
 	if q.Counts {
-		out, counts, err := a.askCounts(try, a.peerAddress(t), r)
+		out, counts, err := a.fetchCounts(attemptCtx, a.peerAddress(t), r)
 		if err == nil {
-			l := lookFromWire(out)
+			l := pollResultFromWire(out)
 			l.Counts = counts
 
 			return l, nil
 		}
-	} else if out, err := a.peer(t).Look(try, r); err == nil {
-		return lookFromWire(out), nil
+	} else if out, err := a.peer(t).Look(attemptCtx, r); err == nil {
+		return pollResultFromWire(out), nil
 	}
 
 	// Its agent may just be starting again. The report alone is cheap from afar.
-	report, err := a.engineOf(t).Report(ctx)
+	report, err := a.engineClient(t).Report(ctx)
 
 	return lockstep.PollResult{Report: report}, err
 }
 
-// neighbours returns the agents whose counts a rank's agent is to add to its own.
-func (a *RankAgent) neighbours(group lockstep.Report, rank int, q lockstep.PollRequest) []string {
+// countNeighbours returns the agents whose counts a rank's agent is to add to its own.
+func (a *RankAgent) countNeighbours(group lockstep.Report, rank int, q lockstep.PollRequest) []string {
 	var out []string
 
 	for other := rank + 1; q.Counts && other < rank+q.SumRanks; other++ {
@@ -118,61 +118,61 @@
 	return out
 }
 
-func (a *RankAgent) orderAt(group lockstep.Report) func(context.Context, int, *wire.EngineOrder) wire.EngineResult {
+func (a *RankAgent) orderFunc(group lockstep.Report) func(context.Context, int, *wire.EngineOrder) wire.EngineResult {
 	return func(ctx context.Context, rank int, o *wire.EngineOrder) wire.EngineResult {
 		t, err := a.target(group, rank)
 		if err != nil {
 			return wire.EngineResult_EngineUnknown
 		}
 
-		sent := orderOf(a.Cluster, o.GetVersion(), o)
+		sent := copyOrder(a.Cluster, o.GetVersion(), o)
 
-		if stopsTheGroup(o) {
-			if got := a.relayed(ctx, t, sent); got != wire.EngineResult_EngineUnknown {
+		if isHoldOrGo(o) {
+			if got := a.orderThroughRelay(ctx, t, sent); got != wire.EngineResult_EngineUnknown {
 				return got
 			}
 
-			return a.engineOf(t).Order(ctx, o)
+			return a.engineClient(t).Order(ctx, o)
 		}
 
-		return a.orderRank(ctx, t, sent)
+		return a.orderTarget(ctx, t, sent)
 	}
 }
 
-// orderRank gives an order to the rank of a target by way of the agent beside it.
-func (a *RankAgent) orderRank(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
-	if a.own(t) {
+// orderTarget gives an order to the rank of a target by way of the agent beside it.
+func (a *RankAgent) orderTarget(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
+	if a.isLocal(t) {
 		return a.Engine.Order(ctx, o)
 	}
 
-	if got := a.byPeer(ctx, t, o); got != wire.EngineResult_EngineUnknown {
+	if got := a.orderThroughPeer(ctx, t, o); got != wire.EngineResult_EngineUnknown {
 		return got
 	}
 
-	return a.engineOf(t).Order(ctx, o)
+	return a.engineClient(t).Order(ctx, o)
 }
 
-// byPeer gives an order by way of the agent beside a target. A map goes as the
+// orderThroughPeer gives an order by way of the agent beside a target. A map goes as the
 // changes from the one in use, which most agents know.
-func (a *RankAgent) byPeer(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
+func (a *RankAgent) orderThroughPeer(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
-		ctx, cancel := context.WithTimeout(ctx, rankPeer)
+		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
 
-		return a.send(ctx, t, o)
+		return a.sendToPeer(ctx, t, o)
 	}
 
 	p := a.pack(o)
-	if p.changes != nil {
-		if got := a.send(ctx, t, p.changes); got != wire.EngineResult_EngineNoBase {
+	if p.delta != nil {
+		if got := a.sendToPeer(ctx, t, p.delta); got != wire.EngineResult_EngineNoBase {
 			return got
 		}
 	}
 
-	return a.send(ctx, t, p.whole)
+	return a.sendToPeer(ctx, t, p.full)
 }
 
-func (a *RankAgent) send(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
+func (a *RankAgent) sendToPeer(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	out, err := a.peer(t).Order(ctx, o)
 	if err != nil {
 		return wire.EngineResult_EngineUnknown
@@ -181,25 +181,25 @@
 	return out.GetResult()
 }
 
-// stopsTheGroup reports whether an order holds a step, or ends that. These go by a
+// isHoldOrGo reports whether an order holds a step, or ends that. These go by a
 // VM without an engine: where a rank's own VM froze just after it had given one,
 // nobody could ask its engine whether it is armed, and the group would stand still
 // until that VM wakes.
-func stopsTheGroup(o *wire.EngineOrder) bool {
+func isHoldOrGo(o *wire.EngineOrder) bool {
 	return o.GetKind() == wire.EngineOrderKind_EngineOrderHold || o.GetKind() == wire.EngineOrderKind_EngineOrderGo
 }
 
-// relayTries is how many entries are tried.
-const relayTries = 2
+// maxRelayAttempts is how many entries are tried.
+const maxRelayAttempts = 2
 
-// relayed gives an order by way of an entry.
-func (a *RankAgent) relayed(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
+// orderThroughRelay gives an order by way of an entry.
+func (a *RankAgent) orderThroughRelay(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	relays := a.follower.State().Relays
 
-	for i := range min(relayTries, len(relays)) {
-		at := relays[(int(a.relay.Load())+i)%len(relays)]
-		try, cancel := context.WithTimeout(ctx, rankPeer)
-		out, err := wire.NewEngineRelayProtobufClient("http://"+at.String(), a.peers).Relay(try, &wire.RelayedOrder{Engine: t.Address.String(), Order: o})
+	for i := range min(maxRelayAttempts, len(relays)) {
+		addr := relays[(int(a.relayIndex.Load())+i)%len(relays)]
+		attemptCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		out, err := wire.NewEngineRelayProtobufClient("http://"+addr.String(), a.peerHTTP).Relay(attemptCtx, &wire.RelayedOrder{Engine: t.Address.String(), Order: o})
 
 		cancel()
 
@@ -207,13 +207,13 @@
 			return out.GetResult()
 		}
 
-		a.relay.Add(1)
+		a.relayIndex.Add(1)
 	}
 
 	return wire.EngineResult_EngineUnknown
 }
 
-func lookFromWire(w *wire.LookAnswer) lockstep.PollResult {
+func pollResultFromWire(w *wire.LookAnswer) lockstep.PollResult {
 	l := lockstep.PollResult{Report: lockstep.ReportFromWire(w.GetReport()), Counts: w.GetCounts(), MapVersion: w.GetListsOf()}
 
 	if len(w.GetPaces()) > 0 {
--- a/internal/role/rankserver.go
+++ b/internal/role/rankserver.go
@@ -31,14 +31,14 @@
 	return err.Error()
 }
 
-// look looks at this VM's engine, and adds the counts of others.
-func (a *RankAgent) look(ctx context.Context, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
+// pollLocal looks at this VM's engine, and adds the counts of others.
+func (a *RankAgent) pollLocal(ctx context.Context, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
 	report, err := a.Engine.Report(ctx)
 	out := lockstep.PollResult{Report: report}
 
 	if err == nil {
 		a.mu.Lock()
-		a.inUse = report.Map
+		a.activeVersion = report.Map
 		a.mu.Unlock()
 	}
 
@@ -63,23 +63,23 @@
 		return nil, errOtherCluster
 	}
 
-	l, err := a.look(ctx, lockstep.PollRequest{Counts: r.GetCounts(), Experts: r.GetLists()}, r.GetOthers())
+	l, err := a.pollLocal(ctx, lockstep.PollRequest{Counts: r.GetCounts(), Experts: r.GetLists()}, r.GetOthers())
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error()) //nolint:wrapcheck // the server looks for its own type
 	}
 
-	out := lookToWire(l)
+	out := pollResultToWire(l)
 
 	if r.GetCounts() {
 		a.mu.Lock()
-		a.told.Encode(out, strings.Join(r.GetOthers(), ","), l.Counts, r.GetKnown())
+		a.countEncoder.Encode(out, strings.Join(r.GetOthers(), ","), l.Counts, r.GetKnown())
 		a.mu.Unlock()
 	}
 
 	return out, nil
 }
 
-func lookToWire(l lockstep.PollResult) *wire.LookAnswer {
+func pollResultToWire(l lockstep.PollResult) *wire.LookAnswer {
 	out := &wire.LookAnswer{Report: l.Report.ToWire(), Counts: l.Counts, ListsOf: l.MapVersion}
 	for rank, pace := range l.Slowdowns {
 		out.Paces = append(out.Paces, &wire.RankPace{Rank: uint32(rank), Pace: pace})
@@ -98,7 +98,7 @@
 		return nil, errOtherCluster
 	}
 
-	ok, err := a.open(o)
+	ok, err := a.unpackOrder(o)
 
 	switch {
 	case err != nil:
@@ -110,9 +110,9 @@
 	return &wire.EngineOrderAnswer{Result: a.Engine.Order(ctx, o)}, nil
 }
 
-// open unpacks the map of an order. It reports false where that is sent as the changes
+// unpackOrder unpacks the map of an order. It reports false where that is sent as the changes
 // from a map that this agent does not know.
-func (a *RankAgent) open(o *wire.EngineOrder) (bool, error) {
+func (a *RankAgent) unpackOrder(o *wire.EngineOrder) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
--- a/internal/role/restart_test.go
+++ b/internal/role/restart_test.go
@@ -16,78 +16,78 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// vms is a set of control VMs with data folders that outlive their processes.
-type vms struct {
+// controlSet is a set of control VMs with data folders that outlive their processes.
+type controlSet struct {
 	t       *testing.T
 	dirs    []string
 	stop    context.CancelFunc
-	ended   chan error
+	done    chan error
 	control []*Control
 }
 
-func newVMs(t *testing.T, n int) *vms {
+func newControlSet(t *testing.T, n int) *controlSet {
 	t.Helper()
 
-	v := &vms{t: t}
+	s := &controlSet{t: t}
 	for range n {
-		v.dirs = append(v.dirs, t.TempDir())
+		s.dirs = append(s.dirs, t.TempDir())
 	}
 
-	return v
+	return s
 }
 
 // start starts all control VMs. Their addresses are new at each start, but for
 // the log each keeps its name and its folder.
-func (v *vms) start() {
-	v.t.Helper()
+func (s *controlSet) start() {
+	s.t.Helper()
 
 	ctx, stop := context.WithCancel(context.Background())
-	v.stop, v.ended, v.control = stop, make(chan error, len(v.dirs)), nil
+	s.stop, s.done, s.control = stop, make(chan error, len(s.dirs)), nil
 
 	var (
 		listeners []net.Listener
 		members   []quorum.Member
 	)
 
-	for i := range v.dirs {
+	for i := range s.dirs {
 		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
-		require.NoError(v.t, err)
+		require.NoError(s.t, err)
 
 		listeners = append(listeners, l)
 		members = append(members, quorum.Member{ID: fmt.Sprint("control-", i+1), Addr: netip.MustParseAddrPort(l.Addr().String())})
 	}
 
-	for i, dir := range v.dirs {
+	for i, dir := range s.dirs {
 		c := &Control{
 			VM: members[i].ID, Cluster: "trust", Zone: "ayutthaya", Incarnation: IncarnationAt(time.Now()),
-			Listener: listeners[i], Dir: dir, Founders: members, Logs: logs.Output{Writer: v.t.Output()}, Dump: &dump.Dump{},
+			Listener: listeners[i], Dir: dir, Founders: members, Logs: logs.Output{Writer: s.t.Output()}, Dump: &dump.Dump{},
 		}
 		c.Build()
-		v.control = append(v.control, c)
+		s.control = append(s.control, c)
 
-		go func() { v.ended <- c.Run(ctx) }()
+		go func() { s.done <- c.Run(ctx) }()
 	}
 }
 
-func (v *vms) end() {
-	v.t.Helper()
-	v.stop()
+func (s *controlSet) end() {
+	s.t.Helper()
+	s.stop()
 
-	for range v.control {
-		require.NoError(v.t, <-v.ended)
+	for range s.control {
+		require.NoError(s.t, <-s.done)
 	}
 }
 
 // claim asks until a leader answers.
-func (v *vms) claim(key, attempt string) *wire.ClaimResponse {
-	v.t.Helper()
+func (s *controlSet) claim(key, attempt string) *wire.ClaimResponse {
+	s.t.Helper()
 
 	var r *wire.ClaimResponse
 
-	require.Eventually(v.t, func() bool {
+	require.Eventually(s.t, func() bool {
 		var err error
 
-		r, err = v.control[0].Server().Claim(v.t.Context(), &wire.ClaimRequest{
+		r, err = s.control[0].Server().Claim(s.t.Context(), &wire.ClaimRequest{
 			Workspace: "w", Service: "desk", Key: key, BodyDigest: []byte("d"), Holder: &wire.ClaimHolder{AttemptID: attempt},
 		})
 
@@ -101,20 +101,20 @@
 // stopped and started on its disk. The resend must get the first answer, a claim
 // that was open must still name who holds it, and the operator who resends a
 // decision under its number must get its first answer.
-func TestStateOutlivesRestarts(t *testing.T) {
+func TestStateSurvivesRestart(t *testing.T) {
 	t.Parallel()
 
 	const bookings = 300
 
-	v := newVMs(t, 1)
-	v.start()
+	s := newControlSet(t, 1)
+	s.start()
 
 	for i := range bookings {
 		key := fmt.Sprint("cask-", i)
-		require.Equal(t, wire.ClaimState_ClaimGranted, v.claim(key, "first").GetState())
+		require.Equal(t, wire.ClaimState_ClaimGranted, s.claim(key, "first").GetState())
 
 		if i%2 == 0 {
-			_, err := v.control[0].Server().Settle(t.Context(), &wire.SettleRequest{
+			_, err := s.control[0].Server().Settle(t.Context(), &wire.SettleRequest{
 				Workspace: "w", Service: "desk", Key: key, AttemptID: "first", Verdict: wire.Verdict_Ran,
 				Answer: &wire.Answer{Status: 201, Body: []byte(key)},
 			})
@@ -122,15 +122,15 @@
 		}
 	}
 
-	plan := v.plan()
-	first := v.confirm(plan)
+	plan := s.plan()
+	first := s.confirm(plan)
 	require.Equal(t, wire.DecisionState_DecisionMade, first.GetState())
-	v.end()
-	v.start()
+	s.end()
+	s.start()
 
 	for i := range bookings {
 		key := fmt.Sprint("cask-", i)
-		r := v.claim(key, "second")
+		r := s.claim(key, "second")
 
 		if i%2 == 0 {
 			require.Equal(t, wire.ClaimState_ClaimRecorded, r.GetState())
@@ -141,19 +141,19 @@
 		}
 	}
 
-	again := v.confirm(plan)
+	again := s.confirm(plan)
 	require.True(t, again.GetRepeated())
 	require.Equal(t, first.GetVersion(), again.GetVersion())
-	v.end()
+	s.end()
 }
 
-func (v *vms) plan() string {
-	v.t.Helper()
+func (s *controlSet) plan() string {
+	s.t.Helper()
 
 	var id string
 
-	require.Eventually(v.t, func() bool {
-		r, err := v.control[0].Server().Plan(v.t.Context(), &wire.PlanRequest{
+	require.Eventually(s.t, func() bool {
+		r, err := s.control[0].Server().Plan(s.t.Context(), &wire.PlanRequest{
 			Operator: "ann", Source: "f.ini", Declaration: []byte("[Zone \"ayutthaya\"]\nRegion = r\n"),
 		})
 		id = r.GetPlan().GetID()
@@ -164,11 +164,11 @@
 	return id
 }
 
-func (v *vms) confirm(plan string) *wire.DecisionAnswer {
-	v.t.Helper()
+func (s *controlSet) confirm(plan string) *wire.DecisionAnswer {
+	s.t.Helper()
 
-	r, err := v.control[0].Server().Confirm(v.t.Context(), &wire.ConfirmRequest{Operator: "ann", Number: 1, PlanID: plan})
-	require.NoError(v.t, err)
+	r, err := s.control[0].Server().Confirm(s.t.Context(), &wire.ConfirmRequest{Operator: "ann", Number: 1, PlanID: plan})
+	require.NoError(s.t, err)
 
 	return r.GetAnswer()
 }
--- a/internal/role/endings.go
+++ b/internal/role/supervisor.go
@@ -15,9 +15,9 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// folderRetry is how long a control VM waits for a data folder that refuses: about
+// storageRetryDelay is how long a control VM waits for a data folder that refuses: about
 // what a supervisor takes to start a process again, which is what it saves.
-const folderRetry = 500 * time.Millisecond
+const storageRetryDelay = 500 * time.Millisecond
 
 // Supervisor run a control VM again where its part in the set has ended and its process
 // need not: it was taken out of the set, or its disk refuses. The fields are set
@@ -59,7 +59,7 @@
 			return err
 		}
 
-		if !pauses.For(ctx, folderRetry) {
+		if !pauses.For(ctx, storageRetryDelay) {
 			return nil
 		}
 	}
--- a/internal/role/endings_test.go
+++ b/internal/role/supervisor_test.go
@@ -22,23 +22,23 @@
 )
 
 var (
-	errFull     = &journal.WriteError{Op: "write", Err: &fs.PathError{Op: "write", Path: "log", Err: syscall.ENOSPC}}
+	errDiskFull = &journal.WriteError{Op: "write", Err: &fs.PathError{Op: "write", Path: "log", Err: syscall.ENOSPC}}
 	errReadOnly = &os.LinkError{Op: "rename", Old: "a", New: "b", Err: syscall.EROFS}
 )
 
-// endings runs a control VM that ends with one of errs after the other, and then runs
+// runSupervisor runs a control VM that ends with one of errs after the other, and then runs
 // until it is stopped. It returns when each run began, and what came out in the end.
-func endings(t *testing.T, errs ...error) (starts []time.Duration, cleared int, out error) {
+func runSupervisor(t *testing.T, errs ...error) (starts []time.Duration, cleared int, out error) {
 	t.Helper()
 
 	synctest.Test(t, func(*testing.T) {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
 
-		began := time.Now()
+		start := time.Now()
 		e := &role.Supervisor{
 			RunOnce: func(ctx context.Context) error {
-				starts = append(starts, time.Since(began))
+				starts = append(starts, time.Since(start))
 
 				if n := len(starts); n <= len(errs) {
 					return eris.Wrap(errs[n-1], "run control VM")
@@ -60,20 +60,20 @@
 // A control VM's disk fills up for some seconds. Its process ended, was started twice
 // a second, and ended again each time, until the disk took writes: 86 times in half a
 // minute. It waits within the process now.
-func TestFullDiskIsWaitedFor(t *testing.T) {
+func TestUnavailableStorageIsRetried(t *testing.T) {
 	t.Parallel()
 
-	starts, cleared, err := endings(t, errFull, errReadOnly, errFull)
+	starts, cleared, err := runSupervisor(t, errDiskFull, errReadOnly, errDiskFull)
 	require.NoError(t, err)
 	require.Equal(t, []time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond}, starts)
 	require.Zero(t, cleared, "what was acknowledged is on that disk")
 }
 
 // A VM that was taken out of the set while it was away joins under a new ID.
-func TestRemovedMemberJoinsAnew(t *testing.T) {
+func TestRemovedMemberRejoins(t *testing.T) {
 	t.Parallel()
 
-	starts, cleared, err := endings(t, &quorum.RemovedError{ID: "a"})
+	starts, cleared, err := runSupervisor(t, &quorum.RemovedError{ID: "a"})
 	require.NoError(t, err)
 	require.Len(t, starts, 2)
 	require.Equal(t, 1, cleared)
@@ -81,11 +81,11 @@
 
 // A log that holds something else than what was written is not mended by waiting:
 // the operators have to hear of it.
-func TestDamageEndsTheProcess(t *testing.T) {
+func TestOtherErrorsAreReturned(t *testing.T) {
 	t.Parallel()
 
 	for _, err := range []error{&journal.CorruptionError{File: "log"}, errors.New("address in use")} {
-		starts, cleared, out := endings(t, err)
+		starts, cleared, out := runSupervisor(t, err)
 		require.ErrorIs(t, out, err)
 		require.Len(t, starts, 1)
 		require.Zero(t, cleared)
@@ -93,7 +93,7 @@
 }
 
 // A data folder that cannot be made is told apart from one that holds nonsense.
-func TestRefusingFolder(t *testing.T) {
+func TestIsStorageUnavailable(t *testing.T) {
 	t.Parallel()
 
 	file := filepath.Join(t.TempDir(), "file")
