--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership decides how the set of control VMs changes by itself: which
-// learner gets a vote, and which member that is lost leaves the set. It has no
-// goroutine and reads no clock.
+// Package membership decides how the set of control VMs changes automatically: which
+// learner becomes a voter, and which failed member is removed. It starts no goroutine
+// and reads no clock.
 //
-// A control VM that lost its disk, or that stands in for another, comes under a
-// new ID as a learner. It gets a vote once it holds the log, and only then the
-// lost one loses its own: at no time does a majority hold what was acknowledged
-// in fewer places than the votes say.
+// A control VM that lost its disk, or that replaces another VM, joins under a new ID as
+// a learner. It becomes a voter once it holds the log, and only then is the failed
+// voter removed. The number of voters that store acknowledged entries thus never drops
+// below what a majority requires.
 package membership
 
 import (
@@ -17,57 +17,60 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// VolatileIDMarker stands in the ID of a member whose disk does not outlive its process.
-// It never gets a vote: what it acknowledged would be gone with each restart.
+// VolatileIDMarker is part of the ID of a member whose disk does not outlive its
+// process. Such a member never becomes a voter, because each restart would lose the
+// entries that it acknowledged.
 const VolatileIDMarker = "-volatile-"
 
-// Settings are the tunable numbers of a Roster.
+// Settings holds the parameters of a Manager.
 type Settings struct {
-	// Voters is how many votes there are to be: one more than twice the losses that
-	// must be borne.
+	// Voters is the desired number of voters: twice the number of tolerated failures,
+	// plus one.
 	Voters int
-	// VoterTimeout is how long a voter must be silent before another VM takes its place.
-	// It is longer than a planned restart.
+	// VoterTimeout is how long a voter must be inactive before another VM replaces it.
+	// It must be longer than a planned restart takes.
 	VoterTimeout time.Duration
-	// LearnerTimeout is how long a learner may be silent before it is taken out.
+	// LearnerTimeout is how long a learner must be inactive before it is removed.
 	LearnerTimeout time.Duration
 }
 
-// DefaultSettings returns the numbers for a set that bears lost losses.
+// DefaultSettings returns the settings for a set that tolerates lost failed members.
 func DefaultSettings(lost int) Settings {
 	return Settings{Voters: 2*lost + 1, VoterTimeout: 4 * time.Second, LearnerTimeout: 30 * time.Second}
 }
 
-// ChangeKind is what is done with a member.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
 const (
-	// NoChange changes nothing.
+	// NoChange means that there is nothing to do.
 	NoChange ChangeKind = iota
-	// Promote gives a learner a vote.
+	// Promote makes a learner a voter.
 	Promote
-	// Remove takes a member out.
+	// Remove removes a member.
 	Remove
 )
 
-// Change is one change of the set. They are made one at a time.
+// Change is one membership change. Changes are made one at a time.
 type Change struct {
 	Kind ChangeKind
 	ID   string
 }
 
-// Manager is a leader's memory of who has been silent since when.
+// Manager decides the membership changes of a leader. It records when each member was
+// last active.
 type Manager struct {
 	Settings Settings
 
 	lastActive map[string]time.Time
 }
 
-// Reset drops what was seen. A VM that does not lead calls it: what it saw in an
-// earlier term says nothing of now.
+// Reset drops the recorded activity. A VM that does not lead calls it, because activity
+// observed in an earlier term is out of date.
 func (r *Manager) Reset() { r.lastActive = nil }
 
-// Decide returns the next change, by what the leader named self knows of the members.
+// Decide returns the next change. It is called on the leader, whose ID is self, with
+// the leader's view of the members.
 func (r *Manager) Decide(now time.Time, self string, members []quorum.MemberStatus) Change {
 	r.observe(now, members)
 
@@ -113,8 +116,9 @@
 	return now.Sub(r.lastActive[id])
 }
 
-// voterToRemove returns the voter to take out: one whose address has a new member,
-// which is proof that its disk is gone, before one that is only silent.
+// voterToRemove returns the voter to remove, or "". An inactive voter whose address is
+// used by another active member comes first, because its disk is certainly lost;
+// otherwise it is a voter that has been inactive for VoterTimeout.
 func (r *Manager) voterToRemove(now time.Time, self string, members []quorum.MemberStatus) string {
 	inactive := ""
 
@@ -141,8 +145,8 @@
 	})
 }
 
-// learnerToPromote returns the learner to promote: up to date, the first by ID, so that a
-// new leader goes on with the same one.
+// learnerToPromote returns the learner to promote, or "": the up-to-date learner with
+// the lowest ID, so that a new leader continues with the same one.
 func (r *Manager) learnerToPromote(members []quorum.MemberStatus) string {
 	next := ""
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -23,8 +23,8 @@
 	return member(id, "10.0.0."+id[len(id)-1:]+":1", quorum.Voter, active, active)
 }
 
-// A control VM loses its disk. It comes back at its address under a new ID. It gets
-// the vote once it holds the log, and then, not before, the lost member loses its own.
+// A control VM loses its disk and returns at its address under a new ID. The new member
+// is promoted once it holds the log, and the old member is removed only after that.
 func TestMemberWithLostDiskIsReplaced(t *testing.T) {
 	t.Parallel()
 
@@ -33,7 +33,7 @@
 	back := member("c3-new", "10.0.0.3:1", quorum.Learner, true, false)
 	members := []quorum.MemberStatus{voter("c1", true), voter("c2", true), lost, back}
 
-	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members), "it does not hold the log yet")
+	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members), "the new member does not hold the log yet")
 
 	members[3].UpToDate = true
 	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c3-new"}, r.Decide(startTime, "c1", members))
@@ -44,8 +44,8 @@
 	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", []quorum.MemberStatus{members[0], members[1], members[3]}))
 }
 
-// A control VM restarts, which takes two seconds, while a spare one is there. Its
-// place must not go to the spare: each planned restart would move the whole log.
+// A control VM restarts within two seconds while a spare one is available. The spare
+// must not replace it, else each planned restart would copy the whole log.
 func TestRestartingVoterKeepsItsVote(t *testing.T) {
 	t.Parallel()
 
@@ -56,14 +56,14 @@
 
 	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
 	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(2*time.Second), "c1", members))
-	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c4-x"}, r.Decide(startTime.Add(5*time.Second), "c1", members), "it is gone for good")
+	require.Equal(t, membership.Change{Kind: membership.Promote, ID: "c4-x"}, r.Decide(startTime.Add(5*time.Second), "c1", members), "the voter has been inactive for longer than VoterTimeout")
 
 	members[3].Member.Role = quorum.Voter
 	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c3"}, r.Decide(startTime.Add(5*time.Second), "c1", members))
 }
 
-// Two losses are to be borne: the three seeds that formed the set are joined by two
-// more voters, and a sixth VM stays a learner.
+// A set that tolerates two failures starts with three voters. Two learners are
+// promoted, and a sixth VM stays a learner.
 func TestLearnersArePromotedUpToTheNumberOfVoters(t *testing.T) {
 	t.Parallel()
 
@@ -83,8 +83,8 @@
 	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
 }
 
-// Nobody stands in for a silent voter: it keeps its vote. Without it the set would
-// bear no further loss either, and it may come back with all that was acknowledged.
+// An inactive voter without a replacement keeps its vote. Removing it would not let the
+// set tolerate another failure, and it may return with all acknowledged entries.
 func TestInactiveVoterWithoutReplacementStays(t *testing.T) {
 	t.Parallel()
 
@@ -94,7 +94,7 @@
 	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(time.Hour), "c1", members))
 }
 
-// A control VM without a disk follows. However few votes there are, it gets none.
+// A control VM without a disk is never promoted, however few voters there are.
 func TestVolatileMemberNeverVotes(t *testing.T) {
 	t.Parallel()
 
@@ -105,7 +105,8 @@
 	require.Equal(t, membership.Change{}, r.Decide(startTime, "c1", members))
 }
 
-// The leader never takes itself out, and a learner that is gone is forgotten.
+// The leader never removes itself, and an inactive learner is removed after
+// LearnerTimeout. After Reset, inactivity is measured from the start again.
 func TestLeaderStaysAndInactiveLearnersAreRemoved(t *testing.T) {
 	t.Parallel()
 
@@ -119,5 +120,5 @@
 	require.Equal(t, membership.Change{Kind: membership.Remove, ID: "c5-x"}, r.Decide(startTime.Add(31*time.Second), "c1", members))
 
 	r.Reset()
-	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(32*time.Second), "c2", members), "a new leader counts anew")
+	require.Equal(t, membership.Change{}, r.Decide(startTime.Add(32*time.Second), "c2", members), "a new leader measures inactivity from the start")
 }
--- a/internal/rank/engine.go
+++ b/internal/rank/engine.go
@@ -12,14 +12,14 @@
 	"github.com/parsleygate/parsleygate/internal/expertmap"
 )
 
-// GroupPath is where a rank's engine takes orders about expert maps (POST) and
-// tells its state (GET).
+// GroupPath is the path at which a rank's engine accepts orders about expert maps
+// (POST) and returns its state (GET).
 const GroupPath = "/v1/group"
 
-// maxStateBytes bounds an engine's state, in bytes.
+// maxStateBytes bounds the size of an engine's state.
 const maxStateBytes = 8 << 20
 
-// The things that an engine is told to do.
+// Values of EngineOrder.Do.
 const (
 	DoLoad = "Load"
 	DoDrop = "Drop"
@@ -27,41 +27,44 @@
 	DoRun  = "Run"
 )
 
-// EngineOrder is an order about expert maps as the engine gets it. An engine
-// refuses one for another boot: an order meant for a former process would tell
-// the next one to run by old knowledge.
+// EngineOrder is an order about expert maps, as sent to the engine. The engine rejects
+// an order with another boot ID: the order was based on the state of a previous engine
+// process.
 type EngineOrder struct {
 	BootID string
 	// Do is Load, Drop, Hold or Run.
 	Do      string
 	Fence   uint64
 	Version uint64
-	// Placement is the map of Load.
+	// Placement is the map to load; only set for Load.
 	Placement []byte `json:",omitempty"`
-	// Step is the first step that Hold keeps from beginning; 0 stands for the next one.
+	// Step is the first step that must not begin while Hold is in effect; 0 means the
+	// next one.
 	Step uint64
-	// RunVersion rules from RunStep on, RunBefore until then.
+	// RunVersion is the map version in use from RunStep on, RunBefore the one in use
+	// before it.
 	RunVersion uint64
 	RunStep    uint64
 	RunBefore  uint64
 }
 
-// EngineState is what an engine tells of its part in the group.
+// EngineState is the state that an engine reports to its agent.
 type EngineState struct {
 	BootID string
-	// Joined is the last step that it began, Missing a version that it needs for
-	// the next one and has not loaded.
+	// Joined is the last step that the engine began. Missing is a version that it needs
+	// for the next step but has not loaded; 0 if none.
 	Joined  uint64
 	Missing uint64
-	// The counts since its boot: the time spent in expert layers, the tokens
-	// computed there, and the tokens of each expert, layer by layer.
+	// Counters since the engine's start: the time spent in expert layers, the tokens
+	// computed there, and the tokens of each expert, layer by layer. Sequence orders
+	// them.
 	Sequence   uint64
 	BusyMicros uint64
 	Work       uint64
 	Tokens     []uint64
 }
 
-// engineClient reaches one boot of the rank's engine.
+// engineClient sends requests to one boot of the rank's engine.
 type engineClient struct {
 	doRequest func(*http.Request) (*http.Response, error)
 	address   netip.AddrPort
@@ -69,13 +72,13 @@
 	placement func(v uint64) []byte
 }
 
-// actions returns the engine's side for the participant's actions.
+// actions returns the engine operations for the participant's actions.
 func (c *engineClient) actions() *expertmap.Engine {
 	return &expertmap.Engine{
 		Load: func(ctx context.Context, f expertmap.Fence, v expertmap.Version) error {
 			placement := c.placement(uint64(v))
 			if placement == nil {
-				return eris.Errorf("map %d has not come with any order yet", v)
+				return eris.Errorf("map %d was in no order received so far", v)
 			}
 
 			return c.sendOrder(ctx, &EngineOrder{Do: DoLoad, Fence: uint64(f), Version: uint64(v), Placement: placement})
@@ -99,23 +102,23 @@
 
 	body, err := json.Marshal(o)
 	if err != nil {
-		return eris.Wrap(err, "write order")
+		return eris.Wrap(err, "encode engine order")
 	}
 
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url(), bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "make order")
+		return eris.Wrap(err, "create engine request")
 	}
 
 	resp, err := c.doRequest(r)
 	if err != nil {
-		return eris.Wrap(err, "give order")
+		return eris.Wrap(err, "send engine order")
 	}
 
 	_ = resp.Body.Close()
 
 	if resp.StatusCode != http.StatusNoContent {
-		return eris.Errorf("engine refused %s: status %d", o.Do, resp.StatusCode)
+		return eris.Errorf("engine rejected %s: status %d", o.Do, resp.StatusCode)
 	}
 
 	return nil
@@ -123,24 +126,24 @@
 
 func (c *engineClient) url() string { return "http://" + c.address.String() + GroupPath }
 
-// state reads the engine's state, whatever its boot.
+// state returns the engine's state, whatever its boot ID is.
 func (c *engineClient) state(ctx context.Context) (*EngineState, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(), nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask engine")
+		return nil, eris.Wrap(err, "get engine state")
 	}
 
 	resp, err := c.doRequest(r)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask engine")
+		return nil, eris.Wrap(err, "get engine state")
 	}
 	defer func() { _ = resp.Body.Close() }()
 
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("engine's state: status %d", resp.StatusCode)
+		return nil, eris.Errorf("get engine state: status %d", resp.StatusCode)
 	}
 
 	s := &EngineState{}
 
-	return s, eris.Wrap(json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxStateBytes)).Decode(s), "read engine's state")
+	return s, eris.Wrap(json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxStateBytes)).Decode(s), "decode engine state")
 }
--- a/internal/rank/jobs.go
+++ b/internal/rank/jobs.go
@@ -15,18 +15,19 @@
 	engine *expertmap.Engine
 }
 
-// jobQueue holds the orders that the engine has yet to get, in their order.
+// jobQueue holds the orders that have not been sent to the engine yet, in the order in
+// which they were added.
 type jobQueue struct {
-	// notEmpty gets a value when there may be jobs.
+	// notEmpty receives a value when there may be jobs.
 	notEmpty chan struct{}
 
 	mu   sync.Mutex
 	jobs []*job
 }
 
-// add appends a job. A Run says all that the engine is to do from then on, so it
-// takes the place of what waits: that bounds the queue while an engine takes
-// nothing, and no Run is ever dropped.
+// add appends a job. A Run replaces all queued jobs, because it determines the engine's
+// behaviour from then on. This bounds the queue while an engine accepts nothing, and a
+// Run is dropped only for a newer one.
 func (q *jobQueue) add(j *job) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +58,8 @@
 	return j
 }
 
-// superseded reports whether a Run waits behind j, or an order for another boot.
+// superseded reports whether the next queued job is a Run, or is for another boot than
+// j.
 func (q *jobQueue) superseded(j *job) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,7 +67,7 @@
 	return len(q.jobs) > 0 && (q.jobs[0].action.Kind == expertmap.ActionRun || q.jobs[0].bootID != j.bootID)
 }
 
-// sendOrders gives the engine its orders, one after the other.
+// sendOrders sends the queued orders to the engine, one at a time.
 func (r *Rank) sendOrders(ctx context.Context) {
 	for {
 		for j := r.jobs.pop(); j != nil && ctx.Err() == nil; j = r.jobs.pop() {
@@ -90,7 +92,7 @@
 	}
 
 	if err != nil {
-		r.Logger.Debug("order failed", "group", r.Group, "error", err)
+		r.Logger.Debug("engine order failed", "group", r.Group, "error", err)
 	}
 
 	if j.action.Kind != expertmap.ActionHold {
@@ -104,10 +106,11 @@
 	})
 }
 
-// handleHoldResult takes in the outcome of a hold. One that failed may stand all the same,
-// where only its answer was lost. The rank has refused the switch then, so its
-// end will lift nothing, and the group would be held for good: the last Run is
-// given again. That is safe because a refused switch can't be committed.
+// handleHoldResult records the outcome of a Hold. A failed Hold may be in effect
+// nevertheless, if only its answer was lost. The rank has refused the switch in this
+// case, so the end of the switch releases nothing, and the group would stay held. The
+// last Run is therefore sent again. This is safe because a refused switch cannot be
+// committed.
 func (r *Rank) handleHoldResult(ctx context.Context, now time.Time, j *job, ok bool) {
 	r.perform(ctx, r.participant.Held(now, j.action.Fence, ok))
 
@@ -116,14 +119,15 @@
 	}
 }
 
-// mustRetry names the orders that are repeated until the engine took them. A
-// hold that is not lifted holds the whole group for good: nothing else lifts it.
-// A hold of no step stops a rank that does not know which map rules.
+// mustRetry reports whether an order is retried until the engine accepts it. A Run
+// releases a hold; nothing else does, and an unreleased hold blocks the whole group. A
+// Hold without a step stops an engine whose rank does not know which map version is in
+// use.
 func mustRetry(a expertmap.Action) bool {
 	return a.Kind == expertmap.ActionRun || (a.Kind == expertmap.ActionHold && a.Step == 0)
 }
 
-// isCurrentBoot reports whether the engine's boot is still the one that the job is for.
+// isCurrentBoot reports whether the engine still runs the boot that the job is for.
 func (r *Rank) isCurrentBoot(j *job) bool {
 	s := r.engineState.Load()
 
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -1,6 +1,6 @@
-// Package rank is the agent's shell around the core that carries a rank through
-// switches of its group's expert map. One goroutine owns the core; a second
-// carries orders to the engine in their order; loads run beside both.
+// Package rank runs, in an agent, the participant of one rank in switches of its
+// group's expert map. One goroutine owns the participant, a second one sends orders to
+// the engine in sequence, and maps are loaded concurrently with both.
 package rank
 
 import (
@@ -27,27 +27,28 @@
 	eventBuffer        = 256
 	maxOrderMaps       = 4
 	maxIdleEngineConns = 1
-	// engineRestartBits is how many low bits of an incarnation count the engine's restarts.
+	// engineRestartBits is the number of low bits of an incarnation that count the
+	// engine's restarts.
 	engineRestartBits = 20
 )
 
-// Rank carries one rank. Its exported fields are set before Run.
+// Rank runs the participant of one rank. Its exported fields must be set before Run.
 type Rank struct {
 	Group  string
 	Number int
 	// AgentStartSeconds is the agent's incarnation, in seconds.
 	AgentStartSeconds uint64
-	// EngineAddress returns where the engine is, as it announced itself.
+	// EngineAddress returns the address that the engine announced.
 	EngineAddress func() netip.AddrPort
-	// InitialMap returns the map that follows from the group's shape; nil while
-	// the group is not declared.
+	// InitialMap returns the map that follows from the group's declared shape; nil
+	// while the group is not declared.
 	InitialMap func() []byte
-	// PeerAddresses returns the agents of the group's other ranks.
+	// PeerAddresses returns the addresses of the agents of the group's other ranks.
 	PeerAddresses func() []netip.AddrPort
-	// QueryPeer asks a peer for the end of a switch.
+	// QueryPeer asks a peer for the outcome of a switch.
 	QueryPeer func(ctx context.Context, peer netip.AddrPort, q *wire.RankQuestion) (*wire.RankAnswer, error)
-	// CallEngine sends one HTTP request to the engine; nil stands for an HTTP
-	// client of the rank's own.
+	// CallEngine sends one HTTP request to the engine. The default is an HTTP client
+	// that belongs to the rank.
 	CallEngine func(*http.Request) (*http.Response, error)
 	Logger     *slog.Logger
 
@@ -55,10 +56,11 @@
 	events      chan event
 	jobs        jobQueue
 	goroutines  sync.WaitGroup
-	// bootID is the engine's boot that the core knows of, "" before the first word.
+	// bootID is the engine's boot ID that the participant's state refers to, "" before
+	// the engine's first report.
 	bootID string
-	// lastRun is the last Run for that boot; nil where the rank does not know
-	// which map rules.
+	// lastRun is the last Run for that boot; nil if the rank does not know which map
+	// version is in use.
 	lastRun *expertmap.Action
 
 	lastStatus  atomic.Pointer[wire.RankStatus]
@@ -66,17 +68,17 @@
 	orderMaps   atomic.Pointer[mapsOfOrder]
 }
 
-// event runs in Run's goroutine; ctx is Run's, so that what follows from a call
-// outlives the call and ends with the rank.
+// event runs in Run's goroutine. Its ctx is Run's, so that work started by a request
+// outlives the request and ends with the rank.
 type event func(ctx context.Context, now time.Time)
 
-// mapsOfOrder are the maps that came with an order, and how far the log was then.
+// mapsOfOrder holds the maps of an order, and the log index of the order's record.
 type mapsOfOrder struct {
 	asOf uint64
 	maps []*wire.GroupMap
 }
 
-// Init prepares the rank. It is called once, before Run and the service.
+// Init prepares the rank. It is called once, before Run and before any RPC.
 func (r *Rank) Init() {
 	r.participant = &expertmap.Participant{
 		Rank: r.Number, Incarnation: r.incarnation(time.Now()), StatusInterval: statusInterval, PeerQueryInterval: peerQueryInterval,
@@ -86,9 +88,9 @@
 	r.orderMaps.Store(&mapsOfOrder{})
 }
 
-// incarnation grows with every start of the agent. Whole seconds would not do:
-// an agent that died and was back within one would be taken for its former life,
-// which knew which map rules, and would never be told.
+// incarnation returns a number that is higher at each start of the agent. Whole seconds
+// are too coarse: an agent that restarted within a second would keep the incarnation of
+// its previous process, which had a confirmed record, and would never be sent one.
 func (r *Rank) incarnation(now time.Time) uint64 {
 	started := time.Unix(int64(r.AgentStartSeconds), 0)
 	if now.Before(started) {
@@ -98,7 +100,8 @@
 	return uint64(now.UnixMilli()) << engineRestartBits
 }
 
-// Run carries the rank until ctx ends. The engine goes on by its standing orders.
+// Run runs the participant until ctx ends. The engine then continues by the orders that
+// it has received.
 func (r *Rank) Run(ctx context.Context) error {
 	if r.CallEngine == nil {
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleEngineConns, IdleConnTimeout: time.Minute}}
@@ -160,9 +163,9 @@
 	}
 }
 
-// newJob binds an action to the boot of the engine that the core knows of. It is
-// not the boot last read: between that and the core's word of a restart, an
-// order that follows from what was known before would reach the new process.
+// newJob binds an action to the boot that the participant's state refers to. The boot
+// read last must not be used: until the participant has been informed of a restart, its
+// orders are based on the state of the previous process and would reach the new one.
 func (r *Rank) newJob(a expertmap.Action) *job {
 	c := &engineClient{doRequest: r.CallEngine, address: r.EngineAddress(), bootID: r.bootID, placement: r.placement}
 
@@ -191,12 +194,12 @@
 
 	err := j.engine.Do(loadCtx, a)
 	if err != nil {
-		r.Logger.Debug("map not loaded", "group", r.Group, "version", a.Version, "error", err)
+		r.Logger.Debug("engine failed to load expert map", "group", r.Group, "version", a.Version, "error", err)
 		waitBeforeRetry(ctx)
 	}
 
 	r.postEvent(ctx, func(ctx context.Context, now time.Time) {
-		// What a former process loaded is gone with it.
+		// A map that was loaded into a previous engine process is lost.
 		if r.bootID == j.bootID {
 			r.perform(ctx, r.participant.Loaded(now, a.Version, err == nil))
 		}
@@ -221,7 +224,7 @@
 	}
 }
 
-// pollEngine reads the engine's state again and again.
+// pollEngine polls the engine's state until ctx ends.
 func (r *Rank) pollEngine(ctx context.Context) {
 	tick := time.NewTicker(enginePollInterval)
 	defer tick.Stop()
@@ -244,7 +247,7 @@
 	}
 }
 
-// handleEngineState takes in the engine's state.
+// handleEngineState processes a polled state of the engine.
 func (r *Rank) handleEngineState(ctx context.Context, now time.Time, s *EngineState) {
 	restarted := r.bootID != "" && r.bootID != s.BootID
 	r.bootID = s.BootID
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -10,22 +10,22 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// What a rank answers when it cannot yet.
+// Errors returned while the rank cannot answer yet.
 var (
-	errStarting      error = twirp.NewError(twirp.Unavailable, "the rank has just started")
-	errBusy          error = twirp.NewError(twirp.DeadlineExceeded, "the rank is busy")
-	errNoEngineState error = twirp.NewError(twirp.Unavailable, "the engine has not been heard of")
+	errStarting      error = twirp.NewError(twirp.Unavailable, "the rank has no status yet: its agent has just started")
+	errBusy          error = twirp.NewError(twirp.DeadlineExceeded, "the rank did not process the request before its deadline")
+	errNoEngineState error = twirp.NewError(twirp.Unavailable, "the engine has not reported its state yet")
 )
 
-// Order takes an order of the control leader and answers with the rank's status.
-// An order of no kind only asks for the status.
+// Order processes an order of the control leader and returns the rank's status. An
+// order of kind RankOrderNone only requests the status.
 func (r *Rank) Order(ctx context.Context, o *wire.RankOrder) (*wire.RankStatus, error) {
 	if err := r.checkRank(o.GetGroup(), o.GetRank()); err != nil {
 		return nil, err
 	}
 
-	// Before the engine's first word there is no boot to give an order to. An
-	// order taken in then would be lost, and the engine would wait for it for good.
+	// Before the engine's first report there is no boot to send an order to. An order
+	// accepted then would be lost, and the engine would wait for it forever.
 	if r.engineState.Load() == nil {
 		return nil, errNoEngineState
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// storeMaps keeps the maps that came with an order. A late order brings those of
-// its own time: kept, they would leave the engine without the map that rules now.
+// storeMaps stores the maps of an order. The maps of a delayed order are older; storing
+// them would leave the engine without the map in use.
 func (r *Rank) storeMaps(o *wire.RankOrder) {
 	maps, asOf := o.GetMaps(), o.GetRecord().GetAsOf()
 	if len(maps) > 0 && len(maps) <= maxOrderMaps && asOf >= r.orderMaps.Load().asOf {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Ask answers a peer that waits for the end of a switch.
+// Ask answers a peer that waits for the outcome of a switch.
 func (r *Rank) Ask(ctx context.Context, q *wire.RankQuestion) (*wire.RankAnswer, error) {
 	if q.GetGroup() != r.Group {
 		return nil, r.wrongRankError(q.GetGroup())
@@ -99,7 +99,7 @@
 	}
 }
 
-// Report tells what the engine has counted.
+// Report returns the engine's counters.
 func (r *Rank) Report(_ context.Context, q *wire.RankQuestion) (*wire.RankReport, error) {
 	if err := r.checkRank(q.GetGroup(), q.GetRank()); err != nil {
 		return nil, err
@@ -130,5 +130,5 @@
 }
 
 func (r *Rank) wrongRankError(group string) error {
-	return twirp.NewError(twirp.NotFound, "this agent's target is no rank of "+group)
+	return twirp.NewError(twirp.NotFound, "this agent's target is not the requested rank of group "+group)
 }
