--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -23,15 +23,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Agent is the agent role. Its fields are set before Run.
+// Agent is the agent role. Its fields must be set before Run.
 type Agent struct {
 	ID          string
 	Cluster     string
 	Zone        string
 	Incarnation uint64
 	Listener    net.Listener
-	// AnnounceListener takes the target's announcements over loopback, in plaintext; nil
-	// where Listener itself is plaintext.
+	// AnnounceListener accepts the target's announcements over loopback, in plaintext.
+	// It is nil if Listener itself is plaintext.
 	AnnounceListener net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
@@ -46,7 +46,7 @@
 	rank   atomic.Pointer[rank.Rank]
 }
 
-// Run runs the role until ctx ends and every request in flight has its answer.
+// Run runs the role until ctx ends and all requests in flight are answered.
 func (r *Agent) Run(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	defer r.stop()
@@ -68,9 +68,9 @@
 
 	select {
 	case <-ctx.Done():
-		// Every request has a deadline, so draining ends by itself.
+		// Every request has a deadline, so draining terminates.
 		if err := r.agent.Drain(context.WithoutCancel(ctx)); err != nil {
-			r.Logs.Logger("agent").Warn("drain failed", slog.Any("error", err))
+			r.Logs.Logger("agent").Warn("draining the agent failed", slog.Any("error", err))
 		}
 	case <-work.Done():
 	}
@@ -104,7 +104,8 @@
 	r.Dump.Add("Agent", func() any { return r.agent.Dump() })
 }
 
-// authorizeAgent lets entries send requests and ask, and control VMs give orders.
+// authorizeAgent allows entries to send requests and queries, and control VMs to send
+// orders.
 func authorizeAgent(next http.Handler) http.Handler {
 	return identity.Authorize(next,
 		identity.Rule{Prefix: agent.RequestPath, Roles: []identity.Role{identity.RoleEntry}},
@@ -116,14 +117,14 @@
 	)
 }
 
-// load tells the control VMs, for plans, what the target has in hand.
+// load returns the target's load, which the control VMs use for plans.
 func (r *Agent) load() *wire.NodeLoad {
 	l := r.agent.Dump().Load
 
 	return &wire.NodeLoad{InFlight: l.InFlight + l.Unknown, Limit: l.Limit, Cold: l.Cold}
 }
 
-// view tells the agent's door what the configuration says of its target.
+// view returns the configuration that the agent needs to admit requests.
 func (r *Agent) view() admission.View {
 	s := r.reader.Snapshot()
 	v := admission.View{
@@ -144,11 +145,11 @@
 	defer cancel()
 
 	if err := r.reader.Leave(ctx); err != nil {
-		r.Logs.Logger("agent").Info("control VMs not told of the end", slog.Any("error", err))
+		r.Logs.Logger("agent").Info("no control VM was informed that this process has ended; they will expire it", slog.Any("error", err))
 	}
 }
 
-// IncarnationAt returns an incarnation number for a process that starts at now.
-// It grows from one start to the next as long as the VM's clock is not set back
-// by more than the time between them.
+// IncarnationAt returns the incarnation number of a process that starts at now. Later
+// starts have higher numbers, unless the VM's clock is set back by more than the time
+// between the starts.
 func IncarnationAt(now time.Time) uint64 { return uint64(now.UnixNano()) }
--- a/internal/role/authenticated.go
+++ b/internal/role/authenticated.go
@@ -10,8 +10,9 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// authenticatedControl holds processes to the names in their certificates: one could
-// otherwise report another as leaving, and take it out of service.
+// authenticatedControl requires that a process reports under the name in its
+// certificate. Otherwise one process could report another one as leaving, and so take
+// it out of service.
 type authenticatedControl struct {
 	*control.Server
 }
@@ -19,14 +20,14 @@
 // Poll implements wire.Control.
 func (s *authenticatedControl) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if name := identity.PeerName(ctx); name != "" && name != r.GetNode().GetID() {
-		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate is of %s, the report of %s", name, r.GetNode().GetID())
+		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate names %s, but the report is for %s", name, r.GetNode().GetID())
 	}
 
 	return s.Server.Poll(ctx, r)
 }
 
-// authenticatedOperator names operators by their certificates, so that history shows who
-// decided, whatever the command said.
+// authenticatedOperator records operators by the names in their certificates, so that
+// the history does not depend on the name that the command sent.
 type authenticatedOperator struct {
 	*control.Server
 }
--- a/internal/role/authenticated_test.go
+++ b/internal/role/authenticated_test.go
@@ -16,7 +16,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// contextWithCertificate returns the context of a request with a certificate of this name.
+// contextWithCertificate returns the context of a request with a client certificate for
+// name.
 func contextWithCertificate(t *testing.T, name string) context.Context {
 	t.Helper()
 
@@ -33,8 +34,8 @@
 	return ctx
 }
 
-// A process with a proper certificate reports another one as leaving. Taken at
-// its word, it would empty a service.
+// A process with a valid certificate reports another one as leaving. If that were
+// accepted, one process could take all targets out of service.
 func TestPollNodeMustMatchCertificate(t *testing.T) {
 	t.Parallel()
 
@@ -45,7 +46,7 @@
 	named := &authenticatedControl{Server: server}
 
 	_, err := named.Poll(contextWithCertificate(t, "entry-1"), &wire.PollRequest{Cluster: "trust", Node: &wire.Node{ID: "agent-1"}})
-	require.ErrorContains(t, err, "the certificate is of entry-1, the report of agent-1")
+	require.ErrorContains(t, err, "the certificate names entry-1, but the report is for agent-1")
 	require.Equal(t, "ann", operatorName(contextWithCertificate(t, "ann"), "mallory"))
-	require.Equal(t, "ann", operatorName(t.Context(), "ann"), "plaintext, on loopback only")
+	require.Equal(t, "ann", operatorName(t.Context(), "ann"), "no certificate: plaintext on loopback")
 }
--- a/internal/role/automembership.go
+++ b/internal/role/automembership.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// membershipInterval is how often the leader looks at the control set, and how often a
-	// VM that is not in it asks to join.
+	// membershipInterval is how often the leader checks the control set, and how often
+	// a VM that is not a member asks to join.
 	membershipInterval = 400 * time.Millisecond
 	// membershipChangeTimeout bounds one change of the set.
 	membershipChangeTimeout = 2 * time.Second
-	// joinTimeout bounds one question to join.
+	// joinTimeout bounds one request to join.
 	joinTimeout = 900 * time.Millisecond
 )
 
-// AutoMembership lets the control VMs find and replace each other.
+// AutoMembership holds the settings by which control VMs join and replace each other
+// automatically.
 type AutoMembership struct {
 	Settings membership.Settings
-	// Seeds returns where some other control VMs serve the system's own processes.
+	// Seeds returns the internal addresses of some control VMs.
 	Seeds func() []netip.AddrPort
 }
 
-// manageMembership joins the control set where this VM is not in it, and tends it while
-// this VM leads.
+// manageMembership asks to join the control set while this VM is not a member, and
+// changes the membership while this VM leads.
 func (r *Control) manageMembership(ctx context.Context) {
 	if r.AutoMembership == nil {
 		return
@@ -83,10 +84,10 @@
 		err = r.replica.Promote(ctx, change.ID)
 	}
 
-	r.Logs.Logger("roster").Info("Control set changed.", "change", name, "member", change.ID, "error", err)
+	r.Logs.Logger("roster").Info("Requested a change of the control set.", "change", name, "member", change.ID, "error", err)
 }
 
-// join asks the seeds, one after the other, to be taken in as a learner.
+// join asks the seeds, one after the other, to add this VM as a learner.
 func (r *Control) join(ctx context.Context) {
 	self, _ := netip.ParseAddrPort(r.Listener.Addr().String())
 
@@ -102,7 +103,7 @@
 
 		cancel()
 
-		r.Logs.Logger("roster").Info("Asked to join the control set.", "seed", seed, "error", err)
+		r.Logs.Logger("roster").Info("Requested to join the control set.", "seed", seed, "error", err)
 
 		if err == nil {
 			return
@@ -110,7 +111,7 @@
 	}
 }
 
-// controlAddresses returns where the members serve the system's own processes.
+// controlAddresses returns the internal addresses of the members.
 func (r *Control) controlAddresses() []string {
 	var out []string
 	for _, m := range r.replica.Status().Members {
@@ -120,7 +121,7 @@
 	return out
 }
 
-// serveOperators serves the deployment's own operators and targets until ctx ends.
+// serveOperators serves operators and targets on OperatorListener until ctx ends.
 func (r *Control) serveOperators(ctx context.Context) error {
 	if r.OperatorListener == nil {
 		return nil
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -28,51 +28,56 @@
 )
 
 const (
-	// shutdownTimeout bounds how long a stopping control VM waits for polls in hand.
+	// shutdownTimeout bounds how long a stopping control VM waits for polls in flight.
 	shutdownTimeout = 3 * time.Second
-	// stopCheckTimeout bounds the question whether a control VM may be stopped.
+	// stopCheckTimeout bounds the check whether a control VM may be stopped.
 	stopCheckTimeout = 2 * time.Second
-	// leadershipTransferTimeout bounds the hand-over of leadership on a planned stop.
+	// leadershipTransferTimeout bounds the transfer of leadership on a planned stop.
 	leadershipTransferTimeout = 3 * time.Second
 )
 
-// Control is the control role. Its fields are set before Build.
+// Control is the control role. Its fields must be set before Build.
 type Control struct {
 	VM      string
 	Cluster string
 	Zone    string
-	// Incarnation is fresh at each start.
+	// Incarnation is new at each start.
 	Incarnation uint64
 	Listener    net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
-	// Dir is the data folder, which this VM alone uses.
+	// Dir is the data folder. No other process may use it.
 	Dir string
-	// Files are the disk below it; the zero value stands for the operating system's.
+	// Files is the file system that holds Dir. The zero value means the operating
+	// system's.
 	Files journal.Files
-	// Founders are the first control VMs of a new deployment, the same list at each.
+	// Founders are the initial members of a new deployment. Each of them must have the
+	// same list.
 	Founders []quorum.Member
-	// Peers are the other control VMs.
+	// Peers are the other control VMs in the settings.
 	Peers []quorum.Member
 	Logs  logs.Output
 	Dump  *dump.Dump
 
-	// TrustedNetwork hears plaintext from beyond loopback too.
+	// TrustedNetwork accepts plaintext from beyond loopback too, without authorization.
 	TrustedNetwork bool
-	// AutoMembership is set where the control VMs find and replace each other.
+	// AutoMembership is set if the control VMs join and replace each other
+	// automatically.
 	AutoMembership *AutoMembership
-	// OperatorListener takes operators who decide in one step, and targets' announcements;
-	// Operate makes its handler. Both may be nil.
+	// OperatorListener accepts requests of operators who decide in one step, and
+	// announcements of targets. OperatorHandler creates its handler. Both may be nil.
 	OperatorListener net.Listener
 	OperatorHandler  func(*control.Server) http.Handler
-	// ReadDocument, Zones and AnnounceEvery are the server's.
+	// ReadDocument, Zones and AnnounceInterval are as in control.Server.
 	ReadDocument     func(sent []byte) (*wire.RouteTable, error)
 	Zones            map[string]string
 	AnnounceInterval time.Duration
-	// TargetsFile is where the directory of targets is kept beyond a restart; empty for nowhere.
+	// TargetsFile is the file that keeps the directory of targets across restarts. If
+	// it is empty, the directory is not kept.
 	TargetsFile string
 
-	// ExpertSettings tunes the expert maps of groups; the zero value stands for the defaults.
+	// ExpertSettings holds the settings for expert maps of groups. The zero value means
+	// the defaults.
 	ExpertSettings expertgroup.Settings
 
 	server      *control.Server
@@ -83,13 +88,13 @@
 	peerTracker peerTracker
 }
 
-// Server returns the server, which exists after Build.
+// Server returns the server. It must be called after Build.
 func (r *Control) Server() *control.Server { return r.server }
 
-// Replica returns the replica, which exists after Build.
+// Replica returns the replica. It must be called after Build.
 func (r *Control) Replica() *replica.Replica { return r.replica }
 
-// Build puts the role together. It is called once, before Run.
+// Build creates the parts of the role. It is called once, before Run.
 func (r *Control) Build() {
 	if r.Dump.Metrics == nil {
 		r.Dump.Metrics = metrics.NewRegistry()
@@ -124,8 +129,8 @@
 	r.Dump.Add("Replica", func() any { return r.replica.Status() })
 }
 
-// readIndex leaves the index out: the replica has applied it when Read returns, and
-// entries of its own in the log never reach the ledger's count.
+// readIndex returns 0 as the index: the replica has applied the index when ReadIndex
+// returns, and the ledger does not count the replica's internal log entries.
 func (r *Control) readIndex(ctx context.Context) (time.Time, uint64, error) {
 	asOf, _, err := r.replica.ReadIndex(ctx)
 
@@ -141,8 +146,8 @@
 
 func (r *Control) isLeader() bool { return r.replica.Status().Leader == r.VM }
 
-// stopBlocker says why the control VM with that name should not be stopped now.
-// It asks the others anew: what was heard last may be older than a loss.
+// stopBlocker returns why the named control VM must not be stopped now, or "". It
+// checks with the other members, because the last known state may predate a failure.
 func (r *Control) stopBlocker(name string) string {
 	isMember := func(m quorum.MemberStatus) bool { return m.Member.ID == name }
 	if !slices.ContainsFunc(r.replica.Status().Members, isMember) {
@@ -159,7 +164,8 @@
 	return ""
 }
 
-// Run runs the role until ctx ends, then hands leadership over and stops.
+// Run runs the role until ctx ends or the operators plan a stop, then transfers
+// leadership and stops.
 func (r *Control) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -200,11 +206,12 @@
 	return eris.Wrap(g.Wait(), "run control VM")
 }
 
-// stopPollInterval is how often a control VM looks whether the operators stop it.
+// stopPollInterval is how often a control VM checks whether the operators plan to stop
+// it.
 const stopPollInterval = 500 * time.Millisecond
 
-// plannedStop returns a channel that is closed once the operators plan a stop of
-// this VM. Started again, it stays up only when the stop has been removed.
+// plannedStop returns a channel that is closed once the operators plan a stop of this
+// VM. A VM that restarts while the stop is still planned stops again.
 func (r *Control) plannedStop(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 
@@ -231,15 +238,16 @@
 	defer cancel()
 
 	if err := server.Shutdown(ctx); err != nil {
-		// Polls that are held are asked again elsewhere; nothing of a caller is cut.
-		return eris.Wrap(server.Close(), "close control")
+		// Canceled polls are repeated at another control VM, and no caller's request is
+		// affected.
+		return eris.Wrap(server.Close(), "close control server")
 	}
 
 	return nil
 }
 
-// transferLeadership gives leadership to another control VM, so that a planned stop costs
-// no election.
+// transferLeadership transfers leadership to another control VM, so that a planned stop
+// requires no election.
 func (r *Control) transferLeadership() {
 	if !r.isLeader() || len(r.replica.Status().Members) < 2 {
 		return
@@ -249,7 +257,7 @@
 	defer cancel()
 
 	if err := r.replica.TransferLeadership(ctx, ""); err != nil {
-		r.Logs.Logger("control").Warn("leadership not handed over", "error", err)
+		r.Logs.Logger("control").Warn("leadership transfer failed; the stop may cause an election", "error", err)
 	}
 }
 
@@ -269,8 +277,8 @@
 	return authorizeControl(mux)
 }
 
-// authorizeControl lets entries claim, entries and agents follow, operators decide,
-// and control VMs agree among themselves.
+// authorizeControl allows entries to claim and publish, entries and agents to poll,
+// operators to decide, and control VMs to replicate the log.
 func authorizeControl(next http.Handler) http.Handler {
 	followers := []identity.Role{identity.RoleEntry, identity.RoleAgent}
 
--- a/internal/role/controlclient.go
+++ b/internal/role/controlclient.go
@@ -1,5 +1,5 @@
-// Package role puts the parts of each process together: entry, agent and
-// control. Subcommands and the local mode run the same roles.
+// Package role assembles the parts of each process: entry, agent and control VM.
+// Subcommands and the local mode run the same roles.
 package role
 
 import (
@@ -20,26 +20,28 @@
 const (
 	// controlDialTimeout bounds a dial to a control VM.
 	controlDialTimeout = 500 * time.Millisecond
-	// controlRequestTimeout bounds one try of a claim at one control VM.
+	// controlRequestTimeout bounds one attempt of a claim at one control VM, and how
+	// long a server of the system's own processes waits for request headers.
 	controlRequestTimeout = 1200 * time.Millisecond
 	// controlIdleTimeout bounds how long an idle connection to a control VM is kept.
 	controlIdleTimeout = 15 * time.Second
 )
 
-// ControlClient is the way of an entry or agent to the control VMs.
+// ControlClient is the client of an entry or agent for the control VMs.
 type ControlClient struct {
-	// Addresses are those of the control VMs by the settings.
+	// Addresses are the control VMs in the settings.
 	Addresses []netip.AddrPort
 
 	client       *http.Client
 	lastAnswered atomic.Uint32
-	// discovered are those that the directory holds beside.
+	// discovered holds all known addresses: those in the settings, and those in the
+	// directory.
 	discovered atomic.Pointer[[]netip.AddrPort]
 }
 
-// Discover adds the control VMs of the directory to those of the settings, and
-// returns all. A VM that replaced another is asked without a change of settings;
-// one that is gone costs a try now and then.
+// Discover adds the control VMs of the directory to those of the settings, and returns
+// all addresses. A VM that replaced another one is thus found without a change of
+// settings. An address whose VM is gone costs an occasional failed attempt.
 func (c *ControlClient) Discover(s *view.Snapshot) []netip.AddrPort {
 	all := slices.Clone(c.Addresses)
 
@@ -58,7 +60,7 @@
 	return all
 }
 
-// allAddresses returns the control VMs of settings and directory.
+// allAddresses returns the control VMs of the settings and the directory.
 func (c *ControlClient) allAddresses() []netip.AddrPort {
 	if discovered := c.discovered.Load(); discovered != nil {
 		return *discovered
@@ -67,8 +69,8 @@
 	return c.Addresses
 }
 
-// NewControlClient returns the way to the control VMs at addresses. Without an
-// identity it is plaintext.
+// NewControlClient returns a client for the control VMs at addresses. Without an
+// identity it uses plaintext.
 func NewControlClient(addresses []netip.AddrPort, id *identity.Identity) *ControlClient {
 	dialer := &identity.Dialer{Identity: id, Timeout: controlDialTimeout}
 
@@ -81,15 +83,15 @@
 	}
 }
 
-// Close closes the idle connections.
 func (c *ControlClient) Close() { c.client.CloseIdleConnections() }
 
 func (c *ControlClient) rpcClient(address netip.AddrPort) wire.Control {
 	return wire.NewControlProtobufClient("http://"+address.String(), c.client)
 }
 
-// Poll sends one poll to one control VM. A poll that failed may have met a
-// connection that went silent, so its idle sisters are dropped too.
+// Poll sends one poll to one control VM. If the poll fails, its connection may be
+// unresponsive, and other connections to the same VM with it, so all idle connections
+// are closed.
 func (c *ControlClient) Poll(ctx context.Context, address netip.AddrPort, r *wire.PollRequest) (*wire.PollResponse, error) {
 	resp, err := c.rpcClient(address).Poll(ctx, r)
 	if err != nil {
@@ -99,8 +101,8 @@
 	return resp, eris.Wrap(err, "poll control VM")
 }
 
-// Claim claims a key at any control VM. A claim whose answer was lost is asked
-// for again at the next: the same attempt is granted again.
+// Claim claims a key at any control VM. If an answer is lost, the claim is repeated at
+// the next control VM, which grants the same attempt again.
 func (c *ControlClient) Claim(ctx context.Context, r *wire.ClaimRequest) (resp *wire.ClaimResponse, err error) {
 	err = c.tryEach(ctx, func(ctx context.Context, control wire.Control) error {
 		resp, err = control.Claim(ctx, r)
@@ -122,7 +124,8 @@
 	return resp, err
 }
 
-// tryEach tries one control VM after the other, the one that answered last first.
+// tryEach calls one control VM after the other until one succeeds, starting with the
+// one that answered last.
 func (c *ControlClient) tryEach(ctx context.Context, call func(context.Context, wire.Control) error) error {
 	all := c.allAddresses()
 	first := int(c.lastAnswered.Load())
--- a/internal/role/counts.go
+++ b/internal/role/counts.go
@@ -13,14 +13,16 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errCountsUnknown says that what an agent told does not give the counts of all ranks asked about.
-var errCountsUnknown = errors.New("role: counts of a rank are not known yet")
+// errCountsUnknown means that an answer does not contain the counts of all requested
+// ranks.
+var errCountsUnknown = errors.New("role: counts of a requested rank are missing")
 
-// countsKey names the counts of the engine beside an agent with those of others added.
+// countsKey returns the cache key of the counts of the engine beside an agent plus
+// those of others.
 func countsKey(addr string, others []string) string { return addr + "+" + strings.Join(others, ",") }
 
-// fetchCounts asks another agent for its engine's counts, to which those of others are added
-// there. What the two hold in common is not sent again.
+// fetchCounts fetches the counts of another agent's engine, to which that agent adds
+// those of r.Others. Only differences from the counts fetched before are sent.
 func (a *RankAgent) fetchCounts(ctx context.Context, addr string, r *wire.LookRequest) (*wire.LookAnswer, []uint64, error) {
 	key := countsKey(addr, r.GetOthers())
 
@@ -37,7 +39,7 @@
 
 	out, err := wire.NewRankPeerProtobufClient("http://"+addr, a.peerHTTP).Look(ctx, r)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "ask for counts")
+		return nil, nil, eris.Wrap(err, "fetch counts")
 	}
 
 	a.mu.Lock()
@@ -50,7 +52,7 @@
 	return out, slices.Clone(decoder.Counts), nil
 }
 
-// resetCounts forgets what agents told of the group that was directed before.
+// resetCounts drops the counts received for the previously directed group.
 func (a *RankAgent) resetCounts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,8 +60,9 @@
 	clear(a.countDecoders)
 }
 
-// addCounts adds other agents' counts to l, and their paces. Where one does not answer, what
-// it told last stands: a sum over fewer ranks would look as if counts had fallen.
+// addCounts adds the counts of other agents to l, and their slowdowns. For an agent
+// that does not answer it adds the counts received last, because a sum over fewer ranks
+// would look as if the counts had fallen.
 func (a *RankAgent) addCounts(ctx context.Context, l *lockstep.PollResult, others []string) error {
 	type answer struct {
 		poll   *wire.LookAnswer
@@ -74,7 +77,7 @@
 		g.Go(func() {
 			out, counts, err := a.fetchCounts(ctx, addr, &wire.LookRequest{Cluster: a.Cluster, Counts: true})
 			if err != nil {
-				a.logger.Debug("Counts not heard.", "agent", addr, "error", err)
+				a.logger.Debug("An agent did not return its counts; using the last ones received.", "agent", addr, "error", err)
 
 				counts = a.cachedCounts(addr)
 			}
@@ -104,7 +107,7 @@
 	return nil
 }
 
-// cachedCounts returns what an agent told last of its own engine's counts.
+// cachedCounts returns the last counts received of an agent's own engine.
 func (a *RankAgent) cachedCounts(addr string) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/role/directentry.go
+++ b/internal/role/directentry.go
@@ -27,47 +27,51 @@
 )
 
 const (
-	// targetDialTimeout bounds a dial to a target: some times the longest way within a region.
+	// targetDialTimeout bounds a dial to a target. It is a multiple of the longest
+	// round trip within a region.
 	targetDialTimeout = 300 * time.Millisecond
-	// maxTargetHeaderBytes bounds the head of a target's answer (bytes).
+	// maxTargetHeaderBytes bounds the response headers of a target.
 	maxTargetHeaderBytes = 64 << 10
-	// callerHeaderTimeout and callerIdle bound how long a caller may take for a head, and
-	// how long its connection may be idle. They are above what operators declare, so
-	// that the caller closes first and no request crosses a close.
+	// callerHeaderTimeout bounds how long a caller may take to send the request
+	// headers, and callerIdleTimeout how long its connection may be idle. Both exceed
+	// the limits that operators declare for callers, so that the caller closes the
+	// connection first and no request arrives on a connection that is being closed.
 	callerHeaderTimeout = 10 * time.Second
 	callerIdleTimeout   = 90 * time.Second
-	// maxCallerHeaderBytes bounds the head of a request (bytes).
+	// maxCallerHeaderBytes bounds the headers of a request.
 	maxCallerHeaderBytes = 64 << 10
-	// secondControlWait is how long a started entry waits for a second control VM: the
-	// first may be cut off and tell an old configuration.
+	// secondControlWait is how long a started entry waits for an answer of a second
+	// control VM. The first one may be partitioned and return an old configuration.
 	secondControlWait = 1500 * time.Millisecond
-	// drainDelay is how long a stopping entry goes on taking requests, for the
-	// balancer to notice: two questions of a second each, and the way.
+	// drainDelay is how long a stopping entry still accepts requests, so that the load
+	// balancer in front of it can notice: two health checks, one second apart, plus the
+	// network delay.
 	drainDelay = 2600 * time.Millisecond
-	// stopReserve is kept free at the end of a graceful stop.
+	// stopReserve is the part of StopTimeout that is reserved for closing at the end.
 	stopReserve = 400 * time.Millisecond
 )
 
-// DirectEntry is the role of an entry that is the door of its targets. Its
-// fields are set before Run.
+// DirectEntry is the role of an entry that proxies to targets directly, without agents
+// in between. Its fields must be set before Run.
 type DirectEntry struct {
 	ID      string
 	Cluster string
 	Zone    string
-	// Listener takes callers, Ready answers the balancer.
+	// Listener accepts callers, ReadyListener the health checks of the load balancer.
 	Listener      net.Listener
 	ReadyListener net.Listener
-	// LoadConn takes agents' words on their engines' loads; AgentPort is where
-	// agents take asks for them.
+	// LoadConn receives agents' reports of the loads of their engines. AgentPort is the
+	// port at which agents accept subscriptions to them.
 	LoadConn  net.PacketConn
 	AgentPort uint16
-	// RelayAddr is where Internal is served; agents reach EngineAt's engines through it.
+	// RelayAddr is the address at which InternalMux is served. Agents send orders
+	// through it to the engines that EngineAt returns.
 	RelayAddr   netip.AddrPort
 	EngineAt    func(netip.AddrPort) lockstep.Engine
 	InternalMux *http.ServeMux
-	// Seeds returns the control VMs of the settings as they are now.
+	// Seeds returns the control VMs in the current settings.
 	Seeds func() []netip.AddrPort
-	// Dialect and Readiness are how the deployment speaks.
+	// Dialect and ReadinessHandler define the deployment's HTTP conventions.
 	Dialect          relay.Dialect
 	ReadinessHandler func(ready func() bool) http.Handler
 	Budget           *retries.SharedBudget
@@ -78,13 +82,13 @@
 
 	follower *view.Follower
 	relay    *relay.Relay
-	// stopsAt is when this entry ends; nil while it does not stop.
+	// stopsAt is when this entry ends; nil unless it is stopping.
 	stopsAt atomic.Pointer[time.Time]
 	logger  *slog.Logger
 	clients followClients
 }
 
-// Run runs the role until ctx ends and the requests in flight have their answers.
+// Run runs the role until ctx ends and the requests in flight are answered.
 func (r *DirectEntry) Run(ctx context.Context) error {
 	if err := r.build(); err != nil {
 		return err
@@ -114,7 +118,7 @@
 
 		defer stop()
 
-		return eris.Wrap(balancer.Close(), "close readiness")
+		return eris.Wrap(balancer.Close(), "close readiness server")
 	})
 
 	r.logger.Info("Started.", "zone", r.Zone, "callers", r.Listener.Addr())
@@ -125,7 +129,7 @@
 	return err
 }
 
-// loadSubscriber follows the loads of engines that have an agent.
+// loadSubscriber returns the subscriber to the loads of engines that have an agent.
 func (r *DirectEntry) loadSubscriber() *loadreport.Subscriber {
 	return &loadreport.Subscriber{
 		Cluster: r.Cluster, Conn: r.LoadConn,
@@ -152,20 +156,20 @@
 	return nil
 }
 
-// drain goes on while the balancer still sends callers, then finishes what is in
-// hand. Answers end their connections meanwhile.
+// drain accepts requests while the load balancer still sends them, then completes those
+// in flight. While the entry is stopping, each answer closes its connection.
 func (r *DirectEntry) drain(callers *http.Server) {
 	deadline := time.Now().Add(r.StopTimeout - stopReserve)
 
 	r.stopsAt.Store(&deadline)
-	r.logger.Info("Stopping: no new callers.", "until", time.Until(deadline))
+	r.logger.Info("Stopping: completing requests in flight and closing connections.", "until", time.Until(deadline))
 	time.Sleep(min(drainDelay, r.StopTimeout/2))
 
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 
 	if err := callers.Shutdown(ctx); err != nil {
-		r.logger.Warn("Requests were still in hand at the end of the stop.", "error", err)
+		r.logger.Warn("Requests were still in flight at the deadline of the stop; closing their connections.", "error", err)
 
 		_ = callers.Close()
 	}
@@ -173,7 +177,7 @@
 
 func (r *DirectEntry) stopping() bool { return r.stopsAt.Load() != nil }
 
-// stopTime says when this entry ends, if it stops.
+// stopTime returns when this entry ends. It reports false unless the entry is stopping.
 func (r *DirectEntry) stopTime() (time.Time, bool) {
 	at := r.stopsAt.Load()
 	if at == nil {
--- a/internal/role/director.go
+++ b/internal/role/director.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Director returns the director of expert maps, which exists after Build.
+// Director returns the director of expert maps. It must be called after Build.
 func (r *Control) Director() *expertgroup.Director { return r.director }
 
 func (r *Control) newDirector() *expertgroup.Director {
@@ -27,7 +27,8 @@
 
 			return err
 		},
-		// The server is made after the director, which it tells of applied entries.
+		// The server is created after the director, because it passes applied entries
+		// to the director.
 		Propose: func(ctx context.Context, e *wire.GroupEntry) error { return r.server.ProposeGroup(ctx, e) },
 		Groups:  r.groups, RankAgents: r.rankAgents, Settings: r.ExpertSettings, Logger: r.Logs.Logger("experts"),
 		SendOrder: func(ctx context.Context, to netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
@@ -42,8 +43,8 @@
 	return d
 }
 
-// groupCache is what the director reads of one configuration. It is worked out
-// once for each version: the director looks many times a second.
+// groupCache holds what the director reads from one version of the configuration. It is
+// computed once per version, because the director reads it many times a second.
 type groupCache struct {
 	version uint64
 	valid   bool
--- a/internal/role/enginerelay.go
+++ b/internal/role/enginerelay.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// engineCache are the engines of other VMs that this process speaks to.
+// engineCache holds the clients for engines on other VMs.
 type engineCache struct {
 	newEngine func(netip.AddrPort) lockstep.Engine
 
@@ -36,7 +36,7 @@
 	return engine
 }
 
-// engineRelay relays orders of directing agents to engines.
+// engineRelay relays orders from directing agents to engines.
 type engineRelay struct {
 	cluster string
 	engines engineCache
@@ -50,7 +50,7 @@
 
 	address, err := netip.ParseAddrPort(o.GetEngine())
 	if err != nil {
-		return nil, twirp.InvalidArgumentError("Engine", "is no IP:port")
+		return nil, twirp.InvalidArgumentError("Engine", "must be an IP:port")
 	}
 
 	return &wire.EngineOrderAnswer{Result: r.engines.get(address).Order(ctx, o.GetOrder())}, nil
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -27,34 +27,35 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// subsetSize is how many targets of a service an entry keeps to.
+// subsetSize is the number of targets of a service that an entry uses.
 const subsetSize = 30
 
-// leaveTimeout bounds the last word of a process that ends to the control VMs.
+// leaveTimeout bounds the message by which an ending process leaves the directory.
 const leaveTimeout = 2 * time.Second
 
-// The entry's connections to agents: heartbeats come each second.
+// Timeouts of the entry's connections to agents. Agents send a heartbeat each second.
 const (
 	agentReadTimeout = 3 * time.Second
 	agentDialTimeout = 500 * time.Millisecond
 	agentIdleTimeout = 20 * time.Second
 )
 
-// Entry is the entry role. Its fields are set before Run.
+// Entry is the entry role. Its fields must be set before Run.
 type Entry struct {
 	ID      string
 	Cluster string
 	Zone    string
 	Region  string
-	// Incarnation is fresh at each start.
+	// Incarnation is new at each start.
 	Incarnation uint64
-	// Listener takes callers.
+	// Listener accepts callers.
 	Listener net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
 	Controls *ControlClient
 	Limits   entry.Limits
-	// ShutdownDelay is how long the entry goes on after it said that it leaves.
+	// ShutdownDelay is how long the entry still accepts requests after it reports that
+	// it is stopping.
 	ShutdownDelay time.Duration
 	Logs          logs.Output
 	Dump          *dump.Dump
@@ -64,12 +65,13 @@
 	bus    *events.Bus
 	stop   context.CancelFunc
 
-	// mu orders what the chooser is told: by each change, and later by a timer.
+	// mu serializes updates of the chooser's targets, which come from configuration
+	// changes and from a timer.
 	mu      sync.Mutex
 	subsets shares.SubsetCache
 }
 
-// Run runs the role until ctx ends and every request in flight has its answer.
+// Run runs the role until ctx ends and all requests in flight are answered.
 func (r *Entry) Run(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	defer r.stop()
@@ -130,7 +132,7 @@
 	return r.registerDiagnostics()
 }
 
-// callerListener returns the listener for callers, who need no certificate.
+// callerListener returns the listener for callers, which need no certificate.
 func (r *Entry) callerListener() net.Listener {
 	if r.Identity == nil {
 		return r.Listener
@@ -156,9 +158,9 @@
 	reader := &view.Reader{
 		Cluster: r.Cluster, Controls: r.Controls.Addresses, Poll: r.Controls.Poll,
 		Self: r.self, Load: r.load, Logger: r.Logs.Logger("view"), FindControls: r.Controls.Discover,
-		// The chooser is told here, by the reader's one goroutine, and not over the
-		// bus: its handlers run side by side, and an older list of targets, applied
-		// last, would rule until the next change.
+		// The chooser is updated here, in the reader's only goroutine, and not over the
+		// event bus. Handlers of the bus run concurrently: an older list of targets
+		// could be applied last and stay until the next change.
 		OnChange: func(s *view.Snapshot) {
 			r.updateTargets(chooser)
 			r.publishChange(s)
@@ -170,8 +172,8 @@
 	return reader
 }
 
-// updateTargets tells the chooser the targets by the latest configuration, and
-// again later where a subset could not be worked out anew yet.
+// updateTargets passes the targets of the latest configuration to the chooser. If a
+// subset may not be recomputed yet, it runs again when that is due.
 func (r *Entry) updateTargets(chooser *routing.Chooser) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,11 +187,12 @@
 
 func (r *Entry) publishChange(s *view.Snapshot) {
 	if err := r.bus.ConfigurationChanged(events.ConfigurationChanged{Version: s.Version}); err != nil {
-		r.Logs.Logger("events").Warn("event lost", slog.Any("error", err))
+		r.Logs.Logger("events").Warn("event not published", slog.Any("error", err))
 	}
 }
 
-// ServiceCapacity is what this entry may send to one service's targets, in a dump.
+// ServiceCapacity is the part of a dump that shows how much this entry may send to a
+// service's targets.
 type ServiceCapacity struct {
 	Service string
 	Room    routing.Capacity
@@ -217,7 +220,7 @@
 	}
 }
 
-// load tells the control VMs, for plans, what the entry has in hand.
+// load returns the number of requests in flight, which the control VMs use for plans.
 func (r *Entry) load() *wire.NodeLoad {
 	if r.entry == nil {
 		return nil
@@ -242,7 +245,7 @@
 	defer cancel()
 
 	if err := r.reader.Leave(ctx); err != nil {
-		r.Logs.Logger("entry").Info("control VMs not told of the end", slog.Any("error", err))
+		r.Logs.Logger("entry").Info("no control VM was informed that this process has ended; they will expire it", slog.Any("error", err))
 	}
 }
 
@@ -253,7 +256,7 @@
 	}
 }
 
-// subsetTargets lists the targets of all services that this entry keeps to.
+// subsetTargets returns the targets of all services that are in this entry's subset.
 func (r *Entry) subsetTargets(s *view.Snapshot) routing.TargetsChanged {
 	var ev routing.TargetsChanged
 
@@ -284,7 +287,7 @@
 	}
 }
 
-// activeEntries lists the entries that share the targets out among themselves.
+// activeEntries returns the entries that divide the targets among themselves.
 func activeEntries(s *view.Snapshot) []shares.Node {
 	var out []shares.Node
 
@@ -297,7 +300,7 @@
 	return out
 }
 
-// admissibleNodes lists the targets that may get new work.
+// admissibleNodes returns the targets that accept new work.
 func admissibleNodes(s *view.Snapshot, targets []view.Target) []shares.Node {
 	var out []shares.Node
 
@@ -320,7 +323,7 @@
 	return z.GetRegion()
 }
 
-// ViewState is a view in a dump.
+// ViewState is the part of a dump that describes the configuration in force.
 type ViewState struct {
 	Version    uint64
 	FreshUntil time.Time
--- a/internal/role/fanout.go
+++ b/internal/role/fanout.go
@@ -15,16 +15,17 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// errNoRankAnswer says that a helping agent did not tell what became of an errand at a rank.
-var errNoRankAnswer = errors.New("role: no word of the rank")
+// errNoRankAnswer means that a helping agent returned no outcome for a rank.
+var errNoRankAnswer = errors.New("role: no outcome for the rank")
 
-// helperReserveDivisor is the part of the time for an errand that a helping agent leaves for its own
-// answer, as a divisor.
+// helperReserveDivisor sets the time that a helping agent reserves for its own answer:
+// 4 means a quarter of the remaining time.
 const helperReserveDivisor = 4
 
-// fanOutFunc returns how errands go to many ranks of a group: each of some agents brings
-// them to a part of the ranks. An agent that does not answer leaves its part untold, and
-// another one of that part helps the next time.
+// fanOutFunc returns the function that sends a request to many ranks of a group. The
+// ranks are divided into parts, and one agent of each part, the helper, forwards the
+// request to the ranks of its part. If a helper does not answer, its part has no
+// result, and the next request uses another helper.
 func (a *RankAgent) fanOutFunc(group lockstep.Report) func(context.Context, []int, lockstep.FanOutRequest) []lockstep.FanOutResult {
 	return func(ctx context.Context, ranks []int, e lockstep.FanOutRequest) []lockstep.FanOutResult {
 		targets, _ := a.rankTargets(a.follower.State(), group)
@@ -50,7 +51,8 @@
 	}
 }
 
-// fanOutPart brings an errand to a part of the ranks, and returns what became of it.
+// fanOutPart sends a request to a part of the ranks through its helper, and returns the
+// results by rank.
 func (a *RankAgent) fanOutPart(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.FanOutRequest) map[int]lockstep.FanOutResult {
 	r, order := a.newSpreadRequest(ctx, targets, part, e)
 	if len(r.GetMembers()) == 0 {
@@ -62,7 +64,7 @@
 	answer, err := a.sendToHelper(ctx, targets[int(member.GetRank())], r, order)
 	if err != nil {
 		a.rotateHelper(part)
-		a.logger.Debug("An agent brought nothing to its part of the ranks.", "rank", member.GetRank(), "error", err)
+		a.logger.Debug("A helping agent did not answer; its part of the ranks has no result.", "rank", member.GetRank(), "error", err)
 
 		return nil
 	}
@@ -81,7 +83,8 @@
 	return out
 }
 
-// newSpreadRequest returns an errand as it goes to a helping agent, and its order with the whole map.
+// newSpreadRequest returns the request for a helper without its order, and the order
+// with the complete map; nil if there is none.
 func (a *RankAgent) newSpreadRequest(ctx context.Context, targets map[int]directory.Target, part []int, e lockstep.FanOutRequest) (*wire.SpreadRequest, *wire.EngineOrder) {
 	r := &wire.SpreadRequest{Cluster: a.Cluster, Lists: e.Experts}
 	if deadline, ok := ctx.Deadline(); ok {
@@ -127,8 +130,8 @@
 	a.helperIndex[part[0]]++
 }
 
-// sendToHelper asks the agent beside a target to bring an errand to some ranks. A map goes as
-// changes first, like to a single rank.
+// sendToHelper sends a request for some ranks to the helper. As with single ranks, a
+// map is first sent as differences.
 func (a *RankAgent) sendToHelper(ctx context.Context, helper directory.Target, r *wire.SpreadRequest, order *wire.EngineOrder) (*wire.SpreadAnswer, error) {
 	if order.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
 		if order != nil {
@@ -137,21 +140,21 @@
 
 		answer, err := a.peer(helper).Spread(ctx, r)
 
-		return answer, eris.Wrap(err, "spread")
+		return answer, eris.Wrap(err, "send fan-out request")
 	}
 
 	p := a.pack(order)
 	if r.Order = p.delta; r.GetOrder() != nil {
 		answer, err := a.peer(helper).Spread(ctx, r)
 		if err != nil || !answer.GetNoBase() {
-			return answer, eris.Wrap(err, "spread")
+			return answer, eris.Wrap(err, "send fan-out request")
 		}
 	}
 
 	r.Order = p.full
 	answer, err := a.peer(helper).Spread(ctx, r)
 
-	return answer, eris.Wrap(err, "spread")
+	return answer, eris.Wrap(err, "send fan-out request")
 }
 
 // Spread implements wire.RankPeer.
@@ -182,13 +185,13 @@
 	return &wire.SpreadAnswer{Results: slices.DeleteFunc(results, func(r *wire.SpreadResult) bool { return r == nil })}, nil
 }
 
-// fanOutToRank brings an errand to one rank.
+// fanOutToRank sends the order of a request, if any, to one rank and polls it.
 func (a *RankAgent) fanOutToRank(ctx context.Context, r *wire.SpreadRequest, m *wire.SpreadMember) *wire.SpreadResult {
 	out := &wire.SpreadResult{Rank: m.GetRank()}
 
 	address, err := netip.ParseAddrPort(m.GetEngine())
 	if err != nil {
-		a.logger.Warn("A rank to which something is to be passed on has no address.", "rank", m.GetRank(), "error", err)
+		a.logger.Warn("A fan-out request contains an invalid engine address; skipping the rank.", "rank", m.GetRank(), "error", err)
 
 		return out
 	}
@@ -210,8 +213,8 @@
 	return out
 }
 
-// copyOrder returns an order as it is sent within a cluster, for another version. The map, which
-// is large, is shared with it.
+// copyOrder returns a copy of an order with a cluster and another version. The copy
+// shares the map, which is large.
 func copyOrder(cluster string, version uint64, o *wire.EngineOrder) *wire.EngineOrder {
 	return &wire.EngineOrder{
 		Kind: o.GetKind(), Epoch: o.GetEpoch(), Fence: o.GetFence(), Version: version, Step: o.GetStep(),
@@ -219,7 +222,7 @@
 	}
 }
 
-// isLocal reports whether a target is the one beside this agent.
+// isLocal reports whether a target runs on this agent's VM.
 func (a *RankAgent) isLocal(t directory.Target) bool {
 	return a.peerAddress(t) == a.Listener.Addr().String()
 }
--- a/internal/role/fanout_test.go
+++ b/internal/role/fanout_test.go
@@ -20,7 +20,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// fakeRankAgent is an agent beside a rank whose engine a test plays.
+// fakeRankAgent is a rank agent with a fake engine.
 type fakeRankAgent struct {
 	*RankAgent
 
@@ -29,8 +29,8 @@
 	counts []uint64
 }
 
-// newFakeRankAgents starts agents that answer each other. All listen at one port, each at a
-// loopback address of its own, as on VMs of their own.
+// newFakeRankAgents starts agents that reach each other. All listen at the same port,
+// each at its own loopback address, as if on separate VMs.
 func newFakeRankAgents(t *testing.T, n int) []*fakeRankAgent {
 	t.Helper()
 
@@ -111,8 +111,9 @@
 	return out
 }
 
-// An order goes to ranks by way of the agent of one of them. Guards against a rank that is
-// left out or gets another's version, and against a look from before the order.
+// An order is sent to five ranks through the agent of one of them. Guards against a
+// rank that is skipped or receives another rank's version, and against a poll result
+// from before the order.
 func TestFanOutReachesEachRank(t *testing.T) {
 	t.Parallel()
 
@@ -125,7 +126,7 @@
 
 	for _, got := range answer.GetResults() {
 		require.Equal(t, wire.EngineResult_EngineDone, got.GetResult())
-		require.Equal(t, uint64(7+got.GetRank()), got.GetLook().GetReport().GetArmed(), "seen after the order")
+		require.Equal(t, uint64(7+got.GetRank()), got.GetLook().GetReport().GetArmed(), "the poll must follow the order")
 	}
 
 	for rank, s := range agents {
@@ -134,8 +135,8 @@
 	}
 }
 
-// A map goes to ranks whose agents do not know the one it is told as changes of. Guards
-// against a rank that never gets it.
+// A map is sent as differences to ranks whose agents do not have the map that the
+// differences refer to. Guards against ranks that never receive the map.
 func TestFanOutFallsBackToWholeMap(t *testing.T) {
 	t.Parallel()
 
@@ -161,7 +162,7 @@
 	r.Order = p.delta
 	answer, err := agents[1].peer(agents[1].target()).Spread(t.Context(), r)
 	require.NoError(t, err)
-	require.True(t, answer.GetNoBase(), "it does not know map 3")
+	require.True(t, answer.GetNoBase(), "the helper does not have map 3")
 
 	r.Order = p.full
 	answer, err = director.peer(agents[1].target()).Spread(t.Context(), r)
@@ -173,8 +174,8 @@
 	}
 }
 
-// The counts of ranks are added up by one agent again and again, while another one does not
-// answer. Guards against sums that fall, or that count additions twice.
+// One agent repeatedly sums the counts of two ranks, while the other one stops
+// answering. Guards against sums that fall, and against counts that are added twice.
 func TestCountsAreSummed(t *testing.T) {
 	t.Parallel()
 
@@ -195,10 +196,11 @@
 	agents[2].Engine.Report = func(context.Context) (lockstep.Report, error) { return lockstep.Report{}, errNoRankAnswer }
 
 	agents[1].counts = []uint64{14, 15}
-	require.Equal(t, []uint64{14 + 3, 25}, ask(), "what it told last stands")
+	require.Equal(t, []uint64{14 + 3, 25}, ask(), "the last counts of the unresponsive agent are used")
 }
 
-// One answer in ten is lost. Guards against a round that takes its whole time for it.
+// One answer in ten is lost. Guards against a round that takes its full timeout because
+// of it.
 func TestGatherMostSkipsLateAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/role/followclients.go
+++ b/internal/role/followclients.go
@@ -12,13 +12,13 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// followClients are the connections of a follower, one client a control VM.
+// followClients holds a follower's HTTP clients, one per control VM.
 type followClients struct {
-	clients sync.Map // of *http.Client, by address
+	clients sync.Map // *http.Client by address
 }
 
-// poll asks a control VM over a connection of its own. One that went silent is
-// given up with its question, and the next one dials anew.
+// poll polls a control VM over its own connection. After a failure the connection is
+// closed, as it may be unresponsive, and the next poll dials again.
 func (c *followClients) poll(ctx context.Context, control netip.AddrPort, q *wire.FollowRequest) (*wire.FollowResponse, error) {
 	stored, ok := c.clients.Load(control)
 	if !ok {
@@ -32,7 +32,7 @@
 		client.CloseIdleConnections()
 	}
 
-	return out, eris.Wrap(err, "follow control VM")
+	return out, eris.Wrap(err, "poll control VM")
 }
 
 func newFollowClient() *http.Client {
--- a/internal/role/gather.go
+++ b/internal/role/gather.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// enoughQuarters is the part of the answers, in quarters, after which the rest is waited for
-	// only some time longer.
+	// enoughQuarters is the part of the answers, in quarters, after which the wait for
+	// the rest is limited.
 	enoughQuarters = 3
-	// minExtraWait bounds that time from below, and timesLonger is how many times longer the
-	// rest may take than most did.
+	// minExtraWait is the minimum of that extra wait. Otherwise it is extraWaitFactor
+	// times as long as the answers so far took.
 	minExtraWait    = 25 * time.Millisecond
 	extraWaitFactor = 2
 )
 
-// gatherMost does something n times at once and returns what came of it in time: once most are
-// done the rest is waited for some time longer, and left out after that. One answer in ten
-// that is lost would else cost each round its whole time.
+// gatherMost calls do n times concurrently and returns the results that arrived in
+// time. Once three quarters of the calls have returned, it waits for the rest only a
+// limited time, and leaves zero values for those that are still missing. Without the
+// limit, one lost answer in ten would make each round take its full timeout.
 func gatherMost[T any](ctx context.Context, n int, do func(ctx context.Context, i int) T) []T {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/role/member.go
+++ b/internal/role/member.go
@@ -17,42 +17,43 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// Member is who a control VM is in the control set, as its data folder says. A
-// data folder that was lost makes another member of the same VM: what the former
-// one voted and acknowledged is forgotten, and must not be counted again.
+// Member identifies a control VM in the control set. It is stored in the data folder.
+// If the data folder is lost, the VM gets a new member: the previous one's votes and
+// acknowledged entries are lost and must not be counted for the new one.
 type Member struct {
 	ID string
-	// Found are the first members where this one is among them.
+	// Found are the initial members if this member is one of them.
 	Found []netip.AddrPort
 }
 
-// memberFile is the file in the data folder.
+// memberFile is the file in the data folder that stores the member.
 const memberFile = "member.json"
 
 const (
 	memberDirMode  fs.FileMode = 0o750
 	memberFileMode fs.FileMode = 0o600
-	// memberSuffixBytes is how many random bytes tell a member from others of its VM.
+	// memberSuffixBytes is the number of random bytes in a member's ID, which
+	// distinguish it from other members of the same VM.
 	memberSuffixBytes = 6
 )
 
-// MemberOptions say how a member is made.
+// MemberOptions controls how a member is created.
 type MemberOptions struct {
-	// Bootstrap says that the deployment starts for the first time.
+	// Bootstrap means that the deployment starts for the first time.
 	Bootstrap bool
-	// Volatile says that the VM has no disk: nothing of the member is kept.
+	// Volatile means that the VM has no disk, and nothing is stored.
 	Volatile bool
 }
 
-// OpenMember reads the member from the data folder, or makes one: a founder where
-// the deployment starts for the first time and own is a seed.
+// OpenMember reads the member from the data folder, or creates one. The new member is a
+// founder if the deployment starts for the first time and self is a seed.
 func OpenMember(dir string, self netip.AddrPort, seeds []netip.AddrPort, o MemberOptions) (*Member, error) {
 	if o.Volatile {
 		return newMember(self, membership.VolatileIDMarker), nil
 	}
 
 	if err := os.MkdirAll(dir, memberDirMode); err != nil {
-		return nil, eris.Wrap(err, "make data folder")
+		return nil, eris.Wrap(err, "create data folder")
 	}
 
 	data, err := os.ReadFile(filepath.Join(dir, memberFile)) //nolint:gosec // the settings name the folder
@@ -74,7 +75,8 @@
 	return m, m.write(dir)
 }
 
-// newMember returns a member that joins, under an ID that no VM had before.
+// newMember returns a member that joins an existing set, under an ID that was never
+// used before.
 func newMember(self netip.AddrPort, marker string) *Member {
 	var suffix [memberSuffixBytes]byte
 
@@ -83,12 +85,12 @@
 	return &Member{ID: self.Addr().String() + marker + hex.EncodeToString(suffix[:])}
 }
 
-// write makes the member durable before it says a word: else a power loss could
-// give one vote to two members.
+// write stores the member durably. It must complete before the member sends any
+// message: otherwise, after a power loss, two members could cast the same VM's vote.
 func (m *Member) write(dir string) error {
 	data, err := json.Marshal(m)
 	if err != nil {
-		return eris.Wrap(err, "write "+memberFile)
+		return eris.Wrap(err, "encode "+memberFile)
 	}
 
 	return writeFileAtomic(filepath.Join(dir, memberFile), data)
@@ -103,8 +105,8 @@
 	return eris.Wrap(errors.Join(d.Sync(), d.Close()), "sync data folder")
 }
 
-// writeFileAtomic replaces a file so that it is there as it was, or as it is to be, also
-// after a loss of power.
+// writeFileAtomic replaces a file. After a power loss it has either the previous or the
+// new content.
 func writeFileAtomic(path string, data []byte) error {
 	tmp := path + ".tmp"
 
@@ -125,7 +127,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// Founders returns the first members of the set, or none for one that joins.
+// Founders returns the initial members of the set, or none for a member that joins.
 func (m *Member) Founders() []quorum.Member {
 	var out []quorum.Member
 	for _, a := range m.Found {
--- a/internal/role/member_test.go
+++ b/internal/role/member_test.go
@@ -18,9 +18,9 @@
 
 var bootstrap = role.MemberOptions{Bootstrap: true}
 
-// A control VM is the same member as long as its data folder is there, whatever its
-// settings say by then, and another one when the folder is lost: what the lost one
-// voted and acknowledged must not be counted for it.
+// A control VM keeps its member as long as its data folder exists, even if its settings
+// change. If the folder is lost, it gets a new member, because the votes and
+// acknowledged entries of the previous one must not be counted for it.
 func TestMemberIsReadFromDataFolder(t *testing.T) {
 	t.Parallel()
 
@@ -34,7 +34,7 @@
 
 	again, err := role.OpenMember(dir, seedOne, []netip.AddrPort{seedTwo}, role.MemberOptions{})
 	require.NoError(t, err)
-	require.Equal(t, first, again, "the seeds were exchanged meanwhile")
+	require.Equal(t, first, again, "different seeds must not change the member")
 
 	require.NoError(t, os.RemoveAll(dir))
 
@@ -48,7 +48,8 @@
 	require.NotEqual(t, lost.ID, other.ID)
 }
 
-// More VMs with disks than seeds start for the first time: those that are no seeds join.
+// More VMs with disks than seeds start for the first time. Those that are not seeds
+// join the set.
 func TestNonSeedJoins(t *testing.T) {
 	t.Parallel()
 
@@ -57,7 +58,8 @@
 	require.Empty(t, m.Founders())
 }
 
-// A seed without a disk forms no set: its vote would be gone with its process.
+// A seed without a disk is not a founder, because its vote would be lost with its
+// process.
 func TestVolatileSeedJoins(t *testing.T) {
 	t.Parallel()
 
@@ -67,7 +69,7 @@
 	require.Contains(t, m.ID, membership.VolatileIDMarker)
 }
 
-// A member file that cannot be read is no reason to make another member.
+// A corrupt member file must not lead to a new member.
 func TestCorruptMemberFileIsAnError(t *testing.T) {
 	t.Parallel()
 
--- a/internal/role/membersservice.go
+++ b/internal/role/membersservice.go
@@ -11,16 +11,17 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// membersService answers operators about the set of control VMs.
+// membersService serves operators' requests about the set of control VMs.
 type membersService struct {
 	role *Control
 }
 
-// List implements wire.Members. Only the leader knows how far the others are.
+// List implements wire.Members. Only the leader knows the other members' progress, so
+// other members refuse if there is a leader.
 func (s *membersService) List(context.Context, *wire.MembersRequest) (*wire.MembersResponse, error) {
 	st := s.role.replica.Status()
 	if st.Leader != "" && st.Leader != s.role.VM {
-		return nil, twirp.NewErrorf(twirp.Unavailable, "%s leads, at %s", st.Leader, st.LeaderAddr)
+		return nil, twirp.NewErrorf(twirp.Unavailable, "not the leader: %s leads, at %s", st.Leader, st.LeaderAddr)
 	}
 
 	out := &wire.MembersResponse{Term: st.Term, Leader: st.Leader, Answered: s.role.VM}
@@ -45,7 +46,7 @@
 		return nil, memberChangeError(err)
 	}
 
-	s.role.Logs.Logger("control").Info("control VMs changed", "change", c.GetKind().String(), "id", c.GetID())
+	s.role.Logs.Logger("control").Info("control set changed by operator", "change", c.GetKind().String(), "id", c.GetID())
 
 	return &wire.MemberChanged{}, nil
 }
@@ -55,7 +56,7 @@
 	case wire.MemberChangeKind_MemberAdd:
 		a, err := netip.ParseAddrPort(c.GetAddress())
 		if err != nil {
-			return twirp.InvalidArgumentError("Address", "is no IP:port")
+			return twirp.InvalidArgumentError("Address", "must be an IP:port")
 		}
 
 		return s.role.replica.AddLearner(ctx, quorum.Member{ID: c.GetID(), Addr: a})
@@ -66,15 +67,16 @@
 	case wire.MemberChangeKind_MemberLead:
 		return s.role.replica.TransferLeadership(ctx, c.GetID())
 	default:
-		return twirp.InvalidArgumentError("Kind", "is no change")
+		return twirp.InvalidArgumentError("Kind", "is not a known change")
 	}
 }
 
-// memberChangeError says whether a change that failed may still come about.
+// memberChangeError returns the RPC error for a failed change. It states whether the
+// change may still take effect.
 func memberChangeError(err error) error {
 	if verdict.Of(err) == verdict.NotRun {
 		return twirp.NewError(twirp.FailedPrecondition, "nothing was changed: "+err.Error())
 	}
 
-	return twirp.NewError(twirp.Unavailable, "whether it was changed is unknown, look with member list: "+err.Error())
+	return twirp.NewError(twirp.Unavailable, "whether the change was made is unknown, check with member list: "+err.Error())
 }
--- a/internal/role/packedorder.go
+++ b/internal/role/packedorder.go
@@ -5,15 +5,18 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// packedOrder is an order to prepare a map as it travels between agents.
+// packedOrder is an order to prepare a map, in the form in which agents send it to each
+// other.
 type packedOrder struct {
 	version, baseVersion uint64
-	// delta holds the map as the changes from the one in use, nil where that is not known.
+	// delta holds the map as differences from the map in use; nil if that map is not
+	// known.
 	delta *wire.EngineOrder
 	full  *wire.EngineOrder
 }
 
-// pack packs the map of an order to prepare it, once for all ranks that it goes to.
+// pack returns the packed form of an order to prepare a map. It is computed once and
+// reused for all ranks.
 func (a *RankAgent) pack(o *wire.EngineOrder) *packedOrder {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -10,13 +10,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// formerPeerRetention is how long a control VM that left the set is still asked whom it
-// heard from. For a lease it may have answered polls as a member; a decision that
-// came into force without its word could then be acted against.
+// formerPeerRetention is how long a removed control VM is still asked which processes
+// polled it. It may have answered polls as a member, and the leases of those polls may
+// still be valid. A decision that takes effect without asking it could be violated by a
+// process with such a lease.
 const formerPeerRetention = 10 * time.Second
 
-// peerTracker is the other control VMs by the members of the log, with those of the
-// settings while this process cannot know who left just before it started.
+// peerTracker tracks the other control VMs. It takes them from the members in the log,
+// and, until formerPeerRetention after the start, also from the settings: this process
+// does not know which members were removed shortly before it started.
 type peerTracker struct {
 	started time.Time
 
@@ -24,13 +26,13 @@
 	peers map[string]trackedPeer
 }
 
-// trackedPeer is when a control VM was last a member, and where.
+// trackedPeer is a control VM with the time at which it was last a member.
 type trackedPeer struct {
 	member       quorum.Member
 	lastMemberAt time.Time
 }
 
-// update returns the control VMs to ask at now.
+// update records the members at now and returns the control VMs to ask.
 func (l *peerTracker) update(now time.Time, self string, members, settings []quorum.Member) []quorum.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +65,7 @@
 	return out
 }
 
-// findPeers returns the other control VMs as they are now.
+// findPeers returns the other control VMs that must be asked now.
 func (r *Control) findPeers() []control.Peer {
 	var members []quorum.Member
 	for _, m := range r.replica.Status().Members {
--- a/internal/role/peers_test.go
+++ b/internal/role/peers_test.go
@@ -18,10 +18,10 @@
 	return out
 }
 
-// Operators replace a control VM. The new one's word counts at once, and that of
-// the removed one for as long as a process may hold a lease from it: a zone
-// would else be said to be out while that process still sends into it. Then it
-// is forgotten, or each later decision would wait for a VM that is gone.
+// Operators replace a control VM. The new member counts immediately. The removed one
+// still counts while a process may hold a lease from it: otherwise a zone would be
+// reported as out while that process still sends requests to it. After that it is
+// dropped, else each later decision would wait for a VM that no longer exists.
 func TestRemovedPeerIsKeptForALease(t *testing.T) {
 	t.Parallel()
 
@@ -30,7 +30,7 @@
 	settings := []quorum.Member{b, c}
 	l := &peerTracker{started: start}
 
-	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(start, "a", nil, settings)), "by the settings at first")
+	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(start, "a", nil, settings)), "members of the settings at the start")
 
 	later := start.Add(time.Minute)
 	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(later, "a", []quorum.Member{a, b, c}, settings)))
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -15,11 +15,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// rankCheckInterval is how often an agent looks whether its target is a rank.
+// rankCheckInterval is how often an agent checks whether its target is a rank.
 const rankCheckInterval = 200 * time.Millisecond
 
-// runRank waits until the target announces itself as a rank of a group, and
-// carries that rank from then on.
+// runRank waits until the target announces itself as a rank of a group, then runs the
+// participant of that rank.
 func (r *Agent) runRank(ctx context.Context) error {
 	tick := time.NewTicker(rankCheckInterval)
 	defer tick.Stop()
@@ -35,7 +35,7 @@
 	rk := r.newRank(r.agent.Node())
 	rk.Init()
 	r.rank.Store(rk)
-	r.Logs.Logger("rank").Info("target is a rank", "group", rk.Group, "rank", rk.Number)
+	r.Logs.Logger("rank").Info("target announced itself as a rank", "group", rk.Group, "rank", rk.Number)
 
 	return rk.Run(ctx)
 }
@@ -71,7 +71,7 @@
 	return m.Encode()
 }
 
-// peerAddresses returns the addresses of the group's other ranks.
+// peerAddresses returns the addresses of the agents of the group's other ranks.
 func (r *Agent) peerAddresses(group string) []netip.AddrPort {
 	var out []netip.AddrPort
 
@@ -88,7 +88,8 @@
 	return out
 }
 
-// rankService answers for the rank once there is one.
+// rankService serves requests for the target's rank, and returns an error until there
+// is one.
 type rankService struct {
 	role *Agent
 }
@@ -98,7 +99,7 @@
 		return rk, nil
 	}
 
-	return nil, twirp.NewError(twirp.NotFound, "the target is no rank of a group")
+	return nil, twirp.NewError(twirp.NotFound, "the target is not a rank of a group")
 }
 
 // Order implements wire.Rank.
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -22,31 +22,37 @@
 )
 
 const (
-	// rankWatchInterval is how often an agent looks whether its rank is the first one.
+	// rankWatchInterval is how often an agent checks its engine's rank, group and
+	// epoch.
 	rankWatchInterval = 200 * time.Millisecond
-	// peerTimeout bounds one question to another agent; then its engine is asked itself.
+	// peerTimeout bounds one request to another agent. After it, the request goes to
+	// the engine beside that agent directly.
 	peerTimeout = 70 * time.Millisecond
-	// peerSumTimeout bounds a question to one that asks others before it answers.
+	// peerSumTimeout bounds a request to an agent that must fetch counts of other
+	// agents to answer it.
 	peerSumTimeout = 2 * peerTimeout
-	// directorCheckTimeout bounds a question whether the directing agent lives: it may be slow while it
-	// speaks to all ranks of a large group, and must not be taken for gone then.
+	// directorCheckTimeout bounds a check whether the directing agent is alive. It is
+	// longer than peerTimeout, because that agent may answer slowly while it
+	// communicates with all ranks of a large group, and must not be considered failed
+	// then.
 	directorCheckTimeout = 250 * time.Millisecond
-	// switchStopTimeout bounds how long a stopping agent finishes a switch.
+	// switchStopTimeout bounds how long an agent that stops directing continues a
+	// switch in progress.
 	switchStopTimeout = 3 * time.Second
 )
 
-// RankAgent is the role of an agent beside a rank of a lock-step group. Its fields
-// are set before Run.
+// RankAgent is the role of an agent beside a rank of a lock-step group. Its fields must
+// be set before Run.
 type RankAgent struct {
 	ID       string
 	Cluster  string
 	Zone     string
 	Listener net.Listener
 	Seeds    func() []netip.AddrPort
-	// Engine is the one on this VM, EngineAt another rank's: it is spoken to where
-	// the agent beside it does not answer.
+	// Engine is the engine on this VM. EngineAt returns a client for another rank's
+	// engine, which is used if the agent beside it does not answer.
 	Engine lockstep.Engine
-	// LoadConn takes entries' asks for loads.
+	// LoadConn receives the load subscriptions of entries.
 	LoadConn net.PacketConn
 	EngineAt func(netip.AddrPort) lockstep.Engine
 	Logs     logs.Output
@@ -57,23 +63,26 @@
 	clients  followClients
 	peerHTTP *http.Client
 
-	// relayIndex is the entry that is tried first.
+	// relayIndex selects the entry that is tried first as a relay.
 	relayIndex atomic.Int32
-	// highestAttempted is the highest version of a map that this agent tried, in any epoch.
+	// highestAttempted is the highest map version with which this agent attempted a
+	// switch, in any epoch.
 	highestAttempted uint64
 
 	engines engineCache
 
-	// mu guards the maps that this agent knows, and which of them is in use.
+	// mu guards the fields below. activeVersion is the version of the map in use.
 	mu            sync.Mutex
 	maps          lockstep.MapCache
 	activeVersion uint64
-	// lastPacked is the map that was packed last, for all ranks that it goes to.
+	// lastPacked is the last packed order, reused for all ranks.
 	lastPacked *packedOrder
-	// countEncoder are counts as they were told to other agents, heard what they told of theirs.
+	// countEncoder holds the counts sent to other agents; countDecoders hold those
+	// received from them, by countsKey.
 	countEncoder  lockstep.CountEncoder
 	countDecoders map[string]*lockstep.CountDecoder
-	// helperIndex are which of its ranks helped last in each part of the group.
+	// helperIndex selects the helper of each part of the group, by the first rank of
+	// the part.
 	helperIndex map[int]int
 }
 
@@ -105,7 +114,7 @@
 	g.Go(func() error {
 		a.watchRank(work)
 
-		return eris.Wrap(server.Close(), "close ranks")
+		return eris.Wrap(server.Close(), "close rank server")
 	})
 
 	a.logger.Info("Started.", "zone", a.Zone)
@@ -116,11 +125,11 @@
 	return err
 }
 
-// standbyRank is the rank whose agent stands by for the directing one.
+// standbyRank is the rank whose agent replaces the directing agent if that one fails.
 const standbyRank = 1
 
-// watchRank directs the group while this VM's rank is its first one, and stands by
-// while it is the second.
+// watchRank directs the group while this VM's rank is rank 0, and acts as its standby
+// while it is standbyRank.
 func (a *RankAgent) watchRank(ctx context.Context) {
 	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
@@ -138,20 +147,20 @@
 	}
 }
 
-// direct directs the group of r until its epoch ends.
+// direct directs the group of r, or acts as its standby, until its epoch ends.
 func (a *RankAgent) direct(ctx context.Context, r lockstep.Report) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 
-	// What this agent must know of the others outlives ctx, until a switch that has
-	// begun is finished.
+	// The follower outlives ctx, because a switch in progress needs it to finish.
 	follow, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopFollowing()
 
 	a.follower = &view.Follower{
 		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.poll,
-		// A configuration of 1,773 routes, which each control VM sends as it changes, kept
-		// a link of 8 Mbit/s busy for a second, and the directing agent deaf.
+		// Routes are omitted: each control VM sends the complete configuration on a
+		// change, and one with 1,773 routes occupied a link of 8 Mbit/s for a second,
+		// during which the directing agent received nothing else.
 		ServicesOnly: true,
 		Leaving:      func() bool { return true }, OnChange: func(*view.ClusterState) {}, Logger: a.Logs.Logger("view"),
 	}
@@ -178,11 +187,11 @@
 	select {
 	case <-done:
 	case <-time.After(switchStopTimeout):
-		a.logger.Warn("A switch was not finished in time.")
+		a.logger.Warn("An expert map switch did not finish before the stop timeout.")
 	}
 }
 
-// runGroup directs the group, or stands by.
+// runGroup directs the group, or acts as its standby.
 func (a *RankAgent) runGroup(ctx context.Context, shape lockstep.Shape, r lockstep.Report) {
 	a.resetCounts()
 
@@ -204,7 +213,8 @@
 	a.highestAttempted = d.HighestAttempted
 }
 
-// peerAnswers reports whether the agent beside a rank answers.
+// peerAnswers reports whether the agent beside a rank answers. It returns true if the
+// directory does not contain the rank.
 func (a *RankAgent) peerAnswers(ctx context.Context, group lockstep.Report, rank int) bool {
 	t, err := a.target(group, rank)
 	if err != nil {
@@ -219,8 +229,8 @@
 	return err == nil
 }
 
-// watchEpoch ends ctx once the group has another epoch or this rank is not the
-// first one any more.
+// watchEpoch calls stop once the engine reports another epoch, rank, group or group
+// size.
 func (a *RankAgent) watchEpoch(ctx context.Context, stop context.CancelFunc, initial lockstep.Report) {
 	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
@@ -240,7 +250,8 @@
 	}
 }
 
-// awaitShape waits for the configuration and the directory to name all ranks.
+// awaitShape waits until the configuration declares the group's shape and the directory
+// contains all ranks. It reports false if the epoch or ctx ends first.
 func (a *RankAgent) awaitShape(ctx context.Context, r lockstep.Report) (lockstep.Shape, bool) {
 	for {
 		f := a.follower.State()
--- a/internal/role/rankpeers.go
+++ b/internal/role/rankpeers.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// rankTargets returns the targets of a group by rank, and their service. An earlier
-// incarnation that the directory still holds gives way to the later one.
+// rankTargets returns the targets of a group by rank, and their service. Of several
+// incarnations of a rank in the directory, it returns the latest.
 func (a *RankAgent) rankTargets(f *view.ClusterState, r lockstep.Report) (map[int]directory.Target, string) {
 	out := make(map[int]directory.Target)
 	service := ""
@@ -27,8 +27,8 @@
 	return out, service
 }
 
-// errUnknownRank says that the directory names no target for a rank.
-var errUnknownRank = errors.New("role: the rank's target is not known")
+// errUnknownRank means that the directory contains no target for a rank.
+var errUnknownRank = errors.New("role: the directory has no target for the rank")
 
 func (a *RankAgent) target(r lockstep.Report, rank int) (directory.Target, error) {
 	ranks, _ := a.rankTargets(a.follower.State(), r)
@@ -41,8 +41,8 @@
 	return t, nil
 }
 
-// peerAddress returns where the agent beside a target listens: at this agent's own
-// port.
+// peerAddress returns the address of the agent beside a target. All agents listen at
+// the same port.
 func (a *RankAgent) peerAddress(t directory.Target) string {
 	self, _ := netip.ParseAddrPort(a.Listener.Addr().String())
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// pollTarget looks at the rank of a target by way of the agent beside it.
+// pollTarget polls the rank of a target through the agent beside it.
 func (a *RankAgent) pollTarget(ctx context.Context, t directory.Target, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
 	if a.isLocal(t) {
 		return a.pollLocal(ctx, q, others)
@@ -99,13 +99,15 @@
 		return pollResultFromWire(out), nil
 	}
 
-	// Its agent may just be starting again. The report alone is cheap from afar.
+	// The agent beside the target may be restarting. The engine is then asked directly,
+	// but only for its report, which is small.
 	report, err := a.engineClient(t).Report(ctx)
 
 	return lockstep.PollResult{Report: report}, err
 }
 
-// countNeighbours returns the agents whose counts a rank's agent is to add to its own.
+// countNeighbours returns the agents whose counts a rank's agent must add to those of
+// its own engine.
 func (a *RankAgent) countNeighbours(group lockstep.Report, rank int, q lockstep.PollRequest) []string {
 	var out []string
 
@@ -139,7 +141,8 @@
 	}
 }
 
-// orderTarget gives an order to the rank of a target by way of the agent beside it.
+// orderTarget sends an order to the engine of a target through the agent beside it, and
+// directly if that fails.
 func (a *RankAgent) orderTarget(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	if a.isLocal(t) {
 		return a.Engine.Order(ctx, o)
@@ -152,8 +155,8 @@
 	return a.engineClient(t).Order(ctx, o)
 }
 
-// orderThroughPeer gives an order by way of the agent beside a target. A map goes as the
-// changes from the one in use, which most agents know.
+// orderThroughPeer sends an order through the agent beside a target. A map is first
+// sent as differences from the map in use, which most agents have.
 func (a *RankAgent) orderThroughPeer(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
@@ -181,18 +184,18 @@
 	return out.GetResult()
 }
 
-// isHoldOrGo reports whether an order holds a step, or ends that. These go by a
-// VM without an engine: where a rank's own VM froze just after it had given one,
-// nobody could ask its engine whether it is armed, and the group would stand still
-// until that VM wakes.
+// isHoldOrGo reports whether an order holds a step or releases it. Such orders are
+// relayed by a VM without an engine. If a rank's own VM sent one and then froze, no
+// agent could ask its engine whether it is armed, and the group would be blocked until
+// that VM resumes.
 func isHoldOrGo(o *wire.EngineOrder) bool {
 	return o.GetKind() == wire.EngineOrderKind_EngineOrderHold || o.GetKind() == wire.EngineOrderKind_EngineOrderGo
 }
 
-// maxRelayAttempts is how many entries are tried.
+// maxRelayAttempts is the number of entries that are tried as a relay.
 const maxRelayAttempts = 2
 
-// orderThroughRelay gives an order by way of an entry.
+// orderThroughRelay sends an order through an entry.
 func (a *RankAgent) orderThroughRelay(ctx context.Context, t directory.Target, o *wire.EngineOrder) wire.EngineResult {
 	relays := a.follower.State().Relays
 
--- a/internal/role/rankserver.go
+++ b/internal/role/rankserver.go
@@ -17,7 +17,7 @@
 	return loadreport.Load{Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace}, err
 }
 
-// RankState is the engine of this VM in a dump.
+// RankState is the part of a dump that describes the engine on this VM.
 type RankState struct {
 	Report lockstep.Report
 	Error  string
@@ -31,7 +31,7 @@
 	return err.Error()
 }
 
-// pollLocal looks at this VM's engine, and adds the counts of others.
+// pollLocal polls the engine on this VM, and adds the counts of the agents in others.
 func (a *RankAgent) pollLocal(ctx context.Context, q lockstep.PollRequest, others []string) (lockstep.PollResult, error) {
 	report, err := a.Engine.Report(ctx)
 	out := lockstep.PollResult{Report: report}
@@ -65,7 +65,7 @@
 
 	l, err := a.pollLocal(ctx, lockstep.PollRequest{Counts: r.GetCounts(), Experts: r.GetLists()}, r.GetOthers())
 	if err != nil {
-		return nil, twirp.NewError(twirp.Unavailable, err.Error()) //nolint:wrapcheck // the server looks for its own type
+		return nil, twirp.NewError(twirp.Unavailable, err.Error()) //nolint:wrapcheck // the server needs a twirp.Error
 	}
 
 	out := pollResultToWire(l)
@@ -110,19 +110,19 @@
 	return &wire.EngineOrderAnswer{Result: a.Engine.Order(ctx, o)}, nil
 }
 
-// unpackOrder unpacks the map of an order. It reports false where that is sent as the changes
-// from a map that this agent does not know.
+// unpackOrder unpacks the map of an order. It reports false if the map was sent as
+// differences from a map that this agent does not have.
 func (a *RankAgent) unpackOrder(o *wire.EngineOrder) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	ok, err := a.maps.UnpackOrder(o)
 	if err != nil {
-		return false, twirp.InvalidArgumentError("Map", err.Error()) //nolint:wrapcheck // the server looks for its own type
+		return false, twirp.InvalidArgumentError("Map", err.Error()) //nolint:wrapcheck // the server needs a twirp.Error
 	}
 
 	return ok, nil
 }
 
-// errOtherCluster refuses what is meant for another deployment.
+// errOtherCluster rejects requests that were sent by another deployment.
 var errOtherCluster = twirp.NewError(twirp.FailedPrecondition, "this agent belongs to another cluster")
--- a/internal/role/restart_test.go
+++ b/internal/role/restart_test.go
@@ -16,7 +16,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// controlSet is a set of control VMs with data folders that outlive their processes.
+// controlSet is a set of control VMs whose data folders outlive their processes.
 type controlSet struct {
 	t       *testing.T
 	dirs    []string
@@ -36,8 +36,8 @@
 	return s
 }
 
-// start starts all control VMs. Their addresses are new at each start, but for
-// the log each keeps its name and its folder.
+// start starts all control VMs. Each keeps its name and data folder, but gets a new
+// address at each start.
 func (s *controlSet) start() {
 	s.t.Helper()
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// claim asks until a leader answers.
+// claim repeats a claim until a leader answers.
 func (s *controlSet) claim(key, attempt string) *wire.ClaimResponse {
 	s.t.Helper()
 
@@ -97,10 +97,9 @@
 	return r
 }
 
-// A cooper books a kiln slot, and hundreds of bookings later the control VM is
-// stopped and started on its disk. The resend must get the first answer, a claim
-// that was open must still name who holds it, and the operator who resends a
-// decision under its number must get its first answer.
+// A control VM restarts on its disk after hundreds of claims. A repeated claim must
+// return the recorded answer, an open claim must still name its holder, and an operator
+// who repeats a decision with the same number must get the same answer.
 func TestStateSurvivesRestart(t *testing.T) {
 	t.Parallel()
 
--- a/internal/role/supervisor.go
+++ b/internal/role/supervisor.go
@@ -15,23 +15,23 @@
 	"github.com/parsleygate/parsleygate/internal/quorum"
 )
 
-// storageRetryDelay is how long a control VM waits for a data folder that refuses: about
-// what a supervisor takes to start a process again, which is what it saves.
+// storageRetryDelay is how long a control VM waits before it uses an unavailable data
+// folder again. It is about as long as an external supervisor takes to restart a
+// process.
 const storageRetryDelay = 500 * time.Millisecond
 
-// Supervisor run a control VM again where its part in the set has ended and its process
-// need not: it was taken out of the set, or its disk refuses. The fields are set
-// before Run.
+// Supervisor restarts a control VM within its process after it was removed from the set
+// or its storage became unavailable. Its fields must be set before Run.
 type Supervisor struct {
-	// RunOnce runs the control VM until its part ends.
+	// RunOnce runs the control VM until it fails or ctx ends.
 	RunOnce func(ctx context.Context) error
-	// ClearDataDir empties the data folder, which makes another member of the VM.
+	// ClearDataDir empties the data folder, so that the VM joins again as a new member.
 	ClearDataDir func() error
 	Logger       *slog.Logger
 }
 
-// Run runs the control VM until ctx ends, or until it fails in a way that waiting
-// does not mend.
+// Run runs the control VM until ctx ends, or until it fails with an error that a
+// restart does not fix.
 func (e *Supervisor) Run(ctx context.Context) error {
 	for {
 		err := e.RunOnce(ctx)
@@ -40,21 +40,23 @@
 
 		switch {
 		case errors.As(err, &removed):
-			e.Logger.Warn("Taken out of the control set: joining anew.", "id", removed.ID)
+			e.Logger.Warn("Removed from the control set; joining again as a new member.", "id", removed.ID)
 
 			if err := e.ClearDataDir(); err != nil {
 				if !IsStorageUnavailable(err) {
-					return eris.Wrap(err, "clear the data folder")
+					return eris.Wrap(err, "clear data folder")
 				}
 
-				// The next run is told again that its member was removed.
-				e.Logger.Warn("The data folder cannot be cleared yet.", "error", err)
+				// The next run fails with a RemovedError again, and the folder is
+				// cleared then.
+				e.Logger.Warn("The data folder cannot be cleared; retrying.", "error", err)
 			}
 		case IsStorageUnavailable(err):
-			// A full or read-only disk would end the process at each of its starts, many times
-			// a minute, and bury the line that says why. What was acknowledged stays on the
-			// disk: the journal is opened anew, as after a restart.
-			e.Logger.Warn("The data folder refuses: taking no part until it is written again.", "error", err)
+			// If the process ended, a full or read-only disk would end it at each
+			// start, many times a minute, and the line with the cause would be hard to
+			// find in the log. Acknowledged entries stay on the disk, and the journal
+			// is opened again as after a restart.
+			e.Logger.Warn("The data folder is unavailable; not taking part in the control set until it can be used again.", "error", err)
 		default:
 			return err
 		}
@@ -65,9 +67,9 @@
 	}
 }
 
-// IsStorageUnavailable reports whether err says that files cannot be read or written now:
-// the disk is full, or read-only, or gone. Files that hold something wrong are not
-// meant, nothing mends them by itself.
+// IsStorageUnavailable reports whether err means that files cannot be read or written
+// now, because the disk is full, read-only or missing. It returns false for corrupt
+// files, which do not recover without intervention.
 func IsStorageUnavailable(err error) bool {
 	var (
 		write *journal.WriteError
--- a/internal/role/supervisor_test.go
+++ b/internal/role/supervisor_test.go
@@ -26,8 +26,9 @@
 	errReadOnly = &os.LinkError{Op: "rename", Old: "a", New: "b", Err: syscall.EROFS}
 )
 
-// runSupervisor runs a control VM that ends with one of errs after the other, and then runs
-// until it is stopped. It returns when each run began, and what came out in the end.
+// runSupervisor supervises a control VM whose runs fail with errs, one after the other,
+// and which then runs until it is stopped. It returns the start times of the runs, the
+// number of times the data folder was cleared, and the result.
 func runSupervisor(t *testing.T, errs ...error) (starts []time.Duration, cleared int, out error) {
 	t.Helper()
 
@@ -57,19 +58,19 @@
 	return starts, cleared, out
 }
 
-// A control VM's disk fills up for some seconds. Its process ended, was started twice
-// a second, and ended again each time, until the disk took writes: 86 times in half a
-// minute. It waits within the process now.
+// A control VM's disk is full for some seconds. If the process ended, it would be
+// restarted twice a second until the disk accepts writes: 86 times in half a minute.
+// The supervisor retries within the process instead.
 func TestUnavailableStorageIsRetried(t *testing.T) {
 	t.Parallel()
 
 	starts, cleared, err := runSupervisor(t, errDiskFull, errReadOnly, errDiskFull)
 	require.NoError(t, err)
 	require.Equal(t, []time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond}, starts)
-	require.Zero(t, cleared, "what was acknowledged is on that disk")
+	require.Zero(t, cleared, "the disk holds acknowledged entries")
 }
 
-// A VM that was taken out of the set while it was away joins under a new ID.
+// A VM that was removed from the set while it was down joins again.
 func TestRemovedMemberRejoins(t *testing.T) {
 	t.Parallel()
 
@@ -79,8 +80,8 @@
 	require.Equal(t, 1, cleared)
 }
 
-// A log that holds something else than what was written is not mended by waiting:
-// the operators have to hear of it.
+// A corrupt log does not recover by waiting, so the process must end and operators must
+// be informed.
 func TestOtherErrorsAreReturned(t *testing.T) {
 	t.Parallel()
 
@@ -92,7 +93,8 @@
 	}
 }
 
-// A data folder that cannot be made is told apart from one that holds nonsense.
+// A data folder that cannot be created is unavailable storage; one with a corrupt
+// member file is not.
 func TestIsStorageUnavailable(t *testing.T) {
 	t.Parallel()
 
@@ -110,8 +112,8 @@
 	require.False(t, role.IsStorageUnavailable(err), "%v", err)
 }
 
-// A VM without a disk may not be allowed to write files at all: its process ended at
-// each start, since it could not keep its member file. It needs none.
+// A VM without a disk may not be allowed to write files, so a volatile member must not
+// need any. It would otherwise fail at each start.
 func TestVolatileMemberWritesNothing(t *testing.T) {
 	t.Parallel()
 
