--- a/internal/role/controlclient.go
+++ b/internal/role/controlclient.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// Close closes all idle connections.
 func (c *ControlClient) Close() { c.client.CloseIdleConnections() }
 
 func (c *ControlClient) rpcClient(address netip.AddrPort) wire.Control {
--- a/internal/role/counts.go
+++ b/internal/role/counts.go
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// cachedCounts returns the last counts received of an agent's own engine.
+// cachedCounts returns the last counts received of the engine beside an agent, without
+// those of other ranks.
 func (a *RankAgent) cachedCounts(addr string) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/role/directentry.go
+++ b/internal/role/directentry.go
@@ -44,8 +44,8 @@
 	// control VM. The first one may be partitioned and return an old configuration.
 	secondControlWait = 1500 * time.Millisecond
 	// drainDelay is how long a stopping entry still accepts requests, so that the load
-	// balancer in front of it can notice: two health checks, one second apart, plus the
-	// network delay.
+	// balancer in front of it can notice: two health checks of one second each, plus
+	// the network delay.
 	drainDelay = 2600 * time.Millisecond
 	// stopReserve is the part of StopTimeout that is reserved for closing at the end.
 	stopReserve = 400 * time.Millisecond
--- a/internal/role/fanout_test.go
+++ b/internal/role/fanout_test.go
@@ -65,10 +65,10 @@
 		mux := http.NewServeMux()
 		mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(s))
 
-		web := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-		go func() { _ = web.Serve(listener) }()
+		server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
+		go func() { _ = server.Serve(listener) }()
 
-		t.Cleanup(func() { _ = web.Close(); s.peerHTTP.CloseIdleConnections() })
+		t.Cleanup(func() { _ = server.Close(); s.peerHTTP.CloseIdleConnections() })
 
 		out = append(out, s)
 	}
@@ -137,7 +137,7 @@
 
 // A map is sent as differences to ranks whose agents do not have the map that the
 // differences refer to. Guards against ranks that never receive the map.
-func TestFanOutFallsBackToWholeMap(t *testing.T) {
+func TestFanOutFallsBackToCompleteMap(t *testing.T) {
 	t.Parallel()
 
 	agents := newFakeRankAgents(t, 4)
--- a/internal/role/supervisor.go
+++ b/internal/role/supervisor.go
@@ -32,31 +32,31 @@
 
 // Run runs the control VM until ctx ends, or until it fails with an error that a
 // restart does not fix.
-func (e *Supervisor) Run(ctx context.Context) error {
+func (s *Supervisor) Run(ctx context.Context) error {
 	for {
-		err := e.RunOnce(ctx)
+		err := s.RunOnce(ctx)
 
 		var removed *quorum.RemovedError
 
 		switch {
 		case errors.As(err, &removed):
-			e.Logger.Warn("Removed from the control set; joining again as a new member.", "id", removed.ID)
+			s.Logger.Warn("Removed from the control set; joining again as a new member.", "id", removed.ID)
 
-			if err := e.ClearDataDir(); err != nil {
+			if err := s.ClearDataDir(); err != nil {
 				if !IsStorageUnavailable(err) {
 					return eris.Wrap(err, "clear data folder")
 				}
 
 				// The next run fails with a RemovedError again, and the folder is
 				// cleared then.
-				e.Logger.Warn("The data folder cannot be cleared; retrying.", "error", err)
+				s.Logger.Warn("The data folder cannot be cleared; retrying.", "error", err)
 			}
 		case IsStorageUnavailable(err):
 			// If the process ended, a full or read-only disk would end it at each
 			// start, many times a minute, and the line with the cause would be hard to
 			// find in the log. Acknowledged entries stay on the disk, and the journal
 			// is opened again as after a restart.
-			e.Logger.Warn("The data folder is unavailable; not taking part in the control set until it can be used again.", "error", err)
+			s.Logger.Warn("The data folder is unavailable; not taking part in the control set until it can be used again.", "error", err)
 		default:
 			return err
 		}
