--- a/internal/role/supervisor.go
+++ b/internal/role/supervisor.go
@@ -61,7 +61,7 @@
 			return err
 		}
 
-		if !pauses.For(ctx, storageRetryDelay) {
+		if !pauses.Sleep(ctx, storageRetryDelay) {
 			return nil
 		}
 	}
