--- /dev/null
+++ b/internal/role/automembership.go
@@ -0,0 +1,139 @@
+package role
+
+import (
+	"context"
+	"net/http"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/parsleygate/parsleygate/internal/membership"
+	"github.com/parsleygate/parsleygate/internal/quorum"
+	"github.com/parsleygate/parsleygate/internal/wire"
+)
+
+const (
+	// membershipInterval is how often the leader checks the control set, and how often
+	// a VM that is not a member asks to join.
+	membershipInterval = 400 * time.Millisecond
+	// membershipChangeTimeout bounds one change of the set.
+	membershipChangeTimeout = 2 * time.Second
+	// joinTimeout bounds one request to join.
+	joinTimeout = 900 * time.Millisecond
+)
+
+// AutoMembership holds the settings by which control VMs join and replace each other
+// automatically.
+type AutoMembership struct {
+	Settings membership.Settings
+	// Seeds returns the internal addresses of some control VMs.
+	Seeds func() []netip.AddrPort
+}
+
+// manageMembership asks to join the control set while this VM is not a member, and
+// changes the membership while this VM leads.
+func (r *Control) manageMembership(ctx context.Context) {
+	if r.AutoMembership == nil {
+		return
+	}
+
+	manager := &membership.Manager{Settings: r.AutoMembership.Settings}
+	tick := time.NewTicker(membershipInterval)
+
+	defer tick.Stop()
+
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+
+		switch {
+		case r.isLeader():
+			r.changeMembership(ctx, manager)
+		case len(r.Founders) == 0 && !r.isMember():
+			r.join(ctx)
+		default:
+			manager.Reset()
+		}
+	}
+}
+
+func (r *Control) isMember() bool {
+	return slices.ContainsFunc(r.replica.Status().Members, func(m quorum.MemberStatus) bool { return m.Member.ID == r.VM })
+}
+
+func (r *Control) changeMembership(ctx context.Context, manager *membership.Manager) {
+	change := manager.Decide(time.Now(), r.VM, r.replica.Status().Members)
+	if change.Kind == membership.NoChange {
+		return
+	}
+
+	ctx, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
+	defer cancel()
+
+	var err error
+
+	name := "promote"
+
+	if change.Kind == membership.Remove {
+		name = "remove"
+		err = r.replica.Remove(ctx, change.ID)
+	} else {
+		err = r.replica.Promote(ctx, change.ID)
+	}
+
+	r.Logs.Logger("roster").Info("Requested a change of the control set.", "change", name, "member", change.ID, "error", err)
+}
+
+// join asks the seeds, one after the other, to add this VM as a learner.
+func (r *Control) join(ctx context.Context) {
+	self, _ := netip.ParseAddrPort(r.Listener.Addr().String())
+
+	for _, seed := range r.AutoMembership.Seeds() {
+		if seed == self {
+			continue
+		}
+
+		attemptCtx, cancel := context.WithTimeout(ctx, joinTimeout)
+		_, err := wire.NewMembersProtobufClient("http://"+seed.String(), r.client).Change(attemptCtx, &wire.MemberChange{
+			Kind: wire.MemberChangeKind_MemberAdd, ID: r.VM, Address: self.String(),
+		})
+
+		cancel()
+
+		r.Logs.Logger("roster").Info("Requested to join the control set.", "seed", seed, "error", err)
+
+		if err == nil {
+			return
+		}
+	}
+}
+
+// controlAddresses returns the internal addresses of the members.
+func (r *Control) controlAddresses() []string {
+	var out []string
+	for _, m := range r.replica.Status().Members {
+		out = append(out, m.Member.Addr.String())
+	}
+
+	return out
+}
+
+// serveOperators serves operators and targets on OperatorListener until ctx ends.
+func (r *Control) serveOperators(ctx context.Context) error {
+	if r.OperatorListener == nil {
+		return nil
+	}
+
+	server := &http.Server{Handler: r.OperatorHandler(r.server), ReadHeaderTimeout: controlRequestTimeout}
+
+	go func() {
+		<-ctx.Done()
+
+		_ = shutdownServer(server)
+	}()
+
+	return serve(server, r.OperatorListener, "operators")
+}
