--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -22,31 +22,37 @@
 )
 
 const (
-	// rankWatch is how often an agent looks whether its rank is the first one.
-	rankWatch = 200 * time.Millisecond
-	// rankPeer bounds one question to another agent; then its engine is asked itself.
-	rankPeer = 70 * time.Millisecond
-	// rankSum bounds a question to one that asks others before it answers.
-	rankSum = 2 * rankPeer
-	// directorPeer bounds a question whether the directing agent lives: it may be slow while it
-	// speaks to all ranks of a large group, and must not be taken for gone then.
-	directorPeer = 250 * time.Millisecond
-	// rankStop bounds how long a stopping agent finishes a switch.
-	rankStop = 3 * time.Second
+	// rankWatchInterval is how often an agent checks its engine's rank, group and
+	// epoch.
+	rankWatchInterval = 200 * time.Millisecond
+	// peerTimeout bounds one request to another agent. After it, the request goes to
+	// the engine beside that agent directly.
+	peerTimeout = 70 * time.Millisecond
+	// peerSumTimeout bounds a request to an agent that must fetch counts of other
+	// agents to answer it.
+	peerSumTimeout = 2 * peerTimeout
+	// directorCheckTimeout bounds a check whether the directing agent is alive. It is
+	// longer than peerTimeout, because that agent may answer slowly while it
+	// communicates with all ranks of a large group, and must not be considered failed
+	// then.
+	directorCheckTimeout = 250 * time.Millisecond
+	// switchStopTimeout bounds how long an agent that stops directing continues a
+	// switch in progress.
+	switchStopTimeout = 3 * time.Second
 )
 
-// RankAgent is the role of an agent beside a rank of a lock-step group. Its fields
-// are set before Run.
+// RankAgent is the role of an agent beside a rank of a lock-step group. Its fields must
+// be set before Run.
 type RankAgent struct {
 	ID       string
 	Cluster  string
 	Zone     string
 	Listener net.Listener
 	Seeds    func() []netip.AddrPort
-	// Engine is the one on this VM, EngineAt another rank's: it is spoken to where
-	// the agent beside it does not answer.
+	// Engine is the engine on this VM. EngineAt returns a client for another rank's
+	// engine, which is used if the agent beside it does not answer.
 	Engine lockstep.Engine
-	// LoadConn takes entries' asks for loads.
+	// LoadConn receives the load subscriptions of entries.
 	LoadConn net.PacketConn
 	EngineAt func(netip.AddrPort) lockstep.Engine
 	Logs     logs.Output
@@ -55,57 +61,60 @@
 	logger   *slog.Logger
 	follower *view.Follower
 	clients  followClients
-	peers    *http.Client
-
-	// relay is the entry that is tried first.
-	relay atomic.Int32
-	// tried is the highest version of a map that this agent tried, in any epoch.
-	tried uint64
-
-	engines engines
-
-	// mu guards the maps that this agent knows, and which of them is in use.
-	mu    sync.Mutex
-	maps  lockstep.MapCache
-	inUse uint64
-	// packed is the map that was packed last, for all ranks that it goes to.
-	packed *packedOrder
-	// told are counts as they were told to other agents, heard what they told of theirs.
-	told  lockstep.CountEncoder
-	heard map[string]*lockstep.CountDecoder
-	// helpers are which of its ranks helped last in each part of the group.
-	helpers map[int]int
+	peerHTTP *http.Client
+
+	// relayIndex selects the entry that is tried first as a relay.
+	relayIndex atomic.Int32
+	// highestAttempted is the highest map version with which this agent attempted a
+	// switch, in any epoch.
+	highestAttempted uint64
+
+	engines engineCache
+
+	// mu guards the fields below. activeVersion is the version of the map in use.
+	mu            sync.Mutex
+	maps          lockstep.MapCache
+	activeVersion uint64
+	// lastPacked is the last packed order, reused for all ranks.
+	lastPacked *packedOrder
+	// countEncoder holds the counts sent to other agents; countDecoders hold those
+	// received from them, by countsKey.
+	countEncoder  lockstep.CountEncoder
+	countDecoders map[string]*lockstep.CountDecoder
+	// helperIndex selects the helper of each part of the group, by the first rank of
+	// the part.
+	helperIndex map[int]int
 }
 
 // Run runs the role until ctx ends.
 func (a *RankAgent) Run(ctx context.Context) error {
 	a.logger = a.Logs.Logger("rank")
-	a.engines.at = a.EngineAt
+	a.engines.newEngine = a.EngineAt
 	a.Dump.Add("Rank", func() any {
 		r, err := a.Engine.Report(ctx)
 
 		return RankState{Report: r, Error: errorText(err)}
 	})
-	a.peers = newFollowClient()
-	a.told.Mark = uint64(time.Now().UnixMicro())
-	a.heard = make(map[string]*lockstep.CountDecoder)
+	a.peerHTTP = newFollowClient()
+	a.countEncoder.Mark = uint64(time.Now().UnixMicro())
+	a.countDecoders = make(map[string]*lockstep.CountDecoder)
 
 	mux := http.NewServeMux()
 	mux.Handle(wire.RankPeerPathPrefix, wire.NewRankPeerServer(a))
 
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: controlTry}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: controlRequestTimeout}
 
 	g, work := errgroup.WithContext(ctx)
-	g.Go(func() error { return serve(web, a.Listener, "ranks") })
+	g.Go(func() error { return serve(server, a.Listener, "ranks") })
 	g.Go(func() error {
 		t := &loadreport.Publisher{Cluster: a.Cluster, Conn: a.LoadConn, Load: a.load, Logger: a.logger}
 
 		return t.Run(work)
 	})
 	g.Go(func() error {
-		a.watch(work)
+		a.watchRank(work)
 
-		return eris.Wrap(web.Close(), "close ranks")
+		return eris.Wrap(server.Close(), "close rank server")
 	})
 
 	a.logger.Info("Started.", "zone", a.Zone)
@@ -116,13 +125,13 @@
 	return err
 }
 
-// standbyRank is the rank whose agent stands by for the directing one.
+// standbyRank is the rank whose agent replaces the directing agent if that one fails.
 const standbyRank = 1
 
-// watch directs the group while this VM's rank is its first one, and stands by
-// while it is the second.
-func (a *RankAgent) watch(ctx context.Context) {
-	tick := time.NewTicker(rankWatch)
+// watchRank directs the group while this VM's rank is rank 0, and acts as its standby
+// while it is standbyRank.
+func (a *RankAgent) watchRank(ctx context.Context) {
+	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
 
 	for {
@@ -138,20 +147,20 @@
 	}
 }
 
-// direct directs the group of r until its epoch ends.
+// direct directs the group of r, or acts as its standby, until its epoch ends.
 func (a *RankAgent) direct(ctx context.Context, r lockstep.Report) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 
-	// What this agent must know of the others outlives ctx, until a switch that has
-	// begun is finished.
+	// The follower outlives ctx, because a switch in progress needs it to finish.
 	follow, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopFollowing()
 
 	a.follower = &view.Follower{
-		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.ask,
-		// A configuration of 1,773 routes, which each control VM sends as it changes, kept
-		// a link of 8 Mbit/s busy for a second, and the directing agent deaf.
+		Cluster: a.Cluster, ID: a.ID, Zone: a.Zone, Seeds: a.Seeds, Poll: a.clients.poll,
+		// Routes are omitted: each control VM sends the complete configuration on a
+		// change, and one with 1,773 routes occupied a link of 8 Mbit/s for a second,
+		// during which the directing agent received nothing else.
 		ServicesOnly: true,
 		Leaving:      func() bool { return true }, OnChange: func(*view.ClusterState) {}, Logger: a.Logs.Logger("view"),
 	}
@@ -170,48 +179,49 @@
 
 	go func() {
 		defer close(done)
-		a.serveGroup(ctx, shape, r)
+		a.runGroup(ctx, shape, r)
 	}()
 
 	<-ctx.Done()
 
 	select {
 	case <-done:
-	case <-time.After(rankStop):
-		a.logger.Warn("A switch was not finished in time.")
+	case <-time.After(switchStopTimeout):
+		a.logger.Warn("An expert map switch did not finish before the stop timeout.")
 	}
 }
 
-// serveGroup directs the group, or stands by.
-func (a *RankAgent) serveGroup(ctx context.Context, shape lockstep.Shape, r lockstep.Report) {
-	a.forgetCounts()
+// runGroup directs the group, or acts as its standby.
+func (a *RankAgent) runGroup(ctx context.Context, shape lockstep.Shape, r lockstep.Report) {
+	a.resetCounts()
 
 	logger := a.Logs.Logger("experts")
-	ranks := lockstep.GroupClient{Size: r.Size, Epoch: r.Epoch, Poll: a.lookAt(r), Order: a.orderAt(r), FanOut: a.spreadOver(r)}
+	ranks := lockstep.GroupClient{Size: r.Size, Epoch: r.Epoch, Poll: a.pollFunc(r), Order: a.orderFunc(r), FanOut: a.fanOutFunc(r)}
 
 	if r.Rank == standbyRank {
 		s := &lockstep.Standby{
 			Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger,
-			DirectorAlive: func(ctx context.Context) bool { return a.answers(ctx, r, 0) },
+			DirectorAlive: func(ctx context.Context) bool { return a.peerAnswers(ctx, r, 0) },
 		}
 		s.Run(ctx)
 
 		return
 	}
 
-	d := &lockstep.Director{Shape: shape, Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, HighestAttempted: a.tried}
+	d := &lockstep.Director{Shape: shape, Group: ranks, Settings: lockstep.DefaultSettings(), Logger: logger, HighestAttempted: a.highestAttempted}
 	d.Run(ctx)
-	a.tried = d.HighestAttempted
+	a.highestAttempted = d.HighestAttempted
 }
 
-// answers reports whether the agent beside a rank answers.
-func (a *RankAgent) answers(ctx context.Context, group lockstep.Report, rank int) bool {
+// peerAnswers reports whether the agent beside a rank answers. It returns true if the
+// directory does not contain the rank.
+func (a *RankAgent) peerAnswers(ctx context.Context, group lockstep.Report, rank int) bool {
 	t, err := a.target(group, rank)
 	if err != nil {
 		return true
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, directorPeer)
+	ctx, cancel := context.WithTimeout(ctx, directorCheckTimeout)
 	defer cancel()
 
 	_, err = a.peer(t).Look(ctx, &wire.LookRequest{Cluster: a.Cluster})
@@ -219,10 +229,10 @@
 	return err == nil
 }
 
-// watchEpoch ends ctx once the group has another epoch or this rank is not the
-// first one any more.
-func (a *RankAgent) watchEpoch(ctx context.Context, stop context.CancelFunc, was lockstep.Report) {
-	tick := time.NewTicker(rankWatch)
+// watchEpoch calls stop once the engine reports another epoch, rank, group or group
+// size.
+func (a *RankAgent) watchEpoch(ctx context.Context, stop context.CancelFunc, initial lockstep.Report) {
+	tick := time.NewTicker(rankWatchInterval)
 	defer tick.Stop()
 
 	for {
@@ -232,7 +242,7 @@
 		case <-tick.C:
 		}
 
-		if r, err := a.Engine.Report(ctx); err == nil && (r.Epoch != was.Epoch || r.Rank != was.Rank || r.Group != was.Group || r.Size != was.Size) {
+		if r, err := a.Engine.Report(ctx); err == nil && (r.Epoch != initial.Epoch || r.Rank != initial.Rank || r.Group != initial.Group || r.Size != initial.Size) {
 			stop()
 
 			return
@@ -240,12 +250,13 @@
 	}
 }
 
-// awaitShape waits for the configuration and the directory to name all ranks.
+// awaitShape waits until the configuration declares the group's shape and the directory
+// contains all ranks. It reports false if the epoch or ctx ends first.
 func (a *RankAgent) awaitShape(ctx context.Context, r lockstep.Report) (lockstep.Shape, bool) {
 	for {
 		f := a.follower.State()
 
-		if ranks, service := a.ranks(f, r); len(ranks) == r.Size && f.Table != nil {
+		if ranks, service := a.rankTargets(f, r); len(ranks) == r.Size && f.Table != nil {
 			if s := f.Table.Service(service); s != nil && s.Experts.Sets > 0 {
 				return lockstep.Shape{
 					Sets: s.Experts.Sets, Experts: s.Experts.Experts, Ranks: r.Size,
@@ -261,7 +272,7 @@
 		select {
 		case <-ctx.Done():
 			return lockstep.Shape{}, false
-		case <-time.After(rankWatch / 4):
+		case <-time.After(rankWatchInterval / 4):
 		}
 	}
 }
