--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -9,26 +9,26 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// underLoad does what happens while bookings are in flight, and holds that they
+// injectUnderLoad does what happens while bookings are in flight, and holds that they
 // are still answered afterwards.
-func underLoad(t *testing.T, b *bed, seed uint64, happens func()) {
+func injectUnderLoad(t *testing.T, d *deployment, seed uint64, inject func()) {
 	t.Helper()
 
-	unwatch := b.watchVersions()
+	stopWatching := d.watchVersions()
 	done := make(chan struct{})
 
 	go func() {
 		defer close(done)
 		time.Sleep(300 * time.Millisecond)
-		happens()
+		inject()
 	}()
 
-	r := b.load(100, time.Second, seed)
+	r := d.runLoad(100, time.Second, seed)
 
 	<-done
 	require.Positive(t, r.Count("Answered"))
-	b.awaitAnswers()
-	unwatch()
+	d.awaitAnswers()
+	stopWatching()
 }
 
 // A buyer books while something on the way fails. The booking must not be lost
@@ -40,38 +40,38 @@
 
 	cases := []struct {
 		name    string
-		happens func(b *bed)
+		happens func(d *deployment)
 	}{
-		{"connections to an agent go silent for good", func(b *bed) { b.get(&b.agents[0]).line.silence(true, true) }},
-		{"answers of an agent are lost for good", func(b *bed) { b.get(&b.agents[0]).line.silence(false, true) }},
-		{"an agent restarts", func(b *bed) { b.restartAgent(1) }},
-		{"an entry restarts", func(b *bed) { b.restartEntry(2) }},
-		{"the leader is isolated and comes back", func(b *bed) {
-			l := b.lines[b.leader()]
+		{"connections to an agent go silent for good", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(true, true) }},
+		{"answers of an agent are lost for good", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(false, true) }},
+		{"an agent restarts", func(d *deployment) { d.restartAgent(1) }},
+		{"an entry restarts", func(d *deployment) { d.restartEntry(2) }},
+		{"the leader is isolated and comes back", func(d *deployment) {
+			l := d.controlListeners[d.leader()]
 			l.isolate(true, true)
 			time.Sleep(time.Second)
 			l.isolate(false, false)
 		}},
-		{"the leader hears nothing, and an agent restarts", func(b *bed) {
-			l := b.lines[b.leader()]
+		{"the leader hears nothing, and an agent restarts", func(d *deployment) {
+			l := d.controlListeners[d.leader()]
 			l.isolate(true, false)
-			b.restartAgent(0)
+			d.restartAgent(0)
 			time.Sleep(time.Second)
 			l.isolate(false, false)
 		}},
-		{"the leader's answers are lost", func(b *bed) {
-			l := b.lines[b.leader()]
+		{"the leader's answers are lost", func(d *deployment) {
+			l := d.controlListeners[d.leader()]
 			l.isolate(false, true)
 			time.Sleep(time.Second)
 			l.isolate(false, false)
 		}},
 	}
 
-	b := newBed(t)
+	d := newDeployment(t)
 
 	for i, c := range cases {
 		t.Log(c.name)
-		underLoad(t, b, uint64(100+i), func() { c.happens(b) })
+		injectUnderLoad(t, d, uint64(100+i), func() { c.happens(d) })
 	}
 }
 
@@ -79,31 +79,31 @@
 // is cut off, and both resend because their answers were lost. One decision is
 // made, and both always hear the same; the other is told who won. The zone that
 // the decision takes out gets no work once Status says that it is in force.
-func TestRacingOperators(t *testing.T) {
+func TestOneOfTwoConcurrentDecisionsUnderOneNumberWins(t *testing.T) {
 	t.Parallel()
 
-	b := newBed(t)
-	defer b.watchVersions()()
+	d := newDeployment(t)
+	defer d.watchVersions()()
 
-	leader := b.leader()
-	one, two := b.controls[(leader+1)%3], b.controls[(leader+2)%3]
-	plans := []string{b.plan(one, "[Zone \"a\"]\nOut = true\n"), b.plan(two, "[Zone \"b\"]\nOut = true\n")}
-	b.lines[leader].isolate(true, true)
+	leader := d.leader()
+	one, two := d.controls[(leader+1)%3], d.controls[(leader+2)%3]
+	plans := []string{d.plan(one, "[Zone \"a\"]\nOut = true\n"), d.plan(two, "[Zone \"b\"]\nOut = true\n")}
+	d.controlListeners[leader].isolate(true, true)
 
 	answers := make(chan *wire.DecisionAnswer, 2)
 
-	go func() { answers <- b.confirm(one, "o", 2, plans[0]) }()
-	go func() { answers <- b.confirm(two, "p", 2, plans[1]) }()
+	go func() { answers <- d.confirm(one, "o", 2, plans[0]) }()
+	go func() { answers <- d.confirm(two, "p", 2, plans[1]) }()
 
 	first, second := <-answers, <-answers
 	states := []wire.DecisionState{first.GetState(), second.GetState()}
 	require.ElementsMatch(t, []wire.DecisionState{wire.DecisionState_DecisionMade, wire.DecisionState_DecisionConflict}, states)
 
-	b.lines[leader].isolate(false, false)
+	d.controlListeners[leader].isolate(false, false)
 
 	winner, out := 0, 0
 	for i, c := range []string{"o", "p"} {
-		again := b.confirm(b.controls[leader], c, 2, plans[i])
+		again := d.confirm(d.controls[leader], c, 2, plans[i])
 		if again.GetState() == wire.DecisionState_DecisionMade {
 			winner, out = winner+1, i
 
@@ -112,9 +112,9 @@
 	}
 
 	require.Equal(t, 1, winner)
-	require.Eventually(t, func() bool { return b.inForce(one, 2) }, patient, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return d.inForce(one, 2) }, waitTimeout, 20*time.Millisecond)
 
-	before := len(b.desks[out].Runs())
-	require.Positive(t, b.load(100, time.Second, 21).Count("Answered"))
-	require.Len(t, b.desks[out].Runs(), before, "the zone that is out gets no work")
+	before := len(d.bookings[out].Runs())
+	require.Positive(t, d.runLoad(100, time.Second, 21).Count("Answered"))
+	require.Len(t, d.bookings[out].Runs(), before, "the zone that is out gets no work")
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -40,21 +40,21 @@
 	// Runs returns how often each booking ran, from the back ends themselves; may be nil.
 	Runs func(ctx context.Context) (map[string]int, error)
 
-	client *http.Client
-	mu     sync.Mutex
-	report *Report
-	sent   map[string]outcome
+	client          *http.Client
+	mu              sync.Mutex
+	report          *Report
+	bookingOutcomes map[string]outcome
 }
 
 // request is one request, drawn before it is sent.
 type request struct {
-	n         int
-	booking   bool
-	workspace string
-	ref       string
-	tokens    int
-	first     int
-	phase     string
+	n          int
+	booking    bool
+	workspace  string
+	ref        string
+	tokens     int
+	firstEntry int
+	phase      string
 }
 
 func (q *request) slot() string { return fmt.Sprintf("kiln-%d", q.n) }
@@ -62,91 +62,91 @@
 const (
 	// workspaceSkew makes a few workspaces large, as the users' are.
 	workspaceSkew = 1.4
-	// drainSlack is how much longer than its deadline a request is waited for.
-	drainSlack = 5 * time.Second
+	// responseGracePeriod is how much longer than its deadline a request is waited for.
+	responseGracePeriod = 5 * time.Second
 )
 
 // Run sends the load and returns what came of it.
-func (l *Generator) Run(ctx context.Context) (*Report, error) {
-	l.report = newReport()
-	l.sent = make(map[string]outcome)
-	l.client = &http.Client{
-		Timeout:   l.Timeout + drainSlack,
-		Transport: &http.Transport{MaxIdleConnsPerHost: l.MaxInFlight, DisableCompression: true},
+func (g *Generator) Run(ctx context.Context) (*Report, error) {
+	g.report = newReport()
+	g.bookingOutcomes = make(map[string]outcome)
+	g.client = &http.Client{
+		Timeout:   g.Timeout + responseGracePeriod,
+		Transport: &http.Transport{MaxIdleConnsPerHost: g.MaxInFlight, DisableCompression: true},
 	}
-	defer l.client.CloseIdleConnections()
+	defer g.client.CloseIdleConnections()
 
-	l.send(ctx)
+	g.send(ctx)
 
-	if l.Runs == nil {
-		return l.report, nil
+	if g.Runs == nil {
+		return g.report, nil
 	}
 
 	// A caller's deadline may pass while its booking still runs: let it end first.
-	runs, err := l.Runs(ctx)
+	runs, err := g.Runs(ctx)
 	if err != nil {
-		return l.report, fmt.Errorf("read the back ends' runs: %w", err)
+		return g.report, fmt.Errorf("read the back ends' runs: %w", err)
 	}
 
-	l.judge(runs)
+	g.checkBookings(runs)
 
-	return l.report, nil
+	return g.report, nil
 }
 
-func (l *Generator) send(ctx context.Context) {
-	rnd := rand.New(rand.NewPCG(l.Seed, 1))
-	zipf := rand.NewZipf(rnd, workspaceSkew, 1, uint64(max(1, l.Workspaces)-1))
-	slots := make(chan struct{}, l.MaxInFlight)
+func (g *Generator) send(ctx context.Context) {
+	rnd := rand.New(rand.NewPCG(g.Seed, 1))
+	zipf := rand.NewZipf(rnd, workspaceSkew, 1, uint64(max(1, g.Workspaces)-1))
+	inFlight := make(chan struct{}, g.MaxInFlight)
 	next := time.Now()
-	end := next.Add(l.Duration)
+	end := next.Add(g.Duration)
 
 	var wg sync.WaitGroup
 	defer wg.Wait()
 
 	for n := 0; ; n++ {
-		next = next.Add(time.Duration(rnd.ExpFloat64() / l.Rate * float64(time.Second)))
-		q := l.draw(rnd, zipf, n)
+		next = next.Add(time.Duration(rnd.ExpFloat64() / g.Rate * float64(time.Second)))
+		q := g.drawRequest(rnd, zipf, n)
 
 		if next.After(end) || !pauses.For(ctx, time.Until(next)) {
 			return
 		}
 
-		if l.Phase != nil {
-			q.phase = l.Phase()
+		if g.Phase != nil {
+			q.phase = g.Phase()
 		}
 
 		select {
-		case slots <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			l.tally(&q, result{outcome: notSent})
+			g.record(&q, result{outcome: notSent})
 
 			continue
 		}
 
 		wg.Go(func() {
-			l.one(ctx, q)
-			<-slots
+			g.sendRequest(ctx, q)
+			<-inFlight
 		})
 	}
 }
 
-func (l *Generator) draw(rnd *rand.Rand, zipf *rand.Zipf, n int) request {
+func (g *Generator) drawRequest(rnd *rand.Rand, zipf *rand.Zipf, n int) request {
 	return request{
-		n:         n,
-		booking:   rnd.Float64() < l.BookingShare,
-		workspace: fmt.Sprintf("workspace-%d", zipf.Uint64()),
-		ref:       fmt.Sprintf("ref-%d-%d", l.Seed, n),
-		tokens:    1 + rnd.IntN(2*l.Tokens),
-		first:     rnd.IntN(len(l.Entries)),
+		n:          n,
+		booking:    rnd.Float64() < g.BookingShare,
+		workspace:  fmt.Sprintf("workspace-%d", zipf.Uint64()),
+		ref:        fmt.Sprintf("ref-%d-%d", g.Seed, n),
+		tokens:     1 + rnd.IntN(2*g.Tokens),
+		firstEntry: rnd.IntN(len(g.Entries)),
 	}
 }
 
-func (l *Generator) one(ctx context.Context, q request) {
+func (g *Generator) sendRequest(ctx context.Context, q request) {
 	if q.booking {
-		l.tally(&q, l.book(ctx, &q))
+		g.record(&q, g.sendBooking(ctx, &q))
 
 		return
 	}
 
-	l.tally(&q, l.draft(ctx, &q))
+	g.record(&q, g.sendDraft(ctx, &q))
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,18 +18,18 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// fake is an entry that misbehaves by order: bookings by book, drafts by draft.
-type fake struct {
-	book  func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int)
+// fakeEntry is an entry that misbehaves by order: bookings by book, drafts by draft.
+type fakeEntry struct {
+	book  func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int)
 	draft func(w http.ResponseWriter, d testserver.DraftRequest)
 
-	mu   sync.Mutex
-	runs map[string]int
-	try  map[string]int
-	seen []string
+	mu       sync.Mutex
+	runs     map[string]int
+	attempts map[string]int
+	requests []string
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -37,7 +37,7 @@
 
 	if strings.HasSuffix(r.URL.Path, "/v1/drafts") {
 		_ = json.NewDecoder(r.Body).Decode(&d)
-		f.seen = append(f.seen, fmt.Sprint(r.Header.Get("Parsleygate-Workspace"), d))
+		f.requests = append(f.requests, fmt.Sprint(r.Header.Get("Parsleygate-Workspace"), d))
 		f.draft(w, d)
 
 		return
@@ -46,12 +46,12 @@
 	var b testserver.BookingRequest
 
 	_ = json.NewDecoder(r.Body).Decode(&b)
-	f.seen = append(f.seen, fmt.Sprint(r.Header.Get("Parsleygate-Workspace"), b))
-	f.try[b.Ref]++
-	f.book(f, w, b, f.try[b.Ref])
+	f.requests = append(f.requests, fmt.Sprint(r.Header.Get("Parsleygate-Workspace"), b))
+	f.attempts[b.Ref]++
+	f.book(f, w, b, f.attempts[b.Ref])
 }
 
-func (f *fake) run(b testserver.BookingRequest) { f.runs[b.Ref]++ }
+func (f *fakeEntry) recordRun(b testserver.BookingRequest) { f.runs[b.Ref]++ }
 
 func answer(w http.ResponseWriter, b testserver.BookingRequest) {
 	w.WriteHeader(http.StatusCreated)
@@ -64,7 +64,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func right(d testserver.DraftRequest) string {
+func completeDraft(d testserver.DraftRequest) string {
 	var b strings.Builder
 	for n := 1; n <= d.Tokens; n++ {
 		b.WriteString(testserver.Event(d.Prompt, n))
@@ -73,20 +73,20 @@
 	return b.String() + testserver.LastEvent
 }
 
-func runLoad(t *testing.T, f *fake, share float64, phase func() string) *load.Report {
+func runLoad(t *testing.T, f *fakeEntry, share float64, phase func() string) *load.Report {
 	t.Helper()
 
-	f.runs, f.try = make(map[string]int), make(map[string]int)
+	f.runs, f.attempts = make(map[string]int), make(map[string]int)
 	web := httptest.NewServer(f)
 	t.Cleanup(web.Close)
 
-	l := &load.Generator{
+	g := &load.Generator{
 		Entries: []string{web.URL}, DraftService: "assist", BookingService: "desk",
 		Rate: 100, Duration: 100 * time.Millisecond, BookingShare: share, Tokens: 3, Workspaces: 3,
 		Timeout: 5 * time.Second, Seed: 5, MaxInFlight: 64, Phase: phase,
 		Runs: func(context.Context) (map[string]int, error) { return f.runs, nil },
 	}
-	r, err := l.Run(t.Context())
+	r, err := g.Run(t.Context())
 	require.NoError(t, err)
 
 	return r
@@ -106,61 +106,64 @@
 
 	cases := []struct {
 		name string
-		book func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int)
+		book func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int)
 		want outcome
 	}{
-		{"answered", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { f.run(b); answer(w, b) }, outcome{count: "Answered"}},
-		{"doubled", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
-			f.run(b)
-			f.run(b)
+		{"answered", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.recordRun(b)
+			answer(w, b)
+		}, outcome{count: "Answered"}},
+		{"doubled", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.recordRun(b)
+			f.recordRun(b)
 			answer(w, b)
 		}, outcome{doubled: true, broken: true, count: "Answered"}},
-		{"ran after NotRun", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
-			f.run(b)
+		{"ran after NotRun", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.recordRun(b)
 			refuse(w, "NotRun")
 		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"not run", func(_ *fake, w http.ResponseWriter, _ testserver.BookingRequest, _ int) { refuse(w, "NotRun") }, outcome{count: "NotRun"}},
-		{"answered and not run", func(_ *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { answer(w, b) }, outcome{lost: true, broken: true, count: "Answered"}},
-		{"may have run, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
+		{"not run", func(_ *fakeEntry, w http.ResponseWriter, _ testserver.BookingRequest, _ int) { refuse(w, "NotRun") }, outcome{count: "NotRun"}},
+		{"answered and not run", func(_ *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) { answer(w, b) }, outcome{lost: true, broken: true, count: "Answered"}},
+		{"may have run, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
-				f.run(b)
+				f.recordRun(b)
 			}
 			refuse(w, "MayHaveRun")
 		}, outcome{count: "MayHaveRun"}},
-		{"may have run, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
+		{"may have run, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
-				f.run(b)
+				f.recordRun(b)
 				refuse(w, "MayHaveRun")
 				return
 			}
 			refuse(w, "NotRun")
 		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"broken off, then NotRun, and ran", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
+		{"broken off, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
 			if try == 1 {
-				f.run(b)
+				f.recordRun(b)
 				abort(w)
 			}
 			refuse(w, "NotRun")
 		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"run again at a resend", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, try int) {
-			f.run(b)
+		{"run again at a resend", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
+			f.recordRun(b)
 			if try == 1 {
 				refuse(w, "MayHaveRun")
 				return
 			}
 			answer(w, b)
 		}, outcome{doubled: true, broken: true, count: "Answered"}},
-		{"another's answer", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
-			f.run(b)
+		{"another's answer", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.recordRun(b)
 			b.Ref = "other"
 			answer(w, b)
 		}, outcome{broken: true, count: "Wrong"}},
-		{"another slot", func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
-			f.run(b)
+		{"another slot", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+			f.recordRun(b)
 			b.Slot = "other"
 			answer(w, b)
 		}, outcome{broken: true, count: "Wrong"}},
-		{"no verdict", func(_ *fake, w http.ResponseWriter, _ testserver.BookingRequest, _ int) {
+		{"no verdict", func(_ *fakeEntry, w http.ResponseWriter, _ testserver.BookingRequest, _ int) {
 			w.WriteHeader(http.StatusBadGateway)
 		}, outcome{broken: true, count: "Wrong"}},
 	}
@@ -169,7 +172,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := runLoad(t, &fake{book: c.book}, 1, nil)
+			r := runLoad(t, &fakeEntry{book: c.book}, 1, nil)
 			got := outcome{doubled: len(r.Duplicated) > 0, lied: len(r.RanAfterNotRun) > 0, lost: len(r.AnsweredNotRun) > 0, broken: r.HasViolations(), count: c.want.count}
 			require.Equal(t, c.want, got)
 			require.Positive(t, r.Count(c.want.count))
@@ -187,18 +190,20 @@
 		count string
 		want  bool
 	}{
-		{"whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d))) }, "Answered", false},
+		{"whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d))) }, "Answered", false},
 		{"cut", func(w http.ResponseWriter, d testserver.DraftRequest) {
-			_, _ = w.Write([]byte(right(d)[:10]))
+			_, _ = w.Write([]byte(completeDraft(d)[:10]))
 			_ = http.NewResponseController(w).Flush()
 			abort(w)
 		}, "Cut", false},
-		{"ended as if whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d)[:10])) }, "Wrong", true},
+		{"ended as if whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d)[:10])) }, "Wrong", true},
 		{"another's", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			d.Prompt = "other"
-			_, _ = w.Write([]byte(right(d)))
+			_, _ = w.Write([]byte(completeDraft(d)))
+		}, "Wrong", true},
+		{"more than asked", func(w http.ResponseWriter, d testserver.DraftRequest) {
+			_, _ = w.Write([]byte(completeDraft(d) + completeDraft(d)))
 		}, "Wrong", true},
-		{"more than asked", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d) + right(d))) }, "Wrong", true},
 		{"refused", func(w http.ResponseWriter, _ testserver.DraftRequest) { refuse(w, "NotRun") }, "NotRun", false},
 		{"broken off before the head", func(w http.ResponseWriter, _ testserver.DraftRequest) { abort(w) }, "Failed", false},
 	}
@@ -207,7 +212,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			r := runLoad(t, &fake{draft: c.draft}, 0, nil)
+			r := runLoad(t, &fakeEntry{draft: c.draft}, 0, nil)
 			require.Equal(t, c.want, r.HasViolations())
 			require.Positive(t, r.Count(c.count))
 		})
@@ -218,10 +223,13 @@
 func TestSeedAndPhases(t *testing.T) {
 	t.Parallel()
 
-	play := func() ([]string, *load.Report) {
-		f := &fake{
-			book:  func(f *fake, w http.ResponseWriter, b testserver.BookingRequest, _ int) { f.run(b); answer(w, b) },
-			draft: func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(right(d))) },
+	runSeed := func() ([]string, *load.Report) {
+		f := &fakeEntry{
+			book: func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+				f.recordRun(b)
+				answer(w, b)
+			},
+			draft: func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d))) },
 		}
 		n := 0
 		r := runLoad(t, f, 0.5, func() string {
@@ -230,11 +238,11 @@
 			return fmt.Sprintf("phase-%d", min(n, 2))
 		})
 
-		return slices.Sorted(slices.Values(f.seen)), r
+		return slices.Sorted(slices.Values(f.requests)), r
 	}
 
-	first, r := play()
-	second, _ := play()
+	first, r := runSeed()
+	second, _ := runSeed()
 	require.NotEmpty(t, first)
 	require.Equal(t, first, second)
 
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,9 +12,9 @@
 
 // The bounds of the latency histograms, in microseconds.
 const (
-	shortestMicros = 1
-	longestMicros  = 600_000_000
-	digits         = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
 )
 
 // Row counts the outcomes of one kind of request in one phase.
@@ -45,7 +45,7 @@
 func (r *Report) HasViolations() bool {
 	n := len(r.Duplicated) + len(r.RanAfterNotRun) + len(r.AnsweredNotRun)
 	for _, row := range r.Rows {
-		n += row.Counts[string(wrong)]
+		n += row.Counts[string(wrongAnswer)]
 	}
 
 	return n > 0
@@ -70,25 +70,25 @@
 
 	row := &Row{
 		Phase: phase, Kind: kind, Counts: make(map[string]int), Causes: make(map[string]int),
-		FirstToken: hdrhistogram.New(shortestMicros, longestMicros, digits),
-		Total:      hdrhistogram.New(shortestMicros, longestMicros, digits),
+		FirstToken: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+		Total:      hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 	r.Rows = append(r.Rows, row)
 
 	return row
 }
 
-func (l *Generator) tally(q *request, res result) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (g *Generator) record(q *request, res result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 
 	kind := "Draft"
 	if q.booking {
 		kind = "Booking"
-		l.sent[q.ref] = res.outcome
+		g.bookingOutcomes[q.ref] = res.outcome
 	}
 
-	row := l.report.row(q.phase, kind)
+	row := g.report.row(q.phase, kind)
 	row.Counts[string(res.outcome)]++
 
 	if res.cause != "" {
@@ -100,37 +100,37 @@
 	}
 
 	_ = row.Total.RecordValue(max(1, res.total.Microseconds()))
-	if res.first > 0 {
-		_ = row.FirstToken.RecordValue(res.first.Microseconds())
+	if res.firstToken > 0 {
+		_ = row.FirstToken.RecordValue(res.firstToken.Microseconds())
 	}
 }
 
-// judge holds what callers were told against what the back ends did.
-func (l *Generator) judge(runs map[string]int) {
-	for ref, out := range l.sent {
+// checkBookings holds what callers were told against what the back ends did.
+func (g *Generator) checkBookings(runs map[string]int) {
+	for ref, last := range g.bookingOutcomes {
 		switch n := runs[ref]; {
 		case n > 1:
-			l.report.Duplicated = append(l.report.Duplicated, ref)
-		case n == 1 && out == notRun:
-			l.report.RanAfterNotRun = append(l.report.RanAfterNotRun, ref)
-		case n == 0 && out == answered:
-			l.report.AnsweredNotRun = append(l.report.AnsweredNotRun, ref)
+			g.report.Duplicated = append(g.report.Duplicated, ref)
+		case n == 1 && last == notRun:
+			g.report.RanAfterNotRun = append(g.report.RanAfterNotRun, ref)
+		case n == 0 && last == answered:
+			g.report.AnsweredNotRun = append(g.report.AnsweredNotRun, ref)
 		}
 	}
 
-	slices.Sort(l.report.Duplicated)
-	slices.Sort(l.report.RanAfterNotRun)
-	slices.Sort(l.report.AnsweredNotRun)
+	slices.Sort(g.report.Duplicated)
+	slices.Sort(g.report.RanAfterNotRun)
+	slices.Sort(g.report.AnsweredNotRun)
 }
 
-var columns = []outcome{answered, notRun, unsure, cut, late, wrong, failed, notSent}
+var reportColumns = []outcome{answered, notRun, mayHaveRun, truncated, timedOut, wrongAnswer, failed, notSent}
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(t, "Phase\tKind\t")
 
-	for _, c := range columns {
+	for _, c := range reportColumns {
 		_, _ = fmt.Fprintf(t, "%s\t", c)
 	}
 
@@ -148,15 +148,15 @@
 
 func (row *Row) print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t", row.Phase, row.Kind)
-	for _, c := range columns {
+	for _, c := range reportColumns {
 		_, _ = fmt.Fprintf(w, "%d\t", row.Counts[string(c)])
 	}
 
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t\n",
-		millis(row.FirstToken, 50), millis(row.FirstToken, 95), millis(row.Total, 50), millis(row.Total, 95), millis(row.Total, 99))
+		quantileMillis(row.FirstToken, 50), quantileMillis(row.FirstToken, 95), quantileMillis(row.Total, 50), quantileMillis(row.Total, 95), quantileMillis(row.Total, 99))
 }
 
-func millis(h *hdrhistogram.Histogram, q float64) string {
+func quantileMillis(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
--- a/internal/local/control.go
+++ b/internal/local/control.go
@@ -21,17 +21,17 @@
 // the entries lie between.
 const controlPortStep = 10
 
-// startControl starts a control VM in each availability zone.
-func (l *Instance) startControl(ctx context.Context, g *errgroup.Group) error {
+// startControls starts a control VM in each availability zone.
+func (inst *Instance) startControls(ctx context.Context, g *errgroup.Group) error {
 	var (
 		listeners []net.Listener
 		members   []quorum.Member
 	)
 
-	for i := range l.Deployment.Zones {
+	for i := range inst.Deployment.Zones {
 		port := uint16(0)
-		if l.OperatorPort != 0 {
-			port = l.OperatorPort + uint16(i)*controlPortStep
+		if inst.OperatorPort != 0 {
+			port = inst.OperatorPort + uint16(i)*controlPortStep
 		}
 
 		listener, err := listen(ctx, port)
@@ -42,31 +42,31 @@
 		address := listener.Addr().(*net.TCPAddr).AddrPort()
 		listeners = append(listeners, listener)
 		members = append(members, quorum.Member{ID: fmt.Sprintf("control-%d", i+1), Addr: address})
-		l.operators = append(l.operators, address)
+		inst.controlAddresses = append(inst.controlAddresses, address)
 	}
 
 	for i, m := range members {
 		c := &role.Control{
-			VM: m.ID, Cluster: l.Deployment.Cluster, Zone: l.Deployment.Zones[i],
+			VM: m.ID, Cluster: inst.Deployment.Cluster, Zone: inst.Deployment.Zones[i],
 			Incarnation: role.IncarnationAt(time.Now()), Listener: listeners[i],
-			Dir: filepath.Join(l.Dir, m.ID), Founders: members,
-			Peers: slices.Delete(slices.Clone(members), i, i+1), Logs: l.Logs, ExpertSettings: localExperts(),
-			Dump: l.newDump("control", m.ID),
+			Dir: filepath.Join(inst.Dir, m.ID), Founders: members,
+			Peers: slices.Delete(slices.Clone(members), i, i+1), Logs: inst.Logs, ExpertSettings: expertSettings(),
+			Dump: inst.newDump("control", m.ID),
 		}
 		c.Build()
-		l.controls = append(l.controls, c)
+		inst.controls = append(inst.controls, c)
 		g.Go(func() error { return c.Run(ctx) })
 	}
 
-	return l.declare(ctx)
+	return inst.commitDeclaration(ctx)
 }
 
-// declare commits the configuration that the deployment starts with, as an
+// commitDeclaration commits the configuration that the deployment starts with, as an
 // operator's plan and its confirmation.
-func (l *Instance) declare(ctx context.Context) error {
-	server := l.controls[0].Server()
+func (inst *Instance) commitDeclaration(ctx context.Context) error {
+	server := inst.controls[0].Server()
 
-	planned, err := l.plan(ctx, server)
+	planned, err := inst.plan(ctx, server)
 	if err != nil {
 		return eris.Wrap(err, "plan the deployment")
 	}
@@ -86,19 +86,19 @@
 // planTries bounds how often a plan is asked for while the control VMs elect a
 // leader; planPause is the time between two asks.
 const (
-	planTries = 200
-	planPause = 50 * time.Millisecond
+	maxPlanAttempts   = 200
+	planRetryInterval = 50 * time.Millisecond
 )
 
-func (l *Instance) plan(ctx context.Context, server *control.Server) (*wire.PlanResponse, error) {
-	request := &wire.PlanRequest{Operator: "local", Source: "local", Declaration: []byte(l.Deployment.Declaration())}
+func (inst *Instance) plan(ctx context.Context, server *control.Server) (*wire.PlanResponse, error) {
+	request := &wire.PlanRequest{Operator: "local", Source: "local", Declaration: []byte(inst.Deployment.Declaration())}
 
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		r, err := server.Plan(ctx, request)
-		if err == nil || try == planTries || ctx.Err() != nil {
+		if err == nil || attempt == maxPlanAttempts || ctx.Err() != nil {
 			return r, err
 		}
 
-		time.Sleep(planPause)
+		time.Sleep(planRetryInterval)
 	}
 }
--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -77,12 +77,12 @@
 		fmt.Fprintf(&b, "[ColdLimit %q]\nCold = %d\nWarm = %d\n", s.Name, s.ColdLimit, s.WarmLimit)
 	}
 
-	d.declareGroups(&b)
+	d.writeGroups(&b)
 
 	return b.String()
 }
 
-func (d *Deployment) declareGroups(b *strings.Builder) {
+func (d *Deployment) writeGroups(b *strings.Builder) {
 	for _, s := range d.Services {
 		if s.Experts == 0 {
 			continue
@@ -90,18 +90,18 @@
 
 		for _, z := range d.Zones {
 			fmt.Fprintf(b, "[Group %q]\nService = %s\nRanks = %d\nExperts = %d\nLayers = %d\nSlots = %d\n",
-				groupName(s, z), s.Name, s.PerZone, s.Experts, s.Layers, slotsOf(s))
+				groupName(s, z), s.Name, s.PerZone, s.Experts, s.Layers, slotsPerRank(s))
 		}
 	}
 }
 
 func groupName(s Service, zone string) string { return s.Name + "-" + zone }
 
-// slotsOf leaves room for a few replicas on each rank.
-func slotsOf(s Service) int { return s.Experts/s.PerZone + 2 }
+// slotsPerRank leaves room for a few replicas on each rank.
+func slotsPerRank(s Service) int { return s.Experts/s.PerZone + 2 }
 
-// service returns the name of the first service of a kind.
-func (d *Deployment) service(model bool) string {
+// serviceName returns the name of the first service of a kind.
+func (d *Deployment) serviceName(model bool) string {
 	for _, s := range d.Services {
 		if s.Model == model {
 			return s.Name
--- a/internal/local/entries.go
+++ b/internal/local/entries.go
@@ -13,10 +13,10 @@
 	"github.com/parsleygate/parsleygate/internal/role"
 )
 
-func (l *Instance) startEntry(ctx context.Context, g *errgroup.Group, zone string, n int) error {
+func (inst *Instance) startEntry(ctx context.Context, g *errgroup.Group, zone string, n int) error {
 	port := uint16(0)
-	if l.EntryPort != 0 {
-		port = l.EntryPort + uint16(n)
+	if inst.EntryPort != 0 {
+		port = inst.EntryPort + uint16(n)
 	}
 
 	listener, err := listen(ctx, port)
@@ -25,12 +25,12 @@
 	}
 
 	id := "entry-" + zone
-	l.entries = append(l.entries, listener.Addr().(*net.TCPAddr).AddrPort())
+	inst.entryAddresses = append(inst.entryAddresses, listener.Addr().(*net.TCPAddr).AddrPort())
 	e := &role.Entry{
-		ID: id, Cluster: l.Deployment.Cluster, Zone: zone, Region: l.Deployment.Region,
+		ID: id, Cluster: inst.Deployment.Cluster, Zone: zone, Region: inst.Deployment.Region,
 		Incarnation: role.IncarnationAt(time.Now()), Listener: listener,
-		Controls: role.NewControlClient(l.operators, nil), Limits: entry.DefaultLimits(),
-		Logs: l.Logs, Dump: l.newDump("entry", id),
+		Controls: role.NewControlClient(inst.controlAddresses, nil), Limits: entry.DefaultLimits(),
+		Logs: inst.Logs, Dump: inst.newDump("entry", id),
 	}
 	g.Go(func() error { return e.Run(ctx) })
 
@@ -38,14 +38,14 @@
 }
 
 // awaitTargets waits until every entry takes callers.
-func (l *Instance) awaitTargets(ctx context.Context) error {
-	for _, base := range l.Entries() {
-		if err := awaitService(ctx, base+"/"+l.Deployment.service(false)+"/v1/runs"); err != nil {
+func (inst *Instance) awaitTargets(ctx context.Context) error {
+	for _, base := range inst.Entries() {
+		if err := awaitService(ctx, base+"/"+inst.Deployment.serviceName(false)+"/v1/runs"); err != nil {
 			return err
 		}
 	}
 
-	l.logger.Info("deployment is up", "entries", len(l.entries), "targets", len(l.engines)+len(l.desks))
+	inst.logger.Info("deployment is up", "entries", len(inst.entryAddresses), "targets", len(inst.engineTargets)+len(inst.bookingTargets))
 
 	return nil
 }
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -19,23 +19,23 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// phases is how many phases an exercise has; each takes an equal share of its time.
-const phases = 5
+// phaseCount is how many phases an exercise has; each takes an equal share of its time.
+const phaseCount = 5
 
 // The phases of an exercise.
 const (
-	phaseBefore = "1-before"
-	phaseOut    = "2-zone-out"
-	phaseBack   = "3-zone-back"
-	phaseCold   = "4-sudden-cold"
-	phaseLost   = "5-zone-lost"
+	phaseBefore     = "1-before"
+	phaseZoneOut    = "2-zone-out"
+	phaseZoneBack   = "3-zone-back"
+	phaseSuddenCold = "4-sudden-cold"
+	phaseZoneLost   = "5-zone-lost"
 )
 
 // forceCheck is how often the exercise looks whether a decision is in force, and
 // forceBound how long that may take: a lease, a margin, and some slack.
 const (
-	forceCheck = 20 * time.Millisecond
-	forceBound = 8 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	controlTimeout = 8 * time.Second
 )
 
 // Exercise drives load at a running deployment while a zone leaves and returns
@@ -49,20 +49,20 @@
 	Seed uint64
 	Out  io.Writer
 
-	phase  atomic.Value
-	broken []string
+	phase      atomic.Value
+	violations []string
 }
 
 // Run runs the exercise and returns an error where a promise broke.
 func (x *Exercise) Run(ctx context.Context) error {
 	x.phase.Store(phaseBefore)
 
-	l := x.load()
+	generator := x.newGenerator()
 	done := make(chan error, 1)
 
-	go func() { done <- x.script(ctx) }()
+	go func() { done <- x.runPhases(ctx) }()
 
-	report, err := l.Run(ctx)
+	report, err := generator.Run(ctx)
 	if scriptErr := <-done; err == nil {
 		err = scriptErr
 	}
@@ -75,15 +75,15 @@
 		return err
 	}
 
-	x.judge(report)
-	x.judgeGroups()
+	x.checkReport(report)
+	x.checkGroups()
 
-	for _, line := range x.broken {
+	for _, line := range x.violations {
 		_, _ = fmt.Fprintln(x.Out, "BROKEN:", line)
 	}
 
-	if len(x.broken) > 0 {
-		return eris.Errorf("%d promises broke", len(x.broken))
+	if len(x.violations) > 0 {
+		return eris.Errorf("%d promises broke", len(x.violations))
 	}
 
 	_, _ = fmt.Fprintln(x.Out, "every promise held")
@@ -91,11 +91,11 @@
 	return nil
 }
 
-func (x *Exercise) load() *load.Generator {
+func (x *Exercise) newGenerator() *load.Generator {
 	d := &x.Instance.Deployment
 
 	return &load.Generator{
-		Entries: x.Instance.Entries(), DraftService: d.service(true), BookingService: d.service(false),
+		Entries: x.Instance.Entries(), DraftService: d.serviceName(true), BookingService: d.serviceName(false),
 		Rate: x.Rate, Duration: x.Duration, BookingShare: 0.2, Tokens: 40, Workspaces: 10,
 		Timeout: 10 * time.Second, Seed: x.Seed, MaxInFlight: 4096,
 		Phase: func() string { return x.phase.Load().(string) },
@@ -104,10 +104,10 @@
 }
 
 // Runs returns how often each booking ran, from all desks.
-func (l *Instance) Runs(context.Context) (map[string]int, error) {
+func (inst *Instance) Runs(context.Context) (map[string]int, error) {
 	all := make(map[string]int)
 
-	for _, t := range l.desks {
+	for _, t := range inst.bookingTargets {
 		for ref, n := range t.Bookings.Runs() {
 			all[ref] += n
 		}
@@ -116,36 +116,36 @@
 	return all, nil
 }
 
-// script is what happens to the deployment while the load runs.
-func (x *Exercise) script(ctx context.Context) error {
-	phase := x.Duration / phases
+// runPhases is what happens to the deployment while the load runs.
+func (x *Exercise) runPhases(ctx context.Context) error {
+	phase := x.Duration / phaseCount
 	zone := x.Instance.Deployment.Zones[0]
 
 	if !pauses.For(ctx, phase) {
 		return nil
 	}
 
-	x.phase.Store(phaseOut)
+	x.phase.Store(phaseZoneOut)
 
-	if err := x.decide(ctx, 2, zone, true); err != nil {
+	if err := x.setZoneOut(ctx, 2, zone, true); err != nil {
 		return err
 	}
 
-	if err := x.watchZone(ctx, zone, phase); err != nil {
+	if err := x.checkZoneIdle(ctx, zone, phase); err != nil {
 		return err
 	}
 
 	// A zone that was taken out is given back only when its work has finished.
 	for x.inFlight(zone) > 0 {
-		if !pauses.For(ctx, forceCheck) {
+		if !pauses.For(ctx, pollInterval) {
 			return nil
 		}
 	}
 
-	x.phase.Store(phaseBack)
-	x.restart(zone)
+	x.phase.Store(phaseZoneBack)
+	x.restartZone(zone)
 
-	if err := x.decide(ctx, 3, zone, false); err != nil {
+	if err := x.setZoneOut(ctx, 3, zone, false); err != nil {
 		return err
 	}
 
@@ -153,36 +153,36 @@
 		return nil
 	}
 
-	x.phase.Store(phaseCold)
-	engines := x.Instance.engines
+	x.phase.Store(phaseSuddenCold)
+	engines := x.Instance.engineTargets
 	engines[len(engines)-1].Engine.TurnCold()
-	x.restartOne(engines[len(engines)-2])
+	x.restartEngine(engines[len(engines)-2])
 
 	if !pauses.For(ctx, phase) {
 		return nil
 	}
 
-	x.phase.Store(phaseLost)
-	x.lose(x.Instance.Deployment.Zones[1])
+	x.phase.Store(phaseZoneLost)
+	x.stopZone(x.Instance.Deployment.Zones[1])
 
 	return nil
 }
 
-// lose ends all targets of a zone without notice, as the loss of its power does.
+// stopZone ends all targets of a zone without notice, as the loss of its power does.
 // What they had in flight ends with them.
-func (x *Exercise) lose(zone string) {
-	for _, t := range slices.Concat(x.Instance.engines, x.Instance.desks) {
+func (x *Exercise) stopZone(zone string) {
+	for _, t := range slices.Concat(x.Instance.engineTargets, x.Instance.bookingTargets) {
 		if t.Zone == zone {
 			t.Stop()
 		}
 	}
 }
 
-// decide takes a zone out or brings it back, as an operator does.
-func (x *Exercise) decide(ctx context.Context, number uint64, zone string, out bool) error {
+// setZoneOut takes a zone out or brings it back, as an operator does.
+func (x *Exercise) setZoneOut(ctx context.Context, number uint64, zone string, out bool) error {
 	controls := x.Instance.controls
 
-	planned, err := askEach(ctx, len(controls), func(i int) (*wire.PlanResponse, error) {
+	planned, err := tryEachControl(ctx, len(controls), func(i int) (*wire.PlanResponse, error) {
 		return controls[i].Server().Plan(ctx, &wire.PlanRequest{
 			Operator: "exercise", Source: "exercise", Override: true,
 			Declaration: fmt.Appendf(nil, "[Zone %q]\nOut = %t\n", zone, out),
@@ -193,7 +193,7 @@
 	}
 
 	// A decision that is sent again under its number and plan is made once.
-	r, err := askEach(ctx, len(controls), func(i int) (*wire.ConfirmResponse, error) {
+	r, err := tryEachControl(ctx, len(controls), func(i int) (*wire.ConfirmResponse, error) {
 		return controls[i].Server().Confirm(ctx, &wire.ConfirmRequest{Operator: "exercise", Number: number, PlanID: planned.GetPlan().GetID()})
 	})
 	if err != nil {
@@ -207,74 +207,74 @@
 	return nil
 }
 
-// askEach puts a question to one of n control VMs after the other until one answers
+// tryEachControl puts a question to one of n control VMs after the other until one answers
 // it, as the operators' command does. A control VM whose leader was just lost says
 // truthfully that it is not current: on a busy machine that ended the exercise.
-func askEach[T any](ctx context.Context, n int, question func(i int) (T, error)) (T, error) {
+func tryEachControl[T any](ctx context.Context, n int, call func(i int) (T, error)) (T, error) {
 	start := time.Now()
 
 	for i := 0; ; i = (i + 1) % n {
-		answer, err := question(i)
+		answer, err := call(i)
 
-		var fault twirp.Error
-		if err == nil || !errors.As(err, &fault) || fault.Code() != twirp.Unavailable {
+		var twirpErr twirp.Error
+		if err == nil || !errors.As(err, &twirpErr) || twirpErr.Code() != twirp.Unavailable {
 			return answer, err
 		}
 
-		if time.Since(start) >= forceBound || !pauses.For(ctx, forceCheck) {
+		if time.Since(start) >= controlTimeout || !pauses.For(ctx, pollInterval) {
 			return answer, err
 		}
 	}
 }
 
-// awaitForce waits until the control VMs say that a decision is in force everywhere.
-func (x *Exercise) awaitForce(ctx context.Context, number uint64) (time.Duration, error) {
+// awaitInForce waits until the control VMs say that a decision is in force everywhere.
+func (x *Exercise) awaitInForce(ctx context.Context, number uint64) (time.Duration, error) {
 	start := time.Now()
 
-	for time.Since(start) < forceBound {
+	for time.Since(start) < controlTimeout {
 		// This control VM may not have heard of the decision yet: the leader made it.
 		r, err := x.Instance.controls[0].Server().Status(ctx, &wire.StatusRequest{Number: number})
 		if d := r.GetDecisions(); err == nil && len(d) == 1 && d[0].GetInForce() {
 			return time.Since(start), nil
 		}
 
-		if !pauses.For(ctx, forceCheck) {
+		if !pauses.For(ctx, pollInterval) {
 			return 0, nil
 		}
 	}
 
-	return 0, eris.Errorf("decision %d is not said to be in force after %s", number, forceBound)
+	return 0, eris.Errorf("decision %d is not said to be in force after %s", number, controlTimeout)
 }
 
-// watchZone checks that a zone that is out gets no new work once that is in force.
-func (x *Exercise) watchZone(ctx context.Context, zone string, d time.Duration) error {
+// checkZoneIdle checks that a zone that is out gets no new work once that is in force.
+func (x *Exercise) checkZoneIdle(ctx context.Context, zone string, d time.Duration) error {
 	end := time.Now().Add(d)
 
-	took, err := x.awaitForce(ctx, 2)
+	took, err := x.awaitInForce(ctx, 2)
 	if err != nil {
 		return err
 	}
 
 	_, _ = fmt.Fprintf(x.Out, "zone %s out: in force everywhere after %s\n", zone, took.Round(time.Millisecond))
 
-	before := x.begun(zone)
+	before := x.startedRequests(zone)
 
 	if !pauses.For(ctx, time.Until(end)) {
 		return nil
 	}
 
-	if after := x.begun(zone); after != before {
-		x.broken = append(x.broken, fmt.Sprintf("%d requests began in zone %s after it was taken out", after-before, zone))
+	if after := x.startedRequests(zone); after != before {
+		x.violations = append(x.violations, fmt.Sprintf("%d requests began in zone %s after it was taken out", after-before, zone))
 	}
 
 	return nil
 }
 
-// sum adds up what count says of each engine in a zone.
-func (x *Exercise) sum(zone string, count func(testserver.EngineState) int) int {
+// sumEngines adds up what count says of each engine in a zone.
+func (x *Exercise) sumEngines(zone string, count func(testserver.EngineState) int) int {
 	n := 0
 
-	for _, t := range x.Instance.engines {
+	for _, t := range x.Instance.engineTargets {
 		if t.Zone == zone {
 			n += count(t.Engine.State())
 		}
@@ -284,13 +284,13 @@
 }
 
 func (x *Exercise) inFlight(zone string) int {
-	return x.sum(zone, func(s testserver.EngineState) int { return s.InFlight })
+	return x.sumEngines(zone, func(s testserver.EngineState) int { return s.InFlight })
 }
 
-func (x *Exercise) begun(zone string) int {
-	n := x.sum(zone, func(s testserver.EngineState) int { return s.Begun })
+func (x *Exercise) startedRequests(zone string) int {
+	n := x.sumEngines(zone, func(s testserver.EngineState) int { return s.Begun })
 
-	for _, t := range x.Instance.desks {
+	for _, t := range x.Instance.bookingTargets {
 		if t.Zone == zone {
 			n += len(t.Bookings.Runs())
 		}
@@ -299,17 +299,17 @@
 	return n
 }
 
-// restart starts the engines of a zone anew, as those of a zone that returns are.
-func (x *Exercise) restart(zone string) {
-	for _, t := range x.Instance.engines {
+// restartZone starts the engines of a zone anew, as those of a zone that returns are.
+func (x *Exercise) restartZone(zone string) {
+	for _, t := range x.Instance.engineTargets {
 		if t.Zone == zone {
-			x.restartOne(t)
+			x.restartEngine(t)
 		}
 	}
 }
 
-// restartOne restarts an engine, which is also a rank of its group.
-func (x *Exercise) restartOne(t *Target) {
+// restartEngine restarts an engine, which is also a rank of its group.
+func (x *Exercise) restartEngine(t *Target) {
 	t.Engine.Restart()
 
 	if group := x.Instance.groups[t.Group]; group != nil {
@@ -317,42 +317,42 @@
 	}
 }
 
-func (x *Exercise) judge(r *load.Report) {
+func (x *Exercise) checkReport(r *load.Report) {
 	if r.HasViolations() {
-		x.broken = append(x.broken, fmt.Sprintf("wrong answers %d, doubled %v, ran after NotRun %v, answered but not run %v",
+		x.violations = append(x.violations, fmt.Sprintf("wrong answers %d, doubled %v, ran after NotRun %v, answered but not run %v",
 			r.Count("Wrong"), r.Duplicated, r.RanAfterNotRun, r.AnsweredNotRun))
 	}
 
 	if n := r.Count("Cut"); n > 0 {
-		x.broken = append(x.broken, fmt.Sprintf("%d answers cut by planned changes", n))
+		x.violations = append(x.violations, fmt.Sprintf("%d answers cut by planned changes", n))
 	}
 
-	for _, t := range x.Instance.engines {
+	for _, t := range x.Instance.engineTargets {
 		s := t.Engine.State()
 		if s.Early > 0 {
 			_, _ = fmt.Fprintf(x.Out, "%s began %d requests above its cold limit before its agent could know\n", t.AgentID, s.Early)
 		}
 
 		if s.Overruns > 0 {
-			x.broken = append(x.broken, fmt.Sprintf("%s had %d requests while cold and bears %d", t.AgentID, s.PeakCold, t.Service.ColdLimit))
+			x.violations = append(x.violations, fmt.Sprintf("%s had %d requests while cold and bears %d", t.AgentID, s.PeakCold, t.Service.ColdLimit))
 		}
 	}
 }
 
-// judgeGroups prints what became of the expert groups, and holds that no step
+// checkGroups prints what became of the expert groups, and holds that no step
 // used two maps.
-func (x *Exercise) judgeGroups() {
+func (x *Exercise) checkGroups() {
 	for _, name := range slices.Sorted(maps.Keys(x.Instance.groups)) {
 		s := x.Instance.groups[name].State()
 		_, _ = fmt.Fprintf(x.Out, "group %s: %d steps, maps in use %v, step-time skew p50 %.2f first quarter, %.2f last quarter\n",
 			name, s.Steps, s.MapVersions, median(s.Skews[:len(s.Skews)/4]), median(s.Skews[len(s.Skews)*3/4:]))
 
 		if s.MixedSteps > 0 {
-			x.broken = append(x.broken, fmt.Sprintf("group %s used two maps in %d steps", name, s.MixedSteps))
+			x.violations = append(x.violations, fmt.Sprintf("group %s used two maps in %d steps", name, s.MixedSteps))
 		}
 
 		if s.Steps == 0 {
-			x.broken = append(x.broken, fmt.Sprintf("group %s made no step", name))
+			x.violations = append(x.violations, fmt.Sprintf("group %s made no step", name))
 		}
 	}
 }
--- a/internal/local/groups.go
+++ b/internal/local/groups.go
@@ -14,39 +14,39 @@
 
 // The stand-in groups: steps of 10 ms, a popularity that is skewed and drifts.
 const (
-	groupStep   = 10 * time.Millisecond
-	groupTokens = 4000
-	groupSkew   = 0.9
-	groupDrift  = 400
+	groupStepTime       = 10 * time.Millisecond
+	groupTokensPerStep  = 4000
+	groupPopularitySkew = 0.9
+	groupDriftInterval  = 400
 )
 
-// localExperts returns settings for groups that are small and whose weights are,
+// expertSettings returns settings for groups that are small and whose weights are,
 // so that a short exercise shows some switches.
-func localExperts() expertgroup.Settings {
+func expertSettings() expertgroup.Settings {
 	s := expertgroup.DefaultSettings()
 	s.PlanInterval = time.Second
 	s.Planner.ExpertBytes = 1 << 20
-	s.Planner.SwitchPause = groupStep
+	s.Planner.SwitchPause = groupStepTime
 
 	return s
 }
 
 // joinGroup makes the engine a rank of its zone's group, where the service has one.
-func (l *Instance) joinGroup(ctx context.Context, g *errgroup.Group, t *Target, r chi.Router, n int) {
+func (inst *Instance) joinGroup(ctx context.Context, g *errgroup.Group, t *Target, r chi.Router, n int) {
 	if t.Service.Experts == 0 {
 		return
 	}
 
 	t.Group, t.Rank = groupName(t.Service, t.Zone), n
 
-	if l.groups == nil {
-		l.groups = make(map[string]*testserver.RankGroup)
+	if inst.groups == nil {
+		inst.groups = make(map[string]*testserver.RankGroup)
 	}
 
-	group := l.groups[t.Group]
+	group := inst.groups[t.Group]
 	if group == nil {
-		group = newGroup(t.Service, uint64(len(l.groups)))
-		l.groups[t.Group] = group
+		group = newGroup(t.Service, uint64(len(inst.groups)))
+		inst.groups[t.Group] = group
 
 		g.Go(func() error {
 			group.Run(ctx)
@@ -60,8 +60,8 @@
 
 func newGroup(s Service, seed uint64) *testserver.RankGroup {
 	group := &testserver.RankGroup{
-		Shape:    placement.Shape{Layers: s.Layers, Ranks: s.PerZone, SlotsPerRank: slotsOf(s), Experts: s.Experts},
-		StepTime: groupStep, TokensPerStep: groupTokens, Skew: groupSkew, DriftInterval: groupDrift, Seed: seed,
+		Shape:    placement.Shape{Layers: s.Layers, Ranks: s.PerZone, SlotsPerRank: slotsPerRank(s), Experts: s.Experts},
+		StepTime: groupStepTime, TokensPerStep: groupTokensPerStep, Skew: groupPopularitySkew, DriftInterval: groupDriftInterval, Seed: seed,
 	}
 	for range s.PerZone {
 		group.Speed = append(group.Speed, 1)
@@ -73,4 +73,4 @@
 }
 
 // Groups returns the stand-in groups by name.
-func (l *Instance) Groups() map[string]*testserver.RankGroup { return l.groups }
+func (inst *Instance) Groups() map[string]*testserver.RankGroup { return inst.groups }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -19,8 +19,8 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// announceEvery is the time between a stand-in's announcements.
-const announceEvery = time.Second
+// announceInterval is the time between a stand-in's announcements.
+const announceInterval = time.Second
 
 // Instance is one running deployment. Its exported fields are set before Run.
 type Instance struct {
@@ -34,13 +34,13 @@
 	// distance of 10; 0 for any.
 	OperatorPort uint16
 
-	controls  []*role.Control
-	operators []netip.AddrPort
-	entries   []netip.AddrPort
-	engines   []*Target
-	groups    map[string]*testserver.RankGroup
-	desks     []*Target
-	logger    *slog.Logger
+	controls         []*role.Control
+	controlAddresses []netip.AddrPort
+	entryAddresses   []netip.AddrPort
+	engineTargets    []*Target
+	groups           map[string]*testserver.RankGroup
+	bookingTargets   []*Target
+	logger           *slog.Logger
 
 	mu    sync.Mutex
 	dumps []*dump.Dump
@@ -64,9 +64,9 @@
 }
 
 // Entries returns the callers' base URLs. It is empty before Start has returned.
-func (l *Instance) Entries() []string {
+func (inst *Instance) Entries() []string {
 	var out []string
-	for _, a := range l.entries {
+	for _, a := range inst.entryAddresses {
 		out = append(out, "http://"+a.String())
 	}
 
@@ -74,24 +74,24 @@
 }
 
 // ControlAddresses returns the addresses of the control VMs, which operators use.
-func (l *Instance) ControlAddresses() []netip.AddrPort { return l.operators }
+func (inst *Instance) ControlAddresses() []netip.AddrPort { return inst.controlAddresses }
 
-func (l *Instance) newDump(kind, id string) *dump.Dump {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (inst *Instance) newDump(kind, id string) *dump.Dump {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 
 	d := &dump.Dump{Role: kind, ID: id}
-	l.dumps = append(l.dumps, d)
+	inst.dumps = append(inst.dumps, d)
 
 	return d
 }
 
 // WriteDumps writes the state of every role.
-func (l *Instance) WriteDumps(w io.Writer) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (inst *Instance) WriteDumps(w io.Writer) error {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 
-	for _, d := range l.dumps {
+	for _, d := range inst.dumps {
 		if err := d.Write(w); err != nil {
 			return err
 		}
@@ -101,39 +101,39 @@
 }
 
 // EngineTargets returns the model engines, and Desks the booking desks.
-func (l *Instance) EngineTargets() []*Target { return l.engines }
+func (inst *Instance) EngineTargets() []*Target { return inst.engineTargets }
 
 // BookingTargets returns the booking desks.
-func (l *Instance) BookingTargets() []*Target { return l.desks }
+func (inst *Instance) BookingTargets() []*Target { return inst.bookingTargets }
 
 // Start starts everything in g, and returns once callers are welcome. All ends,
 // gracefully, after ctx does.
-func (l *Instance) Start(ctx context.Context, g *errgroup.Group) error {
-	l.logger = l.Logs.Logger("local")
+func (inst *Instance) Start(ctx context.Context, g *errgroup.Group) error {
+	inst.logger = inst.Logs.Logger("local")
 
 	// Entries leave first, then agents, then control, so that nobody is refused by
 	// the order in which the parts end.
-	stopAgents, agentsCtx := after(ctx)
-	stopControl, controlCtx := after(ctx)
+	stopAgents, agentsCtx := detach(ctx)
+	stopControl, controlCtx := detach(ctx)
 
-	if err := l.startControl(controlCtx, g); err != nil {
+	if err := inst.startControls(controlCtx, g); err != nil {
 		return err
 	}
 
 	var agents, entries errgroup.Group
 
-	for _, z := range l.Deployment.Zones {
-		for _, s := range l.Deployment.Services {
+	for _, z := range inst.Deployment.Zones {
+		for _, s := range inst.Deployment.Services {
 			for n := range s.PerZone {
-				if err := l.startTarget(agentsCtx, g, &agents, z, s, n); err != nil {
+				if err := inst.startTarget(agentsCtx, g, &agents, z, s, n); err != nil {
 					return err
 				}
 			}
 		}
 	}
 
-	for i, z := range l.Deployment.Zones {
-		if err := l.startEntry(ctx, &entries, z, i); err != nil {
+	for i, z := range inst.Deployment.Zones {
+		if err := inst.startEntry(ctx, &entries, z, i); err != nil {
 			return err
 		}
 	}
@@ -151,14 +151,14 @@
 		return eris.Wrap(agents.Wait(), "run agents")
 	})
 
-	return l.awaitTargets(ctx)
+	return inst.awaitTargets(ctx)
 }
 
-// after returns a context that outlives ctx until stop is called.
-func after(ctx context.Context) (stop context.CancelFunc, later context.Context) {
-	later, stop = context.WithCancel(context.WithoutCancel(ctx))
+// detach returns a context that outlives ctx until stop is called.
+func detach(ctx context.Context) (stop context.CancelFunc, detached context.Context) {
+	detached, stop = context.WithCancel(context.WithoutCancel(ctx))
 
-	return stop, later
+	return stop, detached
 }
 
 func listen(ctx context.Context, port uint16) (net.Listener, error) {
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -23,12 +23,12 @@
 
 	ctx, stop := context.WithCancel(t.Context())
 	g, ctx := errgroup.WithContext(ctx)
-	l := &local.Instance{Deployment: local.TrustDeployment(), Logs: logs.Output{Writer: t.Output()}, Dir: t.TempDir()}
-	require.NoError(t, l.Start(ctx, g))
+	inst := &local.Instance{Deployment: local.TrustDeployment(), Logs: logs.Output{Writer: t.Output()}, Dir: t.TempDir()}
+	require.NoError(t, inst.Start(ctx, g))
 
 	var out bytes.Buffer
 
-	x := &local.Exercise{Instance: l, Duration: 8 * time.Second, Rate: 60, Seed: 7, Out: &out}
+	x := &local.Exercise{Instance: inst, Duration: 8 * time.Second, Rate: 60, Seed: 7, Out: &out}
 	err := x.Run(ctx)
 
 	t.Log(out.String())
--- a/internal/local/path_bench_test.go
+++ b/internal/local/path_bench_test.go
@@ -32,24 +32,24 @@
 	}
 }
 
-func startBench(b *testing.B) *local.Instance {
+func startBenchDeployment(b *testing.B) *local.Instance {
 	b.Helper()
 
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	l := &local.Instance{Deployment: benchDeployment(), Logs: logs.Output{Writer: io.Discard}, Dir: b.TempDir()}
-	require.NoError(b, l.Start(ctx, g))
+	inst := &local.Instance{Deployment: benchDeployment(), Logs: logs.Output{Writer: io.Discard}, Dir: b.TempDir()}
+	require.NoError(b, inst.Start(ctx, g))
 	b.Cleanup(func() {
 		stop()
 
 		_ = g.Wait()
 	})
 
-	return l
+	return inst
 }
 
-// cpu returns the processor time that this process has used.
-func cpu(b *testing.B) time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 
 	var u syscall.Rusage
@@ -59,8 +59,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// call posts a body and returns how long the answer took.
-func call(b *testing.B, client *http.Client, url, key string) time.Duration {
+// timeBooking posts a body and returns how long the answer took.
+func timeBooking(b *testing.B, client *http.Client, url, key string) time.Duration {
 	b.Helper()
 
 	start := time.Now()
@@ -88,33 +88,33 @@
 // through entry and agent, without a key and with one that is claimed at three
 // control VMs with synced disks. CPU is of the whole process, callers included.
 func BenchmarkPath(b *testing.B) {
-	l := startBench(b)
-	direct := "http://" + l.BookingTargets()[0].Address.String() + "/v1/bookings"
-	through := l.Entries()[0] + "/desk/v1/bookings"
+	inst := startBenchDeployment(b)
+	direct := "http://" + inst.BookingTargets()[0].Address.String() + "/v1/bookings"
+	viaEntry := inst.Entries()[0] + "/desk/v1/bookings"
 
 	var keys atomic.Int64
 
-	ways := []struct {
+	paths := []struct {
 		name string
 		url  string
 		key  func() string
 	}{
 		{name: "direct", url: direct, key: func() string { return "" }},
-		{name: "path", url: through, key: func() string { return "" }},
-		{name: "claimed", url: through, key: func() string { return strconv.FormatInt(keys.Add(1), 10) }},
+		{name: "path", url: viaEntry, key: func() string { return "" }},
+		{name: "claimed", url: viaEntry, key: func() string { return strconv.FormatInt(keys.Add(1), 10) }},
 	}
 
 	for _, callers := range []int{1, 16, 64} {
 		var baseline float64
 
-		for _, w := range ways {
-			b.Run(fmt.Sprintf("callers=%d/%s", callers, w.name), func(b *testing.B) {
+		for _, path := range paths {
+			b.Run(fmt.Sprintf("callers=%d/%s", callers, path.name), func(b *testing.B) {
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 				defer client.CloseIdleConnections()
 
-				var spent atomic.Int64
+				var totalLatency atomic.Int64
 
-				before := cpu(b)
+				before := cpuTime(b)
 				start := time.Now()
 
 				var g errgroup.Group
@@ -122,7 +122,7 @@
 				for range callers {
 					g.Go(func() error {
 						for range b.N/callers + 1 {
-							spent.Add(int64(call(b, client, w.url, w.key())))
+							totalLatency.Add(int64(timeBooking(b, client, path.url, path.key())))
 						}
 
 						return nil
@@ -132,18 +132,18 @@
 				require.NoError(b, g.Wait())
 
 				n := float64(callers * (b.N/callers + 1))
-				wall := time.Since(start)
-				used := cpu(b) - before
-				mean := float64(spent.Load()) / n / 1e3
+				elapsed := time.Since(start)
+				used := cpuTime(b) - before
+				mean := float64(totalLatency.Load()) / n / 1e3
 
-				if w.name == "direct" {
+				if path.name == "direct" {
 					baseline = mean
 				}
 
 				b.ReportMetric(mean, "µs-latency")
 				b.ReportMetric(float64(used.Microseconds())/n, "µs-cpu")
 				b.ReportMetric(n/used.Seconds(), "req/s-a-core")
-				b.ReportMetric(n/wall.Seconds(), "req/s")
+				b.ReportMetric(n/elapsed.Seconds(), "req/s")
 				b.ReportMetric(mean/baseline, "latency-ratio")
 			})
 		}
@@ -153,9 +153,9 @@
 // BenchmarkOpenStreams opens streams through the whole path and reports what one
 // costs in goroutines and bytes, in caller, entry, agent and engine together.
 func BenchmarkOpenStreams(b *testing.B) {
-	l := startBench(b)
+	inst := startBenchDeployment(b)
 	client := &http.Client{Transport: &http.Transport{}}
-	url := l.Entries()[0] + "/assist/v1/drafts"
+	url := inst.Entries()[0] + "/assist/v1/drafts"
 
 	const streams = 400
 
--- a/internal/local/targets.go
+++ b/internal/local/targets.go
@@ -15,91 +15,91 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-func (l *Instance) startTarget(ctx context.Context, g, agents *errgroup.Group, zone string, s Service, n int) error {
-	door, err := listen(ctx, 0)
+func (inst *Instance) startTarget(ctx context.Context, g, agents *errgroup.Group, zone string, s Service, n int) error {
+	agentListener, err := listen(ctx, 0)
 	if err != nil {
 		return err
 	}
 
-	back, err := listen(ctx, 0)
+	targetListener, err := listen(ctx, 0)
 	if err != nil {
 		return err
 	}
 
-	t := &Target{AgentID: fmt.Sprintf("%s-%s-%d", s.Name, zone, n+1), Zone: zone, Service: s, Address: back.Addr().(*net.TCPAddr).AddrPort()}
-	handler := l.newStandin(ctx, g, t, n)
-	web := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
+	t := &Target{AgentID: fmt.Sprintf("%s-%s-%d", s.Name, zone, n+1), Zone: zone, Service: s, Address: targetListener.Addr().(*net.TCPAddr).AddrPort()}
+	handler := inst.newTargetHandler(ctx, g, t, n)
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 
 	g.Go(func() error {
-		_ = web.Serve(back)
+		_ = server.Serve(targetListener)
 
 		return nil
 	})
 
 	announcer := &testserver.Announcer{
-		Agent: door.Addr().(*net.TCPAddr).AddrPort(), Interval: announceEvery,
+		Agent: agentListener.Addr().(*net.TCPAddr).AddrPort(), Interval: announceInterval,
 		Current: t.announcement,
 	}
-	t.connect(announcer)
+	t.announceRestarts(announcer)
 
-	announcing, stop := context.WithCancel(ctx)
+	announceCtx, stop := context.WithCancel(ctx)
 	t.Stop = func() {
 		stop()
 
-		_ = web.Close()
+		_ = server.Close()
 	}
 
 	g.Go(func() error {
 		defer stop()
 
-		announcer.Run(announcing)
+		announcer.Run(announceCtx)
 
-		return eris.Wrap(web.Close(), "close stand-in")
+		return eris.Wrap(server.Close(), "close stand-in")
 	})
 
 	a := &role.Agent{
-		ID: t.AgentID, Cluster: l.Deployment.Cluster, Zone: zone,
-		Incarnation: role.IncarnationAt(time.Now()), Listener: door,
-		Controls: role.NewControlClient(l.operators, nil),
-		Logs:     l.Logs, Dump: l.newDump("agent", t.AgentID),
+		ID: t.AgentID, Cluster: inst.Deployment.Cluster, Zone: zone,
+		Incarnation: role.IncarnationAt(time.Now()), Listener: agentListener,
+		Controls: role.NewControlClient(inst.controlAddresses, nil),
+		Logs:     inst.Logs, Dump: inst.newDump("agent", t.AgentID),
 	}
 	agents.Go(func() error { return a.Run(ctx) })
 
 	return nil
 }
 
-func (l *Instance) newStandin(ctx context.Context, g *errgroup.Group, t *Target, n int) http.Handler {
+func (inst *Instance) newTargetHandler(ctx context.Context, g *errgroup.Group, t *Target, n int) http.Handler {
 	if t.Service.Model {
 		t.Engine = &testserver.Engine{
-			StepBase: l.Deployment.StepBase, StepPerSequence: l.Deployment.StepPerSequence,
+			StepBase: inst.Deployment.StepBase, StepPerSequence: inst.Deployment.StepPerSequence,
 			ColdLimit: int(t.Service.ColdLimit), WarmAfter: 4 * int(t.Service.ColdLimit),
 		}
-		l.engines = append(l.engines, t)
+		inst.engineTargets = append(inst.engineTargets, t)
 		r := chi.NewRouter()
-		l.joinGroup(ctx, g, t, r, n)
+		inst.joinGroup(ctx, g, t, r, n)
 		r.Mount("/", t.Engine.Handler())
 
 		return r
 	}
 
 	t.Bookings = &testserver.BookingService{}
-	l.desks = append(l.desks, t)
+	inst.bookingTargets = append(inst.bookingTargets, t)
 
 	return t.Bookings.Handler()
 }
 
-// connect lets an engine announce a restart at once, and take work only then.
-func (t *Target) connect(a *testserver.Announcer) {
+// announceRestarts lets an engine announce a restart at once, and take work only then.
+func (t *Target) announceRestarts(a *testserver.Announcer) {
 	if t.Engine == nil {
 		return
 	}
 
-	again := make(chan struct{}, 1)
-	a.Trigger = again
+	trigger := make(chan struct{}, 1)
+	a.Trigger = trigger
 	a.OnAccepted = t.Engine.ConfirmAnnounced
 	t.Engine.OnRestart = func() {
 		select {
-		case again <- struct{}{}:
+		case trigger <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/slopes/director_test.go
+++ b/internal/slopes/director_test.go
@@ -24,8 +24,8 @@
 	groupExperts = 128
 	groupLayers  = 60
 	groupSlots   = 5
-	// directorWait is how long an idle director is watched, with no new map weighed.
-	directorWait = 5 * time.Second
+	// directorMeasureTime is how long an idle director is watched, with no new map weighed.
+	directorMeasureTime = 5 * time.Second
 )
 
 // rankStub is the agent of every rank: it says that it joined and has nothing to do.
@@ -52,39 +52,39 @@
 // share the processor time. With kept maps each group has left its first map.
 func BenchmarkDirector(b *testing.B) {
 	for _, groups := range []int{5, 19, 150} {
-		for _, kept := range []bool{false, true} {
-			b.Run(fmt.Sprintf("groups=%d/kept=%t", groups, kept), func(b *testing.B) {
+		for _, mapsKept := range []bool{false, true} {
+			b.Run(fmt.Sprintf("groups=%d/kept=%t", groups, mapsKept), func(b *testing.B) {
 				var (
-					stub  rankStub
-					count counter
+					stub    rankStub
+					traffic byteCounter
 				)
 
-				web := &http.Server{Handler: wire.NewRankServer(&stub), ReadHeaderTimeout: time.Second}
-				door := listen(b, &count)
+				server := &http.Server{Handler: wire.NewRankServer(&stub), ReadHeaderTimeout: time.Second}
+				listener := listen(b, &traffic)
 
-				go func() { _ = web.Serve(door) }()
+				go func() { _ = server.Serve(listener) }()
 
-				defer web.Close()
+				defer server.Close()
 
 				for b.Loop() {
-					direct(b, groups, kept, netip.MustParseAddrPort(door.Addr().String()), &count, &stub)
+					measureDirector(b, groups, mapsKept, netip.MustParseAddrPort(listener.Addr().String()), &traffic, &stub)
 				}
 			})
 		}
 	}
 }
 
-func direct(b *testing.B, groups int, kept bool, to netip.AddrPort, count *counter, stub *rankStub) {
+func measureDirector(b *testing.B, groups int, mapsKept bool, address netip.AddrPort, traffic *byteCounter, stub *rankStub) {
 	b.Helper()
 
 	transport := &http.Transport{MaxIdleConnsPerHost: groups * groupRanks}
-	client := wire.NewRankProtobufClient("http://"+to.String(), &http.Client{Transport: transport})
+	client := wire.NewRankProtobufClient("http://"+address.String(), &http.Client{Transport: transport})
 	d := &expertgroup.Director{
 		IsLeader:   func() bool { return true },
 		Barrier:    func(context.Context) error { return nil },
 		Propose:    func(context.Context, *wire.GroupEntry) error { return nil },
-		Groups:     func() []*wire.Group { return declared(groups) },
-		RankAgents: func(string) []expertgroup.RankAgent { return nodes(to) },
+		Groups:     func() []*wire.Group { return declaredGroups(groups) },
+		RankAgents: func(string) []expertgroup.RankAgent { return rankNodes(address) },
 		SendOrder: func(ctx context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return client.Order(ctx, o)
 		},
@@ -95,10 +95,10 @@
 	}
 	d.Init()
 
-	before := heap()
+	before := heapAlloc()
 
-	if kept {
-		d.OnApplied(1, nil, states(b, groups))
+	if mapsKept {
+		d.OnApplied(1, nil, groupStates(b, groups))
 	}
 
 	ctx, cancel := context.WithCancel(b.Context())
@@ -108,15 +108,15 @@
 
 	time.Sleep(2 * time.Second)
 
-	sent, used, orders := count.bytes.Load(), cpu(b), stub.orders.Load()
+	sent, used, orders := traffic.bytes.Load(), cpuTime(b), stub.orders.Load()
 
-	time.Sleep(directorWait)
+	time.Sleep(directorMeasureTime)
 
-	seconds := directorWait.Seconds()
-	b.ReportMetric(float64(count.bytes.Load()-sent)/seconds, "B/s")
-	b.ReportMetric((cpu(b)-used).Seconds()/seconds*100, "%core")
+	seconds := directorMeasureTime.Seconds()
+	b.ReportMetric(float64(traffic.bytes.Load()-sent)/seconds, "B/s")
+	b.ReportMetric((cpuTime(b)-used).Seconds()/seconds*100, "%core")
 	b.ReportMetric(float64(stub.orders.Load()-orders)/seconds, "orders/s")
-	b.ReportMetric(heap()-before, "heap-B")
+	b.ReportMetric(heapAlloc()-before, "heap-B")
 	require.Greater(b, stub.orders.Load(), orders)
 
 	cancel()
@@ -124,7 +124,7 @@
 	transport.CloseIdleConnections()
 }
 
-func declared(groups int) []*wire.Group {
+func declaredGroups(groups int) []*wire.Group {
 	var out []*wire.Group
 	for i := range groups {
 		out = append(out, &wire.Group{
@@ -136,17 +136,17 @@
 	return out
 }
 
-func nodes(to netip.AddrPort) []expertgroup.RankAgent {
+func rankNodes(address netip.AddrPort) []expertgroup.RankAgent {
 	var out []expertgroup.RankAgent
 	for r := range groupRanks {
-		out = append(out, expertgroup.RankAgent{Rank: r, Address: to})
+		out = append(out, expertgroup.RankAgent{Rank: r, Address: address})
 	}
 
 	return out
 }
 
-// states are groups that rule by a second map, which the log keeps.
-func states(b *testing.B, groups int) []*wire.GroupState {
+// groupStates are groups that rule by a second map, which the log keeps.
+func groupStates(b *testing.B, groups int) []*wire.GroupState {
 	b.Helper()
 
 	m, err := placement.NewMap(placement.Shape{
--- a/internal/slopes/idle_test.go
+++ b/internal/slopes/idle_test.go
@@ -24,20 +24,20 @@
 
 const (
 	idleCluster = "slopes"
-	// idleWait is how long an idle deployment is watched.
-	idleWait = 10 * time.Second
-	// idleSettle is how long it may take until every entry holds its credits.
-	idleSettle = 5 * time.Second
+	// idleMeasureTime is how long an idle deployment is watched.
+	idleMeasureTime = 10 * time.Second
+	// idleSettleTime is how long it may take until every entry holds its credits.
+	idleSettleTime = 5 * time.Second
 )
 
-// fleet is one control VM, agents and entries that run in this process, without callers.
-type fleet struct {
-	b        *testing.B
-	group    errgroup.Group
-	polls    counter
-	agents   counter
-	controls []netip.AddrPort
-	out      logs.Output
+// idleDeployment is one control VM, agents and entries that run in this process, without callers.
+type idleDeployment struct {
+	b                *testing.B
+	group            errgroup.Group
+	pollTraffic      byteCounter
+	agentTraffic     byteCounter
+	controlAddresses []netip.AddrPort
+	out              logs.Output
 }
 
 // BenchmarkIdle measures entries and agents that have no requests: polls at the
@@ -51,60 +51,60 @@
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("entries=%d/agents=%d/workspaces=%d", s.entries, s.agents, s.workspaces), func(b *testing.B) {
 			for b.Loop() {
-				watch(b, s.entries, s.agents, s.workspaces)
+				measureIdle(b, s.entries, s.agents, s.workspaces)
 			}
 		})
 	}
 }
 
-func watch(b *testing.B, entries, agents, workspaces int) {
+func measureIdle(b *testing.B, entries, agents, workspaces int) {
 	b.Helper()
 
 	ctx, cancel := context.WithCancel(b.Context())
-	f := &fleet{b: b, out: logs.Output{Writer: io.Discard}}
+	d := &idleDeployment{b: b, out: logs.Output{Writer: io.Discard}}
 
 	defer func() {
 		cancel()
-		require.NoError(b, f.group.Wait())
+		require.NoError(b, d.group.Wait())
 	}()
 
-	f.control(ctx, workspaces)
+	d.startControl(ctx, workspaces)
 
 	for i := range agents {
-		f.agent(ctx, i)
+		d.startAgent(ctx, i)
 	}
 
 	for i := range entries {
-		f.entry(ctx, i)
+		d.startEntry(ctx, i)
 	}
 
-	time.Sleep(idleSettle)
+	time.Sleep(idleSettleTime)
 
-	polls, credits, used := f.polls.bytes.Load(), f.agents.bytes.Load(), cpu(b)
+	pollBytes, creditBytes, cpuBefore := d.pollTraffic.bytes.Load(), d.agentTraffic.bytes.Load(), cpuTime(b)
 
-	time.Sleep(idleWait)
+	time.Sleep(idleMeasureTime)
 
-	seconds := idleWait.Seconds()
-	b.ReportMetric(float64(f.polls.bytes.Load()-polls)/seconds/float64(entries+agents), "poll-B/s/process")
-	b.ReportMetric(float64(f.agents.bytes.Load()-credits)/seconds/float64(entries*agents), "credit-B/s/pair")
-	b.ReportMetric((cpu(b)-used).Seconds()/seconds*100, "%core")
-	b.ReportMetric(heap(), "heap-B")
+	seconds := idleMeasureTime.Seconds()
+	b.ReportMetric(float64(d.pollTraffic.bytes.Load()-pollBytes)/seconds/float64(entries+agents), "poll-B/s/process")
+	b.ReportMetric(float64(d.agentTraffic.bytes.Load()-creditBytes)/seconds/float64(entries*agents), "credit-B/s/pair")
+	b.ReportMetric((cpuTime(b)-cpuBefore).Seconds()/seconds*100, "%core")
+	b.ReportMetric(heapAlloc(), "heap-B")
 }
 
-func (f *fleet) control(ctx context.Context, workspaces int) {
-	l := listen(f.b, &f.polls)
-	f.controls = []netip.AddrPort{netip.MustParseAddrPort(l.Addr().String())}
+func (d *idleDeployment) startControl(ctx context.Context, workspaces int) {
+	l := listen(d.b, &d.pollTraffic)
+	d.controlAddresses = []netip.AddrPort{netip.MustParseAddrPort(l.Addr().String())}
 	c := &role.Control{
-		VM: "control-1", Cluster: idleCluster, Zone: "z", Incarnation: 1, Listener: l, Dir: f.b.TempDir(),
-		Founders: []quorum.Member{{ID: "control-1", Addr: f.controls[0]}},
-		Logs:     f.out, Dump: &dump.Dump{},
+		VM: "control-1", Cluster: idleCluster, Zone: "z", Incarnation: 1, Listener: l, Dir: d.b.TempDir(),
+		Founders: []quorum.Member{{ID: "control-1", Addr: d.controlAddresses[0]}},
+		Logs:     d.out, Dump: &dump.Dump{},
 	}
 	c.Build()
-	f.group.Go(func() error { return c.Run(ctx) })
-	f.declare(ctx, c.Server(), workspaces)
+	d.group.Go(func() error { return c.Run(ctx) })
+	d.commitConfiguration(ctx, c.Server(), workspaces)
 }
 
-func (f *fleet) declare(ctx context.Context, server *control.Server, workspaces int) {
+func (d *idleDeployment) commitConfiguration(ctx context.Context, server *control.Server, workspaces int) {
 	var text strings.Builder
 
 	text.WriteString("[Zone \"z\"]\nRegion = r\n[Service \"desk\"]\nResumable = false\n")
@@ -115,51 +115,51 @@
 
 	var planned *wire.PlanResponse
 
-	require.Eventually(f.b, func() bool {
+	require.Eventually(d.b, func() bool {
 		var err error
 
 		planned, err = server.Plan(ctx, &wire.PlanRequest{Operator: "slopes", Declaration: []byte(text.String())})
 		if err != nil {
-			f.b.Log(err)
+			d.b.Log(err)
 		}
 
 		return err == nil
 	}, 10*time.Second, 500*time.Millisecond)
 
 	r, err := server.Confirm(ctx, &wire.ConfirmRequest{Operator: "slopes", Number: 1, PlanID: planned.GetPlan().GetID()})
-	require.NoError(f.b, err)
-	require.Equal(f.b, wire.DecisionState_DecisionMade, r.GetAnswer().GetState(), r.GetAnswer().GetDetails())
+	require.NoError(d.b, err)
+	require.Equal(d.b, wire.DecisionState_DecisionMade, r.GetAnswer().GetState(), r.GetAnswer().GetDetails())
 }
 
-func (f *fleet) agent(ctx context.Context, i int) {
-	door := listen(f.b, &f.agents)
+func (d *idleDeployment) startAgent(ctx context.Context, i int) {
+	listener := listen(d.b, &d.agentTraffic)
 	a := &role.Agent{
-		ID: fmt.Sprintf("desk-%d", i), Cluster: idleCluster, Zone: "z", Incarnation: 1, Listener: door,
-		Controls: role.NewControlClient(f.controls, nil), Logs: f.out, Dump: &dump.Dump{},
+		ID: fmt.Sprintf("desk-%d", i), Cluster: idleCluster, Zone: "z", Incarnation: 1, Listener: listener,
+		Controls: role.NewControlClient(d.controlAddresses, nil), Logs: d.out, Dump: &dump.Dump{},
 	}
-	f.group.Go(func() error { return a.Run(ctx) })
+	d.group.Go(func() error { return a.Run(ctx) })
 
 	none := uint32(0)
 	announcer := &testserver.Announcer{
-		Agent: netip.MustParseAddrPort(door.Addr().String()), Interval: time.Second,
+		Agent: netip.MustParseAddrPort(listener.Addr().String()), Interval: time.Second,
 		Current: func() testserver.Announcement {
 			return testserver.Announcement{
 				Address: netip.MustParseAddrPort("127.0.0.1:9"), Service: "desk", BootID: "boot", Capacity: 16, InFlight: &none,
 			}
 		},
 	}
-	f.group.Go(func() error {
+	d.group.Go(func() error {
 		announcer.Run(ctx)
 
 		return nil
 	})
 }
 
-func (f *fleet) entry(ctx context.Context, i int) {
+func (d *idleDeployment) startEntry(ctx context.Context, i int) {
 	e := &role.Entry{
 		ID: fmt.Sprintf("entry-%d", i), Cluster: idleCluster, Zone: "z", Region: "r", Incarnation: 1,
-		Listener: listen(f.b, &counter{}), Controls: role.NewControlClient(f.controls, nil),
-		Limits: entry.DefaultLimits(), Logs: f.out, Dump: &dump.Dump{},
+		Listener: listen(d.b, &byteCounter{}), Controls: role.NewControlClient(d.controlAddresses, nil),
+		Limits: entry.DefaultLimits(), Logs: d.out, Dump: &dump.Dump{},
 	}
-	f.group.Go(func() error { return e.Run(ctx) })
+	d.group.Go(func() error { return e.Run(ctx) })
 }
--- a/internal/slopes/main_test.go
+++ b/internal/slopes/main_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counter counts the bytes of connections, both ways.
-type counter struct {
+// byteCounter counts the bytes of connections, both ways.
+type byteCounter struct {
 	bytes atomic.Int64
 }
 
 // listener wraps a listener so that its connections are counted.
-func (c *counter) listener(l net.Listener) net.Listener {
+func (c *byteCounter) listener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, counter: c}
 }
 
 type countedListener struct {
 	net.Listener
 
-	counter *counter
+	counter *byteCounter
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
@@ -42,7 +42,7 @@
 type countedConn struct {
 	net.Conn
 
-	counter *counter
+	counter *byteCounter
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
@@ -60,7 +60,7 @@
 }
 
 // listen opens a loopback listener that is counted.
-func listen(b *testing.B, c *counter) net.Listener {
+func listen(b *testing.B, c *byteCounter) net.Listener {
 	b.Helper()
 
 	var lc net.ListenConfig
@@ -71,8 +71,8 @@
 	return c.listener(l)
 }
 
-// cpu returns the processor time that this process has used.
-func cpu(b *testing.B) time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 
 	var u syscall.Rusage
@@ -82,8 +82,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapAlloc returns the bytes in use after a collection.
+func heapAlloc() float64 {
 	var m runtime.MemStats
 
 	runtime.GC()
--- a/internal/slopes/token_test.go
+++ b/internal/slopes/token_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	tokenStreams = 64
-	// tokensEach must stand in tokenBody too.
-	tokensEach = 400
-	tokenBody  = `{"Prompt":"p","Tokens":400}`
+	concurrentStreams = 64
+	// tokensPerStream must stand in tokenBody too.
+	tokensPerStream = 400
+	tokenBody       = `{"Prompt":"p","Tokens":400}`
 )
 
 // BenchmarkTokens measures the processor time of one token of a stream, straight
@@ -30,7 +30,7 @@
 func BenchmarkTokens(b *testing.B) {
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	l := &local.Instance{
+	inst := &local.Instance{
 		Deployment: local.Deployment{
 			Cluster: "bench", Region: "r", Zones: []string{"z"}, StepBase: 5 * time.Millisecond,
 			Services: []local.Service{
@@ -40,38 +40,38 @@
 		},
 		Logs: logs.Output{Writer: io.Discard}, Dir: b.TempDir(),
 	}
-	require.NoError(b, l.Start(ctx, g))
+	require.NoError(b, inst.Start(ctx, g))
 	b.Cleanup(func() {
 		stop()
 
 		_ = g.Wait()
 	})
 
-	ways := []struct{ name, url string }{
-		{"direct", "http://" + l.EngineTargets()[0].Address.String() + "/v1/drafts"},
-		{"path", l.Entries()[0] + "/assist/v1/drafts"},
+	paths := []struct{ name, url string }{
+		{"direct", "http://" + inst.EngineTargets()[0].Address.String() + "/v1/drafts"},
+		{"path", inst.Entries()[0] + "/assist/v1/drafts"},
 	}
 
-	for _, w := range ways {
-		b.Run(w.name, func(b *testing.B) {
-			before := cpu(b)
+	for _, path := range paths {
+		b.Run(path.name, func(b *testing.B) {
+			before := cpuTime(b)
 
 			var refused int64
 
 			for range b.N {
-				refused += drafts(b, w.url)
+				refused += readStreams(b, path.url)
 			}
 
-			tokens := float64(b.N * tokenStreams * tokensEach)
-			b.ReportMetric(float64((cpu(b)-before).Nanoseconds())/1e3/tokens, "µs-cpu/token")
+			tokens := float64(b.N * concurrentStreams * tokensPerStream)
+			b.ReportMetric(float64((cpuTime(b)-before).Nanoseconds())/1e3/tokens, "µs-cpu/token")
 			b.ReportMetric(float64(refused)/float64(b.N), "refused/op")
 		})
 	}
 }
 
-// drafts reads streams to their end, all at once, and returns how often one was
+// readStreams reads streams to their end, all at once, and returns how often one was
 // refused as not run and sent again.
-func drafts(b *testing.B, url string) int64 {
+func readStreams(b *testing.B, url string) int64 {
 	b.Helper()
 
 	var (
@@ -79,10 +79,10 @@
 		refused atomic.Int64
 	)
 
-	for range tokenStreams {
+	for range concurrentStreams {
 		g.Go(func() error {
 			for {
-				status, err := draft(b.Context(), url)
+				status, err := readStream(b.Context(), url)
 				if status != http.StatusTooManyRequests {
 					return err
 				}
@@ -98,8 +98,8 @@
 	return refused.Load()
 }
 
-// draft reads one stream, and returns the answer's status.
-func draft(ctx context.Context, url string) (status int, err error) {
+// readStream reads one stream, and returns the answer's status.
+func readStream(ctx context.Context, url string) (status int, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte(tokenBody)))
 	if err != nil {
 		return 0, err
@@ -115,7 +115,7 @@
 	defer func() { _ = resp.Body.Close() }()
 
 	data, err := io.ReadAll(resp.Body)
-	if err == nil && bytes.Count(data, []byte("Token")) != tokensEach {
+	if err == nil && bytes.Count(data, []byte("Token")) != tokensPerStream {
 		err = io.ErrUnexpectedEOF
 	}
 
--- a/internal/slopes/view_test.go
+++ b/internal/slopes/view_test.go
@@ -14,11 +14,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// size is what one view follows.
-type size struct{ nodes, workspaces int }
+// viewSize is what one view follows.
+type viewSize struct{ nodes, workspaces int }
 
-// full returns the first answer to a process, as bytes.
-func (s size) full(b *testing.B) []byte {
+// fullAnswer returns the first answer to a process, as bytes.
+func (s viewSize) fullAnswer(b *testing.B) []byte {
 	b.Helper()
 
 	answer := &wire.PollResponse{Version: 1, Full: true}
@@ -48,27 +48,27 @@
 func BenchmarkView(b *testing.B) {
 	const views = 10
 
-	for _, s := range []size{{1010, 0}, {0, 13000}, {1010, 13000}} {
+	for _, s := range []viewSize{{1010, 0}, {0, 13000}, {1010, 13000}} {
 		b.Run(fmt.Sprintf("nodes=%d/workspaces=%d", s.nodes, s.workspaces), func(b *testing.B) {
-			data := s.full(b)
+			data := s.fullAnswer(b)
 
 			for b.Loop() {
-				before := heap()
-				held := follow(b, views, data)
-				used := heap() - before
+				before := heapAlloc()
+				readers := newReaders(b, views, data)
+				used := heapAlloc() - before
 
-				require.Len(b, held[0].Snapshot().Nodes(), s.nodes)
+				require.Len(b, readers[0].Snapshot().Nodes(), s.nodes)
 				b.ReportMetric(used/views, "heap-B/view")
 			}
 		})
 	}
 }
 
-// follow returns readers that have taken in the answer.
-func follow(b *testing.B, n int, data []byte) []*view.Reader {
+// newReaders returns readers that have taken in the answer.
+func newReaders(b *testing.B, n int, data []byte) []*view.Reader {
 	b.Helper()
 
-	var out []*view.Reader
+	var readers []*view.Reader
 
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
@@ -97,8 +97,8 @@
 
 		<-ready
 
-		out = append(out, r)
+		readers = append(readers, r)
 	}
 
-	return out
+	return readers
 }
--- a/internal/testserver/announce.go
+++ b/internal/testserver/announce.go
@@ -34,9 +34,9 @@
 
 // Announcement returns what the desk tells its agent now. It answers at once:
 // what it had in hand when its agent stopped is done.
-func (d *BookingService) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
+func (s *BookingService) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
 	return Announcement{
-		BootID: d.BootID(), Address: address, Service: service, Capacity: capacity, InFlight: new(uint32),
+		BootID: s.BootID(), Address: address, Service: service, Capacity: capacity, InFlight: new(uint32),
 	}
 }
 
@@ -57,23 +57,23 @@
 // Run announces until ctx ends. A failed try is repeated at the next turn.
 func (a *Announcer) Run(ctx context.Context) {
 	client := &http.Client{Timeout: a.Interval}
-	tick := time.NewTicker(a.Interval)
+	ticker := time.NewTicker(a.Interval)
 
-	defer tick.Stop()
+	defer ticker.Stop()
 
 	for {
-		a.once(ctx, client)
+		a.announce(ctx, client)
 
 		select {
 		case <-ctx.Done():
 			return
 		case <-a.Trigger:
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-func (a *Announcer) once(ctx context.Context, client *http.Client) {
+func (a *Announcer) announce(ctx context.Context, client *http.Client) {
 	announcement := a.Current()
 
 	body, err := json.Marshal(announcement)
--- a/internal/testserver/desk.go
+++ b/internal/testserver/booking.go
@@ -26,19 +26,19 @@
 // BookingService is a plain booking service. A booking must not be repeated: each run
 // makes another one.
 type BookingService struct {
-	mu   sync.Mutex
-	boot string
-	runs map[string]int
-	made map[string]BookingResponse
+	mu       sync.Mutex
+	bootID   string
+	runs     map[string]int
+	bookings map[string]BookingResponse
 }
 
 // Runs returns how often each Ref was booked.
-func (d *BookingService) Runs() map[string]int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *BookingService) Runs() map[string]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	out := make(map[string]int, len(d.runs))
-	for ref, n := range d.runs {
+	out := make(map[string]int, len(s.runs))
+	for ref, n := range s.runs {
 		out[ref] = n
 	}
 
@@ -46,29 +46,29 @@
 }
 
 // BootID returns an id that is fresh at each start.
-func (d *BookingService) BootID() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *BookingService) BootID() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if d.boot == "" {
-		d.boot = uuid.NewString()
+	if s.bootID == "" {
+		s.bootID = uuid.NewString()
 	}
 
-	return d.boot
+	return s.bootID
 }
 
 // Handler returns the desk's HTTP interface.
-func (d *BookingService) Handler() http.Handler {
+func (s *BookingService) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(echoRequestID)
-	r.Post("/v1/bookings", d.book)
-	r.Get("/v1/bookings/{id}", d.show)
-	r.Get("/v1/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, d.Runs()) })
+	r.Post("/v1/bookings", s.handleCreate)
+	r.Get("/v1/bookings/{id}", s.handleGet)
+	r.Get("/v1/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Runs()) })
 
 	return r
 }
 
-func (d *BookingService) book(w http.ResponseWriter, r *http.Request) {
+func (s *BookingService) handleCreate(w http.ResponseWriter, r *http.Request) {
 	var b BookingRequest
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil || b.Slot == "" {
 		http.Error(w, "a booking needs Ref and Slot", http.StatusBadRequest)
@@ -76,29 +76,29 @@
 		return
 	}
 
-	writeJSON(w, http.StatusCreated, d.run(b))
+	writeJSON(w, http.StatusCreated, s.create(b))
 }
 
-func (d *BookingService) run(b BookingRequest) BookingResponse {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *BookingService) create(b BookingRequest) BookingResponse {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if d.runs == nil {
-		d.runs = make(map[string]int)
-		d.made = make(map[string]BookingResponse)
+	if s.runs == nil {
+		s.runs = make(map[string]int)
+		s.bookings = make(map[string]BookingResponse)
 	}
 
-	d.runs[b.Ref]++
-	done := BookingResponse{BookingID: uuid.NewString(), Ref: b.Ref, Slot: b.Slot}
-	d.made[done.BookingID] = done
+	s.runs[b.Ref]++
+	response := BookingResponse{BookingID: uuid.NewString(), Ref: b.Ref, Slot: b.Slot}
+	s.bookings[response.BookingID] = response
 
-	return done
+	return response
 }
 
-func (d *BookingService) show(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	b, ok := d.made[chi.URLParam(r, "id")]
-	d.mu.Unlock()
+func (s *BookingService) handleGet(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	b, ok := s.bookings[chi.URLParam(r, "id")]
+	s.mu.Unlock()
 
 	if !ok {
 		http.Error(w, "no such booking", http.StatusNotFound)
--- a/internal/testserver/engine.go
+++ b/internal/testserver/engine.go
@@ -37,18 +37,18 @@
 	// OnRestart is called at each Restart, to announce the new boot; may be nil.
 	OnRestart func()
 
-	mu       sync.Mutex
-	bootID   string
-	cold     bool
-	coldAt   time.Time
-	serving  bool
-	cut      chan struct{}
-	early    int
-	finished int
-	inFlight int
-	begun    int
-	overruns int
-	peakCold int
+	mu            sync.Mutex
+	bootID        string
+	cold          bool
+	coldSince     time.Time
+	accepting     bool
+	restarted     chan struct{}
+	earlyOverruns int
+	finished      int
+	inFlight      int
+	started       int
+	overruns      int
+	peakCold      int
 }
 
 // EngineState is what an engine tells of itself.
@@ -72,11 +72,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.bootLocked()
+	e.ensureBootLocked()
 
 	return EngineState{
 		BootID: e.bootID, Cold: e.cold, InFlight: e.inFlight,
-		Overruns: e.overruns, Early: e.early, PeakCold: e.peakCold, Finished: e.finished, Begun: e.begun,
+		Overruns: e.overruns, Early: e.earlyOverruns, PeakCold: e.peakCold, Finished: e.finished, Begun: e.started,
 	}
 }
 
@@ -97,11 +97,11 @@
 // new boot id, and it takes no work before that has been announced.
 func (e *Engine) Restart() {
 	e.mu.Lock()
-	e.bootLocked()
+	e.ensureBootLocked()
 	e.turnColdLocked()
-	close(e.cut)
-	e.cut = make(chan struct{})
-	e.serving = e.OnRestart == nil
+	close(e.restarted)
+	e.restarted = make(chan struct{})
+	e.accepting = e.OnRestart == nil
 	e.mu.Unlock()
 
 	if e.OnRestart != nil {
@@ -114,13 +114,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.serving = e.serving || bootID == e.bootID
+	e.accepting = e.accepting || bootID == e.bootID
 }
 
 func (e *Engine) turnColdLocked() {
 	e.bootID = uuid.NewString()
 	e.cold = true
-	e.coldAt = time.Now()
+	e.coldSince = time.Now()
 	e.finished = 0
 }
 
@@ -128,7 +128,7 @@
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(echoRequestID)
-	r.Post("/v1/drafts", e.draft)
+	r.Post("/v1/drafts", e.handleDraft)
 	r.Get("/v1/state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.State()) })
 	r.Post("/v1/cold", func(w http.ResponseWriter, _ *http.Request) {
 		e.TurnCold()
@@ -146,16 +146,16 @@
 	})
 }
 
-func (e *Engine) bootLocked() {
+func (e *Engine) ensureBootLocked() {
 	if e.bootID == "" {
 		e.bootID = uuid.NewString()
 		e.cold = e.WarmAfter > 0
-		e.serving = true
-		e.cut = make(chan struct{})
+		e.accepting = true
+		e.restarted = make(chan struct{})
 	}
 }
 
-func (e *Engine) draft(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleDraft(w http.ResponseWriter, r *http.Request) {
 	var d DraftRequest
 	if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Tokens < 1 {
 		http.Error(w, "a draft needs Prompt and Tokens", http.StatusBadRequest)
@@ -170,12 +170,12 @@
 		return
 	}
 
-	cut, ok := e.begin()
+	restarted, ok := e.beginSequence()
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 
-	defer e.end()
+	defer e.endSequence()
 
 	if e.State().Cold {
 		w.Header().Set(HeaderCold, "true")
@@ -183,7 +183,7 @@
 
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	e.stream(r.Context(), cut, w, d, from)
+	e.streamTokens(r.Context(), restarted, w, d, from)
 }
 
 func lastEventID(r *http.Request) (int, error) {
@@ -197,14 +197,14 @@
 	return n, eris.Wrap(err, "read Last-Event-ID")
 }
 
-func (e *Engine) stream(ctx context.Context, cut <-chan struct{}, w http.ResponseWriter, d DraftRequest, from int) {
-	flush := http.NewResponseController(w)
+func (e *Engine) streamTokens(ctx context.Context, restarted <-chan struct{}, w http.ResponseWriter, d DraftRequest, from int) {
+	controller := http.NewResponseController(w)
 
 	for n := from + 1; n <= d.Tokens; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-cut:
+		case <-restarted:
 			panic(http.ErrAbortHandler)
 		case <-time.After(e.stepTime()):
 		}
@@ -213,7 +213,7 @@
 			return
 		}
 
-		if err := flush.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return
 		}
 	}
@@ -236,31 +236,31 @@
 	return e.StepBase + time.Duration(e.inFlight)*e.StepPerSequence
 }
 
-// begin counts a sequence in. It returns the channel that a restart closes, and
+// beginSequence counts a sequence in. It returns the channel that a restart closes, and
 // false for an engine that takes no work yet.
-func (e *Engine) begin() (cut <-chan struct{}, ok bool) {
+func (e *Engine) beginSequence() (restarted <-chan struct{}, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	e.bootLocked()
+	e.ensureBootLocked()
 
-	if !e.serving {
+	if !e.accepting {
 		return nil, false
 	}
 
 	e.inFlight++
-	e.begun++
+	e.started++
 
 	if e.cold {
-		e.countCold()
+		e.countColdLocked()
 	}
 
-	return e.cut, true
+	return e.restarted, true
 }
 
-func (e *Engine) countCold() {
-	if e.inFlight > e.ColdLimit && time.Since(e.coldAt) < MaxAnnounceDelay {
-		e.early++
+func (e *Engine) countColdLocked() {
+	if e.inFlight > e.ColdLimit && time.Since(e.coldSince) < MaxAnnounceDelay {
+		e.earlyOverruns++
 
 		return
 	}
@@ -271,7 +271,7 @@
 	}
 }
 
-func (e *Engine) end() {
+func (e *Engine) endSequence() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
--- a/internal/testserver/lockstep.go
+++ b/internal/testserver/rank_group.go
@@ -30,34 +30,34 @@
 	Speed         []float64
 	Seed          uint64
 
-	mu      sync.Mutex
-	ranks   []*lockRank
-	step    uint64
-	mixed   int
-	skews   []float64
-	weights [][]float64
-	rnd     *rand.Rand
+	mu         sync.Mutex
+	ranks      []*rankEngine
+	lastStep   uint64
+	mixedSteps int
+	stepSkews  []float64
+	popularity [][]float64
+	rnd        *rand.Rand
 }
 
-// lockRank is one rank's engine.
-type lockRank struct {
+// rankEngine is one rank's engine.
+type rankEngine struct {
 	bootID string
-	maps   map[uint64]lockMap
-	// told says that a Run order has come since the boot.
-	told     bool
-	held     bool
-	heldFrom uint64
-	run      rank.EngineOrder
-	joined   uint64
-	missing  uint64
-	sequence uint64
-	busy     time.Duration
-	work     uint64
-	tokens   []uint64
+	maps   map[uint64]loadedMap
+	// hasRunOrder says that a Run order has come since the boot.
+	hasRunOrder bool
+	held        bool
+	heldFrom    uint64
+	runOrder    rank.EngineOrder
+	joined      uint64
+	missingMap  uint64
+	sequence    uint64
+	busyTime    time.Duration
+	work        uint64
+	tokens      []uint64
 }
 
-// lockMap is a map that a rank has loaded.
-type lockMap struct {
+// loadedMap is a map that a rank has loaded.
+type loadedMap struct {
 	content *placement.Map
 	digest  uint64
 }
@@ -75,24 +75,24 @@
 // Init prepares the group. It is called once, before Run.
 func (g *RankGroup) Init() {
 	g.rnd = rand.New(rand.NewPCG(g.Seed, 7))
-	g.ranks = make([]*lockRank, g.Shape.Ranks)
+	g.ranks = make([]*rankEngine, g.Shape.Ranks)
 
 	for i := range g.ranks {
 		g.ranks[i] = g.newRank()
 	}
 
-	g.weights = make([][]float64, g.Shape.Layers)
-	for l := range g.weights {
-		g.weights[l] = make([]float64, g.Shape.Experts)
+	g.popularity = make([][]float64, g.Shape.Layers)
+	for l := range g.popularity {
+		g.popularity[l] = make([]float64, g.Shape.Experts)
 		for e, place := range g.rnd.Perm(g.Shape.Experts) {
-			g.weights[l][e] = math.Pow(float64(place+1), -g.Skew)
+			g.popularity[l][e] = math.Pow(float64(place+1), -g.Skew)
 		}
 	}
 }
 
-func (g *RankGroup) newRank() *lockRank {
-	return &lockRank{
-		bootID: uuid.NewString(), maps: make(map[uint64]lockMap),
+func (g *RankGroup) newRank() *rankEngine {
+	return &rankEngine{
+		bootID: uuid.NewString(), maps: make(map[uint64]loadedMap),
 		tokens: make([]uint64, g.Shape.Layers*g.Shape.Experts),
 	}
 }
@@ -110,9 +110,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	s := RankGroupState{Steps: g.step, MixedSteps: g.mixed, Skews: slices.Clone(g.skews)}
+	s := RankGroupState{Steps: g.lastStep, MixedSteps: g.mixedSteps, Skews: slices.Clone(g.stepSkews)}
 	for _, r := range g.ranks {
-		s.MapVersions = append(s.MapVersions, r.version(g.step+1))
+		s.MapVersions = append(s.MapVersions, r.version(g.lastStep+1))
 	}
 
 	return s
@@ -133,35 +133,35 @@
 }
 
 // version returns the map that the rank uses in step s, by its own orders.
-func (r *lockRank) version(s uint64) uint64 {
-	if s >= r.run.RunStep {
-		return r.run.RunVersion
+func (r *rankEngine) version(s uint64) uint64 {
+	if s >= r.runOrder.RunStep {
+		return r.runOrder.RunVersion
 	}
 
-	return r.run.RunBefore
+	return r.runOrder.RunBefore
 }
 
-// agrees reports whether two ranks compute step s with the same map.
-func (r *lockRank) agrees(with *lockRank, s uint64) bool {
-	v, w := r.version(s), with.version(s)
+// sameMap reports whether two ranks compute step s with the same map.
+func (r *rankEngine) sameMap(other *rankEngine, s uint64) bool {
+	v, w := r.version(s), other.version(s)
 
-	return v == w && r.maps[v].digest == with.maps[w].digest
+	return v == w && r.maps[v].digest == other.maps[w].digest
 }
 
-// ready reports whether the rank may begin step s, and notes a map that it lacks.
-func (r *lockRank) ready(s uint64) bool {
-	if !r.told || (r.held && s >= r.heldFrom) {
+// readyFor reports whether the rank may begin step s, and notes a map that it lacks.
+func (r *rankEngine) readyFor(s uint64) bool {
+	if !r.hasRunOrder || (r.held && s >= r.heldFrom) {
 		return false
 	}
 
 	v := r.version(s)
-	r.missing = 0
+	r.missingMap = 0
 
 	if r.maps[v].content == nil {
-		r.missing = v
+		r.missingMap = v
 	}
 
-	return r.missing == 0
+	return r.missingMap == 0
 }
 
 // advance begins the next step if every rank is ready, and returns how long it takes.
@@ -169,83 +169,83 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	next := g.step + 1
+	next := g.lastStep + 1
 
 	all := true
 	for _, r := range g.ranks {
-		all = r.ready(next) && all
+		all = r.readyFor(next) && all
 	}
 
 	if !all {
 		return g.StepTime
 	}
 
-	g.step = next
+	g.lastStep = next
 	mixed := false
 
 	for _, r := range g.ranks {
 		r.joined = next
-		mixed = mixed || !r.agrees(g.ranks[0], next)
+		mixed = mixed || !r.sameMap(g.ranks[0], next)
 	}
 
 	if mixed {
-		g.mixed++
+		g.mixedSteps++
 	}
 
-	return g.compute(next)
+	return g.computeStep(next)
 }
 
-// compute works out a step's times and counts its tokens.
-func (g *RankGroup) compute(step uint64) time.Duration {
-	g.drift(step)
+// computeStep works out a step's times and counts its tokens.
+func (g *RankGroup) computeStep(step uint64) time.Duration {
+	g.driftPopularity(step)
 
 	load := &placement.Load{Speed: g.Speed}
-	for l := range g.weights {
-		load.Tokens = append(load.Tokens, g.weights[l]...)
+	for l := range g.popularity {
+		load.Tokens = append(load.Tokens, g.popularity[l]...)
 	}
 
 	m := g.ranks[0].maps[g.ranks[0].version(step)].content
 	t := placement.Evaluate(m, load)
-	g.skews = append(g.skews, t.Skew())
-	g.count(m)
+	g.stepSkews = append(g.stepSkews, t.Skew())
+	g.updateCounters(m)
 
 	return time.Duration(float64(g.StepTime) * t.Slowest)
 }
 
-func (g *RankGroup) drift(step uint64) {
+func (g *RankGroup) driftPopularity(step uint64) {
 	if g.DriftInterval == 0 || step%uint64(g.DriftInterval) != 0 {
 		return
 	}
 
-	for _, w := range g.weights {
+	for _, w := range g.popularity {
 		a, b := g.rnd.IntN(len(w)), g.rnd.IntN(len(w))
 		w[a], w[b] = w[b], w[a]
 	}
 }
 
-// count adds the step's tokens to what every rank has routed, and the time and
+// updateCounters adds the step's tokens to what every rank has routed, and the time and
 // work of its own experts.
-func (g *RankGroup) count(m *placement.Map) {
-	per := float64(g.TokensPerStep)
+func (g *RankGroup) updateCounters(m *placement.Map) {
+	tokens := float64(g.TokensPerStep)
 
 	for n, r := range g.ranks {
 		r.sequence++
 
-		for l, w := range g.weights {
-			sum := total(w)
+		for l, w := range g.popularity {
+			sum := sum(w)
 			for e, x := range w {
-				r.tokens[l*g.Shape.Experts+e] += uint64(per * x / sum)
+				r.tokens[l*g.Shape.Experts+e] += uint64(tokens * x / sum)
 			}
 
-			work := g.rankWork(m, l, n, sum) * per
+			work := g.rankTokenShare(m, l, n, sum) * tokens
 			r.work += uint64(work)
-			r.busy += time.Duration(work / g.Speed[n] * float64(time.Microsecond))
+			r.busyTime += time.Duration(work / g.Speed[n] * float64(time.Microsecond))
 		}
 	}
 }
 
-// rankWork is the share of a layer's tokens that rank n computes.
-func (g *RankGroup) rankWork(m *placement.Map, l, n int, sum float64) float64 {
+// rankTokenShare is the share of a layer's tokens that rank n computes.
+func (g *RankGroup) rankTokenShare(m *placement.Map, l, n int, sum float64) float64 {
 	work := 0.0
 
 	for _, e := range m.Rank(l, n) {
@@ -261,13 +261,13 @@
 			}
 		}
 
-		work += g.weights[l][e] / sum / float64(copies)
+		work += g.popularity[l][e] / sum / float64(copies)
 	}
 
 	return work
 }
 
-func total(w []float64) float64 {
+func sum(w []float64) float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
--- a/internal/testserver/lockstep_http.go
+++ b/internal/testserver/rank_group_http.go
@@ -22,7 +22,7 @@
 			return
 		}
 
-		w.WriteHeader(g.order(n, &o))
+		w.WriteHeader(g.applyOrder(n, &o))
 	})
 }
 
@@ -41,14 +41,14 @@
 	r := g.ranks[n]
 
 	return rank.EngineState{
-		BootID: r.bootID, Joined: r.joined, Missing: r.missing, Sequence: r.sequence,
-		BusyMicros: uint64(r.busy.Microseconds()), Work: r.work, Tokens: slices.Clone(r.tokens),
+		BootID: r.bootID, Joined: r.joined, Missing: r.missingMap, Sequence: r.sequence,
+		BusyMicros: uint64(r.busyTime.Microseconds()), Work: r.work, Tokens: slices.Clone(r.tokens),
 	}
 }
 
-// order carries out an order, and returns the status of its answer. Fencing
+// applyOrder carries out an order, and returns the status of its answer. Fencing
 // numbers are not checked: this engine stands for those that ignore them.
-func (g *RankGroup) order(n int, o *rank.EngineOrder) int {
+func (g *RankGroup) applyOrder(n int, o *rank.EngineOrder) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -65,8 +65,8 @@
 	case rank.DoHold:
 		return r.hold(o.Step)
 	case rank.DoRun:
-		r.told, r.held, r.run = true, false, *o
-		r.free()
+		r.hasRunOrder, r.held, r.runOrder = true, false, *o
+		r.dropUnusedMaps()
 	default:
 		return http.StatusBadRequest
 	}
@@ -75,7 +75,7 @@
 }
 
 // hold keeps steps from beginning. A second hold does not lift the first.
-func (r *lockRank) hold(step uint64) int {
+func (r *rankEngine) hold(step uint64) int {
 	if step != 0 && step <= r.joined {
 		return http.StatusConflict
 	}
@@ -90,22 +90,22 @@
 	return http.StatusNoContent
 }
 
-// free drops the maps that the standing order does not name.
-func (r *lockRank) free() {
+// dropUnusedMaps drops the maps that the standing order does not name.
+func (r *rankEngine) dropUnusedMaps() {
 	for v := range r.maps {
-		if v != r.run.RunVersion && v != r.run.RunBefore {
+		if v != r.runOrder.RunVersion && v != r.runOrder.RunBefore {
 			delete(r.maps, v)
 		}
 	}
 }
 
-func (r *lockRank) load(o *rank.EngineOrder) int {
+func (r *rankEngine) load(o *rank.EngineOrder) int {
 	m, err := placement.Decode(o.Placement)
 	if err != nil {
 		return http.StatusBadRequest
 	}
 
-	r.maps[o.Version] = lockMap{content: m, digest: m.Digest()}
+	r.maps[o.Version] = loadedMap{content: m, digest: m.Digest()}
 
 	return http.StatusNoContent
 }
--- a/internal/testserver/standin_test.go
+++ b/internal/testserver/rank_group_test.go
@@ -26,22 +26,22 @@
 	// data: {"Token":"jro"}
 }
 
-// group is a lock-step group of two ranks with its interfaces.
-type group struct {
+// rankGroup is a lock-step group of two ranks with its interfaces.
+type rankGroup struct {
 	t      *testing.T
-	ranks  *testserver.RankGroup
+	group  *testserver.RankGroup
 	router [2]chi.Router
 	maps   [2][]byte
 }
 
-func newGroup(t *testing.T) *group {
+func newRankGroup(t *testing.T) *rankGroup {
 	shape := placement.Shape{Layers: 1, Ranks: 2, SlotsPerRank: 2, Experts: 4}
-	g := &group{t: t, ranks: &testserver.RankGroup{Shape: shape, StepTime: time.Millisecond, TokensPerStep: 10, Speed: []float64{1, 1}}}
-	g.ranks.Init()
+	g := &rankGroup{t: t, group: &testserver.RankGroup{Shape: shape, StepTime: time.Millisecond, TokensPerStep: 10, Speed: []float64{1, 1}}}
+	g.group.Init()
 
 	for n := range g.router {
 		g.router[n] = chi.NewRouter()
-		g.ranks.Routes(g.router[n], n)
+		g.group.Routes(g.router[n], n)
 	}
 
 	m, err := placement.NewMap(shape)
@@ -55,9 +55,9 @@
 }
 
 // order gives rank n an order and returns the status of its answer.
-func (g *group) order(n int, o rank.EngineOrder) int {
+func (g *rankGroup) order(n int, o rank.EngineOrder) int {
 	if o.BootID == "" {
-		o.BootID = g.ranks.BootID(n)
+		o.BootID = g.group.BootID(n)
 	}
 
 	body, err := json.Marshal(o)
@@ -69,21 +69,21 @@
 	return w.Code
 }
 
-func (g *group) load(n int, version uint64, placement []byte) {
+func (g *rankGroup) orderLoad(n int, version uint64, placement []byte) {
 	require.Equal(g.t, http.StatusNoContent, g.order(n, rank.EngineOrder{Do: rank.DoLoad, Version: version, Placement: placement}))
 }
 
-func (g *group) start(n int, version uint64) {
+func (g *rankGroup) orderRun(n int, version uint64) {
 	require.Equal(g.t, http.StatusNoContent, g.order(n, rank.EngineOrder{Do: rank.DoRun, RunVersion: version}))
 }
 
-func (g *group) steps(d time.Duration) testserver.RankGroupState {
+func (g *rankGroup) runFor(d time.Duration) testserver.RankGroupState {
 	ctx, cancel := context.WithTimeout(g.t.Context(), d)
 	defer cancel()
 
-	g.ranks.Run(ctx)
+	g.group.Run(ctx)
 
-	return g.ranks.State()
+	return g.group.State()
 }
 
 // All proofs of the expert maps rest on what this stand-in counts: it must see
@@ -106,13 +106,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(t)
+				g := newRankGroup(t)
 				for n := range 2 {
-					g.load(n, c.versions[n], g.maps[c.maps[n]])
-					g.start(n, c.versions[n])
+					g.orderLoad(n, c.versions[n], g.maps[c.maps[n]])
+					g.orderRun(n, c.versions[n])
 				}
 
-				s := g.steps(time.Second)
+				s := g.runFor(time.Second)
 				require.Positive(t, s.Steps)
 				require.Equal(t, c.mixed, s.MixedSteps > 0)
 			})
@@ -125,30 +125,30 @@
 func TestNoStepWithoutAllRanks(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t)
-		g.load(0, 1, g.maps[0])
-		g.load(1, 1, g.maps[0])
-		g.start(0, 1)
-		require.Zero(t, g.steps(time.Second).Steps, "a rank that is not told")
-		g.start(1, 1)
-
-		at := g.steps(time.Second).Steps
-		require.Positive(t, at)
-		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: at}), "a step that has begun")
-		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: at + 5}))
-		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: at + 50}))
-		require.Equal(t, at+4, g.steps(time.Second).Steps, "the earlier hold stands")
-		g.start(1, 1)
-		require.Greater(t, g.steps(time.Second).Steps, at+4)
-
-		former := g.ranks.BootID(1)
-		g.ranks.RestartRank(1)
-		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{BootID: former, Do: rank.DoRun, RunVersion: 1}))
-
-		at = g.ranks.State().Steps
-		g.start(1, 1)
-		require.Equal(t, at, g.steps(time.Second).Steps, "a rank without its map")
-		g.load(1, 1, g.maps[0])
-		require.Greater(t, g.steps(time.Second).Steps, at)
+		g := newRankGroup(t)
+		g.orderLoad(0, 1, g.maps[0])
+		g.orderLoad(1, 1, g.maps[0])
+		g.orderRun(0, 1)
+		require.Zero(t, g.runFor(time.Second).Steps, "a rank that is not told")
+		g.orderRun(1, 1)
+
+		last := g.runFor(time.Second).Steps
+		require.Positive(t, last)
+		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last}), "a step that has begun")
+		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last + 5}))
+		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last + 50}))
+		require.Equal(t, last+4, g.runFor(time.Second).Steps, "the earlier hold stands")
+		g.orderRun(1, 1)
+		require.Greater(t, g.runFor(time.Second).Steps, last+4)
+
+		previousBoot := g.group.BootID(1)
+		g.group.RestartRank(1)
+		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{BootID: previousBoot, Do: rank.DoRun, RunVersion: 1}))
+
+		last = g.group.State().Steps
+		g.orderRun(1, 1)
+		require.Equal(t, last, g.runFor(time.Second).Steps, "a rank without its map")
+		g.orderLoad(1, 1, g.maps[0])
+		require.Greater(t, g.runFor(time.Second).Steps, last)
 	})
 }
