--- a/internal/local/control.go
+++ b/internal/local/control.go
@@ -17,11 +17,12 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// controlPortStep is the distance between the ports of two control VMs; those of
-// the entries lie between.
+// controlPortStep is the distance between the ports of two control VMs. The ports
+// of the entries lie in between.
 const controlPortStep = 10
 
-// startControls starts a control VM in each availability zone.
+// startControls starts a control VM in each availability zone and commits the
+// declaration of the deployment.
 func (inst *Instance) startControls(ctx context.Context, g *errgroup.Group) error {
 	var (
 		listeners []net.Listener
@@ -61,8 +62,8 @@
 	return inst.commitDeclaration(ctx)
 }
 
-// commitDeclaration commits the configuration that the deployment starts with, as an
-// operator's plan and its confirmation.
+// commitDeclaration plans and confirms the initial configuration of the deployment,
+// as an operator would.
 func (inst *Instance) commitDeclaration(ctx context.Context) error {
 	server := inst.controls[0].Server()
 
@@ -77,14 +78,14 @@
 	}
 
 	if a := r.GetAnswer(); a.GetState() != wire.DecisionState_DecisionMade {
-		return eris.Errorf("not decided: %s %v", a.GetState(), a.GetDetails())
+		return eris.Errorf("declaration of the deployment was not committed: %s %v", a.GetState(), a.GetDetails())
 	}
 
 	return nil
 }
 
-// planTries bounds how often a plan is asked for while the control VMs elect a
-// leader; planPause is the time between two asks.
+// Plan requests fail until the control VMs have elected a leader. They are sent at
+// most maxPlanAttempts times, planRetryInterval apart.
 const (
 	maxPlanAttempts   = 200
 	planRetryInterval = 50 * time.Millisecond
--- a/internal/local/control_retry_test.go
+++ b/internal/local/control_retry_test.go
@@ -10,8 +10,9 @@
 	"github.com/twitchtv/twirp"
 )
 
-// The leader is lost just as the exercise takes a zone out. The control VM that it
-// asked says that it is not current and to ask another one; the exercise gave up then.
+// The leader fails while the exercise takes a zone out, and the control VM that is
+// asked answers Unavailable because it is not current. The exercise must try the
+// other control VMs until controlTimeout instead of failing.
 func TestUnavailableControlVMIsSkipped(t *testing.T) {
 	t.Parallel()
 
@@ -41,7 +42,7 @@
 
 		_, err = try(unavailable, invalid)
 		require.ErrorIs(t, err, invalid)
-		require.Equal(t, []int{0, 1}, called, "another one would say the same")
+		require.Equal(t, []int{0, 1}, called, "other errors are not retried")
 
 		began := time.Now()
 		_, err = tryEachControl(context.Background(), 3, func(int) (string, error) { return "", unavailable })
--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -1,6 +1,6 @@
-// Package local runs a whole small deployment in one process on loopback: a
-// control VM, an entry in each availability zone, and agents with stand-in
-// targets. It serves a first look, the exercise, and tests.
+// Package local runs a small deployment in one process on loopback: a control VM
+// and an entry in each availability zone, and agents with test servers as targets.
+// It is used to try the software out, by the exercise, and by tests.
 package local
 
 import (
@@ -9,34 +9,36 @@
 	"time"
 )
 
-// Service is one service of a deployment.
+// Service describes one service of a deployment.
 type Service struct {
 	Name string
-	// Model says that its targets are engines; else they are booking desks.
+	// Model is set for a service of model engines. The targets of other services
+	// are booking services.
 	Model bool
-	// PerZone is how many targets it has in each zone.
+	// PerZone is the number of targets in each zone.
 	PerZone int
-	// ColdLimit and WarmLimit are how many requests one target bears at once.
+	// ColdLimit and WarmLimit bound the concurrent requests of a cold and of a warm
+	// target.
 	ColdLimit uint32
 	WarmLimit uint32
-	// Experts and Layers shape the expert groups of its targets, one group a zone;
-	// without them its targets are no ranks.
+	// Experts and Layers are the dimensions of the expert groups, one group in each
+	// zone. If Experts is 0, the targets are not part of a group.
 	Experts int
 	Layers  int
 }
 
-// Deployment is the shape of a deployment.
+// Deployment describes a deployment: its zones, services and step times.
 type Deployment struct {
 	Cluster  string
 	Region   string
 	Zones    []string
 	Services []Service
-	// StepBase and StepEach are the engines' step times.
+	// An engine's step takes StepBase, plus StepPerSequence for each sequence in flight.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 }
 
-// TrustDeployment is the Ayutthaya Cooperage Trust's deployment of today.
+// TrustDeployment returns a deployment modelled on that of the Ayutthaya Cooperage Trust.
 func TrustDeployment() Deployment {
 	return Deployment{
 		Cluster: "trust", Region: "central-th",
@@ -49,7 +51,7 @@
 	}
 }
 
-// QurumDeployment is the Qurum Labs deployment of today.
+// QurumDeployment returns a deployment modelled on that of Qurum Labs.
 func QurumDeployment() Deployment {
 	d := TrustDeployment()
 	d.Cluster, d.Region = "qurum", "muscat"
@@ -60,7 +62,7 @@
 	return d
 }
 
-// Declaration returns the operators' declaration of the deployment.
+// Declaration returns the deployment as operators declare it.
 func (d *Deployment) Declaration() string {
 	var b strings.Builder
 	for _, z := range d.Zones {
@@ -97,10 +99,10 @@
 
 func groupName(s Service, zone string) string { return s.Name + "-" + zone }
 
-// slotsPerRank leaves room for a few replicas on each rank.
+// slotsPerRank adds two slots for expert replicas to those that the experts need.
 func slotsPerRank(s Service) int { return s.Experts/s.PerZone + 2 }
 
-// serviceName returns the name of the first service of a kind.
+// serviceName returns the name of the first service whose Model equals model, or "".
 func (d *Deployment) serviceName(model bool) string {
 	for _, s := range d.Services {
 		if s.Model == model {
--- a/internal/local/entries.go
+++ b/internal/local/entries.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// awaitTargets waits until every entry takes callers.
+// awaitTargets waits until every entry answers a request to the booking service.
 func (inst *Instance) awaitTargets(ctx context.Context) error {
 	for _, base := range inst.Entries() {
 		if err := awaitService(ctx, base+"/"+inst.Deployment.serviceName(false)+"/v1/runs"); err != nil {
@@ -68,7 +68,7 @@
 
 		select {
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "deployment did not come up")
+			return eris.Wrap(ctx.Err(), "wait until the deployment answers requests")
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -19,7 +19,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// phaseCount is how many phases an exercise has; each takes an equal share of its time.
+// phaseCount is the number of phases of an exercise. They are equally long.
 const phaseCount = 5
 
 // The phases of an exercise.
@@ -31,20 +31,22 @@
 	phaseZoneLost   = "5-zone-lost"
 )
 
-// forceCheck is how often the exercise looks whether a decision is in force, and
-// forceBound how long that may take: a lease, a margin, and some slack.
 const (
-	pollInterval   = 20 * time.Millisecond
+	// pollInterval is the time between two requests to the control VMs.
+	pollInterval = 20 * time.Millisecond
+	// controlTimeout bounds the time until a control VM answers, and until a decision
+	// is in force. It covers a lease, a margin and some slack.
 	controlTimeout = 8 * time.Second
 )
 
-// Exercise drives load at a running deployment while a zone leaves and returns
-// and a target turns cold. Its fields are set before Run.
+// Exercise sends load to a running deployment while a zone is taken out and brought
+// back, an engine turns cold, another restarts, and a zone fails. It checks the
+// guarantees to callers. The exported fields must be set before Run.
 type Exercise struct {
 	Instance *Instance
-	// Duration is the time of the whole exercise.
+	// Duration is the time of all phases together.
 	Duration time.Duration
-	// Rate is requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
 	Seed uint64
 	Out  io.Writer
@@ -53,7 +55,7 @@
 	violations []string
 }
 
-// Run runs the exercise and returns an error where a promise broke.
+// Run runs the exercise. It returns an error if a guarantee was violated.
 func (x *Exercise) Run(ctx context.Context) error {
 	x.phase.Store(phaseBefore)
 
@@ -63,8 +65,8 @@
 	go func() { done <- x.runPhases(ctx) }()
 
 	report, err := generator.Run(ctx)
-	if scriptErr := <-done; err == nil {
-		err = scriptErr
+	if phaseErr := <-done; err == nil {
+		err = phaseErr
 	}
 
 	if report != nil {
@@ -83,7 +85,7 @@
 	}
 
 	if len(x.violations) > 0 {
-		return eris.Errorf("%d promises broke", len(x.violations))
+		return eris.Errorf("%d promises were broken", len(x.violations))
 	}
 
 	_, _ = fmt.Fprintln(x.Out, "every promise held")
@@ -103,7 +105,7 @@
 	}
 }
 
-// Runs returns how often each booking ran, from all desks.
+// Runs returns how often each booking ran, over all booking services.
 func (inst *Instance) Runs(context.Context) (map[string]int, error) {
 	all := make(map[string]int)
 
@@ -116,7 +118,7 @@
 	return all, nil
 }
 
-// runPhases is what happens to the deployment while the load runs.
+// runPhases changes the deployment from phase to phase while the load runs.
 func (x *Exercise) runPhases(ctx context.Context) error {
 	phase := x.Duration / phaseCount
 	zone := x.Instance.Deployment.Zones[0]
@@ -135,7 +137,7 @@
 		return err
 	}
 
-	// A zone that was taken out is given back only when its work has finished.
+	// The zone is brought back only after its requests have ended.
 	for x.inFlight(zone) > 0 {
 		if !pauses.For(ctx, pollInterval) {
 			return nil
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// stopZone ends all targets of a zone without notice, as the loss of its power does.
-// What they had in flight ends with them.
+// stopZone stops all targets of a zone without notice, as a power failure does.
+// Their requests in flight are aborted.
 func (x *Exercise) stopZone(zone string) {
 	for _, t := range slices.Concat(x.Instance.engineTargets, x.Instance.bookingTargets) {
 		if t.Zone == zone {
@@ -178,7 +180,7 @@
 	}
 }
 
-// setZoneOut takes a zone out or brings it back, as an operator does.
+// setZoneOut takes a zone out of service or brings it back, as an operator does.
 func (x *Exercise) setZoneOut(ctx context.Context, number uint64, zone string, out bool) error {
 	controls := x.Instance.controls
 
@@ -192,7 +194,7 @@
 		return eris.Wrap(err, "plan")
 	}
 
-	// A decision that is sent again under its number and plan is made once.
+	// Confirm can be repeated: a decision is made once per number and plan.
 	r, err := tryEachControl(ctx, len(controls), func(i int) (*wire.ConfirmResponse, error) {
 		return controls[i].Server().Confirm(ctx, &wire.ConfirmRequest{Operator: "exercise", Number: number, PlanID: planned.GetPlan().GetID()})
 	})
@@ -207,9 +209,10 @@
 	return nil
 }
 
-// tryEachControl puts a question to one of n control VMs after the other until one answers
-// it, as the operators' command does. A control VM whose leader was just lost says
-// truthfully that it is not current: on a busy machine that ended the exercise.
+// tryEachControl calls the n control VMs in turn until one returns anything but
+// Unavailable, as the operators' commands do. A control VM that has just lost its
+// leader returns Unavailable, which happens on a busy machine and must not end the
+// exercise.
 func tryEachControl[T any](ctx context.Context, n int, call func(i int) (T, error)) (T, error) {
 	start := time.Now()
 
@@ -227,12 +230,13 @@
 	}
 }
 
-// awaitInForce waits until the control VMs say that a decision is in force everywhere.
+// awaitInForce waits until a control VM reports that a decision is in force on all
+// processes, and returns how long that took.
 func (x *Exercise) awaitInForce(ctx context.Context, number uint64) (time.Duration, error) {
 	start := time.Now()
 
 	for time.Since(start) < controlTimeout {
-		// This control VM may not have heard of the decision yet: the leader made it.
+		// The leader made the decision, and this control VM may not have received it yet.
 		r, err := x.Instance.controls[0].Server().Status(ctx, &wire.StatusRequest{Number: number})
 		if d := r.GetDecisions(); err == nil && len(d) == 1 && d[0].GetInForce() {
 			return time.Since(start), nil
@@ -243,10 +247,11 @@
 		}
 	}
 
-	return 0, eris.Errorf("decision %d is not said to be in force after %s", number, controlTimeout)
+	return 0, eris.Errorf("decision %d was not reported in force within %s", number, controlTimeout)
 }
 
-// checkZoneIdle checks that a zone that is out gets no new work once that is in force.
+// checkZoneIdle waits until the decision to take a zone out is in force, and checks
+// that the zone receives no new requests in the rest of d.
 func (x *Exercise) checkZoneIdle(ctx context.Context, zone string, d time.Duration) error {
 	end := time.Now().Add(d)
 
@@ -264,13 +269,13 @@
 	}
 
 	if after := x.startedRequests(zone); after != before {
-		x.violations = append(x.violations, fmt.Sprintf("%d requests began in zone %s after it was taken out", after-before, zone))
+		x.violations = append(x.violations, fmt.Sprintf("%d requests started in zone %s after the decision to take it out was in force", after-before, zone))
 	}
 
 	return nil
 }
 
-// sumEngines adds up what count says of each engine in a zone.
+// sumEngines returns the sum of count over the engines of a zone.
 func (x *Exercise) sumEngines(zone string, count func(testserver.EngineState) int) int {
 	n := 0
 
@@ -299,7 +304,7 @@
 	return n
 }
 
-// restartZone starts the engines of a zone anew, as those of a zone that returns are.
+// restartZone restarts the engines of a zone, as happens when a zone is brought back.
 func (x *Exercise) restartZone(zone string) {
 	for _, t := range x.Instance.engineTargets {
 		if t.Zone == zone {
@@ -308,7 +313,7 @@
 	}
 }
 
-// restartEngine restarts an engine, which is also a rank of its group.
+// restartEngine restarts an engine, and with it its rank of an expert group.
 func (x *Exercise) restartEngine(t *Target) {
 	t.Engine.Restart()
 
@@ -330,17 +335,17 @@
 	for _, t := range x.Instance.engineTargets {
 		s := t.Engine.State()
 		if s.Early > 0 {
-			_, _ = fmt.Fprintf(x.Out, "%s began %d requests above its cold limit before its agent could know\n", t.AgentID, s.Early)
+			_, _ = fmt.Fprintf(x.Out, "%s started %d requests above its cold limit before its agent could know that it was cold\n", t.AgentID, s.Early)
 		}
 
 		if s.Overruns > 0 {
-			x.violations = append(x.violations, fmt.Sprintf("%s had %d requests while cold and bears %d", t.AgentID, s.PeakCold, t.Service.ColdLimit))
+			x.violations = append(x.violations, fmt.Sprintf("%s had %d requests in flight while cold; its limit is %d", t.AgentID, s.PeakCold, t.Service.ColdLimit))
 		}
 	}
 }
 
-// checkGroups prints what became of the expert groups, and holds that no step
-// used two maps.
+// checkGroups prints the state of the expert groups. It checks that each group made
+// steps and that no step used two maps.
 func (x *Exercise) checkGroups() {
 	for _, name := range slices.Sorted(maps.Keys(x.Instance.groups)) {
 		s := x.Instance.groups[name].State()
@@ -352,7 +357,7 @@
 		}
 
 		if s.Steps == 0 {
-			x.violations = append(x.violations, fmt.Sprintf("group %s made no step", name))
+			x.violations = append(x.violations, fmt.Sprintf("group %s completed no step", name))
 		}
 	}
 }
--- a/internal/local/groups.go
+++ b/internal/local/groups.go
@@ -12,7 +12,8 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// The stand-in groups: steps of 10 ms, a popularity that is skewed and drifts.
+// Parameters of the test rank groups: the expert popularity is skewed, and drifts
+// every groupDriftInterval steps.
 const (
 	groupStepTime       = 10 * time.Millisecond
 	groupTokensPerStep  = 4000
@@ -20,8 +21,8 @@
 	groupDriftInterval  = 400
 )
 
-// expertSettings returns settings for groups that are small and whose weights are,
-// so that a short exercise shows some switches.
+// expertSettings returns settings for small groups with small expert weights. Maps
+// are planned so often that a short exercise has some map switches.
 func expertSettings() expertgroup.Settings {
 	s := expertgroup.DefaultSettings()
 	s.PlanInterval = time.Second
@@ -31,7 +32,8 @@
 	return s
 }
 
-// joinGroup makes the engine a rank of its zone's group, where the service has one.
+// joinGroup makes the engine rank n of the group of its service in its zone. It does
+// nothing if the service has no groups.
 func (inst *Instance) joinGroup(ctx context.Context, g *errgroup.Group, t *Target, r chi.Router, n int) {
 	if t.Service.Experts == 0 {
 		return
@@ -72,5 +74,5 @@
 	return group
 }
 
-// Groups returns the stand-in groups by name.
+// Groups returns the test rank groups by name.
 func (inst *Instance) Groups() map[string]*testserver.RankGroup { return inst.groups }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -19,19 +19,20 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// announceInterval is the time between a stand-in's announcements.
+// announceInterval is the time between two announcements of a target.
 const announceInterval = time.Second
 
-// Instance is one running deployment. Its exported fields are set before Run.
+// Instance is one running deployment. Its exported fields must be set before Start.
 type Instance struct {
 	Deployment Deployment
 	Logs       logs.Output
-	// Dir holds the control VMs' data folders.
+	// Dir contains the data directories of the control VMs.
 	Dir string
-	// EntryPort is the port of the first entry, the others follow; 0 for any.
+	// EntryPort is the port of the first entry; those of the others follow. 0 means
+	// free ports.
 	EntryPort uint16
-	// OperatorPort is the port of the first control VM, the others follow at a
-	// distance of 10; 0 for any.
+	// OperatorPort is the port of the first control VM; those of the others follow
+	// controlPortStep apart. 0 means free ports.
 	OperatorPort uint16
 
 	controls         []*role.Control
@@ -46,24 +47,25 @@
 	dumps []*dump.Dump
 }
 
-// Target is one stand-in with its agent.
+// Target is a test server with its agent.
 type Target struct {
 	AgentID string
 	Zone    string
 	Service Service
-	// Address is where the stand-in itself takes requests.
+	// Address is where the test server itself accepts requests, without its agent.
 	Address netip.AddrPort
-	// Engine or Desk is set.
+	// Either Engine or Bookings is set.
 	Engine   *testserver.Engine
 	Bookings *testserver.BookingService
-	// Stop ends the stand-in without notice.
+	// Stop stops the test server and its announcements without notice.
 	Stop func()
-	// Group and Rank are set for an engine that is part of an expert group.
+	// Group and Rank are set for an engine that belongs to an expert group.
 	Group string
 	Rank  int
 }
 
-// Entries returns the callers' base URLs. It is empty before Start has returned.
+// Entries returns the base URLs of the entries for callers. It is empty before Start
+// has returned.
 func (inst *Instance) Entries() []string {
 	var out []string
 	for _, a := range inst.entryAddresses {
@@ -73,7 +75,7 @@
 	return out
 }
 
-// ControlAddresses returns the addresses of the control VMs, which operators use.
+// ControlAddresses returns the addresses of the control VMs for operators.
 func (inst *Instance) ControlAddresses() []netip.AddrPort { return inst.controlAddresses }
 
 func (inst *Instance) newDump(kind, id string) *dump.Dump {
@@ -86,7 +88,7 @@
 	return d
 }
 
-// WriteDumps writes the state of every role.
+// WriteDumps writes the state of every control VM, entry and agent.
 func (inst *Instance) WriteDumps(w io.Writer) error {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -100,19 +102,19 @@
 	return nil
 }
 
-// EngineTargets returns the model engines, and Desks the booking desks.
+// EngineTargets returns the targets that are model engines.
 func (inst *Instance) EngineTargets() []*Target { return inst.engineTargets }
 
-// BookingTargets returns the booking desks.
+// BookingTargets returns the targets that are booking services.
 func (inst *Instance) BookingTargets() []*Target { return inst.bookingTargets }
 
-// Start starts everything in g, and returns once callers are welcome. All ends,
-// gracefully, after ctx does.
+// Start starts all processes in g and returns once the entries answer requests. When
+// ctx is canceled, they all shut down gracefully.
 func (inst *Instance) Start(ctx context.Context, g *errgroup.Group) error {
 	inst.logger = inst.Logs.Logger("local")
 
-	// Entries leave first, then agents, then control, so that nobody is refused by
-	// the order in which the parts end.
+	// Entries stop first, then agents, then control VMs. In any other order requests
+	// could be refused during the shutdown.
 	stopAgents, agentsCtx := detach(ctx)
 	stopControl, controlCtx := detach(ctx)
 
@@ -154,7 +156,7 @@
 	return inst.awaitTargets(ctx)
 }
 
-// detach returns a context that outlives ctx until stop is called.
+// detach returns a context with the values of ctx that is canceled only by stop.
 func detach(ctx context.Context) (stop context.CancelFunc, detached context.Context) {
 	detached, stop = context.WithCancel(context.WithoutCancel(ctx))
 
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -13,11 +13,11 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// The whole path, with three control VMs, entries, agents and stand-ins: callers
-// send drafts and bookings while a zone leaves, its engines restart, it returns,
-// one engine restarts under load and another turns cold without a word. No
-// answer is cut, wrong or doubled, no cold engine gets too much, the zone gets
-// nothing once its leaving is in force, and no group mixes two maps in a step.
+// Callers send drafts and bookings to a deployment of three zones while a zone is
+// taken out, its engines restart and it is brought back, an engine restarts under
+// load, another turns cold without notice, and a zone fails. No answer may be
+// truncated or wrong, no booking made twice, no cold engine overloaded, no request
+// sent to the zone once the decision is in force, and no two maps used in a step.
 func TestExercise(t *testing.T) {
 	t.Parallel()
 
--- a/internal/local/path_bench_test.go
+++ b/internal/local/path_bench_test.go
@@ -20,7 +20,8 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// benchDeployment is one zone with one desk and one engine that bear all callers.
+// benchDeployment returns one zone with one booking service and one engine, whose
+// limits are above the number of callers.
 func benchDeployment() local.Deployment {
 	return local.Deployment{
 		Cluster: "bench", Region: "r", Zones: []string{"z"},
@@ -59,7 +60,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// timeBooking posts a body and returns how long the answer took.
+// timeBooking sends a booking and returns the time until the answer was read.
 func timeBooking(b *testing.B, client *http.Client, url, key string) time.Duration {
 	b.Helper()
 
@@ -84,9 +85,10 @@
 	return time.Since(start)
 }
 
-// BenchmarkPath compares a booking straight at the desk, the baseline, with one
-// through entry and agent, without a key and with one that is claimed at three
-// control VMs with synced disks. CPU is of the whole process, callers included.
+// BenchmarkPath compares three ways of sending a booking: directly to the booking
+// service (the baseline), through entry and agent, and through them with an
+// idempotency key, which is claimed in the ledger on synced disks. The processor
+// time is that of the whole process, callers included.
 func BenchmarkPath(b *testing.B) {
 	inst := startBenchDeployment(b)
 	direct := "http://" + inst.BookingTargets()[0].Address.String() + "/v1/bookings"
@@ -150,8 +152,8 @@
 	}
 }
 
-// BenchmarkOpenStreams opens streams through the whole path and reports what one
-// costs in goroutines and bytes, in caller, entry, agent and engine together.
+// BenchmarkOpenStreams opens streams through entry and agent. It reports the
+// goroutines and bytes per stream of caller, entry, agent and engine together.
 func BenchmarkOpenStreams(b *testing.B) {
 	inst := startBenchDeployment(b)
 	client := &http.Client{Transport: &http.Transport{}}
--- a/internal/local/targets.go
+++ b/internal/local/targets.go
@@ -54,7 +54,7 @@
 
 		announcer.Run(announceCtx)
 
-		return eris.Wrap(server.Close(), "close stand-in")
+		return eris.Wrap(server.Close(), "close target server")
 	})
 
 	a := &role.Agent{
@@ -88,7 +88,8 @@
 	return t.Bookings.Handler()
 }
 
-// announceRestarts lets an engine announce a restart at once, and take work only then.
+// announceRestarts makes an engine announce a restart at once. The engine accepts
+// requests again when its agent has accepted the announcement.
 func (t *Target) announceRestarts(a *testserver.Announcer) {
 	if t.Engine == nil {
 		return
