--- a/internal/load/callers.go
+++ b/internal/load/callers.go
@@ -15,15 +15,16 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// outcome is what a caller saw of one request.
+// outcome is the result of a request from the caller's point of view.
 type outcome string
 
 const (
 	answered   outcome = "Answered"
 	notRun     outcome = "NotRun"
 	mayHaveRun outcome = "MayHaveRun"
-	// truncated answers broke off; late ones did at their caller's own deadline; wrong
-	// ones ended but are not the request's own.
+	// truncated means that the answer broke off, and timedOut that it did so at the
+	// caller's deadline. wrongAnswer means a complete answer that does not match the
+	// request, or a refusal without a verdict.
 	truncated   outcome = "Cut"
 	timedOut    outcome = "Late"
 	wrongAnswer outcome = "Wrong"
@@ -31,23 +32,24 @@
 	notSent     outcome = "NotSent"
 )
 
-// result is one request's outcome with its times.
+// result is the outcome of a request and its latencies.
 type result struct {
 	outcome outcome
 	cause   string
-	// firstToken and total are the waits for the first token and for the whole answer.
+	// firstToken is the time to the first token, total that to the end of the answer.
 	firstToken time.Duration
 	total      time.Duration
 }
 
-// maxBookingAttempts is how often a caller sends a booking under the same key while it
-// does not know what became of it.
+// maxBookingAttempts bounds how often a caller sends a booking with the same idempotency
+// key while the outcome is unknown.
 const maxBookingAttempts = 4
 
-// resendInterval is how long such a caller waits between two sends.
+// resendInterval is the time between two attempts of a booking.
 const resendInterval = 200 * time.Millisecond
 
-// deadlineTolerance is how long before its caller's clock an entry's may end the wait.
+// deadlineTolerance is how much earlier than its caller an entry may end a request for
+// its deadline.
 const deadlineTolerance = 100 * time.Millisecond
 
 func (g *Generator) sendDraft(ctx context.Context, q *request) result {
@@ -117,8 +119,8 @@
 	return answered
 }
 
-// sendBooking sends a booking, again under the same key and through other entries
-// while its caller does not know what became of it.
+// sendBooking sends a booking. While the outcome is unknown, it resends the booking with
+// the same idempotency key to the next entry.
 func (g *Generator) sendBooking(ctx context.Context, q *request) result {
 	body, _ := json.Marshal(testserver.BookingRequest{Ref: q.ref, Slot: q.slot()})
 	start := time.Now()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load is the load tool: it sends drafts and bookings to entries at a
-// fixed rate, whatever the answers (open loop), and checks every answer. The
-// same seed sends the same requests at the same times.
+// Package load is an open-loop load generator: it sends drafts and bookings to entries
+// at a given mean rate, regardless of the answers, and checks every answer. Runs with
+// the same seed send the same requests at the same times.
 package load
 
 import (
@@ -14,30 +14,32 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// Generator is one run. Its fields are set before Run.
+// Generator generates the load of one run. Its fields must be set before Run.
 type Generator struct {
-	// Entries are the base URLs of the entries; each request picks one.
+	// Entries are the base URLs of the entries. Each request is sent to one of them,
+	// drawn at random.
 	Entries []string
-	// DraftService and BookingService are the services as callers name them.
+	// DraftService and BookingService are the names of the services in request paths.
 	DraftService   string
 	BookingService string
-	// Rate is requests a second; Duration is how long they are sent.
+	// Rate is the mean number of requests per second, sent for Duration.
 	Rate     float64
 	Duration time.Duration
-	// BookingShare is the share of requests that are bookings.
+	// BookingShare is the fraction of requests that are bookings.
 	BookingShare float64
-	// Tokens is the mean length of a draft.
+	// Tokens is the mean length of a draft in tokens.
 	Tokens int
-	// Workspaces is how many workspaces the callers belong to.
+	// Workspaces is the number of workspaces of the callers.
 	Workspaces int
-	// Timeout is each caller's deadline.
+	// Timeout is the time limit that each request announces to its entry.
 	Timeout time.Duration
 	Seed    uint64
-	// MaxInFlight bounds the requests at once; those above it are counted as not sent.
+	// MaxInFlight bounds the concurrent requests. Those above it are counted as NotSent.
 	MaxInFlight int
-	// Phase names the part of an exercise that a request belongs to; may be nil.
+	// Phase returns the name of the phase under which a new request is counted; may be
+	// nil.
 	Phase func() string
-	// Runs returns how often each booking ran, from the back ends themselves; may be nil.
+	// Runs returns how often each booking ran, as counted by the targets; may be nil.
 	Runs func(ctx context.Context) (map[string]int, error)
 
 	client          *http.Client
@@ -46,7 +48,7 @@
 	bookingOutcomes map[string]outcome
 }
 
-// request is one request, drawn before it is sent.
+// request contains the random parameters of one request.
 type request struct {
 	n          int
 	booking    bool
@@ -60,13 +62,14 @@
 func (q *request) slot() string { return fmt.Sprintf("kiln-%d", q.n) }
 
 const (
-	// workspaceSkew makes a few workspaces large, as the users' are.
+	// workspaceSkew is the exponent of the Zipf distribution of requests over
+	// workspaces. As in real use, a few workspaces send most requests.
 	workspaceSkew = 1.4
-	// responseGracePeriod is how much longer than its deadline a request is waited for.
+	// responseGracePeriod is how long the HTTP client waits beyond the request's timeout.
 	responseGracePeriod = 5 * time.Second
 )
 
-// Run sends the load and returns what came of it.
+// Run sends the load and returns the report, once all requests have ended.
 func (g *Generator) Run(ctx context.Context) (*Report, error) {
 	g.report = newReport()
 	g.bookingOutcomes = make(map[string]outcome)
@@ -82,10 +85,11 @@
 		return g.report, nil
 	}
 
-	// A caller's deadline may pass while its booking still runs: let it end first.
+	// A booking may still run after its caller's deadline. The runs are read only after
+	// all callers have returned.
 	runs, err := g.Runs(ctx)
 	if err != nil {
-		return g.report, fmt.Errorf("read the back ends' runs: %w", err)
+		return g.report, fmt.Errorf("read how often the targets ran each booking: %w", err)
 	}
 
 	g.checkBookings(runs)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,9 +18,9 @@
 	"github.com/parsleygate/parsleygate/internal/testserver"
 )
 
-// fakeEntry is an entry that misbehaves by order: bookings by book, drafts by draft.
+// fakeEntry is an entry whose answers to bookings and drafts are given by book and draft.
 type fakeEntry struct {
-	book  func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int)
+	book  func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int)
 	draft func(w http.ResponseWriter, d testserver.DraftRequest)
 
 	mu       sync.Mutex
@@ -73,16 +73,16 @@
 	return b.String() + testserver.LastEvent
 }
 
-func runLoad(t *testing.T, f *fakeEntry, share float64, phase func() string) *load.Report {
+func runLoad(t *testing.T, f *fakeEntry, bookingShare float64, phase func() string) *load.Report {
 	t.Helper()
 
 	f.runs, f.attempts = make(map[string]int), make(map[string]int)
-	web := httptest.NewServer(f)
-	t.Cleanup(web.Close)
+	server := httptest.NewServer(f)
+	t.Cleanup(server.Close)
 
 	g := &load.Generator{
-		Entries: []string{web.URL}, DraftService: "assist", BookingService: "desk",
-		Rate: 100, Duration: 100 * time.Millisecond, BookingShare: share, Tokens: 3, Workspaces: 3,
+		Entries: []string{server.URL}, DraftService: "assist", BookingService: "desk",
+		Rate: 100, Duration: 100 * time.Millisecond, BookingShare: bookingShare, Tokens: 3, Workspaces: 3,
 		Timeout: 5 * time.Second, Seed: 5, MaxInFlight: 64, Phase: phase,
 		Runs: func(context.Context) (map[string]int, error) { return f.runs, nil },
 	}
@@ -94,78 +94,78 @@
 
 func abort(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// The exercise is worth what its checker sees. Each broken promise about a
-// booking must be told, and what a caller was told in time must not be.
+// The report must contain each violated guarantee about a booking, and must not report a
+// violation for correct answers.
 func TestBookings(t *testing.T) {
 	t.Parallel()
 
 	type outcome struct {
-		doubled, lied, lost, broken bool
-		count                       string
+		duplicated, ranAfterNotRun, answeredNotRun, violated bool
+		count                                                string
 	}
 
 	cases := []struct {
 		name string
-		book func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int)
+		book func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int)
 		want outcome
 	}{
 		{"answered", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.recordRun(b)
 			answer(w, b)
 		}, outcome{count: "Answered"}},
-		{"doubled", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+		{"ran twice", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.recordRun(b)
 			f.recordRun(b)
 			answer(w, b)
-		}, outcome{doubled: true, broken: true, count: "Answered"}},
+		}, outcome{duplicated: true, violated: true, count: "Answered"}},
 		{"ran after NotRun", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.recordRun(b)
 			refuse(w, "NotRun")
-		}, outcome{lied: true, broken: true, count: "NotRun"}},
+		}, outcome{ranAfterNotRun: true, violated: true, count: "NotRun"}},
 		{"not run", func(_ *fakeEntry, w http.ResponseWriter, _ testserver.BookingRequest, _ int) { refuse(w, "NotRun") }, outcome{count: "NotRun"}},
-		{"answered and not run", func(_ *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) { answer(w, b) }, outcome{lost: true, broken: true, count: "Answered"}},
-		{"may have run, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
-			if try == 1 {
+		{"answered and not run", func(_ *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) { answer(w, b) }, outcome{answeredNotRun: true, violated: true, count: "Answered"}},
+		{"may have run, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int) {
+			if attempt == 1 {
 				f.recordRun(b)
 			}
 			refuse(w, "MayHaveRun")
 		}, outcome{count: "MayHaveRun"}},
-		{"may have run, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
-			if try == 1 {
+		{"may have run, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int) {
+			if attempt == 1 {
 				f.recordRun(b)
 				refuse(w, "MayHaveRun")
 				return
 			}
 			refuse(w, "NotRun")
-		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"broken off, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
-			if try == 1 {
+		}, outcome{ranAfterNotRun: true, violated: true, count: "NotRun"}},
+		{"aborted, then NotRun, and ran", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int) {
+			if attempt == 1 {
 				f.recordRun(b)
 				abort(w)
 			}
 			refuse(w, "NotRun")
-		}, outcome{lied: true, broken: true, count: "NotRun"}},
-		{"run again at a resend", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, try int) {
+		}, outcome{ranAfterNotRun: true, violated: true, count: "NotRun"}},
+		{"run again at a resend", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, attempt int) {
 			f.recordRun(b)
-			if try == 1 {
+			if attempt == 1 {
 				refuse(w, "MayHaveRun")
 				return
 			}
 			answer(w, b)
-		}, outcome{doubled: true, broken: true, count: "Answered"}},
-		{"another's answer", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+		}, outcome{duplicated: true, violated: true, count: "Answered"}},
+		{"answer to another booking", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.recordRun(b)
 			b.Ref = "other"
 			answer(w, b)
-		}, outcome{broken: true, count: "Wrong"}},
-		{"another slot", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
+		}, outcome{violated: true, count: "Wrong"}},
+		{"answer for another slot", func(f *fakeEntry, w http.ResponseWriter, b testserver.BookingRequest, _ int) {
 			f.recordRun(b)
 			b.Slot = "other"
 			answer(w, b)
-		}, outcome{broken: true, count: "Wrong"}},
+		}, outcome{violated: true, count: "Wrong"}},
 		{"no verdict", func(_ *fakeEntry, w http.ResponseWriter, _ testserver.BookingRequest, _ int) {
 			w.WriteHeader(http.StatusBadGateway)
-		}, outcome{broken: true, count: "Wrong"}},
+		}, outcome{violated: true, count: "Wrong"}},
 	}
 
 	for _, c := range cases {
@@ -173,14 +173,14 @@
 			t.Parallel()
 
 			r := runLoad(t, &fakeEntry{book: c.book}, 1, nil)
-			got := outcome{doubled: len(r.Duplicated) > 0, lied: len(r.RanAfterNotRun) > 0, lost: len(r.AnsweredNotRun) > 0, broken: r.HasViolations(), count: c.want.count}
+			got := outcome{duplicated: len(r.Duplicated) > 0, ranAfterNotRun: len(r.RanAfterNotRun) > 0, answeredNotRun: len(r.AnsweredNotRun) > 0, violated: r.HasViolations(), count: c.want.count}
 			require.Equal(t, c.want, got)
 			require.Positive(t, r.Count(c.want.count))
 		})
 	}
 }
 
-// A draft that is cut, or mixed with another's, must not pass for a whole one.
+// A draft that is truncated, or mixed with another one, must not count as answered.
 func TestDrafts(t *testing.T) {
 	t.Parallel()
 
@@ -190,22 +190,22 @@
 		count string
 		want  bool
 	}{
-		{"whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d))) }, "Answered", false},
-		{"cut", func(w http.ResponseWriter, d testserver.DraftRequest) {
+		{"complete", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d))) }, "Answered", false},
+		{"truncated", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			_, _ = w.Write([]byte(completeDraft(d)[:10]))
 			_ = http.NewResponseController(w).Flush()
 			abort(w)
 		}, "Cut", false},
-		{"ended as if whole", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d)[:10])) }, "Wrong", true},
-		{"another's", func(w http.ResponseWriter, d testserver.DraftRequest) {
+		{"truncated with a regular end", func(w http.ResponseWriter, d testserver.DraftRequest) { _, _ = w.Write([]byte(completeDraft(d)[:10])) }, "Wrong", true},
+		{"answer to another prompt", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			d.Prompt = "other"
 			_, _ = w.Write([]byte(completeDraft(d)))
 		}, "Wrong", true},
-		{"more than asked", func(w http.ResponseWriter, d testserver.DraftRequest) {
+		{"more tokens than requested", func(w http.ResponseWriter, d testserver.DraftRequest) {
 			_, _ = w.Write([]byte(completeDraft(d) + completeDraft(d)))
 		}, "Wrong", true},
 		{"refused", func(w http.ResponseWriter, _ testserver.DraftRequest) { refuse(w, "NotRun") }, "NotRun", false},
-		{"broken off before the head", func(w http.ResponseWriter, _ testserver.DraftRequest) { abort(w) }, "Failed", false},
+		{"aborted before the response header", func(w http.ResponseWriter, _ testserver.DraftRequest) { abort(w) }, "Failed", false},
 	}
 
 	for _, c := range cases {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The bounds of the latency histograms, in microseconds.
+// The range and the precision of the latency histograms.
 const (
 	minLatencyMicros  = 1
 	maxLatencyMicros  = 600_000_000
@@ -21,27 +21,30 @@
 type Row struct {
 	Phase string
 	Kind  string
-	// Counts is how many requests had each outcome, Causes why some were refused.
+	// Counts is the number of requests by outcome, Causes that of refusals by cause.
 	Counts map[string]int
 	Causes map[string]int
-	// FirstToken and Total are the waits of answered requests, in microseconds.
+	// FirstToken is the time to the first token of answered drafts, Total the time to
+	// the end of answered requests, both in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Total      *hdrhistogram.Histogram
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Rows []*Row
-	// Duplicated bookings ran more than once. Lied ones ran after their last word was
-	// NotRun. Lost ones were answered and did not run.
-	Duplicated     []string
+	// Duplicated contains the bookings that ran more than once.
+	Duplicated []string
+	// RanAfterNotRun contains the bookings that ran although their last outcome was
+	// NotRun.
 	RanAfterNotRun []string
+	// AnsweredNotRun contains the bookings that were answered and did not run.
 	AnsweredNotRun []string
 }
 
 func newReport() *Report { return &Report{} }
 
-// HasViolations reports whether a promise to a caller was broken.
+// HasViolations reports whether a guarantee to a caller was violated.
 func (r *Report) HasViolations() bool {
 	n := len(r.Duplicated) + len(r.RanAfterNotRun) + len(r.AnsweredNotRun)
 	for _, row := range r.Rows {
@@ -51,7 +54,7 @@
 	return n > 0
 }
 
-// Count returns how many requests had an outcome, over all rows.
+// Count returns the number of requests with the named outcome, over all rows.
 func (r *Report) Count(name string) int {
 	n := 0
 	for _, row := range r.Rows {
@@ -105,7 +108,7 @@
 	}
 }
 
-// checkBookings holds what callers were told against what the back ends did.
+// checkBookings compares the outcomes of bookings with the runs counted by the targets.
 func (g *Generator) checkBookings(runs map[string]int) {
 	for ref, last := range g.bookingOutcomes {
 		switch n := runs[ref]; {
--- a/internal/testserver/announce.go
+++ b/internal/testserver/announce.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// Announcement is what a target tells the agent in its slot, again each second.
+// Announcement is the message that a target sends periodically to the agent beside it.
 type Announcement struct {
 	BootID   string
 	Address  netip.AddrPort
 	Service  string
 	Capacity int
 	Cold     bool
-	// InFlight is what the target has in hand; nil where it does not count.
+	// InFlight is the number of requests in flight, or nil if the target does not
+	// count them.
 	InFlight *uint32 `json:",omitempty"`
 	Group    string  `json:",omitempty"`
 	Rank     int     `json:",omitempty"`
 }
 
-// Announcement returns what the engine tells its agent now.
+// Announcement returns the engine's current announcement.
 func (e *Engine) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
 	s := e.State()
 	inFlight := uint32(s.InFlight)
@@ -32,29 +33,31 @@
 	}
 }
 
-// Announcement returns what the desk tells its agent now. It answers at once:
-// what it had in hand when its agent stopped is done.
+// Announcement returns the current announcement of the booking service. It always
+// announces no requests in flight, because bookings are answered at once.
 func (s *BookingService) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
 	return Announcement{
 		BootID: s.BootID(), Address: address, Service: service, Capacity: capacity, InFlight: new(uint32),
 	}
 }
 
-// Announcer repeats a target's announcement to its agent.
+// Announcer sends a target's announcement to its agent periodically.
 type Announcer struct {
 	// Agent is the address of the agent beside the target.
 	Agent netip.AddrPort
-	// Current returns the announcement as of now.
+	// Current returns the current announcement.
 	Current func() Announcement
 	// Interval is the time between two announcements.
 	Interval time.Duration
-	// Trigger is read for an announcement between two turns; may be nil.
+	// Trigger requests an announcement before the interval has passed; may be nil.
 	Trigger <-chan struct{}
-	// OnAccepted is called after the agent took an announcement; may be nil.
+	// OnAccepted is called with the announced boot ID after the agent has accepted an
+	// announcement; may be nil.
 	OnAccepted func(bootID string)
 }
 
-// Run announces until ctx ends. A failed try is repeated at the next turn.
+// Run sends announcements until ctx is canceled. A failed announcement is sent again
+// at the next interval.
 func (a *Announcer) Run(ctx context.Context) {
 	client := &http.Client{Timeout: a.Interval}
 	ticker := time.NewTicker(a.Interval)
--- a/internal/testserver/booking.go
+++ b/internal/testserver/booking.go
@@ -9,22 +9,22 @@
 	"github.com/google/uuid"
 )
 
-// BookingRequest is the request body of the stand-in booking service.
+// BookingRequest is the request body of the booking service.
 type BookingRequest struct {
-	// Ref is the caller's own reference; two runs of one Ref are a doubled booking.
+	// Ref is the caller's reference. Two runs with the same Ref are a duplicate booking.
 	Ref  string
 	Slot string
 }
 
-// BookingResponse is its answer.
+// BookingResponse is the response body of the booking service.
 type BookingResponse struct {
 	BookingID string
 	Ref       string
 	Slot      string
 }
 
-// BookingService is a plain booking service. A booking must not be repeated: each run
-// makes another one.
+// BookingService is a booking service without protection against duplicates: each
+// request makes another booking, so a booking request must not be sent twice.
 type BookingService struct {
 	mu       sync.Mutex
 	bootID   string
@@ -32,7 +32,7 @@
 	bookings map[string]BookingResponse
 }
 
-// Runs returns how often each Ref was booked.
+// Runs returns the number of bookings by Ref.
 func (s *BookingService) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	return out
 }
 
-// BootID returns an id that is fresh at each start.
+// BootID returns an ID that is unique to this instance of the service.
 func (s *BookingService) BootID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	return s.bootID
 }
 
-// Handler returns the desk's HTTP interface.
+// Handler returns the HTTP handler of the service.
 func (s *BookingService) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(echoRequestID)
--- a/internal/testserver/draft.go
+++ b/internal/testserver/draft.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DraftRequest is the request body of the stand-in model service.
+// DraftRequest is the request body of the model service.
 type DraftRequest struct {
 	Prompt string
-	// Tokens is how many tokens the answer has.
+	// Tokens is the number of tokens in the answer.
 	Tokens int
 }
 
-// Token returns the n-th token, from 1, of the answer to prompt. Answers are a
-// function of the prompt alone, so that a caller can tell a wrong or mixed
-// answer from a right one, and so that any target can resume a stream.
+// Token returns the n-th token of the answer to prompt, counting from 1. Tokens depend
+// only on the prompt and n: callers can recognise wrong or mixed answers, and any
+// target can resume a stream.
 func Token(prompt string, n int) string {
 	sum := xxhash.Sum64String(prompt + "#" + strconv.Itoa(n))
 
@@ -28,5 +28,5 @@
 	return fmt.Sprintf("id: %d\ndata: {\"Token\":%q}\n\n", n, Token(prompt, n))
 }
 
-// LastEvent closes a whole answer.
+// LastEvent is the event that ends a complete answer.
 const LastEvent = "event: done\ndata: {}\n\n"
--- a/internal/testserver/engine.go
+++ b/internal/testserver/engine.go
@@ -1,6 +1,7 @@
-// Package testserver holds small stand-ins for what stands outside the system:
-// a model engine, a plain booking service, and callers' answers to check.
-// They serve `local`, the load tool and tests; they are no product.
+// Package testserver contains small test servers for what is outside the system: a
+// model engine, a booking service, and a group of ranks. Their answers can be
+// checked. They are used by the local command, the load tool and tests, and are not
+// meant for production.
 package testserver
 
 import (
@@ -16,25 +17,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// HeaderRequestID names the header by which an agent and its target match
-// answers to requests.
+// HeaderRequestID is the header that a target copies from the request to the response,
+// by which the agent matches them.
 const HeaderRequestID = "Parsleygate-Request-Id"
 
-// HeaderCold is how a cold engine says so on the head of an answer.
+// HeaderCold is the response header by which an engine reports that it is cold.
 const HeaderCold = "Parsleygate-Target-Cold"
 
-// Engine is a model engine that batches continuously: all sequences in flight
-// advance together, one token a step, and a step takes longer the more there are.
+// Engine is a model engine with continuous batching: all sequences in flight advance
+// by one token per step, and a step takes longer the more sequences there are.
 type Engine struct {
-	// StepBase is the time of a step with one sequence, StepEach what each adds.
+	// A step takes StepBase, plus StepPerSequence for each sequence in flight.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
-	// ColdLimit is how many sequences a cold engine bears; more is counted in Overruns.
+	// ColdLimit is the maximum number of concurrent sequences on a cold engine. Those
+	// above it are counted in Overruns.
 	ColdLimit int
-	// WarmAfter is how many finished answers make a cold engine warm.
+	// WarmAfter is the number of finished answers after which a cold engine is warm.
 	WarmAfter int
 
-	// OnRestart is called at each Restart, to announce the new boot; may be nil.
+	// OnRestart is called by Restart to announce the new boot ID; may be nil.
 	OnRestart func()
 
 	mu            sync.Mutex
@@ -51,19 +53,21 @@
 	peakCold      int
 }
 
-// EngineState is what an engine tells of itself.
+// EngineState is the state of an engine.
 type EngineState struct {
 	BootID   string
 	Cold     bool
 	InFlight int
-	// Overruns counts sequences started above what the cold engine bears. Early
-	// ones began before the engine's word of it could have reached its agent.
+	// Overruns counts sequences that started above the limit of the cold engine.
+	// Early counts those that started before the agent could know that the engine
+	// was cold; they are not in Overruns.
 	Overruns int
 	Early    int
-	// PeakCold is the most sequences that a cold engine ever had at once.
+	// PeakCold is the maximum number of concurrent sequences while cold, without early
+	// ones.
 	PeakCold int
 	Finished int
-	// Begun counts all sequences ever started.
+	// Begun counts all sequences started.
 	Begun int
 }
 
@@ -80,12 +84,12 @@
 	}
 }
 
-// MaxAnnounceDelay is how long an engine's word of a change may take to its agent: the
-// time between two announcements, and some slack.
+// MaxAnnounceDelay bounds the time until an agent has received a change of its engine's
+// state: the announcement interval of one second, and some slack.
 const MaxAnnounceDelay = 1200 * time.Millisecond
 
-// TurnCold makes the engine cold without warning, and without an end of what it
-// has in flight. Nothing tells its agent before the next announcement.
+// TurnCold makes the engine cold without notice. Sequences in flight continue, and the
+// agent is informed only by the next announcement.
 func (e *Engine) TurnCold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,8 +97,9 @@
 	e.turnColdLocked()
 }
 
-// Restart makes the engine start anew: its connections break, it is cold under a
-// new boot id, and it takes no work before that has been announced.
+// Restart simulates a restart of the engine: sequences in flight are aborted, and the
+// engine is cold with a new boot ID. If OnRestart is set, the engine rejects requests
+// until ConfirmAnnounced is called with the new boot ID.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	e.ensureBootLocked()
@@ -109,7 +114,7 @@
 	}
 }
 
-// ConfirmAnnounced tells the engine that its agent knows of the boot with this id.
+// ConfirmAnnounced records that the agent has accepted an announcement with bootID.
 func (e *Engine) ConfirmAnnounced(bootID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +129,7 @@
 	e.finished = 0
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the HTTP handler of the engine.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(echoRequestID)
@@ -138,7 +143,7 @@
 	return r
 }
 
-// echoRequestID lets the agent match answers to requests.
+// echoRequestID copies the request ID to the response, by which the agent matches them.
 func echoRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID))
@@ -236,8 +241,8 @@
 	return e.StepBase + time.Duration(e.inFlight)*e.StepPerSequence
 }
 
-// beginSequence counts a sequence in. It returns the channel that a restart closes, and
-// false for an engine that takes no work yet.
+// beginSequence counts a new sequence. It returns a channel that the next restart
+// closes, or false if the engine rejects requests until its boot ID is announced.
 func (e *Engine) beginSequence() (restarted <-chan struct{}, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/testserver/rank_group.go
+++ b/internal/testserver/rank_group.go
@@ -14,21 +14,24 @@
 	"github.com/parsleygate/parsleygate/internal/rank"
 )
 
-// RankGroup is a stand-in group of ranks that advance in lock-step: a step begins
-// on all ranks or on none, and takes as long as its slowest rank. Each rank
-// picks its map by its own orders, and a step in which two ranks would use
-// different maps, or different contents under one version, is counted in Mixed.
+// RankGroup simulates a group of ranks that advance in lock-step: a step begins on all
+// ranks or on none, and takes as long as on the slowest rank. Each rank selects its
+// map by the orders that it received. Steps in which two ranks use different map
+// versions, or different contents of one version, are counted in MixedSteps.
 type RankGroup struct {
 	Shape placement.Shape
-	// StepTime is the time of a balanced step; Tokens is how many each step routes.
+	// StepTime is the duration of a balanced step, and TokensPerStep the number of
+	// tokens that a step routes.
 	StepTime      time.Duration
 	TokensPerStep int
-	// Skew is the exponent of the experts' popularity, Drift the share of its
-	// order that changes each DriftEvery steps.
+	// Skew is the exponent of the Zipf-like popularity of the experts. Every
+	// DriftInterval steps, two experts of each layer swap their popularity; 0 means
+	// never.
 	Skew          float64
 	DriftInterval int
-	Speed         []float64
-	Seed          uint64
+	// Speed is the relative speed of each rank.
+	Speed []float64
+	Seed  uint64
 
 	mu         sync.Mutex
 	ranks      []*rankEngine
@@ -39,11 +42,11 @@
 	rnd        *rand.Rand
 }
 
-// rankEngine is one rank's engine.
+// rankEngine is the engine of one rank.
 type rankEngine struct {
 	bootID string
 	maps   map[uint64]loadedMap
-	// hasRunOrder says that a Run order has come since the boot.
+	// hasRunOrder is set once a Run order has arrived since the start of the engine.
 	hasRunOrder bool
 	held        bool
 	heldFrom    uint64
@@ -62,17 +65,18 @@
 	digest  uint64
 }
 
-// RankGroupState is what a group tells of itself.
+// RankGroupState is the state of a group.
 type RankGroupState struct {
 	Steps uint64
-	// MixedSteps counts steps in which two ranks would have used different maps.
+	// MixedSteps counts steps in which two ranks used different maps.
 	MixedSteps int
-	// Skews holds each step's slowest rank's time over the mean.
-	Skews       []float64
+	// Skews contains, for each step, the time of the slowest rank divided by the mean.
+	Skews []float64
+	// MapVersions contains the map version of each rank for the next step.
 	MapVersions []uint64
 }
 
-// Init prepares the group. It is called once, before Run.
+// Init initialises the group. It must be called once before any other method.
 func (g *RankGroup) Init() {
 	g.rnd = rand.New(rand.NewPCG(g.Seed, 7))
 	g.ranks = make([]*rankEngine, g.Shape.Ranks)
@@ -84,8 +88,8 @@
 	g.popularity = make([][]float64, g.Shape.Layers)
 	for l := range g.popularity {
 		g.popularity[l] = make([]float64, g.Shape.Experts)
-		for e, place := range g.rnd.Perm(g.Shape.Experts) {
-			g.popularity[l][e] = math.Pow(float64(place+1), -g.Skew)
+		for e, position := range g.rnd.Perm(g.Shape.Experts) {
+			g.popularity[l][e] = math.Pow(float64(position+1), -g.Skew)
 		}
 	}
 }
@@ -97,7 +101,7 @@
 	}
 }
 
-// RestartRank restarts the engine of one rank: it loses its maps and its orders.
+// RestartRank restarts the engine of rank n, which loses its maps and orders.
 func (g *RankGroup) RestartRank(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,7 +122,7 @@
 	return s
 }
 
-// Run steps until ctx ends.
+// Run computes steps until ctx is canceled.
 func (g *RankGroup) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t := time.NewTimer(g.advance())
@@ -132,7 +136,7 @@
 	}
 }
 
-// version returns the map that the rank uses in step s, by its own orders.
+// version returns the version of the map that the rank's orders select for step s.
 func (r *rankEngine) version(s uint64) uint64 {
 	if s >= r.runOrder.RunStep {
 		return r.runOrder.RunVersion
@@ -141,14 +145,16 @@
 	return r.runOrder.RunBefore
 }
 
-// sameMap reports whether two ranks compute step s with the same map.
+// sameMap reports whether both ranks use the same map, by version and content, in
+// step s.
 func (r *rankEngine) sameMap(other *rankEngine, s uint64) bool {
 	v, w := r.version(s), other.version(s)
 
 	return v == w && r.maps[v].digest == other.maps[w].digest
 }
 
-// readyFor reports whether the rank may begin step s, and notes a map that it lacks.
+// readyFor reports whether the rank can begin step s. It sets missingMap if the map for
+// that step is not loaded.
 func (r *rankEngine) readyFor(s uint64) bool {
 	if !r.hasRunOrder || (r.held && s >= r.heldFrom) {
 		return false
@@ -164,7 +170,8 @@
 	return r.missingMap == 0
 }
 
-// advance begins the next step if every rank is ready, and returns how long it takes.
+// advance computes the next step if every rank is ready. It returns the time to wait
+// until the next call.
 func (g *RankGroup) advance() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,7 +202,8 @@
 	return g.computeStep(next)
 }
 
-// computeStep works out a step's times and counts its tokens.
+// computeStep evaluates the load of a step, updates the counters and returns the
+// duration of the step.
 func (g *RankGroup) computeStep(step uint64) time.Duration {
 	g.driftPopularity(step)
 
@@ -223,8 +231,8 @@
 	}
 }
 
-// updateCounters adds the step's tokens to what every rank has routed, and the time and
-// work of its own experts.
+// updateCounters adds a step to the counters of each rank: the tokens routed to each
+// expert, and the work and busy time of the rank's own experts.
 func (g *RankGroup) updateCounters(m *placement.Map) {
 	tokens := float64(g.TokensPerStep)
 
@@ -232,7 +240,7 @@
 		r.sequence++
 
 		for l, w := range g.popularity {
-			sum := sum(w)
+			sum := sumWeights(w)
 			for e, x := range w {
 				r.tokens[l*g.Shape.Experts+e] += uint64(tokens * x / sum)
 			}
@@ -244,9 +252,9 @@
 	}
 }
 
-// rankTokenShare is the share of a layer's tokens that rank n computes.
+// rankTokenShare returns the share of a layer's tokens that rank n computes.
 func (g *RankGroup) rankTokenShare(m *placement.Map, l, n int, sum float64) float64 {
-	work := 0.0
+	share := 0.0
 
 	for _, e := range m.Rank(l, n) {
 		if e == placement.None {
@@ -261,13 +269,13 @@
 			}
 		}
 
-		work += g.popularity[l][e] / sum / float64(copies)
+		share += g.popularity[l][e] / sum / float64(copies)
 	}
 
-	return work
+	return share
 }
 
-func sum(w []float64) float64 {
+func sumWeights(w []float64) float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
--- a/internal/testserver/rank_group_http.go
+++ b/internal/testserver/rank_group_http.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/rank"
 )
 
-// Routes adds the interface of rank n to r.
+// Routes adds the HTTP routes of rank n to r.
 func (g *RankGroup) Routes(r chi.Router, n int) {
 	r.Get(rank.GroupPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, g.rankState(n)) })
 	r.Post(rank.GroupPath, func(w http.ResponseWriter, q *http.Request) {
@@ -26,7 +26,7 @@
 	})
 }
 
-// BootID returns the boot of rank n's engine.
+// BootID returns the boot ID of rank n's engine.
 func (g *RankGroup) BootID(n int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// applyOrder carries out an order, and returns the status of its answer. Fencing
-// numbers are not checked: this engine stands for those that ignore them.
+// applyOrder applies an order to rank n and returns the HTTP status of the response.
+// Fencing numbers are not checked: the engine represents those that ignore them.
 func (g *RankGroup) applyOrder(n int, o *rank.EngineOrder) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,7 +74,8 @@
 	return http.StatusNoContent
 }
 
-// hold keeps steps from beginning. A second hold does not lift the first.
+// hold keeps step and later ones from beginning, or all further steps if step is 0. If
+// a hold is already in force, the earlier of the two steps applies.
 func (r *rankEngine) hold(step uint64) int {
 	if step != 0 && step <= r.joined {
 		return http.StatusConflict
@@ -90,7 +91,7 @@
 	return http.StatusNoContent
 }
 
-// dropUnusedMaps drops the maps that the standing order does not name.
+// dropUnusedMaps drops the maps that the current Run order does not name.
 func (r *rankEngine) dropUnusedMaps() {
 	for v := range r.maps {
 		if v != r.runOrder.RunVersion && v != r.runOrder.RunBefore {
--- a/internal/testserver/rank_group_test.go
+++ b/internal/testserver/rank_group_test.go
@@ -26,7 +26,7 @@
 	// data: {"Token":"jro"}
 }
 
-// rankGroup is a lock-step group of two ranks with its interfaces.
+// rankGroup is a group of two ranks with their HTTP routes.
 type rankGroup struct {
 	t      *testing.T
 	group  *testserver.RankGroup
@@ -54,7 +54,7 @@
 	return g
 }
 
-// order gives rank n an order and returns the status of its answer.
+// order sends an order to rank n and returns the HTTP status of the response.
 func (g *rankGroup) order(n int, o rank.EngineOrder) int {
 	if o.BootID == "" {
 		o.BootID = g.group.BootID(n)
@@ -86,8 +86,8 @@
 	return g.group.State()
 }
 
-// All proofs of the expert maps rest on what this stand-in counts: it must see
-// two versions in a step, and two contents under one version.
+// Tests of the expert maps rely on MixedSteps. It must count steps with two map
+// versions, and steps with two contents of one version.
 func TestMixedStepsAreCounted(t *testing.T) {
 	t.Parallel()
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// A rank that holds, lacks its map, has not been told, or has restarted keeps
-// the whole group; orders for its former boot change nothing.
+// No rank may step while one of them has no Run order, is held, lacks its map or has
+// restarted. Orders with the boot ID of a previous boot are rejected.
 func TestNoStepWithoutAllRanks(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -129,15 +129,15 @@
 		g.orderLoad(0, 1, g.maps[0])
 		g.orderLoad(1, 1, g.maps[0])
 		g.orderRun(0, 1)
-		require.Zero(t, g.runFor(time.Second).Steps, "a rank that is not told")
+		require.Zero(t, g.runFor(time.Second).Steps, "a rank has no Run order")
 		g.orderRun(1, 1)
 
 		last := g.runFor(time.Second).Steps
 		require.Positive(t, last)
-		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last}), "a step that has begun")
+		require.Equal(t, http.StatusConflict, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last}), "a hold of a step that has begun")
 		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last + 5}))
 		require.Equal(t, http.StatusNoContent, g.order(1, rank.EngineOrder{Do: rank.DoHold, Step: last + 50}))
-		require.Equal(t, last+4, g.runFor(time.Second).Steps, "the earlier hold stands")
+		require.Equal(t, last+4, g.runFor(time.Second).Steps, "the earlier hold applies")
 		g.orderRun(1, 1)
 		require.Greater(t, g.runFor(time.Second).Steps, last+4)
 
@@ -147,7 +147,7 @@
 
 		last = g.group.State().Steps
 		g.orderRun(1, 1)
-		require.Equal(t, last, g.runFor(time.Second).Steps, "a rank without its map")
+		require.Equal(t, last, g.runFor(time.Second).Steps, "a rank lacks its map")
 		g.orderLoad(1, 1, g.maps[0])
 		require.Greater(t, g.runFor(time.Second).Steps, last)
 	})
