--- a/internal/e2e/blackhole_test.go
+++ b/internal/e2e/blackhole_test.go
@@ -12,26 +12,27 @@
 	"github.com/parsleygate/parsleygate/internal/loopback"
 )
 
-// blackholeListener is a listener whose connections can go silent for good: what is written
-// is lost, and so is what comes, while both ends believe the connection stands.
+// blackholeListener is a listener whose connections can be black-holed: data written to
+// them and data received on them is dropped, while they stay open on both ends.
 type blackholeListener struct {
 	net.Listener
 
 	mu    sync.Mutex
 	conns []*blackholeConn
-	// dropInbound and out say which ways of new connections are silent from the start.
+	// dropInbound and dropOutbound are the initial settings of new connections.
 	dropInbound, dropOutbound bool
 }
 
-// blackholeConn is one connection. Once silent it stays so: what stood between the
-// two ends has lost track of it.
+// blackholeConn is a connection that drops received or written data for good, as when a
+// device between its ends has lost the connection's state.
 type blackholeConn struct {
 	net.Conn
 
 	dropInbound, dropOutbound atomic.Bool
 }
 
-// reserveAddress returns one that a process can come back to: nobody takes it meanwhile.
+// reserveAddress returns an address that a process can listen on again after a restart:
+// no other process takes it in the meantime.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 
@@ -69,7 +70,7 @@
 	return s, nil
 }
 
-// dropCurrent makes all present connections silent for good.
+// dropCurrent black-holes the open connections, in the given directions, for good.
 func (l *blackholeListener) dropCurrent(inbound, outbound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// isolate makes present and new connections silent, until called with false:
-// connections that are made after that work.
+// isolate sets the directions in which open and new connections are black-holed. After
+// isolate(false, false) new connections work; the earlier ones stay as they are.
 func (l *blackholeListener) isolate(inbound, outbound bool) {
 	l.mu.Lock()
 	l.dropInbound, l.dropOutbound = inbound, outbound
--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -31,7 +31,7 @@
 
 var zones = []string{"a", "b", "c"}
 
-// process is one life of an entry or agent on its line.
+// process is one run of an entry or agent. A restart makes a new process.
 type process struct {
 	listener *blackholeListener
 	stop     context.CancelFunc
@@ -40,7 +40,7 @@
 }
 
 // deployment is a deployment of three zones, each with a control VM, an entry, an agent
-// and a booking desk, with real sockets between them.
+// and a booking service, which are connected by TCP.
 type deployment struct {
 	t                *testing.T
 	logs             logs.Output
@@ -51,7 +51,8 @@
 	agents           [3]*process
 	bookings         [3]*testserver.BookingService
 
-	// loadRuns counts loads, each of which has its own seed and so its own bookings.
+	// loadRuns counts the runs of awaitAnswers. It is the seed of each, so that their
+	// bookings differ.
 	loadRuns uint64
 
 	mu       sync.Mutex
@@ -75,7 +76,7 @@
 	return d
 }
 
-// awaitAnswers waits until bookings are answered.
+// awaitAnswers sends bookings until some of them are answered.
 func (d *deployment) awaitAnswers() {
 	d.t.Helper()
 
@@ -87,7 +88,7 @@
 		}
 	}
 
-	require.Fail(d.t, "bookings are not answered")
+	require.Fail(d.t, "no bookings were answered within waitTimeout")
 }
 
 func declaration() string {
@@ -99,7 +100,8 @@
 	return d
 }
 
-// run runs f until the test ends, or stop is called.
+// run runs f in a goroutine. It returns a function that cancels f's context and a channel
+// that receives f's error.
 func (d *deployment) run(f func(ctx context.Context) error) (context.CancelFunc, chan error) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -197,7 +199,7 @@
 	return *slot
 }
 
-// startProcess runs a process until the test ends.
+// startProcess runs a process until stopProcess or the end of the test.
 func (d *deployment) startProcess(p *process, run func(ctx context.Context) error) {
 	p.stop, p.done = d.run(run)
 	d.t.Cleanup(func() { d.stopProcess(p) })
@@ -212,8 +214,8 @@
 	require.NoError(d.t, err)
 }
 
-// restartAgent ends an agent whose connections have all gone silent, and starts
-// it again under the same address.
+// restartAgent black-holes the connections of an agent, stops it and starts it again at
+// the same address.
 func (d *deployment) restartAgent(i int) {
 	p := d.getProcess(&d.agents[i])
 	p.listener.dropCurrent(true, true)
@@ -227,12 +229,12 @@
 	d.startEntry(i, p.listener.Addr().String())
 }
 
-func (d *deployment) plan(c *role.Control, declared string) string {
+func (d *deployment) plan(c *role.Control, declaration string) string {
 	var id string
 
 	require.Eventually(d.t, func() bool {
 		r, err := c.Server().Plan(context.Background(), &wire.PlanRequest{
-			Operator: "o", Source: "s", Override: true, Declaration: []byte(declared),
+			Operator: "o", Source: "s", Override: true, Declaration: []byte(declaration),
 		})
 		id = r.GetPlan().GetID()
 
@@ -242,8 +244,8 @@
 	return id
 }
 
-// confirm repeats a confirmation until it is answered, as an operator does
-// whose answers are lost.
+// confirm sends a confirmation until it is answered, as an operator does when answers
+// are lost. It returns nil if none arrives within waitTimeout.
 func (d *deployment) confirm(c *role.Control, operator string, number uint64, plan string) *wire.DecisionAnswer {
 	var a *wire.DecisionAnswer
 
@@ -259,8 +261,8 @@
 	return a
 }
 
-func (d *deployment) decide(c *role.Control, operator string, number uint64, declared string) {
-	a := d.confirm(c, operator, number, d.plan(c, declared))
+func (d *deployment) decide(c *role.Control, operator string, number uint64, declaration string) {
+	a := d.confirm(c, operator, number, d.plan(c, declaration))
 	require.Equal(d.t, wire.DecisionState_DecisionMade, a.GetState(), "%v", a)
 }
 
@@ -270,7 +272,7 @@
 	return err == nil && len(r.GetDecisions()) == 1 && r.GetDecisions()[0].GetInForce()
 }
 
-// leader returns the index of the control VM that leads.
+// leader returns the index of the control VM that is the leader.
 func (d *deployment) leader() int {
 	found := -1
 
@@ -287,7 +289,7 @@
 	return found
 }
 
-// watchVersions holds that no entry or agent ever falls back to an older
+// watchVersions checks that no entry or agent returns to an older version of the
 // configuration, until the returned function is called.
 func (d *deployment) watchVersions() func() {
 	stop, done := d.run(func(ctx context.Context) error {
@@ -313,7 +315,7 @@
 		for _, part := range p.dump.Take().Parts {
 			if v, ok := part.State.(role.ViewState); ok {
 				if v.Version < d.versions[p.dump] {
-					d.t.Errorf("%s fell from version %d to %d", p.dump.ID, d.versions[p.dump], v.Version)
+					d.t.Errorf("%s went back from version %d of the configuration to %d", p.dump.ID, d.versions[p.dump], v.Version)
 				}
 
 				d.versions[p.dump] = v.Version
@@ -334,7 +336,7 @@
 	return all, nil
 }
 
-// runLoad sends bookings, and holds every promise about them.
+// runLoad sends bookings and checks the guarantees about them.
 func (d *deployment) runLoad(rate float64, duration time.Duration, seed uint64) *load.Report {
 	g := &load.Generator{
 		BookingService: service, DraftService: service, Rate: rate, Duration: duration, BookingShare: 1, Tokens: 1, Workspaces: 3,
@@ -346,7 +348,7 @@
 
 	r, err := g.Run(context.Background())
 	require.NoError(d.t, err)
-	require.False(d.t, r.HasViolations(), "doubled %v, ran after NotRun %v, answered and not run %v, wrong %d",
+	require.False(d.t, r.HasViolations(), "ran twice %v, ran after NotRun %v, answered and not run %v, wrong %d",
 		r.Duplicated, r.RanAfterNotRun, r.AnsweredNotRun, r.Count("Wrong"))
 
 	return r
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -9,8 +9,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// injectUnderLoad does what happens while bookings are in flight, and holds that they
-// are still answered afterwards.
+// injectUnderLoad injects a fault while bookings are in flight. It checks that some of
+// them are answered, and that bookings are answered again afterwards.
 func injectUnderLoad(t *testing.T, d *deployment, seed uint64, inject func()) {
 	t.Helper()
 
@@ -31,28 +31,28 @@
 	stopWatching()
 }
 
-// A buyer books while something on the way fails. The booking must not be lost
-// or doubled, a refusal that says NotRun must be true, and no process may fall
-// back to an older configuration; then bookings are answered as before. The
-// faults follow each other in one deployment, as they do in a bad week.
+// Connections or processes fail while bookings are in flight. No booking may be lost or
+// run twice, no booking that was refused as NotRun may have run, and no process may
+// return to an older configuration. Afterwards bookings must be answered again. The
+// faults are injected one after the other in one deployment.
 func TestBookingsUnderFaults(t *testing.T) {
 	t.Parallel()
 
 	cases := []struct {
-		name    string
-		happens func(d *deployment)
+		name   string
+		inject func(d *deployment)
 	}{
-		{"connections to an agent go silent for good", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(true, true) }},
-		{"answers of an agent are lost for good", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(false, true) }},
+		{"connections to an agent are black-holed", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(true, true) }},
+		{"answers of an agent are black-holed", func(d *deployment) { d.getProcess(&d.agents[0]).listener.dropCurrent(false, true) }},
 		{"an agent restarts", func(d *deployment) { d.restartAgent(1) }},
 		{"an entry restarts", func(d *deployment) { d.restartEntry(2) }},
-		{"the leader is isolated and comes back", func(d *deployment) {
+		{"the leader is isolated and reconnects", func(d *deployment) {
 			l := d.controlListeners[d.leader()]
 			l.isolate(true, true)
 			time.Sleep(time.Second)
 			l.isolate(false, false)
 		}},
-		{"the leader hears nothing, and an agent restarts", func(d *deployment) {
+		{"the leader receives nothing, and an agent restarts", func(d *deployment) {
 			l := d.controlListeners[d.leader()]
 			l.isolate(true, false)
 			d.restartAgent(0)
@@ -71,14 +71,15 @@
 
 	for i, c := range cases {
 		t.Log(c.name)
-		injectUnderLoad(t, d, uint64(100+i), func() { c.happens(d) })
+		injectUnderLoad(t, d, uint64(100+i), func() { c.inject(d) })
 	}
 }
 
-// Two operators decide under the same number at two control VMs while the leader
-// is cut off, and both resend because their answers were lost. One decision is
-// made, and both always hear the same; the other is told who won. The zone that
-// the decision takes out gets no work once Status says that it is in force.
+// Two operators send different decisions with the same number to two control VMs while
+// the leader is isolated, and resend them. Exactly one decision must be made, the other
+// operator must receive a conflict, and repeated confirmations must receive the same
+// outcome. Once Status reports the decision in force, the zone that it takes out must
+// receive no requests.
 func TestOneOfTwoConcurrentDecisionsUnderOneNumberWins(t *testing.T) {
 	t.Parallel()
 
@@ -101,20 +102,20 @@
 
 	d.controlListeners[leader].isolate(false, false)
 
-	winner, out := 0, 0
-	for i, c := range []string{"o", "p"} {
-		again := d.confirm(d.controls[leader], c, 2, plans[i])
-		if again.GetState() == wire.DecisionState_DecisionMade {
-			winner, out = winner+1, i
+	winners, winning := 0, 0
+	for i, operator := range []string{"o", "p"} {
+		answer := d.confirm(d.controls[leader], operator, 2, plans[i])
+		if answer.GetState() == wire.DecisionState_DecisionMade {
+			winners, winning = winners+1, i
 
-			require.True(t, again.GetRepeated())
+			require.True(t, answer.GetRepeated())
 		}
 	}
 
-	require.Equal(t, 1, winner)
+	require.Equal(t, 1, winners)
 	require.Eventually(t, func() bool { return d.inForce(one, 2) }, waitTimeout, 20*time.Millisecond)
 
-	before := len(d.bookings[out].Runs())
+	before := len(d.bookings[winning].Runs())
 	require.Positive(t, d.runLoad(100, time.Second, 21).Count("Answered"))
-	require.Len(t, d.bookings[out].Runs(), before, "the zone that is out gets no work")
+	require.Len(t, d.bookings[winning].Runs(), before, "the zone that is out received requests")
 }
--- a/internal/slopes/director_test.go
+++ b/internal/slopes/director_test.go
@@ -24,11 +24,13 @@
 	groupExperts = 128
 	groupLayers  = 60
 	groupSlots   = 5
-	// directorMeasureTime is how long an idle director is watched, with no new map weighed.
+	// directorMeasureTime is how long an idle director is measured. It is too short for
+	// the director to evaluate a new map.
 	directorMeasureTime = 5 * time.Second
 )
 
-// rankStub is the agent of every rank: it says that it joined and has nothing to do.
+// rankStub is the agent of every rank. It reports that the rank has joined and has no
+// load.
 type rankStub struct {
 	orders atomic.Int64
 }
@@ -47,9 +49,9 @@
 	return &wire.RankReport{}, nil
 }
 
-// BenchmarkDirector measures what the control leader spends on the groups while
-// no map changes: every rank is asked for its status each second. The stub ranks
-// share the processor time. With kept maps each group has left its first map.
+// BenchmarkDirector measures the cost of the director at the control leader while no map
+// changes. It polls the status of every rank once a second. The processor time includes
+// that of the stub ranks. With kept=true each group has switched from its initial map.
 func BenchmarkDirector(b *testing.B) {
 	for _, groups := range []int{5, 19, 150} {
 		for _, mapsKept := range []bool{false, true} {
@@ -84,7 +86,7 @@
 		Barrier:    func(context.Context) error { return nil },
 		Propose:    func(context.Context, *wire.GroupEntry) error { return nil },
 		Groups:     func() []*wire.Group { return declaredGroups(groups) },
-		RankAgents: func(string) []expertgroup.RankAgent { return rankNodes(address) },
+		RankAgents: func(string) []expertgroup.RankAgent { return rankAgents(address) },
 		SendOrder: func(ctx context.Context, _ netip.AddrPort, o *wire.RankOrder) (*wire.RankStatus, error) {
 			return client.Order(ctx, o)
 		},
@@ -102,25 +104,25 @@
 	}
 
 	ctx, cancel := context.WithCancel(b.Context())
-	end := make(chan struct{})
+	done := make(chan struct{})
 
-	go func() { defer close(end); _ = d.Run(ctx) }()
+	go func() { defer close(done); _ = d.Run(ctx) }()
 
 	time.Sleep(2 * time.Second)
 
-	sent, used, orders := traffic.bytes.Load(), cpuTime(b), stub.orders.Load()
+	bytesBefore, cpuBefore, ordersBefore := traffic.bytes.Load(), cpuTime(b), stub.orders.Load()
 
 	time.Sleep(directorMeasureTime)
 
 	seconds := directorMeasureTime.Seconds()
-	b.ReportMetric(float64(traffic.bytes.Load()-sent)/seconds, "B/s")
-	b.ReportMetric((cpuTime(b)-used).Seconds()/seconds*100, "%core")
-	b.ReportMetric(float64(stub.orders.Load()-orders)/seconds, "orders/s")
+	b.ReportMetric(float64(traffic.bytes.Load()-bytesBefore)/seconds, "B/s")
+	b.ReportMetric((cpuTime(b)-cpuBefore).Seconds()/seconds*100, "%core")
+	b.ReportMetric(float64(stub.orders.Load()-ordersBefore)/seconds, "orders/s")
 	b.ReportMetric(heapAlloc()-before, "heap-B")
-	require.Greater(b, stub.orders.Load(), orders)
+	require.Greater(b, stub.orders.Load(), ordersBefore)
 
 	cancel()
-	<-end
+	<-done
 	transport.CloseIdleConnections()
 }
 
@@ -136,7 +138,7 @@
 	return out
 }
 
-func rankNodes(address netip.AddrPort) []expertgroup.RankAgent {
+func rankAgents(address netip.AddrPort) []expertgroup.RankAgent {
 	var out []expertgroup.RankAgent
 	for r := range groupRanks {
 		out = append(out, expertgroup.RankAgent{Rank: r, Address: address})
@@ -145,7 +147,7 @@
 	return out
 }
 
-// groupStates are groups that rule by a second map, which the log keeps.
+// groupStates returns groups whose current map is version 2, as kept in the log.
 func groupStates(b *testing.B, groups int) []*wire.GroupState {
 	b.Helper()
 
--- a/internal/slopes/idle_test.go
+++ b/internal/slopes/idle_test.go
@@ -24,13 +24,14 @@
 
 const (
 	idleCluster = "slopes"
-	// idleMeasureTime is how long an idle deployment is watched.
+	// idleMeasureTime is how long an idle deployment is measured.
 	idleMeasureTime = 10 * time.Second
-	// idleSettleTime is how long it may take until every entry holds its credits.
+	// idleSettleTime is the time for every entry to obtain its credits.
 	idleSettleTime = 5 * time.Second
 )
 
-// idleDeployment is one control VM, agents and entries that run in this process, without callers.
+// idleDeployment is a deployment of one control VM, agents and entries in this process,
+// without callers.
 type idleDeployment struct {
 	b                *testing.B
 	group            errgroup.Group
@@ -40,9 +41,9 @@
 	out              logs.Output
 }
 
-// BenchmarkIdle measures entries and agents that have no requests: polls at the
-// control VM, and credits that entries renew at agents. The processor time is
-// that of all of them together; from one size to the next it gives the slopes.
+// BenchmarkIdle measures entries and agents without requests: their polls to the control
+// VM, and the credits that entries renew at agents. The processor time is that of all
+// processes together. Its growth from size to size gives the cost per process.
 func BenchmarkIdle(b *testing.B) {
 	sizes := []struct{ entries, agents, workspaces int }{
 		{1, 1, 0}, {1, 30, 0}, {10, 30, 0}, {10, 30, 13000},
--- a/internal/slopes/main_test.go
+++ b/internal/slopes/main_test.go
@@ -1,6 +1,6 @@
-// Package slopes_test measures what one process of parsleygate costs when it is
-// idle, and how that grows with what it follows. docs/CAPACITY.md is worked out
-// from these figures; scripts/slopes.sh prints them.
+// Package slopes_test measures the CPU time, memory and traffic of idle processes and of
+// streams, and how they grow with the size of the deployment. docs/CAPACITY.md is
+// based on these figures, which scripts/slopes.sh prints.
 package slopes_test
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// byteCounter counts the bytes of connections, both ways.
+// byteCounter counts the bytes read from and written to connections.
 type byteCounter struct {
 	bytes atomic.Int64
 }
 
-// listener wraps a listener so that its connections are counted.
+// listener wraps l to count the bytes of its connections.
 func (c *byteCounter) listener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, counter: c}
 }
@@ -59,7 +59,7 @@
 	return n, err
 }
 
-// listen opens a loopback listener that is counted.
+// listen opens a listener on loopback whose bytes are counted by c.
 func listen(b *testing.B, c *byteCounter) net.Listener {
 	b.Helper()
 
@@ -82,7 +82,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapAlloc returns the bytes in use after a collection.
+// heapAlloc returns the bytes allocated on the heap after a garbage collection.
 func heapAlloc() float64 {
 	var m runtime.MemStats
 
--- a/internal/slopes/token_test.go
+++ b/internal/slopes/token_test.go
@@ -19,14 +19,14 @@
 
 const (
 	concurrentStreams = 64
-	// tokensPerStream must stand in tokenBody too.
+	// tokensPerStream must equal Tokens in tokenBody.
 	tokensPerStream = 400
 	tokenBody       = `{"Prompt":"p","Tokens":400}`
 )
 
-// BenchmarkTokens measures the processor time of one token of a stream, straight
-// from the engine, the baseline, and through entry and agent. Callers, engine and
-// the control VMs, which idle meanwhile, are part of both.
+// BenchmarkTokens measures the processor time per token of streams read directly from
+// the engine (the baseline), and through entry and agent. Both include callers, engine
+// and the control VM, which is idle.
 func BenchmarkTokens(b *testing.B) {
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
@@ -69,8 +69,8 @@
 	}
 }
 
-// readStreams reads streams to their end, all at once, and returns how often one was
-// refused as not run and sent again.
+// readStreams reads concurrentStreams streams to their end and returns how often a
+// request was refused as not run and resent.
 func readStreams(b *testing.B, url string) int64 {
 	b.Helper()
 
@@ -98,7 +98,7 @@
 	return refused.Load()
 }
 
-// readStream reads one stream, and returns the answer's status.
+// readStream reads one stream and returns the status of the response.
 func readStream(ctx context.Context, url string) (status int, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte(tokenBody)))
 	if err != nil {
--- a/internal/slopes/view_test.go
+++ b/internal/slopes/view_test.go
@@ -14,10 +14,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// viewSize is what one view follows.
+// viewSize is the number of records in a view.
 type viewSize struct{ nodes, workspaces int }
 
-// fullAnswer returns the first answer to a process, as bytes.
+// fullAnswer returns the encoded answer to the first poll of a process.
 func (s viewSize) fullAnswer(b *testing.B) []byte {
 	b.Helper()
 
@@ -43,8 +43,8 @@
 	return data
 }
 
-// BenchmarkView measures the heap of one reader's configuration, which every
-// entry and agent holds.
+// BenchmarkView measures the heap of the configuration in one reader. Every entry and
+// every agent has one reader.
 func BenchmarkView(b *testing.B) {
 	const views = 10
 
@@ -55,16 +55,16 @@
 			for b.Loop() {
 				before := heapAlloc()
 				readers := newReaders(b, views, data)
-				used := heapAlloc() - before
+				heapUsed := heapAlloc() - before
 
 				require.Len(b, readers[0].Snapshot().Nodes(), s.nodes)
-				b.ReportMetric(used/views, "heap-B/view")
+				b.ReportMetric(heapUsed/views, "heap-B/view")
 			}
 		})
 	}
 }
 
-// newReaders returns readers that have taken in the answer.
+// newReaders returns n readers that have applied the encoded answer.
 func newReaders(b *testing.B, n int, data []byte) []*view.Reader {
 	b.Helper()
 
