--- a/internal/load/callers.go
+++ b/internal/load/callers.go
@@ -135,7 +135,7 @@
 			return res
 		}
 
-		if !pauses.For(ctx, resendInterval) {
+		if !pauses.Sleep(ctx, resendInterval) {
 			return res
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -111,7 +111,7 @@
 		next = next.Add(time.Duration(rnd.ExpFloat64() / g.Rate * float64(time.Second)))
 		q := g.drawRequest(rnd, zipf, n)
 
-		if next.After(end) || !pauses.For(ctx, time.Until(next)) {
+		if next.After(end) || !pauses.Sleep(ctx, time.Until(next)) {
 			return
 		}
 
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -123,7 +123,7 @@
 	phase := x.Duration / phaseCount
 	zone := x.Instance.Deployment.Zones[0]
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -139,7 +139,7 @@
 
 	// The zone is brought back only after its requests have ended.
 	for x.inFlight(zone) > 0 {
-		if !pauses.For(ctx, pollInterval) {
+		if !pauses.Sleep(ctx, pollInterval) {
 			return nil
 		}
 	}
@@ -151,7 +151,7 @@
 		return err
 	}
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -160,7 +160,7 @@
 	engines[len(engines)-1].Engine.TurnCold()
 	x.restartEngine(engines[len(engines)-2])
 
-	if !pauses.For(ctx, phase) {
+	if !pauses.Sleep(ctx, phase) {
 		return nil
 	}
 
@@ -224,7 +224,7 @@
 			return answer, err
 		}
 
-		if time.Since(start) >= controlTimeout || !pauses.For(ctx, pollInterval) {
+		if time.Since(start) >= controlTimeout || !pauses.Sleep(ctx, pollInterval) {
 			return answer, err
 		}
 	}
@@ -242,7 +242,7 @@
 			return time.Since(start), nil
 		}
 
-		if !pauses.For(ctx, pollInterval) {
+		if !pauses.Sleep(ctx, pollInterval) {
 			return 0, nil
 		}
 	}
@@ -264,7 +264,7 @@
 
 	before := x.startedRequests(zone)
 
-	if !pauses.For(ctx, time.Until(end)) {
+	if !pauses.Sleep(ctx, time.Until(end)) {
 		return nil
 	}
 
