--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -23,15 +23,15 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Agent is the agent role. Its fields are set before Run.
+// Agent is the agent role. Its fields must be set before Run.
 type Agent struct {
 	ID          string
 	Cluster     string
 	Zone        string
 	Incarnation uint64
 	Listener    net.Listener
-	// AnnounceListener takes the target's announcements over loopback, in plaintext; nil
-	// where Listener itself is plaintext.
+	// AnnounceListener accepts the target's announcements over loopback, in plaintext.
+	// It is nil if Listener itself is plaintext.
 	AnnounceListener net.Listener
 	// Identity is nil for plaintext.
 	Identity *identity.Identity
@@ -41,12 +41,12 @@
 	Dump     *dump.Dump
 
 	reader *view.Reader
-	shell  *agent.Agent
+	agent  *agent.Agent
 	stop   context.CancelFunc
 	rank   atomic.Pointer[rank.Rank]
 }
 
-// Run runs the role until ctx ends and every request in flight has its answer.
+// Run runs the role until ctx ends and all requests in flight are answered.
 func (r *Agent) Run(ctx context.Context) error {
 	ctx, r.stop = context.WithCancel(ctx)
 	defer r.stop()
@@ -63,21 +63,21 @@
 	g.Go(func() error {
 		defer stop()
 
-		return r.shell.Run(work)
+		return r.agent.Run(work)
 	})
 
 	select {
 	case <-ctx.Done():
-		// Every request has a deadline, so draining ends by itself.
-		if err := r.shell.Drain(context.WithoutCancel(ctx)); err != nil {
-			r.Logs.Logger("agent").Warn("drain failed", slog.Any("error", err))
+		// Every request has a deadline, so draining terminates.
+		if err := r.agent.Drain(context.WithoutCancel(ctx)); err != nil {
+			r.Logs.Logger("agent").Warn("draining the agent failed", slog.Any("error", err))
 		}
 	case <-work.Done():
 	}
 
 	err := g.Wait()
 
-	r.sayGone()
+	r.announceLeave()
 
 	return eris.Wrap(err, "run agent")
 }
@@ -87,25 +87,26 @@
 		r.Dump.Metrics = metrics.NewRegistry()
 	}
 
-	r.shell = &agent.Agent{
+	r.agent = &agent.Agent{
 		ID: r.ID, Zone: r.Zone, Incarnation: r.Incarnation,
-		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.AnnounceListener, Authorize: guardAgent,
+		Listener: identity.MaybePeerListener(r.Identity, r.Listener), AnnounceListener: r.AnnounceListener, Authorize: authorizeAgent,
 		Mount: func(routes chi.Router) { routes.Mount(wire.RankPathPrefix, wire.NewRankServer(&rankService{role: r})) },
 		View:  r.view, Logger: r.Logs.Logger("agent"), Metrics: r.Dump.Metrics, Settings: r.Settings,
 	}
 	r.reader = &view.Reader{
 		Cluster: r.Cluster, Controls: r.Controls.Addresses, Poll: r.Controls.Poll,
-		Self: r.shell.Node, Load: r.load, Logger: r.Logs.Logger("view"),
+		Self: r.agent.Node, Load: r.load, Logger: r.Logs.Logger("view"),
 		FindControls: r.Controls.Discover,
 		OnChange:     func(s *view.Snapshot) { stopIfPlanned(s, r.ID, r.stop) },
 	}
 	r.reader.Init()
 	r.Dump.Add("View", func() any { return viewState(r.reader.Snapshot()) })
-	r.Dump.Add("Agent", func() any { return r.shell.Dump() })
+	r.Dump.Add("Agent", func() any { return r.agent.Dump() })
 }
 
-// guardAgent lets entries send requests and ask, and control VMs give orders.
-func guardAgent(next http.Handler) http.Handler {
+// authorizeAgent allows entries to send requests and queries, and control VMs to send
+// orders.
+func authorizeAgent(next http.Handler) http.Handler {
 	return identity.Authorize(next,
 		identity.Rule{Prefix: agent.RequestPath, Roles: []identity.Role{identity.RoleEntry}},
 		identity.Rule{Prefix: wire.AgentPathPrefix + "Give", Roles: []identity.Role{identity.RoleControl}},
@@ -116,14 +117,14 @@
 	)
 }
 
-// load tells the control VMs, for plans, what the target has in hand.
+// load returns the target's load, which the control VMs use for plans.
 func (r *Agent) load() *wire.NodeLoad {
-	l := r.shell.Dump().Load
+	l := r.agent.Dump().Load
 
 	return &wire.NodeLoad{InFlight: l.InFlight + l.Unknown, Limit: l.Limit, Cold: l.Cold}
 }
 
-// view tells the agent's door what the configuration says of its target.
+// view returns the configuration that the agent needs to admit requests.
 func (r *Agent) view() admission.View {
 	s := r.reader.Snapshot()
 	v := admission.View{
@@ -131,7 +132,7 @@
 		ZoneOut: !s.ZoneInUse(r.Zone), Retired: s.Retired(r.ID) || s.Stopping(r.ID),
 	}
 
-	if service, ok := s.Service(r.shell.Service()); ok {
+	if service, ok := s.Service(r.agent.Service()); ok {
 		v.ColdLimit = service.GetColdLimit()
 		v.WarmLimit = service.GetWarmLimit()
 	}
@@ -139,16 +140,16 @@
 	return v
 }
 
-func (r *Agent) sayGone() {
+func (r *Agent) announceLeave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 
 	if err := r.reader.Leave(ctx); err != nil {
-		r.Logs.Logger("agent").Info("control VMs not told of the end", slog.Any("error", err))
+		r.Logs.Logger("agent").Info("no control VM was informed that this process has ended; they will expire it", slog.Any("error", err))
 	}
 }
 
-// IncarnationAt returns an incarnation number for a process that starts at now.
-// It grows from one start to the next as long as the VM's clock is not set back
-// by more than the time between them.
+// IncarnationAt returns the incarnation number of a process that starts at now. Later
+// starts have higher numbers, unless the VM's clock is set back by more than the time
+// between the starts.
 func IncarnationAt(now time.Time) uint64 { return uint64(now.UnixNano()) }
