--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -10,48 +10,51 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The bounds of the latency histograms, in microseconds.
+// The range and the precision of the latency histograms.
 const (
-	shortestMicros = 1
-	longestMicros  = 600_000_000
-	digits         = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
 )
 
 // Row counts the outcomes of one kind of request in one phase.
 type Row struct {
 	Phase string
 	Kind  string
-	// Counts is how many requests had each outcome, Causes why some were refused.
+	// Counts is the number of requests by outcome, Causes that of refusals by cause.
 	Counts map[string]int
 	Causes map[string]int
-	// FirstToken and Total are the waits of answered requests, in microseconds.
+	// FirstToken is the time to the first token of answered drafts, Total the time to
+	// the end of answered requests, both in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Total      *hdrhistogram.Histogram
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Rows []*Row
-	// Duplicated bookings ran more than once. Lied ones ran after their last word was
-	// NotRun. Lost ones were answered and did not run.
-	Duplicated     []string
+	// Duplicated contains the bookings that ran more than once.
+	Duplicated []string
+	// RanAfterNotRun contains the bookings that ran although their last outcome was
+	// NotRun.
 	RanAfterNotRun []string
+	// AnsweredNotRun contains the bookings that were answered and did not run.
 	AnsweredNotRun []string
 }
 
 func newReport() *Report { return &Report{} }
 
-// HasViolations reports whether a promise to a caller was broken.
+// HasViolations reports whether a guarantee to a caller was violated.
 func (r *Report) HasViolations() bool {
 	n := len(r.Duplicated) + len(r.RanAfterNotRun) + len(r.AnsweredNotRun)
 	for _, row := range r.Rows {
-		n += row.Counts[string(wrong)]
+		n += row.Counts[string(wrongAnswer)]
 	}
 
 	return n > 0
 }
 
-// Count returns how many requests had an outcome, over all rows.
+// Count returns the number of requests with the named outcome, over all rows.
 func (r *Report) Count(name string) int {
 	n := 0
 	for _, row := range r.Rows {
@@ -70,25 +73,25 @@
 
 	row := &Row{
 		Phase: phase, Kind: kind, Counts: make(map[string]int), Causes: make(map[string]int),
-		FirstToken: hdrhistogram.New(shortestMicros, longestMicros, digits),
-		Total:      hdrhistogram.New(shortestMicros, longestMicros, digits),
+		FirstToken: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+		Total:      hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 	r.Rows = append(r.Rows, row)
 
 	return row
 }
 
-func (l *Generator) tally(q *request, res result) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (g *Generator) record(q *request, res result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 
 	kind := "Draft"
 	if q.booking {
 		kind = "Booking"
-		l.sent[q.ref] = res.outcome
+		g.bookingOutcomes[q.ref] = res.outcome
 	}
 
-	row := l.report.row(q.phase, kind)
+	row := g.report.row(q.phase, kind)
 	row.Counts[string(res.outcome)]++
 
 	if res.cause != "" {
@@ -100,37 +103,37 @@
 	}
 
 	_ = row.Total.RecordValue(max(1, res.total.Microseconds()))
-	if res.first > 0 {
-		_ = row.FirstToken.RecordValue(res.first.Microseconds())
+	if res.firstToken > 0 {
+		_ = row.FirstToken.RecordValue(res.firstToken.Microseconds())
 	}
 }
 
-// judge holds what callers were told against what the back ends did.
-func (l *Generator) judge(runs map[string]int) {
-	for ref, out := range l.sent {
+// checkBookings compares the outcomes of bookings with the runs counted by the targets.
+func (g *Generator) checkBookings(runs map[string]int) {
+	for ref, last := range g.bookingOutcomes {
 		switch n := runs[ref]; {
 		case n > 1:
-			l.report.Duplicated = append(l.report.Duplicated, ref)
-		case n == 1 && out == notRun:
-			l.report.RanAfterNotRun = append(l.report.RanAfterNotRun, ref)
-		case n == 0 && out == answered:
-			l.report.AnsweredNotRun = append(l.report.AnsweredNotRun, ref)
+			g.report.Duplicated = append(g.report.Duplicated, ref)
+		case n == 1 && last == notRun:
+			g.report.RanAfterNotRun = append(g.report.RanAfterNotRun, ref)
+		case n == 0 && last == answered:
+			g.report.AnsweredNotRun = append(g.report.AnsweredNotRun, ref)
 		}
 	}
 
-	slices.Sort(l.report.Duplicated)
-	slices.Sort(l.report.RanAfterNotRun)
-	slices.Sort(l.report.AnsweredNotRun)
+	slices.Sort(g.report.Duplicated)
+	slices.Sort(g.report.RanAfterNotRun)
+	slices.Sort(g.report.AnsweredNotRun)
 }
 
-var columns = []outcome{answered, notRun, unsure, cut, late, wrong, failed, notSent}
+var reportColumns = []outcome{answered, notRun, mayHaveRun, truncated, timedOut, wrongAnswer, failed, notSent}
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(t, "Phase\tKind\t")
 
-	for _, c := range columns {
+	for _, c := range reportColumns {
 		_, _ = fmt.Fprintf(t, "%s\t", c)
 	}
 
@@ -148,15 +151,15 @@
 
 func (row *Row) print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t", row.Phase, row.Kind)
-	for _, c := range columns {
+	for _, c := range reportColumns {
 		_, _ = fmt.Fprintf(w, "%d\t", row.Counts[string(c)])
 	}
 
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t\n",
-		millis(row.FirstToken, 50), millis(row.FirstToken, 95), millis(row.Total, 50), millis(row.Total, 95), millis(row.Total, 99))
+		quantileMillis(row.FirstToken, 50), quantileMillis(row.FirstToken, 95), quantileMillis(row.Total, 50), quantileMillis(row.Total, 95), quantileMillis(row.Total, 99))
 }
 
-func millis(h *hdrhistogram.Histogram, q float64) string {
+func quantileMillis(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
--- a/internal/slopes/view_test.go
+++ b/internal/slopes/view_test.go
@@ -14,11 +14,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// size is what one view follows.
-type size struct{ nodes, workspaces int }
+// viewSize is the number of records in a view.
+type viewSize struct{ nodes, workspaces int }
 
-// full returns the first answer to a process, as bytes.
-func (s size) full(b *testing.B) []byte {
+// fullAnswer returns the encoded answer to the first poll of a process.
+func (s viewSize) fullAnswer(b *testing.B) []byte {
 	b.Helper()
 
 	answer := &wire.PollResponse{Version: 1, Full: true}
@@ -43,32 +43,32 @@
 	return data
 }
 
-// BenchmarkView measures the heap of one reader's configuration, which every
-// entry and agent holds.
+// BenchmarkView measures the heap of the configuration in one reader. Every entry and
+// every agent has one reader.
 func BenchmarkView(b *testing.B) {
 	const views = 10
 
-	for _, s := range []size{{1010, 0}, {0, 13000}, {1010, 13000}} {
+	for _, s := range []viewSize{{1010, 0}, {0, 13000}, {1010, 13000}} {
 		b.Run(fmt.Sprintf("nodes=%d/workspaces=%d", s.nodes, s.workspaces), func(b *testing.B) {
-			data := s.full(b)
+			data := s.fullAnswer(b)
 
 			for b.Loop() {
-				before := heap()
-				held := follow(b, views, data)
-				used := heap() - before
+				before := heapAlloc()
+				readers := newReaders(b, views, data)
+				heapUsed := heapAlloc() - before
 
-				require.Len(b, held[0].Snapshot().Nodes(), s.nodes)
-				b.ReportMetric(used/views, "heap-B/view")
+				require.Len(b, readers[0].Snapshot().Nodes(), s.nodes)
+				b.ReportMetric(heapUsed/views, "heap-B/view")
 			}
 		})
 	}
 }
 
-// follow returns readers that have taken in the answer.
-func follow(b *testing.B, n int, data []byte) []*view.Reader {
+// newReaders returns n readers that have applied the encoded answer.
+func newReaders(b *testing.B, n int, data []byte) []*view.Reader {
 	b.Helper()
 
-	var out []*view.Reader
+	var readers []*view.Reader
 
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
@@ -97,8 +97,8 @@
 
 		<-ready
 
-		out = append(out, r)
+		readers = append(readers, r)
 	}
 
-	return out
+	return readers
 }
