--- a/cmd/parsleygate/cmds/confirm.go
+++ b/cmd/parsleygate/cmds/confirm.go
@@ -50,7 +50,7 @@
 
 	r := &wire.ConfirmRequest{Operator: f.operator, Number: f.number, PlanID: plan}
 
-	response, err := ask(c.Context(), &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.ConfirmResponse, error) {
+	response, err := callOperator(c.Context(), &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.ConfirmResponse, error) {
 		return o.Confirm(ctx, r)
 	})
 	if err != nil {
@@ -70,7 +70,7 @@
 		return nil
 	}
 
-	status, err := ask(c.Context(), &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
+	status, err := callOperator(c.Context(), &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
 		return o.Status(ctx, &wire.StatusRequest{Limit: 1})
 	})
 	if err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// statusEvery is how often a waiting command asks for the status.
-const statusEvery = 500 * time.Millisecond
+// statusPollInterval is how often a waiting command asks for the status.
+const statusPollInterval = 500 * time.Millisecond
 
 var errNotInForce = errors.New("the decision is made, and not yet shown to be in force everywhere")
 
@@ -97,7 +97,7 @@
 	defer cancel()
 
 	for {
-		status, err := ask(ctx, &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
+		status, err := callOperator(ctx, &f.operatorFlags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
 			return o.Status(ctx, &wire.StatusRequest{Number: f.number})
 		})
 		if err == nil && status.GetDecisions()[0].GetInForce() {
@@ -112,7 +112,7 @@
 			}
 
 			return errNotInForce
-		case <-time.After(statusEvery):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
--- a/cmd/parsleygate/cmds/deploy_test.go
+++ b/cmd/parsleygate/cmds/deploy_test.go
@@ -29,8 +29,8 @@
 	return strconv.Itoa(int(a.Port()))
 }
 
-// fill fills in a template as the platform does, for the fields that ours use.
-func fill(t *testing.T, name string) (path, admin string) {
+// fillTemplate fills in a template as the platform does, for the fields that ours use.
+func fillTemplate(t *testing.T, name string) (path, admin string) {
 	t.Helper()
 
 	data, err := os.ReadFile(filepath.Join("../../../deploy", name+".ini"))
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			path, admin := fill(t, name)
+			path, admin := fillTemplate(t, name)
 
 			s, err := settings.Load(path)
 			require.NoError(t, err)
--- a/cmd/parsleygate/cmds/diff.go
+++ b/cmd/parsleygate/cmds/diff.go
@@ -28,7 +28,7 @@
 
 			r := &wire.DiffRequest{Source: file, Declaration: data}
 
-			diff, err := ask(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.DiffResponse, error) {
+			diff, err := callOperator(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.DiffResponse, error) {
 				return o.Diff(ctx, r)
 			})
 			if err != nil {
--- a/cmd/parsleygate/cmds/docs.go
+++ b/cmd/parsleygate/cmds/docs.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	docsDir  = 0o755
-	docsFile = 0o644
+	dirMode  = 0o755
+	fileMode = 0o644
 )
 
 // newDocs is for developers: it writes the reference pages.
@@ -33,15 +33,15 @@
 func writeDocs(dir string) error {
 	root := newRoot()
 	cli := filepath.Join(dir, "cli")
-	if err := os.MkdirAll(cli, docsDir); err != nil {
+	if err := os.MkdirAll(cli, dirMode); err != nil {
 		return eris.Wrap(err, "make folder of the command reference")
 	}
 
-	if err := os.WriteFile(filepath.Join(dir, "SETTINGS.md"), []byte(settings.Reference()), docsFile); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "SETTINGS.md"), []byte(settings.Reference()), fileMode); err != nil {
 		return eris.Wrap(err, "write the settings reference")
 	}
 
-	if err := os.WriteFile(filepath.Join(dir, "METRICS.md"), []byte(relay.MetricsReference()), docsFile); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "METRICS.md"), []byte(relay.MetricsReference()), fileMode); err != nil {
 		return eris.Wrap(err, "write the metrics reference")
 	}
 
--- a/cmd/parsleygate/cmds/docs_test.go
+++ b/cmd/parsleygate/cmds/docs_test.go
@@ -24,14 +24,14 @@
 		require.Equal(t, string(want), string(got), "run make docs")
 	}
 
-	fresh, err := filepath.Glob(filepath.Join(dir, "cli", "*.md"))
+	generated, err := filepath.Glob(filepath.Join(dir, "cli", "*.md"))
 	require.NoError(t, err)
 
-	kept, err := filepath.Glob("../../../docs/cli/*.md")
+	committed, err := filepath.Glob("../../../docs/cli/*.md")
 	require.NoError(t, err)
-	require.Len(t, kept, len(fresh))
+	require.Len(t, committed, len(generated))
 
-	for _, f := range fresh {
+	for _, f := range generated {
 		want, err := os.ReadFile(f)
 		require.NoError(t, err)
 
--- a/cmd/parsleygate/cmds/history.go
+++ b/cmd/parsleygate/cmds/history.go
@@ -21,7 +21,7 @@
 		Short: "Say who decided what, the latest first",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			history, err := ask(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.HistoryResponse, error) {
+			history, err := callOperator(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.HistoryResponse, error) {
 				return o.History(ctx, &r)
 			})
 			if err != nil {
--- a/cmd/parsleygate/cmds/load.go
+++ b/cmd/parsleygate/cmds/load.go
@@ -31,7 +31,7 @@
 			defer stop()
 
 			if len(desks) > 0 {
-				l.Runs = func(ctx context.Context) (map[string]int, error) { return deskRuns(ctx, desks) }
+				l.Runs = func(ctx context.Context) (map[string]int, error) { return fetchDeskRuns(ctx, desks) }
 			}
 
 			report, err := l.Run(ctx)
@@ -61,8 +61,8 @@
 	return c
 }
 
-// deskRuns asks the stand-in desks how often each booking ran.
-func deskRuns(ctx context.Context, desks []string) (map[string]int, error) {
+// fetchDeskRuns asks the stand-in desks how often each booking ran.
+func fetchDeskRuns(ctx context.Context, desks []string) (map[string]int, error) {
 	all := make(map[string]int)
 
 	for _, base := range desks {
@@ -71,7 +71,7 @@
 			return nil, eris.Wrap(err, "ask desk")
 		}
 
-		runs, err := oneDesk(r)
+		runs, err := fetchRuns(r)
 		if err != nil {
 			return nil, err
 		}
@@ -84,7 +84,7 @@
 	return all, nil
 }
 
-func oneDesk(r *http.Request) (map[string]int, error) {
+func fetchRuns(r *http.Request) (map[string]int, error) {
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return nil, eris.Wrap(err, "ask desk")
--- a/cmd/parsleygate/cmds/local.go
+++ b/cmd/parsleygate/cmds/local.go
@@ -55,7 +55,7 @@
 	port       uint16
 }
 
-func (f *localFlags) shape() (local.Deployment, error) {
+func (f *localFlags) parseDeployment() (local.Deployment, error) {
 	switch f.deployment {
 	case "trust":
 		return local.TrustDeployment(), nil
@@ -67,7 +67,7 @@
 }
 
 func (f *localFlags) run(ctx context.Context, c *cobra.Command) error {
-	shape, err := f.shape()
+	deployment, err := f.parseDeployment()
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 
 	l := &local.Instance{
-		Deployment: shape, Logs: logs.Output{Writer: c.ErrOrStderr(), Debug: logs.ParseDebug(f.logOutput)},
+		Deployment: deployment, Logs: logs.Output{Writer: c.ErrOrStderr(), Debug: logs.ParseDebug(f.logOutput)},
 		Dir: dir, EntryPort: f.port + 1, OperatorPort: f.port,
 	}
 
@@ -102,22 +102,22 @@
 	}
 
 	c.Printf("operators: %v\n\n", l.ControlAddresses())
-	c.Println(localHint(l.Entries()[0], shape.Services[0].Name, shape.Services[1].Name))
+	c.Println(usageHint(l.Entries()[0], deployment.Services[0].Name, deployment.Services[1].Name))
 
 	if f.exercise > 0 {
 		g.Go(func() error {
 			defer stop()
 
-			x := &local.Exercise{Instance: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
+			exercise := &local.Exercise{Instance: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
 
-			return x.Run(gctx)
+			return exercise.Run(gctx)
 		})
 	}
 
 	return eris.Wrap(g.Wait(), "run local deployment")
 }
 
-func localHint(base, model, desk string) string {
+func usageHint(base, model, desk string) string {
 	return fmt.Sprintf(`Try:
   curl -N %[1]s/%[2]s/v1/drafts -d '{"Prompt":"stave 4 leaks","Tokens":12}'
   curl %[1]s/%[3]s/v1/bookings -H 'Idempotency-Key: cask-17' -d '{"Ref":"cask-17","Slot":"kiln-2 10:00"}'
--- a/cmd/parsleygate/cmds/member.go
+++ b/cmd/parsleygate/cmds/member.go
@@ -36,7 +36,7 @@
 		Short: "List the control VMs, and say whether one may be stopped",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := askMembers(c.Context(), &flags, func(ctx context.Context, m wire.Members) (*wire.MembersResponse, error) {
+			r, err := callMembers(c.Context(), &flags, func(ctx context.Context, m wire.Members) (*wire.MembersResponse, error) {
 				return m.List(ctx, &wire.MembersRequest{})
 			})
 			if err != nil {
@@ -92,7 +92,7 @@
 				change.Address = a[1]
 			}
 
-			_, err := askMembers(c.Context(), &flags, func(ctx context.Context, m wire.Members) (*wire.MemberChanged, error) {
+			_, err := callMembers(c.Context(), &flags, func(ctx context.Context, m wire.Members) (*wire.MemberChanged, error) {
 				return m.Change(ctx, change)
 			})
 			if err != nil {
@@ -109,8 +109,8 @@
 	return c
 }
 
-// askMembers asks the control VMs in order until one answers. A change is made
+// callMembers asks the control VMs in order until one answers. A change is made
 // once however often it is asked for.
-func askMembers[T any](ctx context.Context, f *operatorFlags, question func(context.Context, wire.Members) (T, error)) (T, error) {
-	return askEach(ctx, f, wire.NewMembersProtobufClient, question)
+func callMembers[T any](ctx context.Context, f *operatorFlags, call func(context.Context, wire.Members) (T, error)) (T, error) {
+	return callFirstAnswering(ctx, f, wire.NewMembersProtobufClient, call)
 }
--- a/cmd/parsleygate/cmds/operator.go
+++ b/cmd/parsleygate/cmds/operator.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	defaultTry = 5 * time.Second
+	defaultCallTimeout = 5 * time.Second
 )
 
 // defaultControls are the control VMs of the local deployment.
@@ -37,15 +37,15 @@
 
 // operatorFlags are the flags of all operators' commands.
 type operatorFlags struct {
-	controls []string
-	operator string
-	try      time.Duration
-	keys     identity.Files
+	controls    []string
+	operator    string
+	callTimeout time.Duration
+	keys        identity.Files
 }
 
 func (f *operatorFlags) add(c *cobra.Command) {
 	c.Flags().StringSliceVar(&f.controls, "control", defaultControls(), "addresses of control VMs, as IP:port; they are tried in order")
-	c.Flags().DurationVar(&f.try, "try", defaultTry, "how long to wait for each control VM")
+	c.Flags().DurationVar(&f.callTimeout, "try", defaultCallTimeout, "how long to wait for each control VM")
 	c.Flags().StringVar(&f.keys.CertFile, "cert", "", "your certificate in PEM, with the organisational unit operator")
 	c.Flags().StringVar(&f.keys.KeyFile, "key", "", "its key in PEM")
 	c.Flags().StringVar(&f.keys.AuthorityFile, "authority", "", "the deployment's authority in PEM; without the three, plaintext on loopback")
@@ -57,7 +57,7 @@
 
 // client returns a client that speaks TLS where keys are named.
 func (f *operatorFlags) client() (*http.Client, error) {
-	dialer := &identity.Dialer{Timeout: f.try}
+	dialer := &identity.Dialer{Timeout: f.callTimeout}
 
 	if f.keys != (identity.Files{}) {
 		dialer.Identity = &identity.Identity{Files: f.keys, Logger: logs.Discard()}
@@ -66,63 +66,63 @@
 		}
 	}
 
-	return &http.Client{Timeout: f.try, Transport: &http.Transport{DialContext: dialer.Dial}}, nil
+	return &http.Client{Timeout: f.callTimeout, Transport: &http.Transport{DialContext: dialer.Dial}}, nil
 }
 
-// ask asks the control VMs in order until one answers. Asking the next is safe:
+// callOperator asks the control VMs in order until one answers. Asking the next is safe:
 // plans change nothing, and a decision is made once under its number.
-func ask[T any](ctx context.Context, f *operatorFlags, question func(context.Context, wire.Operator) (T, error)) (T, error) {
-	return askEach(ctx, f, wire.NewOperatorProtobufClient, question)
+func callOperator[T any](ctx context.Context, f *operatorFlags, call func(context.Context, wire.Operator) (T, error)) (T, error) {
+	return callFirstAnswering(ctx, f, wire.NewOperatorProtobufClient, call)
 }
 
-// connect makes the client of one service at a base URL.
-type connect[C any] func(base string, client wire.HTTPClient, opts ...twirp.ClientOption) C
+// clientFactory makes the client of one service at a base URL.
+type clientFactory[C any] func(base string, client wire.HTTPClient, opts ...twirp.ClientOption) C
 
-// askEach asks one control VM after the other until one answers.
-func askEach[C, T any](ctx context.Context, f *operatorFlags, connect connect[C], question func(context.Context, C) (T, error)) (T, error) {
+// callFirstAnswering asks one control VM after the other until one answers.
+func callFirstAnswering[C, T any](ctx context.Context, f *operatorFlags, newClient clientFactory[C], call func(context.Context, C) (T, error)) (T, error) {
 	var (
-		none   T
-		faults []error
+		zero T
+		errs []error
 	)
 
 	client, err := f.client()
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 
 	if len(f.controls) == 0 {
-		return none, eris.New("--control names no address")
+		return zero, eris.New("--control names no address")
 	}
 
 	for _, text := range f.controls {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return none, eris.Wrapf(err, "--control %q; allowed: IP:port", text)
+			return zero, eris.Wrapf(err, "--control %q; allowed: IP:port", text)
 		}
 
-		answer, err := question(ctx, connect("http://"+address.String(), client))
+		answer, err := call(ctx, newClient("http://"+address.String(), client))
 		if err == nil {
 			return answer, nil
 		}
 
-		if refused(err) {
-			return none, err
+		if isPermanent(err) {
+			return zero, err
 		}
 
-		faults = append(faults, eris.Wrapf(err, "control VM %s", text))
+		errs = append(errs, eris.Wrapf(err, "control VM %s", text))
 	}
 
-	return none, eris.Wrap(errors.Join(faults...), "no control VM answered")
+	return zero, eris.Wrap(errors.Join(errs...), "no control VM answered")
 }
 
-// refused reports whether err is an answer that another control VM would give too.
-func refused(err error) bool {
-	var fault twirp.Error
-	if !errors.As(err, &fault) {
+// isPermanent reports whether err is an answer that another control VM would give too.
+func isPermanent(err error) bool {
+	var twirpErr twirp.Error
+	if !errors.As(err, &twirpErr) {
 		return false
 	}
 
-	switch fault.Code() {
+	switch twirpErr.Code() {
 	case twirp.InvalidArgument, twirp.NotFound, twirp.PermissionDenied, twirp.Unauthenticated, twirp.FailedPrecondition:
 		return true
 	default:
@@ -138,11 +138,11 @@
 
 	switch a.GetState() {
 	case wire.DecisionState_DecisionMade:
-		c.Printf("decision %d is made by %s: version %d%s\n", number, winner.GetOperator(), a.GetVersion(), again(a))
+		c.Printf("decision %d is made by %s: version %d%s\n", number, winner.GetOperator(), a.GetVersion(), repeatedNote(a))
 	case wire.DecisionState_DecisionBaseChanged:
-		c.Printf("decision %d is refused, since the plan's base changed%s; plan again\n", number, again(a))
+		c.Printf("decision %d is refused, since the plan's base changed%s; plan again\n", number, repeatedNote(a))
 	case wire.DecisionState_DecisionRefused:
-		c.Printf("decision %d is refused%s; plan again with --override to do it all the same\n", number, again(a))
+		c.Printf("decision %d is refused%s; plan again with --override to do it all the same\n", number, repeatedNote(a))
 	case wire.DecisionState_DecisionConflict:
 		c.Printf("number %d belongs to another decision: %s by %s, from %s\n",
 			number, winner.GetPlanID(), winner.GetOperator(), winner.GetSource())
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func again(a *wire.DecisionAnswer) string {
+func repeatedNote(a *wire.DecisionAnswer) string {
 	if a.GetRepeated() {
 		return " (the first answer again)"
 	}
@@ -173,6 +173,6 @@
 	return ""
 }
 
-func millis(ms uint64) string {
+func formatMillis(ms uint64) string {
 	return fmt.Sprint((time.Duration(ms) * time.Millisecond).Round(time.Second))
 }
--- a/cmd/parsleygate/cmds/operator_test.go
+++ b/cmd/parsleygate/cmds/operator_test.go
@@ -18,14 +18,14 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// operators runs operators' commands against one control VM.
-type operators struct {
+// operatorFixture runs operators' commands against one control VM.
+type operatorFixture struct {
 	t        *testing.T
 	controls string
 	file     string
 }
 
-func newOperators(t *testing.T) *operators {
+func newOperatorFixture(t *testing.T) *operatorFixture {
 	t.Helper()
 
 	log := &control.MemoryLog{}
@@ -41,34 +41,34 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.OperatorPathPrefix, wire.NewOperatorServer(server))
 
-	web := httptest.NewServer(mux)
+	httpServer := httptest.NewServer(mux)
 
 	t.Cleanup(func() {
-		web.Close()
+		httpServer.Close()
 		cancel()
 		require.NoError(t, <-done)
 	})
 
-	o := &operators{
+	o := &operatorFixture{
 		t: t,
 		// Nobody listens on port 1: the commands go on to the next control VM.
-		controls: "127.0.0.1:1," + strings.TrimPrefix(web.URL, "http://"),
+		controls: "127.0.0.1:1," + strings.TrimPrefix(httpServer.URL, "http://"),
 		file:     filepath.Join(t.TempDir(), "trust.ini"),
 	}
 	require.Eventually(t, func() bool {
-		_, err := o.try("plan", "-f", o.write("[Zone \"ayutthaya\"]\n"), "--operator", "may")
+		_, err := o.run("plan", "-f", o.write("[Zone \"ayutthaya\"]\n"), "--operator", "may")
 		return err == nil
 	}, 10*time.Second, 10*time.Millisecond)
 
 	return o
 }
 
-func (o *operators) write(text string) string {
+func (o *operatorFixture) write(text string) string {
 	require.NoError(o.t, os.WriteFile(o.file, []byte(text), 0o600))
 	return o.file
 }
 
-func (o *operators) try(args ...string) (string, error) {
+func (o *operatorFixture) run(args ...string) (string, error) {
 	var out bytes.Buffer
 
 	root := &cobra.Command{Use: "parsleygate", SilenceUsage: true}
@@ -82,8 +82,8 @@
 	return out.String(), err
 }
 
-func (o *operators) must(args ...string) string {
-	out, err := o.try(args...)
+func (o *operatorFixture) mustRun(args ...string) string {
+	out, err := o.run(args...)
 	require.NoError(o.t, err, out)
 
 	return out
@@ -91,40 +91,40 @@
 
 // An operator declares the zones, takes one out in a hurry, loses the answer and
 // sends it again; another brings it back, and a third uses a number twice.
-func TestOperatorsCommands(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
 
-	o := newOperators(t)
-	out := o.must("plan", "-f", o.write("[Zone \"ayutthaya\"]\nRegion = central-th\n[Workspace \"winery\"]\nWeight = 3\n"), "--operator", "may")
+	o := newOperatorFixture(t)
+	out := o.mustRun("plan", "-f", o.write("[Zone \"ayutthaya\"]\nRegion = central-th\n[Workspace \"winery\"]\nWeight = 3\n"), "--operator", "may")
 	require.Contains(t, out, "Workspace/winery: added")
 
 	_, plan, found := strings.Cut(out, "parsleygate confirm ")
 	require.True(t, found)
 
 	plan = strings.TrimSpace(plan)
-	require.Contains(t, o.must("confirm", plan, "--operator", "may", "--number", "1", "--wait", "10s"), "decision 1 is made by may")
-	require.Contains(t, o.must("confirm", plan, "--operator", "may", "--number", "1"), "the first answer again")
+	require.Contains(t, o.mustRun("confirm", plan, "--operator", "may", "--number", "1", "--wait", "10s"), "decision 1 is made by may")
+	require.Contains(t, o.mustRun("confirm", plan, "--operator", "may", "--number", "1"), "the first answer again")
 
-	require.Contains(t, o.must("zone", "out", "ayutthaya", "--operator", "non"), "nothing has changed yet")
-	require.Contains(t, o.must("zone", "out", "ayutthaya", "--operator", "non", "--number", "2", "--yes"), "decision 2 is made by non")
-	require.Contains(t, o.must("zone", "out", "ayutthaya", "--operator", "non", "--number", "2", "--yes"), "the first answer again")
-	require.Contains(t, o.must("zone", "in", "ayutthaya", "--operator", "may", "--yes"), "decision number 3")
+	require.Contains(t, o.mustRun("zone", "out", "ayutthaya", "--operator", "non"), "nothing has changed yet")
+	require.Contains(t, o.mustRun("zone", "out", "ayutthaya", "--operator", "non", "--number", "2", "--yes"), "decision 2 is made by non")
+	require.Contains(t, o.mustRun("zone", "out", "ayutthaya", "--operator", "non", "--number", "2", "--yes"), "the first answer again")
+	require.Contains(t, o.mustRun("zone", "in", "ayutthaya", "--operator", "may", "--yes"), "decision number 3")
 
-	out, err := o.try("target", "retire", "agent-9", "--operator", "lek", "--number", "2", "--yes")
+	out, err := o.run("target", "retire", "agent-9", "--operator", "lek", "--number", "2", "--yes")
 	require.Error(t, err)
 	require.Contains(t, out, "number 2 belongs to another decision")
 	require.Contains(t, out, "by non")
 
-	require.Contains(t, o.must("history"), "Zone/ayutthaya: Out true -> false")
-	require.Contains(t, o.must("status", "--number", "2"), "decision 2 by non (parsleygate zone out ayutthaya): in force")
-	require.Contains(t, o.must("diff", "-f", o.write("[Zone \"ayutthaya\"]\nOut = true\n")), "not declared, stays as it is: Workspace/winery")
+	require.Contains(t, o.mustRun("history"), "Zone/ayutthaya: Out true -> false")
+	require.Contains(t, o.mustRun("status", "--number", "2"), "decision 2 by non (parsleygate zone out ayutthaya): in force")
+	require.Contains(t, o.mustRun("diff", "-f", o.write("[Zone \"ayutthaya\"]\nOut = true\n")), "not declared, stays as it is: Workspace/winery")
 }
 
 // A mistyped command must change nothing and say why.
-func TestOperatorsMistakes(t *testing.T) {
+func TestInvalidCommandsChangeNothing(t *testing.T) {
 	t.Parallel()
 
-	o := newOperators(t)
+	o := newOperatorFixture(t)
 	cases := map[string]struct {
 		args []string
 		want string
@@ -138,15 +138,15 @@
 	}
 
 	for name, c := range cases {
-		out, err := o.try(c.args...)
+		out, err := o.run(c.args...)
 		require.Error(t, err, name)
 		require.Contains(t, out, c.want, name)
 	}
 
-	require.Empty(t, o.must("history"))
+	require.Empty(t, o.mustRun("history"))
 
 	o.controls = "localhost:1"
-	out, err := o.try("status")
+	out, err := o.run("status")
 	require.Error(t, err)
 	require.Contains(t, out, "allowed: IP:port")
 }
--- a/cmd/parsleygate/cmds/plan.go
+++ b/cmd/parsleygate/cmds/plan.go
@@ -55,7 +55,7 @@
 func makePlan(ctx context.Context, f *operatorFlags, source string, data []byte, override bool) (*wire.Plan, error) {
 	r := &wire.PlanRequest{Operator: f.operator, Source: source, Declaration: data, Override: override}
 
-	response, err := ask(ctx, f, func(ctx context.Context, o wire.Operator) (*wire.PlanResponse, error) {
+	response, err := callOperator(ctx, f, func(ctx context.Context, o wire.Operator) (*wire.PlanResponse, error) {
 		return o.Plan(ctx, r)
 	})
 
@@ -79,12 +79,12 @@
 	printDrains(c, p.GetDrains())
 
 	cost := p.GetCost()
-	c.Printf("cost: %d cold starts, %d bytes of weights%s\n", cost.GetColdStarts(), cost.GetWeightBytes(), atLeast(cost))
+	c.Printf("cost: %d cold starts, %d bytes of weights%s\n", cost.GetColdStarts(), cost.GetWeightBytes(), unknownWeightsNote(cost))
 
-	for _, need := range p.GetNeeds() {
-		left := min(need.GetDuring(), need.GetAfter())
+	for _, demand := range p.GetNeeds() {
+		left := min(demand.GetDuring(), demand.GetAfter())
 		c.Printf("  %s: %d requests in hand, %d to spare\n",
-			need.GetService(), need.GetNeeded(), int64(left)-int64(need.GetNeeded()))
+			demand.GetService(), demand.GetNeeded(), int64(left)-int64(demand.GetNeeded()))
 	}
 
 	for _, warning := range p.GetWarnings() {
@@ -92,7 +92,7 @@
 	}
 
 	for _, refusal := range p.GetRefusals() {
-		c.Printf("REFUSED%s: %s\n", overridden(p), refusal)
+		c.Printf("REFUSED%s: %s\n", overriddenNote(p), refusal)
 	}
 }
 
@@ -130,13 +130,13 @@
 	case requests == 0:
 		wait = "none"
 	case longest > 0:
-		wait = millis(longest)
+		wait = formatMillis(longest)
 	}
 
 	c.Printf("to finish: %d requests at %d processes, longest wait %s\n", requests, len(lines), wait)
 }
 
-func atLeast(cost *wire.Cost) string {
+func unknownWeightsNote(cost *wire.Cost) string {
 	if cost.GetWeightsUnknown() {
 		return " or more: a service declares no WeightBytes"
 	}
@@ -144,7 +144,7 @@
 	return ""
 }
 
-func overridden(p *wire.Plan) string {
+func overriddenNote(p *wire.Plan) string {
 	if p.GetOverride() {
 		return " (overridden)"
 	}
--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -42,14 +42,14 @@
 // processCommands returns the commands that run one role each, and check.
 func processCommands() []*cobra.Command {
 	return []*cobra.Command{
-		newProcess(settings.RoleEntry, "Run an entry: it takes callers' requests and passes them to targets", runEntry),
-		newProcess(settings.RoleAgent, "Run an agent: the single door of the target on its VM", runAgent),
-		newProcess(settings.RoleControl, "Run a control VM: it keeps a replica of the system's own state", runControl),
+		newRoleCommand(settings.RoleEntry, "Run an entry: it takes callers' requests and passes them to targets", runEntry),
+		newRoleCommand(settings.RoleAgent, "Run an agent: the single door of the target on its VM", runAgent),
+		newRoleCommand(settings.RoleControl, "Run a control VM: it keeps a replica of the system's own state", runControl),
 		newCheck(),
 	}
 }
 
-func newProcess(r settings.Role, short string, run func(context.Context, *process) error) *cobra.Command {
+func newRoleCommand(r settings.Role, short string, run func(context.Context, *process) error) *cobra.Command {
 	var logOutput string
 
 	c := &cobra.Command{
@@ -58,7 +58,7 @@
 		Long:  short + ".\n\nFILE holds its settings. SIGTERM stops it gracefully; SIGUSR1 writes a dump of its state to standard error.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := loadFor(r, args[0])
+			s, err := loadSettings(r, args[0])
 			if err != nil {
 				return err
 			}
@@ -83,7 +83,7 @@
 	return c
 }
 
-func loadFor(r settings.Role, path string) (*settings.Settings, error) {
+func loadSettings(r settings.Role, path string) (*settings.Settings, error) {
 	s, err := settings.Load(path)
 	if err != nil {
 		return nil, err
@@ -102,18 +102,18 @@
 		return err
 	}
 
-	lines := logs.NewQueue(stdout)
-	defer lines.Close()
+	logQueue := logs.NewQueue(stdout)
+	defer logQueue.Close()
 
 	p := &process{
 		path: path, settings: s, listener: listener,
-		logs:     logs.Output{Writer: lines, Debug: logs.ParseDebug(s.Process.LogOutput)},
+		logs:     logs.Output{Writer: logQueue, Debug: logs.ParseDebug(s.Process.LogOutput)},
 		dump:     &dump.Dump{Role: string(s.Process.Role), ID: s.Process.ID, Metrics: metrics.NewRegistry()},
 		internal: http.NewServeMux(),
 	}
 	p.internal.Handle("/", p.dump.Handler())
 
-	if err := p.dump.Metrics.Register(logs.DroppedMetric, metrics.NewFunctionalGauge(lines.Dropped)); err != nil {
+	if err := p.dump.Metrics.Register(logs.DroppedMetric, metrics.NewFunctionalGauge(logQueue.Dropped)); err != nil {
 		return eris.Wrap(err, "register metric")
 	}
 
@@ -130,8 +130,8 @@
 	}
 	defer stopAdmin()
 
-	watch := &logs.StallDetector{Logger: p.logs.Logger("process")}
-	go watch.Run(ctx)
+	detector := &logs.StallDetector{Logger: p.logs.Logger("process")}
+	go detector.Run(ctx)
 
 	return run(ctx, p)
 }
@@ -147,15 +147,15 @@
 		return nil, err
 	}
 
-	web := &http.Server{Handler: p.internal, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: p.internal, ReadHeaderTimeout: time.Second}
 
 	go func() {
-		if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			p.logs.Logger("admin").Error("not served", "error", err)
 		}
 	}()
 
-	return func() { _ = web.Close() }, nil
+	return func() { _ = server.Close() }, nil
 }
 
 // loadIdentity reads the keys of [TLS]; nil without that section.
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/routing.go
@@ -38,7 +38,7 @@
 		LoadConn: datagrams, AgentPort: s.Seeds.Port,
 		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.internal,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, ReadyListener: ready,
-		Seeds: p.seeds(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
+		Seeds: p.seedSource(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
 		Budget:      &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
 		StopTimeout: s.Routing.StopTimeout, Logs: p.logs, Dump: p.dump,
 	}
@@ -57,7 +57,7 @@
 
 	a := &role.RankAgent{
 		LoadConn: datagrams,
-		ID:       s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seeds(),
+		ID:       s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seedSource(),
 		Engine: platform.Engine(s.Rank.EngineAddress), EngineAt: platform.Engine,
 		Logs: p.logs, Dump: p.dump,
 	}
@@ -105,7 +105,7 @@
 		VM: self.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Incarnation: role.IncarnationAt(time.Now()),
 		Listener: listener, Identity: p.identity, Dir: filepath.Join(filepath.Clean(s.Control.DataFolder), "log"),
 		Logs: p.logs, Dump: p.dump, Founders: self.Founders(),
-		AutoMembership: &role.AutoMembership{Settings: membership.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seeds()},
+		AutoMembership: &role.AutoMembership{Settings: membership.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seedSource()},
 		TrustedNetwork: s.Process.TrustedNetwork, OperatorListener: operators, Zones: s.Zones, AnnounceInterval: s.Operating.AnnounceInterval,
 		ReadDocument: func(sent []byte) (*wire.RouteTable, error) {
 			d, err := platform.ReadDocument(sent)
@@ -115,7 +115,7 @@
 
 			return d.ToWire(), nil
 		},
-		OperatorHandler: func(server *control.Server) http.Handler { return operatorsOf(server, p) },
+		OperatorHandler: func(server *control.Server) http.Handler { return operatorHandler(server, p) },
 	}
 
 	if s.Control.Volatile {
@@ -129,37 +129,37 @@
 	return c.Run(ctx)
 }
 
-func operatorsOf(server *control.Server, p *process) http.Handler {
-	calls := &platform.ControlAPI{
+func operatorHandler(server *control.Server, p *process) http.Handler {
+	api := &platform.ControlAPI{
 		Adopt: server.Adopt, Document: server.Document, OrderZone: server.SetZoneOut,
 		Announce: server.Announce, Leave: server.Leave, Logger: p.logs.Logger("operators"),
 	}
 
-	return calls.Handler()
+	return api.Handler()
 }
 
-// seeds returns the seeds of the settings file as it is now: the platform may
+// seedSource returns the seeds of the settings file as it is now: the platform may
 // exchange it with or without a signal. One that cannot be read changes nothing.
-func (p *process) seeds() func() []netip.AddrPort {
+func (p *process) seedSource() func() []netip.AddrPort {
 	var (
-		last = p.settings.Seeds.ControlAddresses()
-		read time.Time
+		current  = p.settings.Seeds.ControlAddresses()
+		loadedAt time.Time
 	)
 
 	return func() []netip.AddrPort {
-		if now := time.Now(); now.Sub(read) > seedsEvery {
-			read = now
+		if now := time.Now(); now.Sub(loadedAt) > seedsReloadInterval {
+			loadedAt = now
 
 			if s, err := settings.Load(p.path); err == nil {
-				last = s.Seeds.ControlAddresses()
+				current = s.Seeds.ControlAddresses()
 			} else {
 				p.logs.Logger("settings").Warn("The settings cannot be read again; the former ones hold.", "error", err)
 			}
 		}
 
-		return last
+		return current
 	}
 }
 
-// seedsEvery is how often the settings file is looked at for other seeds.
-const seedsEvery = time.Second
+// seedsReloadInterval is how often the settings file is looked at for other seeds.
+const seedsReloadInterval = time.Second
--- a/cmd/parsleygate/cmds/standin.go
+++ b/cmd/parsleygate/cmds/standin.go
@@ -73,15 +73,15 @@
 
 	go announcer.Run(ctx)
 
-	web := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 
 	go func() {
 		<-ctx.Done()
 
-		_ = web.Close()
+		_ = server.Close()
 	}()
 
-	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return eris.Wrap(err, "serve stand-in")
 	}
 
--- a/cmd/parsleygate/cmds/status.go
+++ b/cmd/parsleygate/cmds/status.go
@@ -20,7 +20,7 @@
 		Short: "Say where decisions are in force, and which processes are outstanding",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			status, err := ask(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
+			status, err := callOperator(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
 				return o.Status(ctx, &r)
 			})
 			if err != nil {
@@ -46,8 +46,8 @@
 		c.Println("WARNING: this control VM cannot show that its state is current")
 	}
 
-	if unheard := status.GetPeersUnheard(); len(unheard) > 0 {
-		c.Printf("WARNING: control VMs that did not answer: %s\n", strings.Join(unheard, ", "))
+	if unreachable := status.GetPeersUnheard(); len(unreachable) > 0 {
+		c.Printf("WARNING: control VMs that did not answer: %s\n", strings.Join(unreachable, ", "))
 	}
 
 	for _, d := range status.GetDecisions() {
@@ -56,18 +56,18 @@
 }
 
 func printDecision(c *cobra.Command, d *wire.DecisionStatus) {
-	force := "NOT YET in force"
+	state := "NOT YET in force"
 	if d.GetInForce() {
-		force = "in force"
+		state = "in force"
 	}
 
 	if d.GetEntry().GetState() != wire.DecisionState_DecisionMade {
-		force = "refused"
+		state = "refused"
 	}
 
 	c.Printf("decision %d by %s (%s): %s; %s; acknowledged by %d of %d processes\n",
 		d.GetEntry().GetNumber(), d.GetEntry().GetOperator(), d.GetEntry().GetSource(),
-		force, d.GetWhy(), d.GetAcknowledged(), d.GetLive())
+		state, d.GetWhy(), d.GetAcknowledged(), d.GetLive())
 
 	for _, o := range d.GetOutstanding() {
 		c.Printf("  outstanding: %s in %s has version %d, %s\n",
@@ -82,6 +82,6 @@
 	case o.GetSilentMillis() == 0:
 		return "no control VM has heard from it"
 	default:
-		return "silent for " + millis(o.GetSilentMillis())
+		return "silent for " + formatMillis(o.GetSilentMillis())
 	}
 }
--- a/cmd/parsleygate/cmds/trace.go
+++ b/cmd/parsleygate/cmds/trace.go
@@ -19,7 +19,7 @@
 			var lines []trace.Line
 
 			for _, name := range args[1:] {
-				more, err := traceFile(name, args[0])
+				more, err := readLog(name, args[0])
 				if err != nil {
 					return err
 				}
@@ -32,7 +32,7 @@
 	}
 }
 
-func traceFile(name, request string) ([]trace.Line, error) {
+func readLog(name, request string) ([]trace.Line, error) {
 	f, err := os.Open(filepath.Clean(name))
 	if err != nil {
 		return nil, eris.Wrap(err, "open log")
--- a/cmd/parsleygate/cmds/zone.go
+++ b/cmd/parsleygate/cmds/zone.go
@@ -12,15 +12,15 @@
 func newZone() *cobra.Command {
 	c := &cobra.Command{Use: "zone", Short: "Take an availability zone out, or bring it back"}
 	c.AddCommand(
-		newOneShot("out ZONE", "Take an availability zone out: no new work goes into it", "[Zone %q]\nOut = true\n"),
-		newOneShot("in ZONE", "Bring an availability zone back", "[Zone %q]\nOut = false\n"),
+		newChangeCommand("out ZONE", "Take an availability zone out: no new work goes into it", "[Zone %q]\nOut = true\n"),
+		newChangeCommand("in ZONE", "Bring an availability zone back", "[Zone %q]\nOut = false\n"),
 	)
 
 	return c
 }
 
-// newOneShot returns a command that plans one change and, with --yes, confirms it.
-func newOneShot(use, short, declaration string) *cobra.Command {
+// newChangeCommand returns a command that plans one change and, with --yes, confirms it.
+func newChangeCommand(use, short, declaration string) *cobra.Command {
 	var (
 		flags    confirmFlags
 		yes      bool
@@ -41,7 +41,7 @@
 
 			printPlan(c, plan)
 
-			if err := checkZone(plan); err != nil {
+			if err := rejectUndeclaredZone(plan); err != nil {
 				return err
 			}
 
@@ -65,9 +65,9 @@
 	return c
 }
 
-// checkZone guards against a mistyped zone: it would be declared anew, and the
+// rejectUndeclaredZone guards against a mistyped zone: it would be declared anew, and the
 // zone that was meant would stay in use.
-func checkZone(plan *wire.Plan) error {
+func rejectUndeclaredZone(plan *wire.Plan) error {
 	for _, change := range plan.GetChanges() {
 		if zone := change.GetAfter().GetZone(); zone != nil && change.GetBefore() == nil {
 			return eris.Errorf("no zone %q is declared; declare it in a file first", zone.GetName())
--- a/internal/dump/dump.go
+++ b/internal/dump/dump.go
@@ -36,11 +36,11 @@
 	Metrics metrics.Registry
 
 	mu    sync.Mutex
-	parts []source
+	parts []partSource
 }
 
-// source is one part and how its state is read.
-type source struct {
+// partSource is one part and how its state is read.
+type partSource struct {
 	name string
 	take func() any
 }
@@ -51,8 +51,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	d.parts = slices.DeleteFunc(d.parts, func(s source) bool { return s.name == name })
-	d.parts = append(d.parts, source{name: name, take: take})
+	d.parts = slices.DeleteFunc(d.parts, func(s partSource) bool { return s.name == name })
+	d.parts = append(d.parts, partSource{name: name, take: take})
 }
 
 // Take returns the state of all parts as of now.
--- a/internal/dump/dump_test.go
+++ b/internal/dump/dump_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleygate/parsleygate/internal/dump"
 )
 
-func TestHandler(t *testing.T) {
+func TestHandlerServesDumpAndMetrics(t *testing.T) {
 	t.Parallel()
 
 	d := &dump.Dump{Role: "entry", ID: "entry-1", Metrics: metrics.NewRegistry()}
--- a/internal/dump/text.go
+++ b/internal/dump/text.go
@@ -11,8 +11,8 @@
 
 // quantiles are those of each histogram in the text.
 var quantiles = []struct { //nolint:gochecknoglobals // a constant table
-	name string
-	part float64
+	name     string
+	fraction float64
 }{{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}}
 
 // WriteText writes the metrics as text, one "name value" a line, by name.
@@ -33,7 +33,7 @@
 			)
 
 			for _, q := range quantiles {
-				lines = append(lines, fmt.Sprintf("%s.%s %.0f", name, q.name, h.Percentile(q.part)))
+				lines = append(lines, fmt.Sprintf("%s.%s %.0f", name, q.name, h.Percentile(q.fraction)))
 			}
 		}
 	})
--- a/internal/events/bus.go
+++ b/internal/events/bus.go
@@ -21,8 +21,8 @@
 	topicStopping      = "ProcessStopping"
 )
 
-// buffer is how many messages a topic holds for a slow handler.
-const buffer = 64
+// topicBuffer is how many messages a topic holds for a slow handler.
+const topicBuffer = 64
 
 // ConfigurationChanged says that this process has a newer configuration in force.
 type ConfigurationChanged struct {
@@ -49,7 +49,7 @@
 		return nil, eris.Wrap(err, "make event router")
 	}
 
-	channel := gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: buffer}, adapter)
+	channel := gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: topicBuffer}, adapter)
 
 	return &Bus{channel: channel, router: router}, nil
 }
@@ -69,7 +69,7 @@
 
 // OnConfigurationChanged calls handle for each newer configuration. Set before Run.
 func (b *Bus) OnConfigurationChanged(name string, handle func(ConfigurationChanged)) {
-	b.handle(name, topicConfiguration, func(payload []byte) error {
+	b.addHandler(name, topicConfiguration, func(payload []byte) error {
 		var e ConfigurationChanged
 		if err := json.Unmarshal(payload, &e); err != nil {
 			return eris.Wrap(err, "read event")
@@ -88,7 +88,7 @@
 
 // OnProcessStopping calls handle when this process stops. Set before Run.
 func (b *Bus) OnProcessStopping(name string, handle func(ProcessStopping)) {
-	b.handle(name, topicStopping, func(payload []byte) error {
+	b.addHandler(name, topicStopping, func(payload []byte) error {
 		var e ProcessStopping
 		if err := json.Unmarshal(payload, &e); err != nil {
 			return eris.Wrap(err, "read event")
@@ -109,7 +109,7 @@
 	return eris.Wrap(b.channel.Publish(topic, message.NewMessage(watermill.NewUUID(), payload)), "publish event")
 }
 
-func (b *Bus) handle(name, topic string, handle func(payload []byte) error) {
+func (b *Bus) addHandler(name, topic string, handle func(payload []byte) error) {
 	b.router.AddConsumerHandler(name, topic, b.channel, func(m *message.Message) error {
 		return handle(m.Payload)
 	})
--- a/internal/events/bus_test.go
+++ b/internal/events/bus_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each event reaches each of its handlers once, and no handler of another topic.
-func TestBus(t *testing.T) {
+func TestEventsReachOnlyHandlersOfTheirTopic(t *testing.T) {
 	t.Parallel()
 
 	b, err := events.NewBus(slog.New(slog.DiscardHandler))
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-func TestPrefixAndSwitch(t *testing.T) {
+func TestLoggerPrefixAndDebugParts(t *testing.T) {
 	t.Parallel()
 
 	var out bytes.Buffer
--- a/internal/logs/queue.go
+++ b/internal/logs/queue.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// queued bounds the lines that wait to be written: some seconds of a bad minute, and
+// queueCapacity bounds the lines that wait to be written: some seconds of a bad minute, and
 // about a megabyte.
-const queued = 4096
+const queueCapacity = 4096
 
 // Queue writes lines from a goroutine of its own. A reader of the log that stands
 // still must not stop what is logged: lines are dropped then, and counted.
@@ -25,7 +25,7 @@
 
 // NewQueue returns a queue to w. Close writes what waits.
 func NewQueue(w io.Writer) *Queue {
-	q := &Queue{w: w, lines: make(chan []byte, queued), closing: make(chan struct{}), done: make(chan struct{})}
+	q := &Queue{w: w, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 
 	go q.run()
 
@@ -57,14 +57,14 @@
 func (q *Queue) run() {
 	defer close(q.done)
 
-	told := int64(0)
+	reported := int64(0)
 
 	for {
 		select {
 		case line := <-q.lines:
-			told = q.put(line, told)
+			reported = q.writeLine(line, reported)
 		case <-q.closing:
-			q.drain(told)
+			q.drain(reported)
 
 			return
 		}
@@ -72,29 +72,29 @@
 }
 
 // drain writes the lines that wait.
-func (q *Queue) drain(told int64) {
+func (q *Queue) drain(reported int64) {
 	for {
 		select {
 		case line := <-q.lines:
-			told = q.put(line, told)
+			reported = q.writeLine(line, reported)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line, and how many were dropped where that was not told yet. It returns
+// writeLine writes a line, and how many were dropped where that was not told yet. It returns
 // how many have been told.
-func (q *Queue) put(line []byte, told int64) int64 {
+func (q *Queue) writeLine(line []byte, reported int64) int64 {
 	// There is nowhere to tell of a log that cannot be written.
 	_, _ = q.w.Write(line)
 
 	n := q.dropped.Load()
-	if n == told || len(q.lines) > 0 {
-		return told
+	if n == reported || len(q.lines) > 0 {
+		return reported
 	}
 
-	_, _ = fmt.Fprintf(q.w, "level=WARN msg=\"logs: Lines were dropped.\" lines=%d\n", n-told)
+	_, _ = fmt.Fprintf(q.w, "level=WARN msg=\"logs: Lines were dropped.\" lines=%d\n", n-reported)
 
 	return n
 }
--- a/internal/logs/queue_test.go
+++ b/internal/logs/queue_test.go
@@ -14,16 +14,16 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// pipe is a reader of the log that stands still until it is let go.
-type pipe struct {
-	letGo chan struct{}
+// blockedWriter is a reader of the log that stands still until it is let go.
+type blockedWriter struct {
+	unblock chan struct{}
 
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
-	<-p.letGo
+func (p *blockedWriter) Write(b []byte) (int, error) {
+	<-p.unblock
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -32,10 +32,10 @@
 
 // Nobody reads the log any more, and the pipe to its reader is full. What is logged
 // goes on: lines are dropped and counted, and that is told once somebody reads again.
-func TestReaderThatStandsStill(t *testing.T) {
+func TestQueueDropsLinesWhileWriterBlocks(t *testing.T) {
 	t.Parallel()
 
-	p := &pipe{letGo: make(chan struct{})}
+	p := &blockedWriter{unblock: make(chan struct{})}
 	q := logs.NewQueue(p)
 	logger := logs.Output{Writer: q}.Logger("relay")
 
@@ -44,7 +44,7 @@
 	}
 
 	require.Greater(t, q.Dropped(), int64(5000))
-	close(p.letGo)
+	close(p.unblock)
 	q.Close()
 
 	written := strings.Count(p.buf.String(), "relay: Refused.")
@@ -52,41 +52,41 @@
 	require.Contains(t, p.buf.String(), "Lines were dropped.")
 }
 
-func TestSampler(t *testing.T) {
+func TestSamplerLimitsLinesPerSecond(t *testing.T) {
 	t.Parallel()
 
 	s := logs.Sampler{PerSecond: 3}
 	now := time.Unix(1000, 0)
-	taken := 0
+	allowed := 0
 
 	for i := range 40 {
 		if s.Allow(now.Add(time.Duration(i) * 50 * time.Millisecond)) {
-			taken++
+			allowed++
 		}
 	}
 
-	require.Equal(t, 6, taken)
+	require.Equal(t, 6, allowed)
 	require.Equal(t, int64(34), s.Suppressed())
 }
 
 // An error's line holds its text, and not the stack that wrapped errors carry.
-func TestErrorsAreShort(t *testing.T) {
+func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	t.Parallel()
 
 	var b bytes.Buffer
 
-	logs.Output{Writer: &b}.Logger("x").Warn("Lost.", slog.Any("error", &stacked{}))
+	logs.Output{Writer: &b}.Logger("x").Warn("Lost.", slog.Any("error", &stackError{}))
 	require.Contains(t, b.String(), `error="the text"`)
 }
 
-type stacked struct{}
+type stackError struct{}
 
-func (*stacked) Error() string { return "the text" }
+func (*stackError) Error() string { return "the text" }
 
 // A control VM is told to stop while an operator's question is being answered. Its log
 // was closed under the line that tells of it: "send on closed channel", and the process
 // ended by a panic instead of its stop.
-func TestQueueIsClosedWhileLinesCome(t *testing.T) {
+func TestQueueCloseDuringWrites(t *testing.T) {
 	t.Parallel()
 
 	for range 200 {
--- a/internal/logs/sampler.go
+++ b/internal/logs/sampler.go
@@ -10,10 +10,10 @@
 type Sampler struct {
 	PerSecond int
 
-	mu      sync.Mutex
-	second  time.Time
-	written int
-	left    int64
+	mu         sync.Mutex
+	second     time.Time
+	written    int
+	suppressed int64
 }
 
 // Allow reports whether a line may be written at now.
@@ -27,7 +27,7 @@
 	}
 
 	if s.written >= s.PerSecond {
-		s.left++
+		s.suppressed++
 
 		return false
 	}
@@ -42,5 +42,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.left
+	return s.suppressed
 }
--- a/internal/logs/standstill.go
+++ b/internal/logs/stall.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// standstillLook is how often a process looks at the clock: seldom enough to cost
+	// stallCheckInterval is how often a process looks at the clock: seldom enough to cost
 	// no processor time that could be measured, often enough to date a stop.
-	standstillLook = 250 * time.Millisecond
-	// standstillLeast is the shortest stop that is told of. A busy VM is late by tens of
+	stallCheckInterval = 250 * time.Millisecond
+	// minLoggedStall is the shortest stop that is told of. A busy VM is late by tens of
 	// milliseconds, and one whose quota is used up by a tenth of a second.
-	standstillLeast = 400 * time.Millisecond
+	minLoggedStall = 400 * time.Millisecond
 )
 
 // StallDetector tells of a process that did not run: its VM was suspended, or its
@@ -36,7 +36,7 @@
 		s.SinceBoot = sinceBoot
 	}
 
-	tick := time.NewTicker(standstillLook)
+	tick := time.NewTicker(stallCheckInterval)
 	defer tick.Stop()
 
 	last, err := s.SinceBoot()
@@ -51,7 +51,7 @@
 		var now time.Duration
 
 		now, err = s.SinceBoot()
-		if missed := now - last - standstillLook; err == nil && missed >= standstillLeast {
+		if missed := now - last - stallCheckInterval; err == nil && missed >= minLoggedStall {
 			s.Logger.Warn("Stood still.", "for", missed.Round(time.Millisecond))
 		}
 
--- a/internal/logs/standstill_test.go
+++ b/internal/logs/stall_test.go
@@ -17,7 +17,7 @@
 // A VM is suspended for four seconds. Its entry's callers have given up when it wakes,
 // and its log shows two dozen callers who left at once, as if the targets were slow.
 // The steady clock does not count the time.
-func TestStandstillIsTold(t *testing.T) {
+func TestStallIsLoggedOnce(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -18,8 +18,8 @@
 const (
 	firstPort = 20000
 	lastPort  = 32000
-	// blockPorts is how many ports a process claims at a time. Its tests use some tens.
-	blockPorts = 100
+	// portsPerBlock is how many ports a process claims at a time. Its tests use some tens.
+	portsPerBlock = 100
 )
 
 // ErrNoPorts says that other processes hold all blocks of ports, or that none can be had.
@@ -35,12 +35,12 @@
 	end    uint16
 }
 
-// shared are the ports of this process.
-var shared Ports
+// processPorts are the ports of this process.
+var processPorts Ports
 
 // Address returns an address that no other caller of any process gets while this
 // process lives.
-func Address() (netip.AddrPort, error) { return shared.Address() }
+func Address() (netip.AddrPort, error) { return processPorts.Address() }
 
 // Address returns an address that was not returned before.
 func (p *Ports) Address() (netip.AddrPort, error) {
@@ -49,12 +49,12 @@
 
 	for {
 		if p.next == p.end {
-			if err := p.claim(); err != nil {
+			if err := p.claimBlock(); err != nil {
 				return netip.AddrPort{}, err
 			}
 		}
 
-		a := at(p.next)
+		a := loopbackAddr(p.next)
 		p.next++
 
 		// A service of this machine may listen in the midst of a block.
@@ -64,25 +64,25 @@
 	}
 }
 
-// claim takes the first block that nobody holds.
-func (p *Ports) claim() error {
-	var last error
+// claimBlock takes the first block that nobody holds.
+func (p *Ports) claimBlock() error {
+	var lastErr error
 
-	for first := uint16(firstPort); first+blockPorts <= lastPort; first += blockPorts {
-		l, err := listen(at(first))
+	for first := uint16(firstPort); first+portsPerBlock <= lastPort; first += portsPerBlock {
+		l, err := listen(loopbackAddr(first))
 		if err != nil {
-			last = err
+			lastErr = err
 
 			continue
 		}
 
 		p.claims = append(p.claims, l)
-		p.next, p.end = first+1, first+blockPorts
+		p.next, p.end = first+1, first+portsPerBlock
 
 		return nil
 	}
 
-	return fmt.Errorf("%w: %w", ErrNoPorts, last)
+	return fmt.Errorf("%w: %w", ErrNoPorts, lastErr)
 }
 
 // Close gives all blocks back.
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func at(port uint16) netip.AddrPort {
+func loopbackAddr(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -13,7 +13,7 @@
 // A role's test wrote a port into its settings, and another test was given the same
 // port by the system before the role listened there. The role ended with "address
 // already in use", in some three of a hundred runs.
-func TestPortsAreGivenOutOnce(t *testing.T) {
+func TestPortsAreNotReused(t *testing.T) {
 	t.Parallel()
 
 	var one, other Ports
@@ -25,7 +25,7 @@
 
 	seen := make(map[netip.AddrPort]bool)
 
-	for range 2 * blockPorts {
+	for range 2 * portsPerBlock {
 		for _, p := range []*Ports{&one, &other} {
 			a, err := p.Address()
 			require.NoError(t, err)
@@ -36,7 +36,7 @@
 }
 
 // What the system picks by itself for listeners and callers stays apart.
-func TestPortsAreNotThoseThatTheSystemPicks(t *testing.T) {
+func TestPortsAreBelowEphemeralRange(t *testing.T) {
 	t.Parallel()
 
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
--- a/internal/pauses/pauses_test.go
+++ b/internal/pauses/pauses_test.go
@@ -12,7 +12,7 @@
 )
 
 // A process that is stopped in the middle of a long pause must end at once.
-func TestFor(t *testing.T) {
+func TestSleepEndsWithContext(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -51,7 +51,7 @@
 			continue
 		}
 
-		if l, ok := parse(source, scanner.Text()); ok && l.Get("request") == request {
+		if l, ok := parseLine(source, scanner.Text()); ok && l.Get("request") == request {
 			out = append(out, l)
 		}
 	}
@@ -59,8 +59,8 @@
 	return out, eris.Wrapf(scanner.Err(), "read %s", source)
 }
 
-// parse reads one line as log/slog writes it, with anything before it.
-func parse(source, text string) (Line, bool) {
+// parseLine reads one line as log/slog writes it, with anything before it.
+func parseLine(source, text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
 		return Line{}, false
@@ -71,7 +71,7 @@
 		l.Process = before[len(before)-1]
 	}
 
-	for _, f := range split(text[start:]) {
+	for _, f := range splitFields(text[start:]) {
 		switch f.Name {
 		case "time":
 			at, err := time.Parse(time.RFC3339Nano, f.Value)
@@ -91,8 +91,8 @@
 	return l, l.Message != ""
 }
 
-// split splits name=value pairs; a value may be quoted.
-func split(s string) []Field {
+// splitFields splits name=value pairs; a value may be quoted.
+func splitFields(s string) []Field {
 	var out []Field
 
 	for s = strings.TrimSpace(s); s != ""; s = strings.TrimLeft(s, " ") {
@@ -134,8 +134,8 @@
 	return b.String(), ""
 }
 
-// causes say in words what the causes of refusals and failures mean.
-var causes = map[string]string{ //nolint:gochecknoglobals // a constant table
+// causeMeanings say in words what the causes of refusals and failures mean.
+var causeMeanings = map[string]string{ //nolint:gochecknoglobals // a constant table
 	"Overload":           "there was no room at any target in the time that the caller waits, or the target said that it is full",
 	"NoTarget":           "the service had no target that takes new work",
 	"TargetDown":         "no connection to the target came up, or all targets that it may go to were tried",
@@ -161,7 +161,7 @@
 	}
 
 	for i := range lines {
-		if _, err := fmt.Fprintf(w, "%s  %s  %s\n", lines[i].At.Format("15:04:05.000"), lines[i].Process, lines[i].words()); err != nil {
+		if _, err := fmt.Fprintf(w, "%s  %s  %s\n", lines[i].At.Format("15:04:05.000"), lines[i].Process, lines[i].format()); err != nil {
 			return eris.Wrap(err, "tell")
 		}
 	}
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// words tells one line as a sentence, with the inputs that decided it below.
-func (l *Line) words() string {
+// format tells one line as a sentence, with the inputs that decided it below.
+func (l *Line) format() string {
 	var b strings.Builder
 
 	b.WriteString(l.Message)
@@ -178,7 +178,7 @@
 	if cause := l.Get("cause"); cause != "" {
 		fmt.Fprintf(&b, " Cause %s", cause)
 
-		if meaning := causes[cause]; meaning != "" {
+		if meaning := causeMeanings[cause]; meaning != "" {
 			b.WriteString(": " + meaning)
 		}
 
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -22,7 +22,7 @@
 // A caller complains about one request. Its lines, from two entries, are told in
 // order, whatever stands before them; other requests' lines are not, and neither are
 // lines that cannot be read.
-func TestTell(t *testing.T) {
+func TestPrintSortsLinesOfOneRequest(t *testing.T) {
 	t.Parallel()
 
 	first, err := trace.Read("entry-1.log", "r-1", strings.NewReader(entryOne))
--- a/pkg/verdict/verdict_test.go
+++ b/pkg/verdict/verdict_test.go
@@ -18,7 +18,7 @@
 
 // A forgotten verdict must never let a booking be sent twice, so everything
 // that carries none counts as MayHaveRun.
-func TestUnknownIsCautious(t *testing.T) {
+func TestMissingVerdictMeansMayHaveRun(t *testing.T) {
 	t.Parallel()
 
 	var zero verdict.Verdict
