--- a/internal/dump/dump.go
+++ b/internal/dump/dump.go
@@ -1,5 +1,5 @@
-// Package dump serves the state of a process to its operators: a dump of every
-// part, and the metrics, both as JSON.
+// Package dump serves diagnostics of a process to operators: the state of each of its
+// parts as JSON, and the metrics as JSON or text.
 package dump
 
 import (
@@ -15,13 +15,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Part is one part's state.
+// Part is the state of one part of a process.
 type Part struct {
 	Name  string
 	State any
 }
 
-// State is a dump of a process.
+// State is a dump of the state of a process.
 type State struct {
 	Role  string
 	ID    string
@@ -29,7 +29,7 @@
 	Parts []Part
 }
 
-// Dump takes dumps of one process. Its fields are set before use.
+// Dump collects the state of the parts of a process. Set its fields before use.
 type Dump struct {
 	Role    string
 	ID      string
@@ -39,14 +39,14 @@
 	parts []partSource
 }
 
-// partSource is one part and how its state is read.
+// partSource is the name of a part and the function that returns its state.
 type partSource struct {
 	name string
 	take func() any
 }
 
-// Add adds a part, or replaces the one of that name. take may be called at any time,
-// from any goroutine.
+// Add registers a part, replacing any part of the same name. The function take may be
+// called at any time and from any goroutine.
 func (d *Dump) Add(name string, take func() any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +55,7 @@
 	d.parts = append(d.parts, partSource{name: name, take: take})
 }
 
-// Take returns the state of all parts as of now.
+// Take returns the current state of all parts.
 func (d *Dump) Take() State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +76,7 @@
 	return eris.Wrap(enc.Encode(d.Take()), "write dump")
 }
 
-// Handler serves /dump, /metrics as JSON and /metrics.txt as text.
+// Handler serves /dump and /metrics as JSON, and /metrics.txt as text.
 func (d *Dump) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/dump", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/dump/text.go
+++ b/internal/dump/text.go
@@ -9,13 +9,13 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those of each histogram in the text.
+// quantiles are the quantiles written for each histogram.
 var quantiles = []struct { //nolint:gochecknoglobals // a constant table
 	name     string
 	fraction float64
 }{{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}}
 
-// WriteText writes the metrics as text, one "name value" a line, by name.
+// WriteText writes the metrics as "name value" lines, sorted by name.
 func WriteText(w io.Writer, r metrics.Registry) {
 	var lines []string
 
@@ -41,7 +41,7 @@
 	slices.Sort(lines)
 
 	for _, l := range lines {
-		// Whoever asked has left if this fails, and asks again.
+		// A write fails only if the client has disconnected.
 		_, _ = io.WriteString(w, l+"\n")
 	}
 }
--- a/internal/events/bus.go
+++ b/internal/events/bus.go
@@ -1,7 +1,7 @@
-// Package events is the bus inside each process: parts tell what happened, and
-// others handle it in a goroutine of their own, over watermill's router and Go
-// channels. Handlers may run side by side and out of order, so nothing that a
-// promise rests on goes over the bus, and nothing on it leaves the process.
+// Package events implements the event bus inside a process. It publishes events through
+// watermill's router over Go channels, and handlers run in goroutines of their own.
+// Handlers may run concurrently and out of order, so no guarantee of the system may
+// depend on the bus. Events never leave the process.
 package events
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// The topics of the bus.
 const (
 	topicConfiguration = "ConfigurationChanged"
 	topicStopping      = "ProcessStopping"
 )
 
-// topicBuffer is how many messages a topic holds for a slow handler.
+// topicBuffer is the number of messages that a topic buffers for a slow handler.
 const topicBuffer = 64
 
-// ConfigurationChanged says that this process has a newer configuration in force.
+// ConfigurationChanged is the event that a newer configuration is in force in this process.
 type ConfigurationChanged struct {
 	Version uint64
 }
 
-// ProcessStopping says that this process finishes its work and then ends.
+// ProcessStopping is the event that this process is shutting down: it finishes its
+// requests and then exits.
 type ProcessStopping struct {
 	ID string
 }
@@ -46,7 +46,7 @@
 
 	router, err := message.NewRouter(message.RouterConfig{}, adapter)
 	if err != nil {
-		return nil, eris.Wrap(err, "make event router")
+		return nil, eris.Wrap(err, "create event router")
 	}
 
 	channel := gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: topicBuffer}, adapter)
@@ -54,25 +54,26 @@
 	return &Bus{channel: channel, router: router}, nil
 }
 
-// Run handles events until ctx ends.
+// Run dispatches events to their handlers until ctx is done.
 func (b *Bus) Run(ctx context.Context) error {
 	return eris.Wrap(b.router.Run(ctx), "run event router")
 }
 
-// Running is closed once every handler takes events.
+// Running returns a channel that is closed once all handlers receive events.
 func (b *Bus) Running() <-chan struct{} { return b.router.Running() }
 
-// ConfigurationChanged tells of a newer configuration.
+// ConfigurationChanged publishes that a newer configuration is in force.
 func (b *Bus) ConfigurationChanged(e ConfigurationChanged) error {
 	return b.publish(topicConfiguration, e)
 }
 
-// OnConfigurationChanged calls handle for each newer configuration. Set before Run.
+// OnConfigurationChanged registers a handler that is called for each newer configuration.
+// It must be called before Run.
 func (b *Bus) OnConfigurationChanged(name string, handle func(ConfigurationChanged)) {
 	b.addHandler(name, topicConfiguration, func(payload []byte) error {
 		var e ConfigurationChanged
 		if err := json.Unmarshal(payload, &e); err != nil {
-			return eris.Wrap(err, "read event")
+			return eris.Wrap(err, "decode event")
 		}
 
 		handle(e)
@@ -81,17 +82,18 @@
 	})
 }
 
-// ProcessStopping tells that this process stops.
+// ProcessStopping publishes that this process is shutting down.
 func (b *Bus) ProcessStopping(e ProcessStopping) error {
 	return b.publish(topicStopping, e)
 }
 
-// OnProcessStopping calls handle when this process stops. Set before Run.
+// OnProcessStopping registers a handler that is called when this process shuts down. It
+// must be called before Run.
 func (b *Bus) OnProcessStopping(name string, handle func(ProcessStopping)) {
 	b.addHandler(name, topicStopping, func(payload []byte) error {
 		var e ProcessStopping
 		if err := json.Unmarshal(payload, &e); err != nil {
-			return eris.Wrap(err, "read event")
+			return eris.Wrap(err, "decode event")
 		}
 
 		handle(e)
@@ -103,7 +105,7 @@
 func (b *Bus) publish(topic string, e any) error {
 	payload, err := json.Marshal(e)
 	if err != nil {
-		return eris.Wrap(err, "write event")
+		return eris.Wrap(err, "encode event")
 	}
 
 	return eris.Wrap(b.channel.Publish(topic, message.NewMessage(watermill.NewUUID(), payload)), "publish event")
--- a/internal/events/bus_test.go
+++ b/internal/events/bus_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/events"
 )
 
-// Each event reaches each of its handlers once, and no handler of another topic.
+// Each event reaches every handler of its topic once, and no handler of another topic.
 func TestEventsReachOnlyHandlersOfTheirTopic(t *testing.T) {
 	t.Parallel()
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the loggers of a process: short sentences behind a fixed
-// prefix for each part, with debug lines switched on part by part.
+// Package logs creates the loggers of a process. Each part of the process logs with
+// its own message prefix, and debug lines are enabled per part.
 package logs
 
 import (
@@ -12,21 +12,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// AllParts in Output.Debug switches on the debug lines of every part.
+// AllParts in Output.Debug enables the debug lines of every part.
 const AllParts = "all"
 
-// DroppedMetric is the metric of lines that a Queue dropped.
+// DroppedMetric is the name of the metric that counts the lines dropped by a Queue.
 const DroppedMetric = "Logs.DroppedLines"
 
-// Output is where the log of one process goes.
+// Output configures the log output of one process.
 type Output struct {
 	// Writer receives the lines.
 	Writer io.Writer
-	// Debug names the parts whose debug lines are written.
+	// Debug lists the parts whose debug lines are written.
 	Debug []string
 }
 
-// ParseDebug reads the value of the flag --log-output: part names with commas between them.
+// ParseDebug parses the value of the --log-output flag, a comma-separated list of parts.
 func ParseDebug(s string) []string {
 	if s == "" {
 		return nil
@@ -35,7 +35,7 @@
 	return strings.Split(s, ",")
 }
 
-// Logger returns the logger of one part. Its lines begin with "part: ".
+// Logger returns the logger of one part. Its messages begin with "part: ".
 func (o Output) Logger(part string) *slog.Logger {
 	level := slog.LevelInfo
 	if slices.Contains(o.Debug, part) || slices.Contains(o.Debug, AllParts) {
@@ -47,7 +47,8 @@
 	return slog.New(&prefixHandler{Handler: next, prefix: part + ": "})
 }
 
-// shortError writes an error as its text: eris errors would bring their stack.
+// shortError replaces an error value by its text, because eris errors would be logged
+// with their stack traces.
 func shortError(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
@@ -56,7 +57,7 @@
 	return a
 }
 
-// Discard returns a logger that writes nothing.
+// Discard returns a logger that discards all lines.
 func Discard() *slog.Logger {
 	return slog.New(slog.DiscardHandler)
 }
--- a/internal/logs/queue.go
+++ b/internal/logs/queue.go
@@ -7,23 +7,23 @@
 	"sync/atomic"
 )
 
-// queueCapacity bounds the lines that wait to be written: some seconds of a bad minute, and
-// about a megabyte.
+// queueCapacity is the maximum number of queued lines. It covers a few seconds of heavy
+// logging and takes about 1 MB.
 const queueCapacity = 4096
 
-// Queue writes lines from a goroutine of its own. A reader of the log that stands
-// still must not stop what is logged: lines are dropped then, and counted.
+// Queue is an io.Writer that writes lines asynchronously. If the underlying writer
+// blocks, the queue drops and counts lines rather than blocking the code that logs.
 type Queue struct {
 	w       io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// closing is closed by Close, done once what waited is written.
+	// closing is closed by Close; done is closed once the queued lines are written.
 	closing chan struct{}
 	done    chan struct{}
 	close   sync.Once
 }
 
-// NewQueue returns a queue to w. Close writes what waits.
+// NewQueue returns a queue that writes to w. The caller must call Close to flush it.
 func NewQueue(w io.Writer) *Queue {
 	q := &Queue{w: w, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 
@@ -32,7 +32,8 @@
 	return q
 }
 
-// Write queues a line. It never blocks and never fails.
+// Write queues a line, or drops it if the queue is full. It never blocks and never
+// returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -43,12 +44,12 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// Close writes what waits and ends the queue. What is written after it is lost: requests
-// may still be under way as a process ends, and closing the channel under them ended it
-// by a panic.
+// Close writes the queued lines and stops the queue. Lines written later are lost.
+// The channel of lines stays open, because requests may still log while the process stops,
+// and a send on a closed channel panics.
 func (q *Queue) Close() {
 	q.close.Do(func() { close(q.closing) })
 	<-q.done
@@ -71,7 +72,7 @@
 	}
 }
 
-// drain writes the lines that wait.
+// drain writes the lines that are still queued.
 func (q *Queue) drain(reported int64) {
 	for {
 		select {
@@ -83,10 +84,10 @@
 	}
 }
 
-// writeLine writes a line, and how many were dropped where that was not told yet. It returns
-// how many have been told.
+// writeLine writes a line. Once the queue is empty, it also logs how many lines were
+// dropped since the last such report. It returns how many dropped lines are reported.
 func (q *Queue) writeLine(line []byte, reported int64) int64 {
-	// There is nowhere to tell of a log that cannot be written.
+	// A write error of the log itself cannot be reported anywhere.
 	_, _ = q.w.Write(line)
 
 	n := q.dropped.Load()
@@ -94,7 +95,7 @@
 		return reported
 	}
 
-	_, _ = fmt.Fprintf(q.w, "level=WARN msg=\"logs: Lines were dropped.\" lines=%d\n", n-reported)
+	_, _ = fmt.Fprintf(q.w, "level=WARN msg=\"logs: Log lines were dropped because the writer blocked.\" lines=%d\n", n-reported)
 
 	return n
 }
--- a/internal/logs/queue_test.go
+++ b/internal/logs/queue_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// blockedWriter is a reader of the log that stands still until it is let go.
+// blockedWriter is a writer that blocks until unblock is closed.
 type blockedWriter struct {
 	unblock chan struct{}
 
@@ -30,8 +30,9 @@
 	return p.buf.Write(b)
 }
 
-// Nobody reads the log any more, and the pipe to its reader is full. What is logged
-// goes on: lines are dropped and counted, and that is told once somebody reads again.
+// The process that reads the log has stopped reading, and the pipe to it is full. Logging
+// must not block: the queue drops and counts lines, and logs the count once the writer
+// accepts lines again.
 func TestQueueDropsLinesWhileWriterBlocks(t *testing.T) {
 	t.Parallel()
 
@@ -49,7 +50,7 @@
 
 	written := strings.Count(p.buf.String(), "relay: Refused.")
 	require.Equal(t, int64(10000), int64(written)+q.Dropped())
-	require.Contains(t, p.buf.String(), "Lines were dropped.")
+	require.Contains(t, p.buf.String(), "Log lines were dropped because the writer blocked.")
 }
 
 func TestSamplerLimitsLinesPerSecond(t *testing.T) {
@@ -69,7 +70,7 @@
 	require.Equal(t, int64(34), s.Suppressed())
 }
 
-// An error's line holds its text, and not the stack that wrapped errors carry.
+// A logged error consists of its text, without the stack trace of a wrapped error.
 func TestErrorsAreLoggedWithoutStack(t *testing.T) {
 	t.Parallel()
 
@@ -83,9 +84,8 @@
 
 func (*stackError) Error() string { return "the text" }
 
-// A control VM is told to stop while an operator's question is being answered. Its log
-// was closed under the line that tells of it: "send on closed channel", and the process
-// ended by a panic instead of its stop.
+// Guards against a panic ("send on closed channel") when a process stops while a request
+// still logs: Close must not close the channel that Write sends on.
 func TestQueueCloseDuringWrites(t *testing.T) {
 	t.Parallel()
 
--- a/internal/logs/sampler.go
+++ b/internal/logs/sampler.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sampler bounds how many lines of one sort are written in a second, so that usual
-// ones leave room for those that explain a failure. Its fields are set before use.
+// Sampler limits how many lines of one kind are logged per second, so that routine lines
+// don't crowd out those that explain a failure. Set its fields before use.
 type Sampler struct {
 	PerSecond int
 
@@ -16,7 +16,7 @@
 	suppressed int64
 }
 
-// Allow reports whether a line may be written at now.
+// Allow reports whether a line may be logged at time now.
 func (s *Sampler) Allow(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logs/stall.go
+++ b/internal/logs/stall.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// stallCheckInterval is how often a process looks at the clock: seldom enough to cost
-	// no processor time that could be measured, often enough to date a stop.
+	// stallCheckInterval is how often a process reads the clock. It is long enough that the
+	// CPU time is not measurable, and short enough to date a stall.
 	stallCheckInterval = 250 * time.Millisecond
-	// minLoggedStall is the shortest stop that is told of. A busy VM is late by tens of
-	// milliseconds, and one whose quota is used up by a tenth of a second.
+	// minLoggedStall is the shortest stall that is logged. Timers on a busy VM are late by
+	// tens of milliseconds, and by 100 ms on one that has used up its CPU quota.
 	minLoggedStall = 400 * time.Millisecond
 )
 
-// StallDetector tells of a process that did not run: its VM was suspended, or its
-// processor was taken away. What the process knows is older by that time, its
-// connections may be gone, and requests in hand seem to have taken that long; only
-// this line tells such a stop from a slow target. Its fields are set before Run.
+// StallDetector logs when the process did not run for a while because its VM was
+// suspended or it got no CPU time. After a stall the state of the process is out of date,
+// its connections may be closed, and the durations of requests in flight include the
+// stall. The log line is the only way to tell a stall from a slow target. Set the fields
+// before Run.
 type StallDetector struct {
 	Logger *slog.Logger
-	// SinceBoot returns the time since the VM started, suspended time included; nil
-	// stands for the operating system's. The steady clock leaves that time out, and the
-	// time of day may jump.
+	// SinceBoot returns the time since the VM booted, including time spent suspended. If
+	// nil, the operating system's clock is read. The monotonic clock does not count
+	// suspended time, and the wall clock may jump.
 	SinceBoot func() (time.Duration, error)
 }
 
-// Run looks at the clock until ctx ends.
+// Run checks the clock periodically until ctx is done.
 func (s *StallDetector) Run(ctx context.Context) {
 	if s.SinceBoot == nil {
 		s.SinceBoot = sinceBoot
@@ -52,13 +53,13 @@
 
 		now, err = s.SinceBoot()
 		if missed := now - last - stallCheckInterval; err == nil && missed >= minLoggedStall {
-			s.Logger.Warn("Stood still.", "for", missed.Round(time.Millisecond))
+			s.Logger.Warn("Process was not scheduled or its VM was suspended.", "for", missed.Round(time.Millisecond))
 		}
 
 		last = now
 	}
 
-	s.Logger.Warn("No clock that counts suspended time: a process that stood still will not be told of.", "error", err)
+	s.Logger.Warn("The clock that counts suspended time cannot be read; stalls of the process will not be logged.", "error", err)
 }
 
 func sinceBoot() (time.Duration, error) {
--- a/internal/logs/stall_test.go
+++ b/internal/logs/stall_test.go
@@ -14,9 +14,9 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// A VM is suspended for four seconds. Its entry's callers have given up when it wakes,
-// and its log shows two dozen callers who left at once, as if the targets were slow.
-// The steady clock does not count the time.
+// A VM is suspended for 4 s. When it resumes, many callers of its entry have timed out at
+// once, which looks like slow targets unless the stall is logged. The monotonic clock does
+// not count the suspended time.
 func TestStallIsLoggedOnce(t *testing.T) {
 	t.Parallel()
 
@@ -41,8 +41,8 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		<-ended
-		require.Equal(t, 1, strings.Count(out.String(), "\n"), "told once, and of nothing else: %s", out.String())
-		require.Contains(t, out.String(), "process: Stood still.")
+		require.Equal(t, 1, strings.Count(out.String(), "\n"), "want one line only: %s", out.String())
+		require.Contains(t, out.String(), "process: Process was not scheduled or its VM was suspended.")
 		require.Contains(t, out.String(), "for=4s")
 	})
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,6 +1,7 @@
-// Package loopback gives tests and stand-ins addresses of loopback that nobody else
-// takes between two uses. A port that the system picks is free for all again once its
-// listener is closed: of 20,000 sets of 21 ports asked for at once, 538 held one twice.
+// Package loopback allocates loopback addresses for tests and test servers. No other
+// process that allocates through this package gets the same address. Ports chosen by the
+// system don't have this property: they can be chosen again once their listener is
+// closed. Of 20,000 sets of 21 system-chosen ports, 538 contained a port twice.
 package loopback
 
 import (
@@ -13,36 +14,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// Ports are handed out below 32768, where Linux begins to pick ports by itself, and
-// above those that well-known services use.
+// The allocated ports are below 32768, where the ephemeral port range of Linux begins,
+// and above the ports of well-known services.
 const (
 	firstPort = 20000
 	lastPort  = 32000
-	// portsPerBlock is how many ports a process claims at a time. Its tests use some tens.
+	// portsPerBlock is the number of ports that a process reserves at a time. A test
+	// process typically uses a few dozen.
 	portsPerBlock = 100
 )
 
-// ErrNoPorts says that other processes hold all blocks of ports, or that none can be had.
+// ErrNoPorts is returned when no block of ports can be reserved, for example because
+// other processes hold all of them.
 var ErrNoPorts = eris.New("no block of loopback ports is free")
 
-// Ports hands out ports of blocks that it claims. Its zero value is ready.
+// Ports allocates ports from blocks that it reserves. Its zero value is ready to use.
 type Ports struct {
 	mu sync.Mutex
-	// claims are listeners on the first port of each block of this process. Another
-	// process cannot listen there, so it goes on to the next block.
+	// claims are listeners on the first port of each block that this process holds.
+	// Another process cannot listen there, so it tries the next block.
 	claims []net.Listener
 	next   uint16
 	end    uint16
 }
 
-// processPorts are the ports of this process.
+// processPorts allocates the ports of this process.
 var processPorts Ports
 
-// Address returns an address that no other caller of any process gets while this
-// process lives.
+// Address returns a loopback address that is not returned to any other caller, in this or
+// another process, while this process runs.
 func Address() (netip.AddrPort, error) { return processPorts.Address() }
 
-// Address returns an address that was not returned before.
+// Address returns a loopback address that it has not returned before.
 func (p *Ports) Address() (netip.AddrPort, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,14 +60,14 @@
 		a := loopbackAddr(p.next)
 		p.next++
 
-		// A service of this machine may listen in the midst of a block.
+		// Another service on this machine may listen on a port within the block.
 		if l, err := listen(a); err == nil {
-			return a, eris.Wrap(l.Close(), "close the listener that tried a port")
+			return a, eris.Wrap(l.Close(), "close the listener that probed the port")
 		}
 	}
 }
 
-// claimBlock takes the first block that nobody holds.
+// claimBlock reserves the first block that no process holds.
 func (p *Ports) claimBlock() error {
 	var lastErr error
 
@@ -85,14 +88,14 @@
 	return fmt.Errorf("%w: %w", ErrNoPorts, lastErr)
 }
 
-// Close gives all blocks back.
+// Close releases all blocks.
 func (p *Ports) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	for _, l := range p.claims {
 		if err := l.Close(); err != nil {
-			return eris.Wrap(err, "give a block of ports back")
+			return eris.Wrap(err, "release a block of ports")
 		}
 	}
 
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A role's test wrote a port into its settings, and another test was given the same
-// port by the system before the role listened there. The role ended with "address
-// already in use", in some three of a hundred runs.
+// Guards against "address already in use": when a test wrote a system-chosen port into the
+// settings of a process, another test could get the same port before that process listened
+// on it. This failed about 3 of 100 runs.
 func TestPortsAreNotReused(t *testing.T) {
 	t.Parallel()
 
@@ -29,19 +29,20 @@
 		for _, p := range []*Ports{&one, &other} {
 			a, err := p.Address()
 			require.NoError(t, err)
-			require.False(t, seen[a], "%s is given out twice", a)
+			require.False(t, seen[a], "%s was allocated twice", a)
 			seen[a] = true
 		}
 	}
 }
 
-// What the system picks by itself for listeners and callers stays apart.
+// Allocated ports must not overlap with the ephemeral ports that the system chooses for
+// listeners and outgoing connections.
 func TestPortsAreBelowEphemeralRange(t *testing.T) {
 	t.Parallel()
 
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("this system does not tell its range:", err)
+		t.Skip("the ephemeral port range of this system is not readable:", err)
 	}
 
 	lowest, err := strconv.Atoi(strings.Fields(string(data))[0])
--- a/internal/pauses/pauses.go
+++ b/internal/pauses/pauses.go
@@ -1,4 +1,5 @@
-// Package pauses holds the one way in which loops of the system wait between rounds.
+// Package pauses provides the interruptible sleep that periodic loops use between
+// iterations.
 package pauses
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for d, and reports whether ctx still goes on then.
+// Sleep waits for d or until ctx is done. It reports whether the full duration passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/pauses/pauses_test.go
+++ b/internal/pauses/pauses_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// A process that is stopped in the middle of a long pause must end at once.
+// A process that is stopped during a long sleep must not wait for the sleep to end.
 func TestSleepEndsWithContext(t *testing.T) {
 	t.Parallel()
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,5 @@
-// Package trace tells the course of one request from the logs of several processes.
+// Package trace collects the log lines of one request from the logs of several processes
+// and prints them in order of time.
 package trace
 
 import (
@@ -12,20 +13,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one log line that names the request.
+// Line is one log line of the request.
 type Line struct {
 	At time.Time
-	// Process is where it was logged: what stands before the line, or the file.
+	// Process identifies the process that logged the line: the last word before the line's
+	// timestamp if there is one, else the name of the log.
 	Process string
 	Message string
-	// Fields are the rest of the line, in its order.
+	// Fields are the other attributes of the line, in their original order.
 	Fields []Field
 }
 
-// Field is one name and value of a line.
+// Field is one attribute of a log line.
 type Field struct{ Name, Value string }
 
-// Get returns the value of a field, or "".
+// Get returns the value of the named field, or "" if the line has no such field.
 func (l *Line) Get(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -36,10 +38,11 @@
 	return ""
 }
 
-// maxLine bounds a log line (bytes).
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read returns the lines of one log that name the request. Source names the log.
+// Read returns the lines in r that have the given request ID. The source is the name of
+// the log.
 func Read(source, request string, r io.Reader) ([]Line, error) {
 	var out []Line
 
@@ -59,7 +62,7 @@
 	return out, eris.Wrapf(scanner.Err(), "read %s", source)
 }
 
-// parseLine reads one line as log/slog writes it, with anything before it.
+// parseLine parses a line written by slog.TextHandler, which may have text before it.
 func parseLine(source, text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -91,7 +94,7 @@
 	return l, l.Message != ""
 }
 
-// splitFields splits name=value pairs; a value may be quoted.
+// splitFields splits a line into its name=value pairs. Values may be quoted.
 func splitFields(s string) []Field {
 	var out []Field
 
@@ -115,7 +118,7 @@
 	return out
 }
 
-// unquote reads up to the closing quote and returns what follows it.
+// unquote returns the value up to the closing quote of s, and the text after that quote.
 func unquote(s string) (value, rest string) {
 	var b strings.Builder
 
@@ -134,42 +137,43 @@
 	return b.String(), ""
 }
 
-// causeMeanings say in words what the causes of refusals and failures mean.
+// causeMeanings maps the causes of refusals and failures to their explanations.
 var causeMeanings = map[string]string{ //nolint:gochecknoglobals // a constant table
-	"Overload":           "there was no room at any target in the time that the caller waits, or the target said that it is full",
-	"NoTarget":           "the service had no target that takes new work",
-	"TargetDown":         "no connection to the target came up, or all targets that it may go to were tried",
-	"StaleConfiguration": "this entry knew no configuration yet",
-	"AnswerBroken":       "the target's answer broke off, or was none",
+	"Overload":           "no target had free capacity within the caller's deadline, or the target reported that it was full",
+	"NoTarget":           "no target of the service accepted new requests",
+	"TargetDown":         "the connection to the target failed, or all eligible targets were tried",
+	"StaleConfiguration": "this entry had not received a configuration yet",
+	"AnswerBroken":       "the target's answer was truncated or missing",
 	"AnswerCrossed":      "the answer on the connection belonged to another request",
-	"DeadlinePassed":     "the target did not answer in the caller's time",
-	"EarlierIncarnation": "another target answers at the address now",
-	"CallerCancelled":    "the caller left",
-	"Stopping":           "this entry was about to end, and a request of this service usually takes longer",
-	"UnknownService":     "the operators removed the service while it waited",
+	"DeadlinePassed":     "the target did not answer before the caller's deadline",
+	"EarlierIncarnation": "the target's address is now used by another target",
+	"CallerCancelled":    "the caller disconnected",
+	"Stopping":           "this entry was shutting down, and requests of this service typically take longer than the time left",
+	"UnknownService":     "the operators removed the service while the request was queued",
 }
 
-// Print writes the course of a request in words, in the order of the lines' times. The
-// clocks of VMs differ, so lines of different processes may stand a little apart.
+// Print writes the lines of a request in order of their timestamps. The clocks of VMs
+// differ, so lines of different processes may be slightly out of order.
 func Print(w io.Writer, request string, lines []Line) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 
 	if len(lines) == 0 {
-		_, err := fmt.Fprintf(w, "No line names request %s. Served requests are sampled: one that was served may have left none.\n", request)
+		_, err := fmt.Fprintf(w, "No log line has request ID %s. Completed requests are sampled, so one that succeeded may not have been logged.\n", request)
 
-		return eris.Wrap(err, "tell")
+		return eris.Wrap(err, "write trace")
 	}
 
 	for i := range lines {
 		if _, err := fmt.Fprintf(w, "%s  %s  %s\n", lines[i].At.Format("15:04:05.000"), lines[i].Process, lines[i].format()); err != nil {
-			return eris.Wrap(err, "tell")
+			return eris.Wrap(err, "write trace")
 		}
 	}
 
 	return nil
 }
 
-// format tells one line as a sentence, with the inputs that decided it below.
+// format returns the message and the cause of a line, followed by its other fields, one
+// per line.
 func (l *Line) format() string {
 	var b strings.Builder
 
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -19,9 +19,8 @@
 const entryTwo = `  12.5 front-b-1 time=2026-12-03T10:00:01.000Z level=INFO msg="relay: Refused." cause=NoTarget request=r-1
 `
 
-// A caller complains about one request. Its lines, from two entries, are told in
-// order, whatever stands before them; other requests' lines are not, and neither are
-// lines that cannot be read.
+// The lines of a request from the logs of two entries are printed in order of time, with
+// or without text before them. Lines of other requests and malformed lines are skipped.
 func TestPrintSortsLinesOfOneRequest(t *testing.T) {
 	t.Parallel()
 
@@ -33,8 +32,8 @@
 	var b strings.Builder
 
 	require.NoError(t, trace.Print(&b, "r-1", append(first, second...)))
-	require.Equal(t, `10:00:01.000  front-b-1  relay: Refused. Cause NoTarget: the service had no target that takes new work.
-10:00:01.500  entry-1.log  relay: Sent again. Cause AnswerBroken: the target's answer broke off, or was none.
+	require.Equal(t, `10:00:01.000  front-b-1  relay: Refused. Cause NoTarget: no target of the service accepted new requests.
+10:00:01.500  entry-1.log  relay: Sent again. Cause AnswerBroken: the target's answer was truncated or missing.
       target: i-7
       verdict: MayHaveRun
       error: read tcp 10.0.0.1:5: "reset"
@@ -43,5 +42,5 @@
 
 	b.Reset()
 	require.NoError(t, trace.Print(&b, "r-9", nil))
-	require.Contains(t, b.String(), "No line names request r-9")
+	require.Contains(t, b.String(), "No log line has request ID r-9")
 }
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -1,6 +1,5 @@
-// Package verdict says whether a request may have run. Every error that a
-// request can meet, in any process, carries one Verdict, and retry decisions
-// read nothing else.
+// Package verdict defines whether a failed request may have run. Every error of a
+// request, in any process, carries a Verdict, and retry decisions depend on nothing else.
 package verdict
 
 import (
@@ -9,12 +8,12 @@
 	"time"
 )
 
-// Verdict says whether a request may have run. The zero value is the cautious
-// one, so that a forgotten assignment never permits a second run.
+// Verdict states whether a request may have run. The zero value is MayHaveRun, so that a
+// missing assignment never permits a second run.
 type Verdict uint8
 
 const (
-	// MayHaveRun means that nobody can tell whether the request ran.
+	// MayHaveRun means that it is unknown whether the request ran.
 	MayHaveRun Verdict = iota
 	// NotRun means that the request did not run and never will.
 	NotRun
@@ -34,17 +33,17 @@
 	}
 }
 
-// MayRepeat reports whether a request with this verdict may be sent again.
-// An idempotent request always may.
+// MayRepeat reports whether a request with this verdict may be retried. An idempotent
+// request may always be retried.
 func (v Verdict) MayRepeat(idempotent bool) bool {
 	return idempotent || v == NotRun
 }
 
-// Cause names why a request was refused or broken. Callers read it in the
-// Parsleygate-Cause header, so the values are part of the interface.
+// Cause is the reason why a request was refused or failed. Callers read it in the
+// Parsleygate-Cause header, so the values are part of the public interface.
 type Cause string
 
-// The causes of refusals and broken answers.
+// The causes of refused requests and incomplete answers.
 const (
 	CauseNoTarget       Cause = "NoTarget"
 	CauseZoneOut        Cause = "ZoneOut"
@@ -72,13 +71,13 @@
 	CauseStopping       Cause = "Stopping"
 )
 
-// Error is a request's end without a whole answer.
+// Error is the error of a request that ended without a complete answer.
 type Error struct {
 	Verdict Verdict
 	Cause   Cause
-	// RetryAt is when the caller may try again; zero where a retry is of no use.
+	// RetryAt is when the caller may retry; zero if a retry is of no use.
 	RetryAt time.Time
-	// Err is the fault below, or nil.
+	// Err is the underlying error, or nil.
 	Err error
 }
 
@@ -91,11 +90,11 @@
 	return fmt.Sprintf("%s (%s): %v", e.Cause, e.Verdict, e.Err)
 }
 
-// Unwrap returns the fault below.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict that err carries. An error without one may have left
-// the request running, so the answer is MayHaveRun.
+// Of returns the verdict that err carries, or MayHaveRun if it carries none, because the
+// request may still be running.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
@@ -105,7 +104,7 @@
 	return MayHaveRun
 }
 
-// CauseOf returns the cause that err carries, or CauseBroken.
+// CauseOf returns the cause that err carries, or CauseBroken if it carries none.
 func CauseOf(err error) Cause {
 	var e *Error
 	if errors.As(err, &e) {
@@ -115,7 +114,7 @@
 	return CauseBroken
 }
 
-// Refuse returns an Error for a request that did not run.
+// Refuse returns the Error of a request that was refused and did not run.
 func Refuse(cause Cause, retryAt time.Time) *Error {
 	return &Error{Verdict: NotRun, Cause: cause, RetryAt: retryAt}
 }
--- a/pkg/verdict/verdict_test.go
+++ b/pkg/verdict/verdict_test.go
@@ -16,8 +16,8 @@
 	// Output: true false true
 }
 
-// A forgotten verdict must never let a booking be sent twice, so everything
-// that carries none counts as MayHaveRun.
+// An error without a verdict counts as MayHaveRun, because a booking must never be sent
+// twice.
 func TestMissingVerdictMeansMayHaveRun(t *testing.T) {
 	t.Parallel()
 
