--- a/cmd/parsleygate/cmds/check.go
+++ b/cmd/parsleygate/cmds/check.go
@@ -9,7 +9,7 @@
 func newCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and say what is wrong with it",
+		Short: "Validate a settings file and report its errors",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
@@ -17,7 +17,7 @@
 				return err
 			}
 
-			c.Printf("%s: settings of %s %s in zone %s are right\n", args[0], s.Process.Role, s.Process.ID, s.Process.Zone)
+			c.Printf("%s: settings of %s %s in zone %s are valid\n", args[0], s.Process.Role, s.Process.ID, s.Process.Zone)
 
 			return nil
 		},
--- a/cmd/parsleygate/cmds/cmds.go
+++ b/cmd/parsleygate/cmds/cmds.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of parsleygate, one file each.
+// Package cmds implements the commands of the parsleygate binary.
 package cmds
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Execute runs the command that args name and returns the exit status.
+// Execute runs the command given by args and returns the exit status.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	root := newRoot()
 	root.SetArgs(args)
--- a/cmd/parsleygate/cmds/confirm.go
+++ b/cmd/parsleygate/cmds/confirm.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// confirmFlags are the flags of commands that decide.
+// confirmFlags are the flags of commands that confirm a plan.
 type confirmFlags struct {
 	operatorFlags
 
@@ -21,7 +21,7 @@
 func (f *confirmFlags) add(c *cobra.Command) {
 	f.operatorFlags.add(c)
 	f.addOperator(c)
-	c.Flags().Uint64Var(&f.number, "number", 0, "the decision's number; send the same again after a lost answer (default: the next free one)")
+	c.Flags().Uint64Var(&f.number, "number", 0, "number of the decision; repeat the command with the same number if the answer was lost (default: the next free number)")
 	c.Flags().DurationVar(&f.wait, "wait", 0, "how long to wait until the decision is in force everywhere")
 }
 
@@ -41,8 +41,8 @@
 	return c
 }
 
-// confirm decides under a number that is shown first, so that the operator can
-// send it again after a lost answer.
+// confirm makes the decision under a number that is printed first, so that the operator
+// can repeat the command with that number if the answer is lost.
 func confirm(c *cobra.Command, f *confirmFlags, plan string) error {
 	if err := f.pickNumber(c); err != nil {
 		return err
@@ -54,7 +54,7 @@
 		return o.Confirm(ctx, r)
 	})
 	if err != nil {
-		c.Printf("whether decision %d is made is not known; the same command with --number %d tells, or makes it\n", f.number, f.number)
+		c.Printf("the outcome of decision %d is unknown; repeat the command with --number %d to make it or to learn its outcome\n", f.number, f.number)
 		return err
 	}
 
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// statusPollInterval is how often a waiting command asks for the status.
+// statusPollInterval is how often confirm --wait polls the status of the decision.
 const statusPollInterval = 500 * time.Millisecond
 
-var errNotInForce = errors.New("the decision is made, and not yet shown to be in force everywhere")
+var errNotInForce = errors.New("the decision is made, but is not yet known to be in force everywhere")
 
 func (f *confirmFlags) awaitInForce(c *cobra.Command) error {
 	if f.wait == 0 {
--- a/cmd/parsleygate/cmds/deploy_test.go
+++ b/cmd/parsleygate/cmds/deploy_test.go
@@ -19,7 +19,7 @@
 	"github.com/parsleygate/parsleygate/internal/settings"
 )
 
-// freePort returns a port of loopback that nobody else takes before the role does.
+// freePort returns a loopback port that no other process uses before the tested one does.
 func freePort(t *testing.T) string {
 	t.Helper()
 
@@ -29,7 +29,8 @@
 	return strconv.Itoa(int(a.Port()))
 }
 
-// fillTemplate fills in a template as the platform does, for the fields that ours use.
+// fillTemplate writes a settings file from a deployment template. It replaces the template
+// fields that ours use as the platform does.
 func fillTemplate(t *testing.T, name string) (path, admin string) {
 	t.Helper()
 
@@ -50,7 +51,7 @@
 	text = regexp.MustCompile(`{{[#/]DataDir}}\n`).ReplaceAllString(text, "")
 	text = regexp.MustCompile(`{{([^}]*)}}`).ReplaceAllStringFunc(text, func(p string) string {
 		v, ok := values[strings.Trim(p, "{}")]
-		require.True(t, ok, "the template uses %s", p)
+		require.True(t, ok, "the template uses the unknown field %s", p)
 
 		return v
 	})
@@ -60,8 +61,8 @@
 	return path, "127.0.0.1:" + admin
 }
 
-// The platform starts each role from its template. A process that ends by itself at
-// once is started again and again, and nobody is served.
+// The platform starts each role from its template. Guards against a role that exits at
+// once: the platform would restart it in a loop, and no requests would be answered.
 func TestRolesStartFromTheirTemplates(t *testing.T) {
 	t.Parallel()
 
@@ -83,7 +84,7 @@
 
 			select {
 			case err := <-ended:
-				t.Fatal("it ended by itself:", err)
+				t.Fatal("the process exited by itself:", err)
 			case <-time.After(300 * time.Millisecond):
 			}
 
--- a/cmd/parsleygate/cmds/diff.go
+++ b/cmd/parsleygate/cmds/diff.go
@@ -18,7 +18,7 @@
 
 	c := &cobra.Command{
 		Use:   "diff -f FILE",
-		Short: "Compare a declaration with what is in force, both ways",
+		Short: "Compare a declaration with the configuration in force, in both directions",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
@@ -47,7 +47,7 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().StringVarP(&file, "file", "f", "", "the declaration, in INI")
+	c.Flags().StringVarP(&file, "file", "f", "", "declaration file in INI format")
 	_ = c.MarkFlagRequired("file")
 
 	return c
--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/direct.go
@@ -20,8 +20,8 @@
 	"github.com/parsleygate/parsleygate/platform"
 )
 
-// runRoutingEntry runs an entry that is the door of its targets.
-func runRoutingEntry(ctx context.Context, p *process) error {
+// runDirectEntry runs an entry that forwards requests to targets directly, without agents.
+func runDirectEntry(ctx context.Context, p *process) error {
 	s := p.settings
 
 	ready, err := listenOn(ctx, s.Routing.ReadyAddress)
@@ -36,7 +36,7 @@
 
 	e := &role.DirectEntry{
 		LoadConn: datagrams, AgentPort: s.Seeds.Port,
-		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.internal,
+		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.adminMux,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, ReadyListener: ready,
 		Seeds: p.seedSource(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
 		Budget:      &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
@@ -46,7 +46,7 @@
 	return e.Run(ctx)
 }
 
-// runRankAgent runs an agent beside a rank of a lock-step group.
+// runRankAgent runs the agent of a rank of a lock-step group.
 func runRankAgent(ctx context.Context, p *process) error {
 	s := p.settings
 
@@ -65,21 +65,22 @@
 	return a.Run(ctx)
 }
 
-// runAutomaticControl runs a control VM that finds the others by seeds. A VM that
-// was taken out of the set while it was away comes back under a new ID.
-func runAutomaticControl(ctx context.Context, p *process) error {
-	// Each run listens anew: nobody's connection hangs on a VM that waits for its disk.
+// runAutoMemberControl runs a control VM that discovers the other members through seeds. A
+// VM that was removed from the quorum while it was down rejoins with a new ID.
+func runAutoMemberControl(ctx context.Context, p *process) error {
+	// Each run opens its own listener, so that connections are refused, rather than left
+	// unanswered, while the VM waits for its disk.
 	if err := p.listener.Close(); err != nil {
 		return eris.Wrap(err, "close listener")
 	}
 
-	e := &role.Supervisor{
+	supervisor := &role.Supervisor{
 		RunOnce:      func(ctx context.Context) error { return runControlOnce(ctx, p) },
 		ClearDataDir: func() error { return os.RemoveAll(p.settings.Control.DataFolder) },
 		Logger:       p.logs.Logger("control"),
 	}
 
-	return e.Run(ctx)
+	return supervisor.Run(ctx)
 }
 
 func runControlOnce(ctx context.Context, p *process) error {
@@ -138,8 +139,9 @@
 	return api.Handler()
 }
 
-// seedSource returns the seeds of the settings file as it is now: the platform may
-// exchange it with or without a signal. One that cannot be read changes nothing.
+// seedSource returns a function that returns the current seeds in the settings file. The
+// file is reloaded periodically, because the platform may replace it without a signal. If
+// it cannot be read, the previous seeds stay in use.
 func (p *process) seedSource() func() []netip.AddrPort {
 	var (
 		current  = p.settings.Seeds.ControlAddresses()
@@ -153,7 +155,7 @@
 			if s, err := settings.Load(p.path); err == nil {
 				current = s.Seeds.ControlAddresses()
 			} else {
-				p.logs.Logger("settings").Warn("The settings cannot be read again; the former ones hold.", "error", err)
+				p.logs.Logger("settings").Warn("Reloading the settings file failed; the previous seeds stay in use.", "error", err)
 			}
 		}
 
@@ -161,5 +163,5 @@
 	}
 }
 
-// seedsReloadInterval is how often the settings file is looked at for other seeds.
+// seedsReloadInterval is the minimum time between two reloads of the settings file.
 const seedsReloadInterval = time.Second
--- a/cmd/parsleygate/cmds/docs.go
+++ b/cmd/parsleygate/cmds/docs.go
@@ -17,7 +17,7 @@
 	fileMode = 0o644
 )
 
-// newDocs is for developers: it writes the reference pages.
+// newDocs returns the hidden command with which developers generate the reference pages.
 func newDocs() *cobra.Command {
 	return &cobra.Command{
 		Use:    "docs DIR",
@@ -34,7 +34,7 @@
 	root := newRoot()
 	cli := filepath.Join(dir, "cli")
 	if err := os.MkdirAll(cli, dirMode); err != nil {
-		return eris.Wrap(err, "make folder of the command reference")
+		return eris.Wrap(err, "create the directory of the command reference")
 	}
 
 	if err := os.WriteFile(filepath.Join(dir, "SETTINGS.md"), []byte(settings.Reference()), fileMode); err != nil {
--- a/cmd/parsleygate/cmds/docs_test.go
+++ b/cmd/parsleygate/cmds/docs_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The reference pages are generated; `make docs` writes them anew.
+// The generated reference pages must match the code. `make docs` regenerates them.
 func TestDocsAreUpToDate(t *testing.T) {
 	t.Setenv("USER", "")
 
--- a/cmd/parsleygate/cmds/history.go
+++ b/cmd/parsleygate/cmds/history.go
@@ -18,7 +18,7 @@
 
 	c := &cobra.Command{
 		Use:   "history",
-		Short: "Say who decided what, the latest first",
+		Short: "Show who made which decisions, newest first",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			history, err := callOperator(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.HistoryResponse, error) {
@@ -34,7 +34,7 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().Uint32Var(&r.Limit, "limit", 0, "how many decisions")
+	c.Flags().Uint32Var(&r.Limit, "limit", 0, "maximum number of decisions to show")
 
 	return c
 }
--- a/cmd/parsleygate/cmds/listen.go
+++ b/cmd/parsleygate/cmds/listen.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// listenOn opens the listener that the settings or a flag name.
+// listenOn opens a TCP listener on an address from the settings or a flag.
 func listenOn(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	var lc net.ListenConfig
 
@@ -17,11 +17,11 @@
 	return l, eris.Wrapf(err, "listen on %s", address)
 }
 
-// listenDatagrams opens the UDP socket at an address of the settings.
+// listenDatagrams opens a UDP socket on an address from the settings.
 func listenDatagrams(ctx context.Context, address netip.AddrPort) (net.PacketConn, error) {
 	var lc net.ListenConfig
 
 	c, err := lc.ListenPacket(ctx, "udp", address.String())
 
-	return c, eris.Wrapf(err, "listen for datagrams on %s", address)
+	return c, eris.Wrapf(err, "listen for UDP datagrams on %s", address)
 }
--- a/cmd/parsleygate/cmds/load.go
+++ b/cmd/parsleygate/cmds/load.go
@@ -22,9 +22,9 @@
 
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send seeded drafts and bookings to entries at a fixed rate, and check every answer",
-		Long: "Send seeded drafts and bookings to entries at a fixed rate, and check every answer.\n\n" +
-			"With --desk, the booking desks' own addresses, it also checks that no booking ran twice, and none after NotRun.",
+		Short: "Send pseudo-random drafts and bookings to entries at a fixed rate, and check all answers",
+		Long: "Send pseudo-random drafts and bookings to entries at a fixed rate, and check all answers.\n\n" +
+			"With --desk, it also asks the booking desks directly, and checks that no booking ran twice and none ran after its caller received NotRun.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -38,7 +38,7 @@
 			report.Print(c.OutOrStdout())
 
 			if err == nil && report.HasViolations() {
-				err = eris.New("a promise broke")
+				err = eris.New("a guarantee was violated")
 			}
 
 			return err
@@ -46,29 +46,29 @@
 	}
 	f := c.Flags()
 	f.StringSliceVar(&l.Entries, "entry", []string{"http://127.0.0.1:8601", "http://127.0.0.1:8602", "http://127.0.0.1:8603"}, "base URLs of the entries")
-	f.StringVar(&l.DraftService, "drafts", "cooper-assist", "the model service")
-	f.StringVar(&l.BookingService, "bookings", "job-desk", "the booking service")
-	f.StringSliceVar(&desks, "desk", nil, "base URLs of the stand-in booking desks themselves")
-	f.Float64Var(&l.Rate, "rate", 100, "requests a second")
-	f.DurationVar(&l.Duration, "duration", 10*time.Second, "how long requests are sent")
-	f.Float64Var(&l.BookingShare, "booking-share", 0.2, "share of bookings among the requests")
-	f.IntVar(&l.Tokens, "tokens", 40, "mean length of a draft, in tokens")
-	f.IntVar(&l.Workspaces, "workspaces", 10, "how many workspaces the callers belong to")
-	f.DurationVar(&l.Timeout, "timeout", 10*time.Second, "each caller's deadline")
-	f.Uint64Var(&l.Seed, "seed", 1, "the same seed sends the same requests")
-	f.IntVar(&l.MaxInFlight, "most-in-flight", 4096, "requests at once; those above are counted as not sent")
+	f.StringVar(&l.DraftService, "drafts", "cooper-assist", "name of the model service")
+	f.StringVar(&l.BookingService, "bookings", "job-desk", "name of the booking service")
+	f.StringSliceVar(&desks, "desk", nil, "base URLs of the test booking desks, without the balancer in between")
+	f.Float64Var(&l.Rate, "rate", 100, "requests per second")
+	f.DurationVar(&l.Duration, "duration", 10*time.Second, "how long to send requests")
+	f.Float64Var(&l.BookingShare, "booking-share", 0.2, "fraction of requests that are bookings")
+	f.IntVar(&l.Tokens, "tokens", 40, "mean length of a draft in tokens")
+	f.IntVar(&l.Workspaces, "workspaces", 10, "number of workspaces that the callers belong to")
+	f.DurationVar(&l.Timeout, "timeout", 10*time.Second, "deadline of each request")
+	f.Uint64Var(&l.Seed, "seed", 1, "seed of the random requests; the same seed sends the same requests")
+	f.IntVar(&l.MaxInFlight, "most-in-flight", 4096, "maximum number of concurrent requests; requests above it are counted as not sent")
 
 	return c
 }
 
-// fetchDeskRuns asks the stand-in desks how often each booking ran.
+// fetchDeskRuns asks the test booking desks how often each booking ran.
 func fetchDeskRuns(ctx context.Context, desks []string) (map[string]int, error) {
 	all := make(map[string]int)
 
 	for _, base := range desks {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/runs", nil)
 		if err != nil {
-			return nil, eris.Wrap(err, "ask desk")
+			return nil, eris.Wrap(err, "request the runs of a desk")
 		}
 
 		runs, err := fetchRuns(r)
@@ -87,11 +87,11 @@
 func fetchRuns(r *http.Request) (map[string]int, error) {
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask desk")
+		return nil, eris.Wrap(err, "request the runs of a desk")
 	}
 	defer func() { _ = resp.Body.Close() }()
 
 	var runs map[string]int
 
-	return runs, eris.Wrap(json.NewDecoder(resp.Body).Decode(&runs), "read desk's runs")
+	return runs, eris.Wrap(json.NewDecoder(resp.Body).Decode(&runs), "decode the runs of the desk")
 }
--- a/cmd/parsleygate/cmds/local.go
+++ b/cmd/parsleygate/cmds/local.go
@@ -17,8 +17,8 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// localPort is the port of the local deployment's first control VM; those of
-// the entries follow.
+// localPort is the default port of the first control VM of the local deployment. The
+// entries use the ports after it.
 const localPort = 8600
 
 func newLocal() *cobra.Command {
@@ -26,7 +26,7 @@
 
 	c := &cobra.Command{
 		Use:   "local",
-		Short: "Run a whole small deployment with stand-in targets in this process, on loopback",
+		Short: "Run a small deployment with fake targets in this process, on loopback",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -35,12 +35,12 @@
 			return flags.run(ctx, c)
 		},
 	}
-	c.Flags().StringVar(&flags.logOutput, "log-output", "", "parts whose debug lines are written, with commas between them, or all")
-	c.Flags().StringVar(&flags.deployment, "deployment", "trust", "whose deployment of today: trust or qurum")
-	c.Flags().DurationVar(&flags.exercise, "exercise", 0, "drive load for this long while a zone leaves and returns and a target turns cold, then stop")
-	c.Flags().Float64Var(&flags.rate, "rate", 150, "requests a second of the exercise")
-	c.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the exercise's load")
-	c.Flags().Uint16Var(&flags.port, "port", localPort, "port of the first control VM; those of the entries follow, and the other control VMs at a distance of 10")
+	c.Flags().StringVar(&flags.logOutput, "log-output", "", "comma-separated list of parts whose debug lines are logged, or all")
+	c.Flags().StringVar(&flags.deployment, "deployment", "trust", "which deployment to run: trust or qurum")
+	c.Flags().DurationVar(&flags.exercise, "exercise", 0, "send load for this long while a zone is taken out and brought back and a target turns cold, then stop")
+	c.Flags().Float64Var(&flags.rate, "rate", 150, "requests per second of the exercise")
+	c.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the load of the exercise")
+	c.Flags().Uint16Var(&flags.port, "port", localPort, "port of the first control VM; the entries use the ports after it, and the ports of the control VMs are 10 apart")
 
 	return c
 }
@@ -74,7 +74,7 @@
 
 	dir, err := os.MkdirTemp("", "parsleygate-local-")
 	if err != nil {
-		return eris.Wrap(err, "make data folder")
+		return eris.Wrap(err, "create data directory")
 	}
 
 	defer func() { _ = os.RemoveAll(dir) }()
--- a/cmd/parsleygate/cmds/member.go
+++ b/cmd/parsleygate/cmds/member.go
@@ -8,21 +8,21 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// newMember returns the commands about the set of control VMs.
+// newMember returns the commands that list and change the members of the control VM quorum.
 func newMember() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "member",
 		Short: "List and change the control VMs",
 		Long: "List and change the control VMs.\n\n" +
-			"To replace one that is lost: start another with [Control] Join = true under a new ID, add it, promote it once " +
-			"it has caught up, and remove the lost one. Change one at a time; list says when another may be stopped.",
+			"To replace a lost control VM, start another one with [Control] Join = true and a new ID, add it, promote it once " +
+			"it has caught up, and remove the lost one. Change one control VM at a time; list shows whether another may be stopped.",
 	}
 	c.AddCommand(
 		newMemberList(),
-		newMemberChange("add ID ADDRESS", "Add a control VM as a learner, without a vote", wire.MemberChangeKind_MemberAdd),
-		newMemberChange("promote ID", "Give a learner that has caught up its vote", wire.MemberChangeKind_MemberPromote),
-		newMemberChange("remove ID", "Take a control VM out for good", wire.MemberChangeKind_MemberRemove),
-		newMemberChange("lead ID", "Hand leadership to a control VM", wire.MemberChangeKind_MemberLead),
+		newMemberChange("add ID ADDRESS", "Add a control VM as a learner (a member without a vote)", wire.MemberChangeKind_MemberAdd),
+		newMemberChange("promote ID", "Promote a learner that has caught up to a voter", wire.MemberChangeKind_MemberPromote),
+		newMemberChange("remove ID", "Remove a control VM permanently", wire.MemberChangeKind_MemberRemove),
+		newMemberChange("lead ID", "Transfer leadership to a control VM", wire.MemberChangeKind_MemberLead),
 	)
 
 	return c
@@ -33,7 +33,7 @@
 
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "List the control VMs, and say whether one may be stopped",
+		Short: "List the control VMs, and show whether one may be stopped",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := callMembers(c.Context(), &flags, func(ctx context.Context, m wire.Members) (*wire.MembersResponse, error) {
@@ -109,8 +109,8 @@
 	return c
 }
 
-// callMembers asks the control VMs in order until one answers. A change is made
-// once however often it is asked for.
+// callMembers calls the control VMs in order until one answers. Repeating a call is safe,
+// because a membership change is made only once.
 func callMembers[T any](ctx context.Context, f *operatorFlags, call func(context.Context, wire.Members) (T, error)) (T, error) {
 	return callFirstAnswering(ctx, f, wire.NewMembersProtobufClient, call)
 }
--- a/cmd/parsleygate/cmds/operator.go
+++ b/cmd/parsleygate/cmds/operator.go
@@ -18,7 +18,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// operatorCommands returns the commands by which operators plan, confirm and look.
+// operatorCommands returns the commands with which operators plan and confirm changes and
+// inspect the system.
 func operatorCommands() []*cobra.Command {
 	return []*cobra.Command{
 		newPlan(), newConfirm(), newStatus(), newHistory(), newDiff(),
@@ -35,7 +36,7 @@
 	return []string{"127.0.0.1:8600", "127.0.0.1:8610", "127.0.0.1:8620"}
 }
 
-// operatorFlags are the flags of all operators' commands.
+// operatorFlags are the flags that all operator commands have.
 type operatorFlags struct {
 	controls    []string
 	operator    string
@@ -44,18 +45,18 @@
 }
 
 func (f *operatorFlags) add(c *cobra.Command) {
-	c.Flags().StringSliceVar(&f.controls, "control", defaultControls(), "addresses of control VMs, as IP:port; they are tried in order")
-	c.Flags().DurationVar(&f.callTimeout, "try", defaultCallTimeout, "how long to wait for each control VM")
-	c.Flags().StringVar(&f.keys.CertFile, "cert", "", "your certificate in PEM, with the organisational unit operator")
-	c.Flags().StringVar(&f.keys.KeyFile, "key", "", "its key in PEM")
-	c.Flags().StringVar(&f.keys.AuthorityFile, "authority", "", "the deployment's authority in PEM; without the three, plaintext on loopback")
+	c.Flags().StringSliceVar(&f.controls, "control", defaultControls(), "addresses of control VMs as IP:port, tried in order")
+	c.Flags().DurationVar(&f.callTimeout, "try", defaultCallTimeout, "timeout of the call to each control VM")
+	c.Flags().StringVar(&f.keys.CertFile, "cert", "", "PEM file of your certificate, which must have the organisational unit operator")
+	c.Flags().StringVar(&f.keys.KeyFile, "key", "", "PEM file of the key of the certificate")
+	c.Flags().StringVar(&f.keys.AuthorityFile, "authority", "", "PEM file of the certificate authority of the deployment; without --cert, --key and --authority, plaintext on loopback")
 }
 
 func (f *operatorFlags) addOperator(c *cobra.Command) {
-	c.Flags().StringVar(&f.operator, "operator", os.Getenv("USER"), "your name, as history shows it")
+	c.Flags().StringVar(&f.operator, "operator", os.Getenv("USER"), "your name, as shown by history")
 }
 
-// client returns a client that speaks TLS where keys are named.
+// client returns an HTTP client, which uses TLS if key files are given.
 func (f *operatorFlags) client() (*http.Client, error) {
 	dialer := &identity.Dialer{Timeout: f.callTimeout}
 
@@ -69,16 +70,18 @@
 	return &http.Client{Timeout: f.callTimeout, Transport: &http.Transport{DialContext: dialer.Dial}}, nil
 }
 
-// callOperator asks the control VMs in order until one answers. Asking the next is safe:
-// plans change nothing, and a decision is made once under its number.
+// callOperator calls the operator service of the control VMs in order until one answers.
+// Calling another VM is safe: a plan changes nothing, and a decision is made only once
+// under its number.
 func callOperator[T any](ctx context.Context, f *operatorFlags, call func(context.Context, wire.Operator) (T, error)) (T, error) {
 	return callFirstAnswering(ctx, f, wire.NewOperatorProtobufClient, call)
 }
 
-// clientFactory makes the client of one service at a base URL.
+// clientFactory creates the client of a service at a base URL.
 type clientFactory[C any] func(base string, client wire.HTTPClient, opts ...twirp.ClientOption) C
 
-// callFirstAnswering asks one control VM after the other until one answers.
+// callFirstAnswering calls the control VMs in order until one answers or rejects the call
+// with an error that the others would return as well.
 func callFirstAnswering[C, T any](ctx context.Context, f *operatorFlags, newClient clientFactory[C], call func(context.Context, C) (T, error)) (T, error) {
 	var (
 		zero T
@@ -115,7 +118,7 @@
 	return zero, eris.Wrap(errors.Join(errs...), "no control VM answered")
 }
 
-// isPermanent reports whether err is an answer that another control VM would give too.
+// isPermanent reports whether err is an error that other control VMs would return as well.
 func isPermanent(err error) bool {
 	var twirpErr twirp.Error
 	if !errors.As(err, &twirpErr) {
@@ -130,7 +133,7 @@
 	}
 }
 
-// errNotDecided is the error of a decision that was not made.
+// errNotDecided is returned when the control VM did not make the decision.
 var errNotDecided = errors.New("nothing was changed by this confirmation")
 
 func printAnswer(c *cobra.Command, number uint64, a *wire.DecisionAnswer) error {
@@ -149,9 +152,9 @@
 	case wire.DecisionState_DecisionNoPlan:
 		c.Println("no such plan is kept; plan again. The number is still free")
 	case wire.DecisionState_DecisionForgotten:
-		c.Printf("what became of number %d is no longer kept; use a number above %d\n", number, a.GetFloor())
+		c.Printf("the outcome of number %d is no longer kept; use a number above %d\n", number, a.GetFloor())
 	default:
-		c.Println("the control VM's answer is not understood; is this command older than the control VM?")
+		c.Println("unknown answer of the control VM; this command may be older than the control VM")
 	}
 
 	for _, detail := range a.GetDetails() {
--- a/cmd/parsleygate/cmds/operator_test.go
+++ b/cmd/parsleygate/cmds/operator_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// operatorFixture runs operators' commands against one control VM.
+// operatorFixture runs operator commands against one control VM.
 type operatorFixture struct {
 	t        *testing.T
 	controls string
@@ -51,7 +51,7 @@
 
 	o := &operatorFixture{
 		t: t,
-		// Nobody listens on port 1: the commands go on to the next control VM.
+		// Nothing listens on port 1, so the commands continue with the next control VM.
 		controls: "127.0.0.1:1," + strings.TrimPrefix(httpServer.URL, "http://"),
 		file:     filepath.Join(t.TempDir(), "trust.ini"),
 	}
@@ -89,8 +89,9 @@
 	return out
 }
 
-// An operator declares the zones, takes one out in a hurry, loses the answer and
-// sends it again; another brings it back, and a third uses a number twice.
+// One operator declares a zone. Another takes it out and repeats the command because the
+// answer was lost. The first brings it back, and a third one reuses a number of another
+// decision, which must be rejected.
 func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
 
@@ -120,7 +121,7 @@
 	require.Contains(t, o.mustRun("diff", "-f", o.write("[Zone \"ayutthaya\"]\nOut = true\n")), "not declared, stays as it is: Workspace/winery")
 }
 
-// A mistyped command must change nothing and say why.
+// A mistyped command must change nothing and report the reason.
 func TestInvalidCommandsChangeNothing(t *testing.T) {
 	t.Parallel()
 
--- a/cmd/parsleygate/cmds/plan.go
+++ b/cmd/parsleygate/cmds/plan.go
@@ -19,9 +19,9 @@
 
 	c := &cobra.Command{
 		Use:   "plan -f FILE",
-		Short: "Say what a declaration would change, and what that costs; change nothing",
-		Long: "Say what a declaration would change, and what that costs; change nothing.\n\n" +
-			"What the declaration does not mention stays as it is. A section with Removed = true removes its record.",
+		Short: "Show what a declaration would change and what that would cost, without changing anything",
+		Long: "Show what a declaration would change and what that would cost, without changing anything.\n\n" +
+			"Records that the declaration does not mention stay unchanged. A section with Removed = true removes its record.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
@@ -45,8 +45,8 @@
 	}
 	flags.add(c)
 	flags.addOperator(c)
-	c.Flags().StringVarP(&file, "file", "f", "", "the declaration, in INI")
-	c.Flags().BoolVar(&override, "override", false, "let the plan be confirmed although what remains cannot carry the load")
+	c.Flags().StringVarP(&file, "file", "f", "", "declaration file in INI format")
+	c.Flags().BoolVar(&override, "override", false, "allow the plan to be confirmed even if the remaining capacity is less than the load")
 	_ = c.MarkFlagRequired("file")
 
 	return c
@@ -62,7 +62,8 @@
 	return response.GetPlan(), err
 }
 
-// printPlan writes a plan: its changes, capacity, work to finish, cost, and what speaks against it.
+// printPlan prints the changes of a plan, the capacity, the requests to drain, the cost,
+// and the warnings and refusals.
 func printPlan(c *cobra.Command, p *wire.Plan) {
 	if len(p.GetChanges()) == 0 {
 		c.Println("nothing to change")
--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -26,25 +26,26 @@
 	"github.com/parsleygate/parsleygate/internal/settings"
 )
 
-// process is one process of a role, made from its settings.
+// process is a running entry, agent or control VM, with what its settings configure.
 type process struct {
-	// path is the settings file, which may be exchanged while the process runs.
+	// path is the settings file, which may be replaced while the process runs.
 	path     string
 	settings *settings.Settings
 	logs     logs.Output
 	dump     *dump.Dump
 	listener net.Listener
 	identity *identity.Identity
-	// internal is served at the admin address: the dump, and what a role adds.
-	internal *http.ServeMux
+	// adminMux is served on the admin address: the dump, the metrics, and handlers that the
+	// role adds.
+	adminMux *http.ServeMux
 }
 
-// processCommands returns the commands that run one role each, and check.
+// processCommands returns the commands that run the roles, and the check command.
 func processCommands() []*cobra.Command {
 	return []*cobra.Command{
-		newRoleCommand(settings.RoleEntry, "Run an entry: it takes callers' requests and passes them to targets", runEntry),
-		newRoleCommand(settings.RoleAgent, "Run an agent: the single door of the target on its VM", runAgent),
-		newRoleCommand(settings.RoleControl, "Run a control VM: it keeps a replica of the system's own state", runControl),
+		newRoleCommand(settings.RoleEntry, "Run an entry, which forwards the requests of callers to targets", runEntry),
+		newRoleCommand(settings.RoleAgent, "Run an agent, the only path of requests to the target on its VM", runAgent),
+		newRoleCommand(settings.RoleControl, "Run a control VM, which holds a replica of the state of the system", runControl),
 		newCheck(),
 	}
 }
@@ -55,7 +56,7 @@
 	c := &cobra.Command{
 		Use:   string(r) + " FILE",
 		Short: short,
-		Long:  short + ".\n\nFILE holds its settings. SIGTERM stops it gracefully; SIGUSR1 writes a dump of its state to standard error.",
+		Long:  short + ".\n\nFILE is the settings file. SIGTERM stops the process gracefully; SIGUSR1 writes a dump of its state to standard error.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := loadSettings(r, args[0])
@@ -70,15 +71,15 @@
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 
-			// SIGHUP says that the settings file has changed. What may change while a
-			// process runs is read again from time to time anyway; unhandled, the signal
-			// would end the process.
+			// SIGHUP announces that the settings file has changed. The settings that may change
+			// at run time are reloaded periodically anyway, so the signal is ignored. Without
+			// this call it would terminate the process.
 			signal.Ignore(syscall.SIGHUP)
 
 			return startProcess(ctx, args[0], s, c.OutOrStdout(), c.ErrOrStderr(), run)
 		},
 	}
-	c.Flags().StringVar(&logOutput, "log-output", "", "parts whose debug lines are written, with commas between them, or all")
+	c.Flags().StringVar(&logOutput, "log-output", "", "comma-separated list of parts whose debug lines are logged, or all")
 
 	return c
 }
@@ -109,9 +110,9 @@
 		path: path, settings: s, listener: listener,
 		logs:     logs.Output{Writer: logQueue, Debug: logs.ParseDebug(s.Process.LogOutput)},
 		dump:     &dump.Dump{Role: string(s.Process.Role), ID: s.Process.ID, Metrics: metrics.NewRegistry()},
-		internal: http.NewServeMux(),
+		adminMux: http.NewServeMux(),
 	}
-	p.internal.Handle("/", p.dump.Handler())
+	p.adminMux.Handle("/", p.dump.Handler())
 
 	if err := p.dump.Metrics.Register(logs.DroppedMetric, metrics.NewFunctionalGauge(logQueue.Dropped)); err != nil {
 		return eris.Wrap(err, "register metric")
@@ -136,7 +137,7 @@
 	return run(ctx, p)
 }
 
-// serveAdmin serves the dump and the metrics, until stop is called.
+// serveAdmin serves adminMux until stop is called.
 func (p *process) serveAdmin(ctx context.Context) (stop func(), err error) {
 	if !p.settings.Process.AdminAddress.IsValid() {
 		return func() {}, nil
@@ -147,18 +148,18 @@
 		return nil, err
 	}
 
-	server := &http.Server{Handler: p.internal, ReadHeaderTimeout: time.Second}
+	server := &http.Server{Handler: p.adminMux, ReadHeaderTimeout: time.Second}
 
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.logs.Logger("admin").Error("not served", "error", err)
+			p.logs.Logger("admin").Error("Admin server failed.", "error", err)
 		}
 	}()
 
 	return func() { _ = server.Close() }, nil
 }
 
-// loadIdentity reads the keys of [TLS]; nil without that section.
+// loadIdentity loads the keys of the [TLS] section. It returns nil if the section is empty.
 func loadIdentity(s *settings.Settings, out logs.Output) (*identity.Identity, error) {
 	if s.TLS == (settings.TLS{}) {
 		return nil, nil
@@ -172,7 +173,7 @@
 func runEntry(ctx context.Context, p *process) error {
 	s := p.settings
 	if s.Routing.ReadyAddress.IsValid() {
-		return runRoutingEntry(ctx, p)
+		return runDirectEntry(ctx, p)
 	}
 
 	limits := entry.Limits{
@@ -222,7 +223,7 @@
 func runControl(ctx context.Context, p *process) error {
 	s := p.settings
 	if s.UsesSeeds() {
-		return runAutomaticControl(ctx, p)
+		return runAutoMemberControl(ctx, p)
 	}
 
 	c := &role.Control{
--- a/cmd/parsleygate/cmds/signals.go
+++ b/cmd/parsleygate/cmds/signals.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// dumpOnSignal writes a dump to w at each SIGUSR1, until stop is called.
+// dumpOnSignal writes a dump to w on each SIGUSR1 until stop is called.
 func dumpOnSignal(write func(io.Writer) error, w io.Writer) (stop func()) {
 	signals := make(chan os.Signal, 1)
 	done := make(chan struct{})
--- a/cmd/parsleygate/cmds/standin.go
+++ b/cmd/parsleygate/cmds/standin.go
@@ -31,7 +31,7 @@
 
 	c := &cobra.Command{
 		Use:   "standin",
-		Short: "Run a stand-in target, a model engine or a booking desk, beside an agent",
+		Short: "Run a fake target (a model engine or a booking desk) beside an agent",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -41,13 +41,13 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&flags.address, "address", "127.0.0.1:8701", "where the stand-in listens")
-	f.StringVar(&flags.agent, "agent", "127.0.0.1:8651", "the agent on the same VM")
-	f.StringVar(&flags.service, "service", "cooper-assist", "the service that it carries")
-	f.BoolVar(&flags.model, "model", true, "a model engine; else a booking desk")
-	f.IntVar(&flags.capacity, "capacity", 16, "how many requests it bears at once when warm")
-	f.IntVar(&flags.cold, "cold", 2, "how many requests it bears at once when cold")
-	f.DurationVar(&flags.step, "step", 20*time.Millisecond, "time between two tokens")
+	f.StringVar(&flags.address, "address", "127.0.0.1:8701", "address on which the fake target listens")
+	f.StringVar(&flags.agent, "agent", "127.0.0.1:8651", "address of the agent on the same VM")
+	f.StringVar(&flags.service, "service", "cooper-assist", "name of the service that the target provides")
+	f.BoolVar(&flags.model, "model", true, "run a model engine; false runs a booking desk")
+	f.IntVar(&flags.capacity, "capacity", 16, "maximum number of concurrent requests when warm")
+	f.IntVar(&flags.cold, "cold", 2, "maximum number of concurrent requests when cold")
+	f.DurationVar(&flags.step, "step", 20*time.Millisecond, "time between two tokens of the model engine")
 
 	return c
 }
@@ -82,7 +82,7 @@
 	}()
 
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		return eris.Wrap(err, "serve stand-in")
+		return eris.Wrap(err, "serve fake target")
 	}
 
 	return nil
--- a/cmd/parsleygate/cmds/status.go
+++ b/cmd/parsleygate/cmds/status.go
@@ -17,7 +17,7 @@
 
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Say where decisions are in force, and which processes are outstanding",
+		Short: "Show which decisions are in force, and which processes have not acknowledged them",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := callOperator(c.Context(), &flags, func(ctx context.Context, o wire.Operator) (*wire.StatusResponse, error) {
@@ -33,8 +33,8 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().Uint64Var(&r.Number, "number", 0, "one decision (default: the latest)")
-	c.Flags().Uint32Var(&r.Limit, "limit", 0, "how many decisions")
+	c.Flags().Uint64Var(&r.Number, "number", 0, "show only the decision with this number (default: the latest decisions)")
+	c.Flags().Uint32Var(&r.Limit, "limit", 0, "maximum number of decisions to show")
 
 	return c
 }
@@ -80,7 +80,7 @@
 	case o.GetState() == wire.OutstandingState_OutstandingOld:
 		return "still polls"
 	case o.GetSilentMillis() == 0:
-		return "no control VM has heard from it"
+		return "not seen by any control VM"
 	default:
 		return "silent for " + formatMillis(o.GetSilentMillis())
 	}
--- a/cmd/parsleygate/cmds/trace.go
+++ b/cmd/parsleygate/cmds/trace.go
@@ -13,7 +13,7 @@
 func newTrace() *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace ID FILE...",
-		Short: "Tell the course of one request from the logs of several processes",
+		Short: "Show the log lines of one request from the logs of several processes, in order of time",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			var lines []trace.Line
--- a/cmd/parsleygate/cmds/zone.go
+++ b/cmd/parsleygate/cmds/zone.go
@@ -10,16 +10,17 @@
 )
 
 func newZone() *cobra.Command {
-	c := &cobra.Command{Use: "zone", Short: "Take an availability zone out, or bring it back"}
+	c := &cobra.Command{Use: "zone", Short: "Take an availability zone out of use, or bring it back"}
 	c.AddCommand(
-		newChangeCommand("out ZONE", "Take an availability zone out: no new work goes into it", "[Zone %q]\nOut = true\n"),
-		newChangeCommand("in ZONE", "Bring an availability zone back", "[Zone %q]\nOut = false\n"),
+		newChangeCommand("out ZONE", "Take an availability zone out of use: it gets no new requests", "[Zone %q]\nOut = true\n"),
+		newChangeCommand("in ZONE", "Bring an availability zone back into use", "[Zone %q]\nOut = false\n"),
 	)
 
 	return c
 }
 
-// newChangeCommand returns a command that plans one change and, with --yes, confirms it.
+// newChangeCommand returns a command that plans a single change and, with --yes, confirms
+// the plan.
 func newChangeCommand(use, short, declaration string) *cobra.Command {
 	var (
 		flags    confirmFlags
@@ -50,7 +51,8 @@
 				return nil
 			}
 
-			// Without changes a number that was sent before still gets its first answer.
+			// A plan without changes is still confirmed if a number is given: if that number
+			// was sent before, the control VM returns its first answer.
 			if len(plan.GetChanges()) == 0 && flags.number == 0 {
 				return nil
 			}
@@ -59,14 +61,14 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().BoolVar(&yes, "yes", false, "confirm at once")
-	c.Flags().BoolVar(&override, "override", false, "do it although what remains cannot carry the load")
+	c.Flags().BoolVar(&yes, "yes", false, "confirm the plan immediately")
+	c.Flags().BoolVar(&override, "override", false, "make the change even if the remaining capacity is less than the load")
 
 	return c
 }
 
-// rejectUndeclaredZone guards against a mistyped zone: it would be declared anew, and the
-// zone that was meant would stay in use.
+// rejectUndeclaredZone returns an error if the plan would declare a new zone. The name of
+// the zone is mistyped then, and the intended zone would stay in use.
 func rejectUndeclaredZone(plan *wire.Plan) error {
 	for _, change := range plan.GetChanges() {
 		if zone := change.GetAfter().GetZone(); zone != nil && change.GetBefore() == nil {
--- a/cmd/parsleygate/main.go
+++ b/cmd/parsleygate/main.go
@@ -1,5 +1,5 @@
-// Parsleygate balances requests over expert-parallel model groups and the
-// plain services beside them.
+// Parsleygate is a load balancer for expert-parallel model groups and for ordinary
+// services.
 package main
 
 import (
