--- a/internal/role/enginerelay.go
+++ b/internal/role/enginerelay.go
@@ -11,35 +11,35 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// engines are the engines of other VMs that this process speaks to.
-type engines struct {
-	at func(netip.AddrPort) lockstep.Engine
+// engineCache holds the clients for engines on other VMs.
+type engineCache struct {
+	newEngine func(netip.AddrPort) lockstep.Engine
 
-	mu    sync.Mutex
-	known map[netip.AddrPort]lockstep.Engine
+	mu        sync.Mutex
+	byAddress map[netip.AddrPort]lockstep.Engine
 }
 
-func (e *engines) of(address netip.AddrPort) lockstep.Engine {
+func (e *engineCache) get(address netip.AddrPort) lockstep.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	if e.known == nil {
-		e.known = make(map[netip.AddrPort]lockstep.Engine)
+	if e.byAddress == nil {
+		e.byAddress = make(map[netip.AddrPort]lockstep.Engine)
 	}
 
-	engine, ok := e.known[address]
+	engine, ok := e.byAddress[address]
 	if !ok {
-		engine = e.at(address)
-		e.known[address] = engine
+		engine = e.newEngine(address)
+		e.byAddress[address] = engine
 	}
 
 	return engine
 }
 
-// engineRelay relays orders of directing agents to engines.
+// engineRelay relays orders from directing agents to engines.
 type engineRelay struct {
 	cluster string
-	engines engines
+	engines engineCache
 }
 
 // Relay implements wire.EngineRelay.
@@ -50,8 +50,8 @@
 
 	address, err := netip.ParseAddrPort(o.GetEngine())
 	if err != nil {
-		return nil, twirp.InvalidArgumentError("Engine", "is no IP:port")
+		return nil, twirp.InvalidArgumentError("Engine", "must be an IP:port")
 	}
 
-	return &wire.EngineOrderAnswer{Result: r.engines.of(address).Order(ctx, o.GetOrder())}, nil
+	return &wire.EngineOrderAnswer{Result: r.engines.get(address).Order(ctx, o.GetOrder())}, nil
 }
--- a/internal/role/followclients.go
+++ b/internal/role/followclients.go
@@ -12,33 +12,33 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// followClients are the connections of a follower, one client a control VM.
+// followClients holds a follower's HTTP clients, one per control VM.
 type followClients struct {
-	clients sync.Map // of *http.Client, by address
+	clients sync.Map // *http.Client by address
 }
 
-// ask asks a control VM over a connection of its own. One that went silent is
-// given up with its question, and the next one dials anew.
-func (c *followClients) ask(ctx context.Context, control netip.AddrPort, q *wire.FollowRequest) (*wire.FollowResponse, error) {
-	kept, ok := c.clients.Load(control)
+// poll polls a control VM over its own connection. After a failure the connection is
+// closed, as it may be unresponsive, and the next poll dials again.
+func (c *followClients) poll(ctx context.Context, control netip.AddrPort, q *wire.FollowRequest) (*wire.FollowResponse, error) {
+	stored, ok := c.clients.Load(control)
 	if !ok {
-		kept, _ = c.clients.LoadOrStore(control, newFollowClient())
+		stored, _ = c.clients.LoadOrStore(control, newFollowClient())
 	}
 
-	client := kept.(*http.Client)
+	client := stored.(*http.Client)
 
 	out, err := wire.NewPublisherProtobufClient("http://"+control.String(), client).Follow(ctx, q)
 	if err != nil {
 		client.CloseIdleConnections()
 	}
 
-	return out, eris.Wrap(err, "follow control VM")
+	return out, eris.Wrap(err, "poll control VM")
 }
 
 func newFollowClient() *http.Client {
-	dialer := &identity.Dialer{Timeout: controlDial}
+	dialer := &identity.Dialer{Timeout: controlDialTimeout}
 
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.Dial, IdleConnTimeout: controlIdle, MaxIdleConnsPerHost: 1, DisableCompression: true,
+		DialContext: dialer.Dial, IdleConnTimeout: controlIdleTimeout, MaxIdleConnsPerHost: 1, DisableCompression: true,
 	}}
 }
