--- a/cmd/parsleygate/cmds/routing.go
+++ b/cmd/parsleygate/cmds/direct.go
@@ -20,8 +20,8 @@
 	"github.com/parsleygate/parsleygate/platform"
 )
 
-// runRoutingEntry runs an entry that is the door of its targets.
-func runRoutingEntry(ctx context.Context, p *process) error {
+// runDirectEntry runs an entry that forwards requests to targets directly, without agents.
+func runDirectEntry(ctx context.Context, p *process) error {
 	s := p.settings
 
 	ready, err := listenOn(ctx, s.Routing.ReadyAddress)
@@ -36,9 +36,9 @@
 
 	e := &role.DirectEntry{
 		LoadConn: datagrams, AgentPort: s.Seeds.Port,
-		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.internal,
+		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.adminMux,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, ReadyListener: ready,
-		Seeds: p.seeds(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
+		Seeds: p.seedSource(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
 		Budget:      &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
 		StopTimeout: s.Routing.StopTimeout, Logs: p.logs, Dump: p.dump,
 	}
@@ -46,7 +46,7 @@
 	return e.Run(ctx)
 }
 
-// runRankAgent runs an agent beside a rank of a lock-step group.
+// runRankAgent runs the agent of a rank of a lock-step group.
 func runRankAgent(ctx context.Context, p *process) error {
 	s := p.settings
 
@@ -57,7 +57,7 @@
 
 	a := &role.RankAgent{
 		LoadConn: datagrams,
-		ID:       s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seeds(),
+		ID:       s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, Seeds: p.seedSource(),
 		Engine: platform.Engine(s.Rank.EngineAddress), EngineAt: platform.Engine,
 		Logs: p.logs, Dump: p.dump,
 	}
@@ -65,21 +65,22 @@
 	return a.Run(ctx)
 }
 
-// runAutomaticControl runs a control VM that finds the others by seeds. A VM that
-// was taken out of the set while it was away comes back under a new ID.
-func runAutomaticControl(ctx context.Context, p *process) error {
-	// Each run listens anew: nobody's connection hangs on a VM that waits for its disk.
+// runAutoMemberControl runs a control VM that discovers the other members through seeds. A
+// VM that was removed from the quorum while it was down rejoins with a new ID.
+func runAutoMemberControl(ctx context.Context, p *process) error {
+	// Each run opens its own listener, so that connections are refused, rather than left
+	// unanswered, while the VM waits for its disk.
 	if err := p.listener.Close(); err != nil {
 		return eris.Wrap(err, "close listener")
 	}
 
-	e := &role.Supervisor{
+	supervisor := &role.Supervisor{
 		RunOnce:      func(ctx context.Context) error { return runControlOnce(ctx, p) },
 		ClearDataDir: func() error { return os.RemoveAll(p.settings.Control.DataFolder) },
 		Logger:       p.logs.Logger("control"),
 	}
 
-	return e.Run(ctx)
+	return supervisor.Run(ctx)
 }
 
 func runControlOnce(ctx context.Context, p *process) error {
@@ -105,7 +106,7 @@
 		VM: self.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Incarnation: role.IncarnationAt(time.Now()),
 		Listener: listener, Identity: p.identity, Dir: filepath.Join(filepath.Clean(s.Control.DataFolder), "log"),
 		Logs: p.logs, Dump: p.dump, Founders: self.Founders(),
-		AutoMembership: &role.AutoMembership{Settings: membership.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seeds()},
+		AutoMembership: &role.AutoMembership{Settings: membership.DefaultSettings(s.Operating.ToleratedFailures), Seeds: p.seedSource()},
 		TrustedNetwork: s.Process.TrustedNetwork, OperatorListener: operators, Zones: s.Zones, AnnounceInterval: s.Operating.AnnounceInterval,
 		ReadDocument: func(sent []byte) (*wire.RouteTable, error) {
 			d, err := platform.ReadDocument(sent)
@@ -115,7 +116,7 @@
 
 			return d.ToWire(), nil
 		},
-		OperatorHandler: func(server *control.Server) http.Handler { return operatorsOf(server, p) },
+		OperatorHandler: func(server *control.Server) http.Handler { return operatorHandler(server, p) },
 	}
 
 	if s.Control.Volatile {
@@ -129,37 +130,38 @@
 	return c.Run(ctx)
 }
 
-func operatorsOf(server *control.Server, p *process) http.Handler {
-	calls := &platform.ControlAPI{
+func operatorHandler(server *control.Server, p *process) http.Handler {
+	api := &platform.ControlAPI{
 		Adopt: server.Adopt, Document: server.Document, OrderZone: server.SetZoneOut,
 		Announce: server.Announce, Leave: server.Leave, Logger: p.logs.Logger("operators"),
 	}
 
-	return calls.Handler()
+	return api.Handler()
 }
 
-// seeds returns the seeds of the settings file as it is now: the platform may
-// exchange it with or without a signal. One that cannot be read changes nothing.
-func (p *process) seeds() func() []netip.AddrPort {
+// seedSource returns a function that returns the current seeds in the settings file. The
+// file is reloaded periodically, because the platform may replace it without a signal. If
+// it cannot be read, the previous seeds stay in use.
+func (p *process) seedSource() func() []netip.AddrPort {
 	var (
-		last = p.settings.Seeds.ControlAddresses()
-		read time.Time
+		current  = p.settings.Seeds.ControlAddresses()
+		loadedAt time.Time
 	)
 
 	return func() []netip.AddrPort {
-		if now := time.Now(); now.Sub(read) > seedsEvery {
-			read = now
+		if now := time.Now(); now.Sub(loadedAt) > seedsReloadInterval {
+			loadedAt = now
 
 			if s, err := settings.Load(p.path); err == nil {
-				last = s.Seeds.ControlAddresses()
+				current = s.Seeds.ControlAddresses()
 			} else {
-				p.logs.Logger("settings").Warn("The settings cannot be read again; the former ones hold.", "error", err)
+				p.logs.Logger("settings").Warn("Reloading the settings file failed; the previous seeds stay in use.", "error", err)
 			}
 		}
 
-		return last
+		return current
 	}
 }
 
-// seedsEvery is how often the settings file is looked at for other seeds.
-const seedsEvery = time.Second
+// seedsReloadInterval is the minimum time between two reloads of the settings file.
+const seedsReloadInterval = time.Second
--- a/internal/logs/sampler.go
+++ b/internal/logs/sampler.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Sampler bounds how many lines of one sort are written in a second, so that usual
-// ones leave room for those that explain a failure. Its fields are set before use.
+// Sampler limits how many lines of one kind are logged per second, so that routine lines
+// don't crowd out those that explain a failure. Set its fields before use.
 type Sampler struct {
 	PerSecond int
 
-	mu      sync.Mutex
-	second  time.Time
-	written int
-	left    int64
+	mu         sync.Mutex
+	second     time.Time
+	written    int
+	suppressed int64
 }
 
-// Allow reports whether a line may be written at now.
+// Allow reports whether a line may be logged at time now.
 func (s *Sampler) Allow(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 
 	if s.written >= s.PerSecond {
-		s.left++
+		s.suppressed++
 
 		return false
 	}
@@ -42,5 +42,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.left
+	return s.suppressed
 }
