--- a/cmd/parsleygate/cmds/plan.go
+++ b/cmd/parsleygate/cmds/plan.go
@@ -19,9 +19,9 @@
 
 	c := &cobra.Command{
 		Use:   "plan -f FILE",
-		Short: "Say what a declaration would change, and what that costs; change nothing",
-		Long: "Say what a declaration would change, and what that costs; change nothing.\n\n" +
-			"What the declaration does not mention stays as it is. A section with Removed = true removes its record.",
+		Short: "Show what a declaration would change and what that would cost, without changing anything",
+		Long: "Show what a declaration would change and what that would cost, without changing anything.\n\n" +
+			"Records that the declaration does not mention stay unchanged. A section with Removed = true removes its record.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
@@ -45,8 +45,8 @@
 	}
 	flags.add(c)
 	flags.addOperator(c)
-	c.Flags().StringVarP(&file, "file", "f", "", "the declaration, in INI")
-	c.Flags().BoolVar(&override, "override", false, "let the plan be confirmed although what remains cannot carry the load")
+	c.Flags().StringVarP(&file, "file", "f", "", "declaration file in INI format")
+	c.Flags().BoolVar(&override, "override", false, "allow the plan to be confirmed even if the remaining capacity is less than the load")
 	_ = c.MarkFlagRequired("file")
 
 	return c
@@ -55,14 +55,15 @@
 func makePlan(ctx context.Context, f *operatorFlags, source string, data []byte, override bool) (*wire.Plan, error) {
 	r := &wire.PlanRequest{Operator: f.operator, Source: source, Declaration: data, Override: override}
 
-	response, err := ask(ctx, f, func(ctx context.Context, o wire.Operator) (*wire.PlanResponse, error) {
+	response, err := callOperator(ctx, f, func(ctx context.Context, o wire.Operator) (*wire.PlanResponse, error) {
 		return o.Plan(ctx, r)
 	})
 
 	return response.GetPlan(), err
 }
 
-// printPlan writes a plan: its changes, capacity, work to finish, cost, and what speaks against it.
+// printPlan prints the changes of a plan, the capacity, the requests to drain, the cost,
+// and the warnings and refusals.
 func printPlan(c *cobra.Command, p *wire.Plan) {
 	if len(p.GetChanges()) == 0 {
 		c.Println("nothing to change")
@@ -79,12 +80,12 @@
 	printDrains(c, p.GetDrains())
 
 	cost := p.GetCost()
-	c.Printf("cost: %d cold starts, %d bytes of weights%s\n", cost.GetColdStarts(), cost.GetWeightBytes(), atLeast(cost))
+	c.Printf("cost: %d cold starts, %d bytes of weights%s\n", cost.GetColdStarts(), cost.GetWeightBytes(), unknownWeightsNote(cost))
 
-	for _, need := range p.GetNeeds() {
-		left := min(need.GetDuring(), need.GetAfter())
+	for _, demand := range p.GetNeeds() {
+		left := min(demand.GetDuring(), demand.GetAfter())
 		c.Printf("  %s: %d requests in hand, %d to spare\n",
-			need.GetService(), need.GetNeeded(), int64(left)-int64(need.GetNeeded()))
+			demand.GetService(), demand.GetNeeded(), int64(left)-int64(demand.GetNeeded()))
 	}
 
 	for _, warning := range p.GetWarnings() {
@@ -92,7 +93,7 @@
 	}
 
 	for _, refusal := range p.GetRefusals() {
-		c.Printf("REFUSED%s: %s\n", overridden(p), refusal)
+		c.Printf("REFUSED%s: %s\n", overriddenNote(p), refusal)
 	}
 }
 
@@ -130,13 +131,13 @@
 	case requests == 0:
 		wait = "none"
 	case longest > 0:
-		wait = millis(longest)
+		wait = formatMillis(longest)
 	}
 
 	c.Printf("to finish: %d requests at %d processes, longest wait %s\n", requests, len(lines), wait)
 }
 
-func atLeast(cost *wire.Cost) string {
+func unknownWeightsNote(cost *wire.Cost) string {
 	if cost.GetWeightsUnknown() {
 		return " or more: a service declares no WeightBytes"
 	}
@@ -144,7 +145,7 @@
 	return ""
 }
 
-func overridden(p *wire.Plan) string {
+func overriddenNote(p *wire.Plan) string {
 	if p.GetOverride() {
 		return " (overridden)"
 	}
--- a/internal/events/bus_test.go
+++ b/internal/events/bus_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/internal/events"
 )
 
-// Each event reaches each of its handlers once, and no handler of another topic.
-func TestBus(t *testing.T) {
+// Each event reaches every handler of its topic once, and no handler of another topic.
+func TestEventsReachOnlyHandlersOfTheirTopic(t *testing.T) {
 	t.Parallel()
 
 	b, err := events.NewBus(slog.New(slog.DiscardHandler))
