--- /dev/null
+++ b/internal/membership/membership.go
@@ -0,0 +1,161 @@
+// Package membership decides how the set of control VMs changes automatically: which
+// learner becomes a voter, and which failed member is removed. It starts no goroutine
+// and reads no clock.
+//
+// A control VM that lost its disk, or that replaces another VM, joins under a new ID as
+// a learner. It becomes a voter once it holds the log, and only then is the failed
+// voter removed. The number of voters that store acknowledged entries thus never drops
+// below what a majority requires.
+package membership
+
+import (
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/parsleygate/parsleygate/internal/quorum"
+)
+
+// VolatileIDMarker is part of the ID of a member whose disk does not outlive its
+// process. Such a member never becomes a voter, because each restart would lose the
+// entries that it acknowledged.
+const VolatileIDMarker = "-volatile-"
+
+// Settings holds the parameters of a Manager.
+type Settings struct {
+	// Voters is the desired number of voters: twice the number of tolerated failures,
+	// plus one.
+	Voters int
+	// VoterTimeout is how long a voter must be inactive before another VM replaces it.
+	// It must be longer than a planned restart takes.
+	VoterTimeout time.Duration
+	// LearnerTimeout is how long a learner must be inactive before it is removed.
+	LearnerTimeout time.Duration
+}
+
+// DefaultSettings returns the settings for a set that tolerates lost failed members.
+func DefaultSettings(lost int) Settings {
+	return Settings{Voters: 2*lost + 1, VoterTimeout: 4 * time.Second, LearnerTimeout: 30 * time.Second}
+}
+
+// ChangeKind is the kind of a membership change.
+type ChangeKind uint8
+
+const (
+	// NoChange means that there is nothing to do.
+	NoChange ChangeKind = iota
+	// Promote makes a learner a voter.
+	Promote
+	// Remove removes a member.
+	Remove
+)
+
+// Change is one membership change. Changes are made one at a time.
+type Change struct {
+	Kind ChangeKind
+	ID   string
+}
+
+// Manager decides the membership changes of a leader. It records when each member was
+// last active.
+type Manager struct {
+	Settings Settings
+
+	lastActive map[string]time.Time
+}
+
+// Reset drops the recorded activity. A VM that does not lead calls it, because activity
+// observed in an earlier term is out of date.
+func (r *Manager) Reset() { r.lastActive = nil }
+
+// Decide returns the next change. It is called on the leader, whose ID is self, with
+// the leader's view of the members.
+func (r *Manager) Decide(now time.Time, self string, members []quorum.MemberStatus) Change {
+	r.observe(now, members)
+
+	voters := 0
+	for _, m := range members {
+		if m.Member.Role == quorum.Voter {
+			voters++
+		}
+	}
+
+	lost := r.voterToRemove(now, self, members)
+	next := r.learnerToPromote(members)
+
+	switch {
+	case next != "" && (voters < r.Settings.Voters || lost != "" && voters <= r.Settings.Voters):
+		return Change{Kind: Promote, ID: next}
+	case lost != "" && voters > r.Settings.Voters:
+		return Change{Kind: Remove, ID: lost}
+	}
+
+	for _, m := range members {
+		if m.Member.Role == quorum.Learner && r.inactiveFor(now, m.Member.ID) > r.Settings.LearnerTimeout {
+			return Change{Kind: Remove, ID: m.Member.ID}
+		}
+	}
+
+	return Change{}
+}
+
+func (r *Manager) observe(now time.Time, members []quorum.MemberStatus) {
+	if r.lastActive == nil {
+		r.lastActive = make(map[string]time.Time)
+	}
+
+	for _, m := range members {
+		if _, known := r.lastActive[m.Member.ID]; m.Active || !known {
+			r.lastActive[m.Member.ID] = now
+		}
+	}
+}
+
+func (r *Manager) inactiveFor(now time.Time, id string) time.Duration {
+	return now.Sub(r.lastActive[id])
+}
+
+// voterToRemove returns the voter to remove, or "". An inactive voter whose address is
+// used by another active member comes first, because its disk is certainly lost;
+// otherwise it is a voter that has been inactive for VoterTimeout.
+func (r *Manager) voterToRemove(now time.Time, self string, members []quorum.MemberStatus) string {
+	inactive := ""
+
+	for _, m := range members {
+		if m.Member.Role != quorum.Voter || m.Member.ID == self || m.Active {
+			continue
+		}
+
+		if hasReplacement(m.Member.ID, m.Member.Addr, members) {
+			return m.Member.ID
+		}
+
+		if inactive == "" && r.inactiveFor(now, m.Member.ID) > r.Settings.VoterTimeout {
+			inactive = m.Member.ID
+		}
+	}
+
+	return inactive
+}
+
+func hasReplacement(id string, addr netip.AddrPort, members []quorum.MemberStatus) bool {
+	return slices.ContainsFunc(members, func(m quorum.MemberStatus) bool {
+		return m.Member.ID != id && m.Member.Addr == addr && m.Active
+	})
+}
+
+// learnerToPromote returns the learner to promote, or "": the up-to-date learner with
+// the lowest ID, so that a new leader continues with the same one.
+func (r *Manager) learnerToPromote(members []quorum.MemberStatus) string {
+	next := ""
+
+	for _, m := range members {
+		if m.Member.Role == quorum.Learner && m.Active && m.UpToDate && !strings.Contains(m.Member.ID, VolatileIDMarker) &&
+			(next == "" || strings.Compare(m.Member.ID, next) < 0) {
+			next = m.Member.ID
+		}
+	}
+
+	return next
+}
