--- a/cmd/parsleygate/cmds/local.go
+++ b/cmd/parsleygate/cmds/local.go
@@ -17,8 +17,8 @@
 	"github.com/parsleygate/parsleygate/internal/logs"
 )
 
-// localPort is the port of the local deployment's first control VM; those of
-// the entries follow.
+// localPort is the default port of the first control VM of the local deployment. The
+// entries use the ports after it.
 const localPort = 8600
 
 func newLocal() *cobra.Command {
@@ -26,7 +26,7 @@
 
 	c := &cobra.Command{
 		Use:   "local",
-		Short: "Run a whole small deployment with stand-in targets in this process, on loopback",
+		Short: "Run a small deployment with fake targets in this process, on loopback",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -35,12 +35,12 @@
 			return flags.run(ctx, c)
 		},
 	}
-	c.Flags().StringVar(&flags.logOutput, "log-output", "", "parts whose debug lines are written, with commas between them, or all")
-	c.Flags().StringVar(&flags.deployment, "deployment", "trust", "whose deployment of today: trust or qurum")
-	c.Flags().DurationVar(&flags.exercise, "exercise", 0, "drive load for this long while a zone leaves and returns and a target turns cold, then stop")
-	c.Flags().Float64Var(&flags.rate, "rate", 150, "requests a second of the exercise")
-	c.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the exercise's load")
-	c.Flags().Uint16Var(&flags.port, "port", localPort, "port of the first control VM; those of the entries follow, and the other control VMs at a distance of 10")
+	c.Flags().StringVar(&flags.logOutput, "log-output", "", "comma-separated list of parts whose debug lines are logged, or all")
+	c.Flags().StringVar(&flags.deployment, "deployment", "trust", "which deployment to run: trust or qurum")
+	c.Flags().DurationVar(&flags.exercise, "exercise", 0, "send load for this long while a zone is taken out and brought back and a target turns cold, then stop")
+	c.Flags().Float64Var(&flags.rate, "rate", 150, "requests per second of the exercise")
+	c.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the load of the exercise")
+	c.Flags().Uint16Var(&flags.port, "port", localPort, "port of the first control VM; the entries use the ports after it, and the ports of the control VMs are 10 apart")
 
 	return c
 }
@@ -55,7 +55,7 @@
 	port       uint16
 }
 
-func (f *localFlags) shape() (local.Deployment, error) {
+func (f *localFlags) parseDeployment() (local.Deployment, error) {
 	switch f.deployment {
 	case "trust":
 		return local.TrustDeployment(), nil
@@ -67,20 +67,20 @@
 }
 
 func (f *localFlags) run(ctx context.Context, c *cobra.Command) error {
-	shape, err := f.shape()
+	deployment, err := f.parseDeployment()
 	if err != nil {
 		return err
 	}
 
 	dir, err := os.MkdirTemp("", "parsleygate-local-")
 	if err != nil {
-		return eris.Wrap(err, "make data folder")
+		return eris.Wrap(err, "create data directory")
 	}
 
 	defer func() { _ = os.RemoveAll(dir) }()
 
 	l := &local.Instance{
-		Deployment: shape, Logs: logs.Output{Writer: c.ErrOrStderr(), Debug: logs.ParseDebug(f.logOutput)},
+		Deployment: deployment, Logs: logs.Output{Writer: c.ErrOrStderr(), Debug: logs.ParseDebug(f.logOutput)},
 		Dir: dir, EntryPort: f.port + 1, OperatorPort: f.port,
 	}
 
@@ -102,22 +102,22 @@
 	}
 
 	c.Printf("operators: %v\n\n", l.ControlAddresses())
-	c.Println(localHint(l.Entries()[0], shape.Services[0].Name, shape.Services[1].Name))
+	c.Println(usageHint(l.Entries()[0], deployment.Services[0].Name, deployment.Services[1].Name))
 
 	if f.exercise > 0 {
 		g.Go(func() error {
 			defer stop()
 
-			x := &local.Exercise{Instance: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
+			exercise := &local.Exercise{Instance: l, Duration: f.exercise, Rate: f.rate, Seed: f.seed, Out: c.OutOrStdout()}
 
-			return x.Run(gctx)
+			return exercise.Run(gctx)
 		})
 	}
 
 	return eris.Wrap(g.Wait(), "run local deployment")
 }
 
-func localHint(base, model, desk string) string {
+func usageHint(base, model, desk string) string {
 	return fmt.Sprintf(`Try:
   curl -N %[1]s/%[2]s/v1/drafts -d '{"Prompt":"stave 4 leaks","Tokens":12}'
   curl %[1]s/%[3]s/v1/bookings -H 'Idempotency-Key: cask-17' -d '{"Ref":"cask-17","Slot":"kiln-2 10:00"}'
--- a/cmd/parsleygate/cmds/operator.go
+++ b/cmd/parsleygate/cmds/operator.go
@@ -18,7 +18,8 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// operatorCommands returns the commands by which operators plan, confirm and look.
+// operatorCommands returns the commands with which operators plan and confirm changes and
+// inspect the system.
 func operatorCommands() []*cobra.Command {
 	return []*cobra.Command{
 		newPlan(), newConfirm(), newStatus(), newHistory(), newDiff(),
@@ -27,7 +28,7 @@
 }
 
 const (
-	defaultTry = 5 * time.Second
+	defaultCallTimeout = 5 * time.Second
 )
 
 // defaultControls are the control VMs of the local deployment.
@@ -35,29 +36,29 @@
 	return []string{"127.0.0.1:8600", "127.0.0.1:8610", "127.0.0.1:8620"}
 }
 
-// operatorFlags are the flags of all operators' commands.
+// operatorFlags are the flags that all operator commands have.
 type operatorFlags struct {
-	controls []string
-	operator string
-	try      time.Duration
-	keys     identity.Files
+	controls    []string
+	operator    string
+	callTimeout time.Duration
+	keys        identity.Files
 }
 
 func (f *operatorFlags) add(c *cobra.Command) {
-	c.Flags().StringSliceVar(&f.controls, "control", defaultControls(), "addresses of control VMs, as IP:port; they are tried in order")
-	c.Flags().DurationVar(&f.try, "try", defaultTry, "how long to wait for each control VM")
-	c.Flags().StringVar(&f.keys.CertFile, "cert", "", "your certificate in PEM, with the organisational unit operator")
-	c.Flags().StringVar(&f.keys.KeyFile, "key", "", "its key in PEM")
-	c.Flags().StringVar(&f.keys.AuthorityFile, "authority", "", "the deployment's authority in PEM; without the three, plaintext on loopback")
+	c.Flags().StringSliceVar(&f.controls, "control", defaultControls(), "addresses of control VMs as IP:port, tried in order")
+	c.Flags().DurationVar(&f.callTimeout, "try", defaultCallTimeout, "timeout of the call to each control VM")
+	c.Flags().StringVar(&f.keys.CertFile, "cert", "", "PEM file of your certificate, which must have the organisational unit operator")
+	c.Flags().StringVar(&f.keys.KeyFile, "key", "", "PEM file of the key of the certificate")
+	c.Flags().StringVar(&f.keys.AuthorityFile, "authority", "", "PEM file of the certificate authority of the deployment; without --cert, --key and --authority, plaintext on loopback")
 }
 
 func (f *operatorFlags) addOperator(c *cobra.Command) {
-	c.Flags().StringVar(&f.operator, "operator", os.Getenv("USER"), "your name, as history shows it")
+	c.Flags().StringVar(&f.operator, "operator", os.Getenv("USER"), "your name, as shown by history")
 }
 
-// client returns a client that speaks TLS where keys are named.
+// client returns an HTTP client, which uses TLS if key files are given.
 func (f *operatorFlags) client() (*http.Client, error) {
-	dialer := &identity.Dialer{Timeout: f.try}
+	dialer := &identity.Dialer{Timeout: f.callTimeout}
 
 	if f.keys != (identity.Files{}) {
 		dialer.Identity = &identity.Identity{Files: f.keys, Logger: logs.Discard()}
@@ -66,63 +67,65 @@
 		}
 	}
 
-	return &http.Client{Timeout: f.try, Transport: &http.Transport{DialContext: dialer.Dial}}, nil
+	return &http.Client{Timeout: f.callTimeout, Transport: &http.Transport{DialContext: dialer.Dial}}, nil
 }
 
-// ask asks the control VMs in order until one answers. Asking the next is safe:
-// plans change nothing, and a decision is made once under its number.
-func ask[T any](ctx context.Context, f *operatorFlags, question func(context.Context, wire.Operator) (T, error)) (T, error) {
-	return askEach(ctx, f, wire.NewOperatorProtobufClient, question)
+// callOperator calls the operator service of the control VMs in order until one answers.
+// Calling another VM is safe: a plan changes nothing, and a decision is made only once
+// under its number.
+func callOperator[T any](ctx context.Context, f *operatorFlags, call func(context.Context, wire.Operator) (T, error)) (T, error) {
+	return callFirstAnswering(ctx, f, wire.NewOperatorProtobufClient, call)
 }
 
-// connect makes the client of one service at a base URL.
-type connect[C any] func(base string, client wire.HTTPClient, opts ...twirp.ClientOption) C
+// clientFactory creates the client of a service at a base URL.
+type clientFactory[C any] func(base string, client wire.HTTPClient, opts ...twirp.ClientOption) C
 
-// askEach asks one control VM after the other until one answers.
-func askEach[C, T any](ctx context.Context, f *operatorFlags, connect connect[C], question func(context.Context, C) (T, error)) (T, error) {
+// callFirstAnswering calls the control VMs in order until one answers or rejects the call
+// with an error that the others would return as well.
+func callFirstAnswering[C, T any](ctx context.Context, f *operatorFlags, newClient clientFactory[C], call func(context.Context, C) (T, error)) (T, error) {
 	var (
-		none   T
-		faults []error
+		zero T
+		errs []error
 	)
 
 	client, err := f.client()
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 
 	if len(f.controls) == 0 {
-		return none, eris.New("--control names no address")
+		return zero, eris.New("--control names no address")
 	}
 
 	for _, text := range f.controls {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return none, eris.Wrapf(err, "--control %q; allowed: IP:port", text)
+			return zero, eris.Wrapf(err, "--control %q; allowed: IP:port", text)
 		}
 
-		answer, err := question(ctx, connect("http://"+address.String(), client))
+		answer, err := call(ctx, newClient("http://"+address.String(), client))
 		if err == nil {
 			return answer, nil
 		}
 
-		if refused(err) {
-			return none, err
+		if isPermanent(err) {
+			return zero, err
 		}
 
-		faults = append(faults, eris.Wrapf(err, "control VM %s", text))
+		errs = append(errs, eris.Wrapf(err, "control VM %s", text))
 	}
 
-	return none, eris.Wrap(errors.Join(faults...), "no control VM answered")
+	return zero, eris.Wrap(errors.Join(errs...), "no control VM answered")
 }
 
-// refused reports whether err is an answer that another control VM would give too.
-func refused(err error) bool {
-	var fault twirp.Error
-	if !errors.As(err, &fault) {
+// isPermanent reports whether err is an error that other control VMs would return as well.
+func isPermanent(err error) bool {
+	var twirpErr twirp.Error
+	if !errors.As(err, &twirpErr) {
 		return false
 	}
 
-	switch fault.Code() {
+	switch twirpErr.Code() {
 	case twirp.InvalidArgument, twirp.NotFound, twirp.PermissionDenied, twirp.Unauthenticated, twirp.FailedPrecondition:
 		return true
 	default:
@@ -130,7 +133,7 @@
 	}
 }
 
-// errNotDecided is the error of a decision that was not made.
+// errNotDecided is returned when the control VM did not make the decision.
 var errNotDecided = errors.New("nothing was changed by this confirmation")
 
 func printAnswer(c *cobra.Command, number uint64, a *wire.DecisionAnswer) error {
@@ -138,20 +141,20 @@
 
 	switch a.GetState() {
 	case wire.DecisionState_DecisionMade:
-		c.Printf("decision %d is made by %s: version %d%s\n", number, winner.GetOperator(), a.GetVersion(), again(a))
+		c.Printf("decision %d is made by %s: version %d%s\n", number, winner.GetOperator(), a.GetVersion(), repeatedNote(a))
 	case wire.DecisionState_DecisionBaseChanged:
-		c.Printf("decision %d is refused, since the plan's base changed%s; plan again\n", number, again(a))
+		c.Printf("decision %d is refused, since the plan's base changed%s; plan again\n", number, repeatedNote(a))
 	case wire.DecisionState_DecisionRefused:
-		c.Printf("decision %d is refused%s; plan again with --override to do it all the same\n", number, again(a))
+		c.Printf("decision %d is refused%s; plan again with --override to do it all the same\n", number, repeatedNote(a))
 	case wire.DecisionState_DecisionConflict:
 		c.Printf("number %d belongs to another decision: %s by %s, from %s\n",
 			number, winner.GetPlanID(), winner.GetOperator(), winner.GetSource())
 	case wire.DecisionState_DecisionNoPlan:
 		c.Println("no such plan is kept; plan again. The number is still free")
 	case wire.DecisionState_DecisionForgotten:
-		c.Printf("what became of number %d is no longer kept; use a number above %d\n", number, a.GetFloor())
+		c.Printf("the outcome of number %d is no longer kept; use a number above %d\n", number, a.GetFloor())
 	default:
-		c.Println("the control VM's answer is not understood; is this command older than the control VM?")
+		c.Println("unknown answer of the control VM; this command may be older than the control VM")
 	}
 
 	for _, detail := range a.GetDetails() {
@@ -165,7 +168,7 @@
 	return nil
 }
 
-func again(a *wire.DecisionAnswer) string {
+func repeatedNote(a *wire.DecisionAnswer) string {
 	if a.GetRepeated() {
 		return " (the first answer again)"
 	}
@@ -173,6 +176,6 @@
 	return ""
 }
 
-func millis(ms uint64) string {
+func formatMillis(ms uint64) string {
 	return fmt.Sprint((time.Duration(ms) * time.Millisecond).Round(time.Second))
 }
--- a/internal/pauses/pauses_test.go
+++ b/internal/pauses/pauses_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleygate/parsleygate/internal/pauses"
 )
 
-// A process that is stopped in the middle of a long pause must end at once.
-func TestFor(t *testing.T) {
+// A process that is stopped during a long sleep must not wait for the sleep to end.
+func TestSleepEndsWithContext(t *testing.T) {
 	t.Parallel()
 
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testserver/lockstep_http.go
+++ b/internal/testserver/rank_group_http.go
@@ -11,7 +11,7 @@
 	"github.com/parsleygate/parsleygate/internal/rank"
 )
 
-// Routes adds the interface of rank n to r.
+// Routes adds the HTTP routes of rank n to r.
 func (g *RankGroup) Routes(r chi.Router, n int) {
 	r.Get(rank.GroupPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, g.rankState(n)) })
 	r.Post(rank.GroupPath, func(w http.ResponseWriter, q *http.Request) {
@@ -22,11 +22,11 @@
 			return
 		}
 
-		w.WriteHeader(g.order(n, &o))
+		w.WriteHeader(g.applyOrder(n, &o))
 	})
 }
 
-// BootID returns the boot of rank n's engine.
+// BootID returns the boot ID of rank n's engine.
 func (g *RankGroup) BootID(n int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,14 +41,14 @@
 	r := g.ranks[n]
 
 	return rank.EngineState{
-		BootID: r.bootID, Joined: r.joined, Missing: r.missing, Sequence: r.sequence,
-		BusyMicros: uint64(r.busy.Microseconds()), Work: r.work, Tokens: slices.Clone(r.tokens),
+		BootID: r.bootID, Joined: r.joined, Missing: r.missingMap, Sequence: r.sequence,
+		BusyMicros: uint64(r.busyTime.Microseconds()), Work: r.work, Tokens: slices.Clone(r.tokens),
 	}
 }
 
-// order carries out an order, and returns the status of its answer. Fencing
-// numbers are not checked: this engine stands for those that ignore them.
-func (g *RankGroup) order(n int, o *rank.EngineOrder) int {
+// applyOrder applies an order to rank n and returns the HTTP status of the response.
+// Fencing numbers are not checked: the engine represents those that ignore them.
+func (g *RankGroup) applyOrder(n int, o *rank.EngineOrder) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -65,8 +65,8 @@
 	case rank.DoHold:
 		return r.hold(o.Step)
 	case rank.DoRun:
-		r.told, r.held, r.run = true, false, *o
-		r.free()
+		r.hasRunOrder, r.held, r.runOrder = true, false, *o
+		r.dropUnusedMaps()
 	default:
 		return http.StatusBadRequest
 	}
@@ -74,8 +74,9 @@
 	return http.StatusNoContent
 }
 
-// hold keeps steps from beginning. A second hold does not lift the first.
-func (r *lockRank) hold(step uint64) int {
+// hold keeps step and later ones from beginning, or all further steps if step is 0. If
+// a hold is already in force, the earlier of the two steps applies.
+func (r *rankEngine) hold(step uint64) int {
 	if step != 0 && step <= r.joined {
 		return http.StatusConflict
 	}
@@ -90,22 +91,22 @@
 	return http.StatusNoContent
 }
 
-// free drops the maps that the standing order does not name.
-func (r *lockRank) free() {
+// dropUnusedMaps drops the maps that the current Run order does not name.
+func (r *rankEngine) dropUnusedMaps() {
 	for v := range r.maps {
-		if v != r.run.RunVersion && v != r.run.RunBefore {
+		if v != r.runOrder.RunVersion && v != r.runOrder.RunBefore {
 			delete(r.maps, v)
 		}
 	}
 }
 
-func (r *lockRank) load(o *rank.EngineOrder) int {
+func (r *rankEngine) load(o *rank.EngineOrder) int {
 	m, err := placement.Decode(o.Placement)
 	if err != nil {
 		return http.StatusBadRequest
 	}
 
-	r.maps[o.Version] = lockMap{content: m, digest: m.Digest()}
+	r.maps[o.Version] = loadedMap{content: m, digest: m.Digest()}
 
 	return http.StatusNoContent
 }
