--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -92,7 +92,7 @@
 	case <-run.done:
 		return run.result, d.Highest, nil
 	case <-ctx.Done():
-		return orders.Result{}, d.Highest, eris.Wrap(ctx.Err(), "engine has not answered yet; the order continues")
+		return orders.Result{}, d.Highest, eris.Wrap(ctx.Err(), "the engine works on the order still")
 	}
 }
 
@@ -178,7 +178,7 @@
 		Payload:       []byte(o.Payload),
 	})
 	if err != nil {
-		return orders.Result{}, eris.Wrap(err, "encode the order")
+		return orders.Result{}, eris.Wrap(err, "write the order")
 	}
 
 	req := &wire.Request{
@@ -205,15 +205,15 @@
 func readEngineAnswer(r io.Reader, number uint64) (orders.Result, error) {
 	var answer EngineAnswer
 	if err := json.NewDecoder(io.LimitReader(r, maxEngineAnswerBytes)).Decode(&answer); err != nil {
-		return orders.Result{}, eris.Wrap(err, "decode the engine's answer")
+		return orders.Result{}, eris.Wrap(err, "read the engine's answer")
 	}
 
 	if answer.FencingNumber != number {
-		return orders.Result{}, eris.Errorf("engine answered another order, number %d", answer.FencingNumber)
+		return orders.Result{}, eris.Errorf("engine answered order %d", answer.FencingNumber)
 	}
 
 	if !answer.Done && answer.Cause == "" {
-		return orders.Result{}, errors.New("engine's answer reports neither success nor a cause")
+		return orders.Result{}, errors.New("engine's answer says nothing")
 	}
 
 	return orders.Result{Done: answer.Done, Cause: orders.Cause(answer.Cause)}, nil
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -72,7 +72,7 @@
 func (a *Agent) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	from, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil || !from.Addr().Unmap().IsLoopback() {
-		http.Error(w, "announcements are accepted over loopback only", http.StatusForbidden)
+		http.Error(w, "announcements come over loopback only", http.StatusForbidden)
 		return
 	}
 
@@ -80,12 +80,12 @@
 
 	body := http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)
 	if err := json.NewDecoder(body).Decode(&ann); err != nil {
-		http.Error(w, "announcement is not valid JSON: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "announcement is no JSON: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 
 	if ann.BootID == "" || ann.Service == "" || !ann.Address.IsValid() || ann.Address.Port() == 0 {
-		http.Error(w, "BootID, Service and Address (IP:port) are required", http.StatusBadRequest)
+		http.Error(w, "BootID, Service and Address (IP:port) are needed", http.StatusBadRequest)
 		return
 	}
 
--- a/internal/agent/target.go
+++ b/internal/agent/target.go
@@ -147,7 +147,7 @@
 // truncated.
 func (c *call) checkResponse(req *wire.Request, resp *http.Response) *verdict.Error {
 	if echo := resp.Header.Get(RequestIDHeader); echo != c.attemptID {
-		return &verdict.Error{Cause: verdict.CauseCrossed, Err: eris.Errorf("response echoes request ID %q", echo)}
+		return &verdict.Error{Cause: verdict.CauseCrossed, Err: eris.Errorf("answer echoes ID %q", echo)}
 	}
 
 	if resp.StatusCode == http.StatusSwitchingProtocols {
@@ -156,7 +156,7 @@
 
 	bodyless := req.GetMethod() == http.MethodHead || resp.ContentLength == 0
 	if !bodyless && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return &verdict.Error{Cause: verdict.CauseBroken, Err: eris.New("response has neither a length nor chunked encoding")}
+		return &verdict.Error{Cause: verdict.CauseBroken, Err: eris.New("answer has no length")}
 	}
 
 	return nil
--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -56,7 +56,7 @@
 }
 
 // errReadTimeout is the cause with which an attempt is canceled after ReadTimeout.
-var errReadTimeout = eris.New("agent sent no frame within the read timeout")
+var errReadTimeout = eris.New("agent sent nothing for too long")
 
 // Receiver holds the callbacks for an answer. Head is called at most once, and before
 // any call of Data.
@@ -250,7 +250,7 @@
 
 		return res, true, err
 	default:
-		return Result{}, true, eris.New("unknown frame kind")
+		return Result{}, true, eris.New("unknown frame")
 	}
 }
 
@@ -271,7 +271,7 @@
 	}
 
 	if r.headSeen {
-		return eris.New("answer has a second head frame")
+		return eris.New("second head in one answer")
 	}
 
 	r.headSeen = true
@@ -281,7 +281,7 @@
 
 func (r *reader) handleData(b []byte) error {
 	if !r.headSeen {
-		return eris.New("answer has a data frame before its head frame")
+		return eris.New("data before head")
 	}
 
 	r.length += uint64(len(b))
@@ -298,7 +298,7 @@
 	}
 
 	if !r.headSeen || end.GetLength() != r.length || end.GetDigest() != r.digest.Sum64() {
-		return Result{}, eris.New("answer does not match the length or digest in its end frame")
+		return Result{}, eris.New("answer is not what the agent sent")
 	}
 
 	return Result{Load: end.GetLoad()}, nil
--- a/internal/identity/authorize.go
+++ b/internal/identity/authorize.go
@@ -92,14 +92,14 @@
 		return fmt.Sprintf("%s is for %v; the certificate's organisational unit names %v", r.URL.Path, rule.Roles, peerRoles(r))
 	}
 
-	return "no role may use " + r.URL.Path
+	return "nobody may use " + r.URL.Path
 }
 
 // plaintextDenialReason refuses plaintext requests that do not come from loopback.
 func plaintextDenialReason(r *http.Request) string {
 	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil || !remote.Addr().Unmap().IsLoopback() {
-		return "plaintext is accepted from loopback only"
+		return "plaintext is heard on loopback only"
 	}
 
 	return ""
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -198,7 +198,7 @@
 
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, eris.Wrap(err, "parse address")
+		return nil, eris.Wrap(err, "read address")
 	}
 
 	creds := d.Identity.credentials()
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -81,7 +81,7 @@
 // Read parses data. Errors are of type *Error and name source.
 func Read(source string, data []byte, maxBytes int) (*File, error) {
 	if len(data) > maxBytes {
-		return nil, &Error{Source: source, Problem: "the file is too long", Allowed: fmt.Sprintf("at most %d bytes", maxBytes)}
+		return nil, &Error{Source: source, Problem: "the file is too long", Allowed: fmt.Sprintf("%d bytes", maxBytes)}
 	}
 
 	lines, err := scan(source, data)
@@ -126,7 +126,7 @@
 	}
 
 	if read != scanned {
-		return &Error{Source: f.Source, Problem: fmt.Sprintf("only %d of %d lines could be parsed", read, scanned), Allowed: "plain INI"}
+		return &Error{Source: f.Source, Problem: fmt.Sprintf("%d of %d lines were understood", read, scanned), Allowed: "plain INI"}
 	}
 
 	return nil
@@ -165,7 +165,7 @@
 func scanLine(line, section string) (location, *Error) {
 	if line[0] == '[' {
 		if line[len(line)-1] != ']' {
-			return location{}, &Error{Problem: "section header is not closed", Allowed: `[Section] or [Kind "name"]`}
+			return location{}, &Error{Problem: "the section's head is not closed", Allowed: `[Section] or [Kind "name"]`}
 		}
 
 		return location{section: strings.TrimSpace(line[1 : len(line)-1])}, nil
@@ -176,11 +176,11 @@
 
 	switch {
 	case section == "":
-		return loc, &Error{Problem: "key before the first section", Allowed: "a section header first"}
+		return loc, &Error{Problem: "stands before the first section", Allowed: "a section first"}
 	case !ok || loc.key == "":
-		return loc, &Error{Problem: "not a setting", Allowed: "Key = value"}
+		return loc, &Error{Problem: "is no setting", Allowed: "Key = value"}
 	case strings.ContainsAny(value, "\"`") || strings.ContainsAny(loc.key, "\"`:"):
-		return loc, &Error{Problem: "contains a quote", Allowed: "plain text without quotes, on one line"}
+		return loc, &Error{Problem: "holds a quote", Allowed: "plain text without quotes, on one line"}
 	}
 
 	return loc, nil
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -30,11 +30,11 @@
 	}{
 		{"duplicate section", "[A]\nX = 1\n[A]\n", "f:3: [A] already given in line 1; allowed: one of each"},
 		{"duplicate key", "[A]\nX = 1\nX = 2\n", "f:3: [A] X: already given in line 2; allowed: one of each"},
-		{"key before a section", "X = 1\n", "f:1: X: key before the first section; allowed: a section header first"},
-		{"unclosed section header", "[A\n", "f:1: section header is not closed; allowed: [Section] or [Kind \"name\"]"},
-		{"not a setting", "[A]\nX\n", "f:2: [A] X: not a setting; allowed: Key = value"},
-		{"quote", "[A]\nX = \"1\"\n", "f:2: [A] X: contains a quote; allowed: plain text without quotes, on one line"},
-		{"too long", "[A]\nX = 123456789012345678901234567890\n", "f: the file is too long; allowed: at most 32 bytes"},
+		{"key before a section", "X = 1\n", "f:1: X: stands before the first section; allowed: a section first"},
+		{"unclosed section header", "[A\n", "f:1: the section's head is not closed; allowed: [Section] or [Kind \"name\"]"},
+		{"not a setting", "[A]\nX\n", "f:2: [A] X: is no setting; allowed: Key = value"},
+		{"quote", "[A]\nX = \"1\"\n", "f:2: [A] X: holds a quote; allowed: plain text without quotes, on one line"},
+		{"too long", "[A]\nX = 123456789012345678901234567890\n", "f: the file is too long; allowed: 32 bytes"},
 	}
 
 	for _, c := range cases {
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -134,8 +134,8 @@
 	}
 
 	return &Error{
-		Line: s.line, Section: s.heading(), Problem: "changes the shape of an existing group",
-		Allowed: "a new group under another name",
+		Line: s.line, Section: s.heading(), Problem: "changes the shape of a group that exists",
+		Allowed: "another group under a new name, with the shape that is wanted",
 	}
 }
 
--- a/internal/intent/declaration.go
+++ b/internal/intent/declaration.go
@@ -90,7 +90,7 @@
 	}
 
 	if s.removed && len(s.settings) > 0 {
-		return nil, &Error{Line: s.line, Section: f.Name, Key: removedKey, Problem: "is combined with other keys", Allowed: "alone"}
+		return nil, &Error{Line: s.line, Section: f.Name, Key: removedKey, Problem: "stands beside other keys", Allowed: "alone"}
 	}
 
 	return s, nil
@@ -118,7 +118,7 @@
 		return &section{kind: k, name: name, line: line}, nil
 	}
 
-	return nil, &Error{Line: line, Section: heading, Problem: "is not a known section", Allowed: sectionNames()}
+	return nil, &Error{Line: line, Section: heading, Problem: "is no known section", Allowed: sectionNames()}
 }
 
 func sectionNames() string {
@@ -146,7 +146,7 @@
 
 	f, ok := s.kind.field(key)
 	if !ok {
-		fault.Problem, fault.Allowed = "is not a known key", s.kind.keyNames()
+		fault.Problem, fault.Allowed = "is no known key", s.kind.keyNames()
 		return fault
 	}
 
--- a/internal/intent/declaration_test.go
+++ b/internal/intent/declaration_test.go
@@ -26,7 +26,7 @@
 		text string
 		want []string
 	}{
-		"unknown section":                {"[Zones \"a\"]\nOut = true", []string{"f.ini:1", "not a known section", `[Zone "name"]`}},
+		"unknown section":                {"[Zones \"a\"]\nOut = true", []string{"f.ini:1", "no known section", `[Zone "name"]`}},
 		"unknown key":                    {"[Zone \"a\"]\n\nout = true", []string{"f.ini:3", `[Zone "a"] out`, "Region, Out, Removed"}},
 		"duplicate section":              {"[Zone \"a\"]\nOut = true\n[Zone \"a\"]\nRegion = x", []string{"f.ini:3", "already given in line 1"}},
 		"duplicate key":                  {"[Zone \"a\"]\nOut = true\nOut = false", []string{"f.ini:3", "Out", "already given in line 2"}},
@@ -37,7 +37,7 @@
 		"no name":                        {"[Zone]\nOut = true", []string{"f.ini:1", "no proper name"}},
 		"name without quotes":            {"[Zone a]\nOut = true", []string{"f.ini:1", "double quotes"}},
 		"bad name":                       {"[Zone \"a/b\"]\nOut = true", []string{"f.ini:1", "no proper name"}},
-		"default section":                {"[DEFAULT]\nOut = true", []string{"f.ini:1", "not a known section"}},
+		"default section":                {"[DEFAULT]\nOut = true", []string{"f.ini:1", "no known section"}},
 		"bad number":                     {"[Workspace \"w\"]\nWeight = -1", []string{"f.ini:2", "whole number"}},
 		"zero weight":                    {"[Workspace \"w\"]\nWeight = 0", []string{"f.ini:2", "from 1 to 1000000"}},
 		"bad priority":                   {"[Workspace \"w\"]\nPriority = 1001", []string{"f.ini:2", "-1000 to 1000"}},
--- a/internal/intent/sections.go
+++ b/internal/intent/sections.go
@@ -64,7 +64,7 @@
 	allowedText     = "text"
 )
 
-var errInvalidValue = errors.New("has a bad value")
+var errInvalidValue = errors.New("the value is not of the kind")
 
 // sectionKinds are all kinds of sections that a declaration may have. ColdLimit comes
 // after Service, since it adds to the service's record.
--- a/internal/lockstep/map_pack.go
+++ b/internal/lockstep/map_pack.go
@@ -9,7 +9,7 @@
 )
 
 // errMalformedMap is returned for a packed map that cannot be decoded.
-var errMalformedMap = errors.New("lockstep: malformed packed map")
+var errMalformedMap = errors.New("lockstep: a packed map cannot be read")
 
 // Pack returns the encoding of m that is sent between agents.
 func (m Map) Pack() []byte {
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -21,7 +21,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("leader's log conflicts with committed entry %d", e.Index)
+	return fmt.Sprintf("entry %d contradicts a committed one", e.Index)
 }
 
 // LostDiskError reports that this replica bootstrapped a group of one although it was a
--- a/internal/rank/service.go
+++ b/internal/rank/service.go
@@ -12,9 +12,9 @@
 
 // Errors returned while the rank cannot answer yet.
 var (
-	errStarting      error = twirp.NewError(twirp.Unavailable, "the rank has no status yet: its agent has just started")
-	errBusy          error = twirp.NewError(twirp.DeadlineExceeded, "the rank did not process the request before its deadline")
-	errNoEngineState error = twirp.NewError(twirp.Unavailable, "the engine has not reported its state yet")
+	errStarting      error = twirp.NewError(twirp.Unavailable, "the rank has just started")
+	errBusy          error = twirp.NewError(twirp.DeadlineExceeded, "the rank is busy")
+	errNoEngineState error = twirp.NewError(twirp.Unavailable, "the engine has not been heard of")
 )
 
 // Order processes an order of the control leader and returns the rank's status. An
@@ -130,5 +130,5 @@
 }
 
 func (r *Rank) wrongRankError(group string) error {
-	return twirp.NewError(twirp.NotFound, "this agent's target is not the requested rank of group "+group)
+	return twirp.NewError(twirp.NotFound, "this agent's target is no rank of "+group)
 }
--- a/internal/role/authenticated.go
+++ b/internal/role/authenticated.go
@@ -20,7 +20,7 @@
 // Poll implements wire.Control.
 func (s *authenticatedControl) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
 	if name := identity.PeerName(ctx); name != "" && name != r.GetNode().GetID() {
-		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate names %s, but the report is for %s", name, r.GetNode().GetID())
+		return nil, twirp.NewErrorf(twirp.PermissionDenied, "the certificate is of %s, the report of %s", name, r.GetNode().GetID())
 	}
 
 	return s.Server.Poll(ctx, r)
--- a/internal/role/authenticated_test.go
+++ b/internal/role/authenticated_test.go
@@ -46,7 +46,7 @@
 	named := &authenticatedControl{Server: server}
 
 	_, err := named.Poll(contextWithCertificate(t, "entry-1"), &wire.PollRequest{Cluster: "trust", Node: &wire.Node{ID: "agent-1"}})
-	require.ErrorContains(t, err, "the certificate names entry-1, but the report is for agent-1")
+	require.ErrorContains(t, err, "the certificate is of entry-1, the report of agent-1")
 	require.Equal(t, "ann", operatorName(contextWithCertificate(t, "ann"), "mallory"))
 	require.Equal(t, "ann", operatorName(t.Context(), "ann"), "no certificate: plaintext on loopback")
 }
--- a/internal/role/counts.go
+++ b/internal/role/counts.go
@@ -15,7 +15,7 @@
 
 // errCountsUnknown means that an answer does not contain the counts of all requested
 // ranks.
-var errCountsUnknown = errors.New("role: counts of a requested rank are missing")
+var errCountsUnknown = errors.New("role: counts of a rank are not known yet")
 
 // countsKey returns the cache key of the counts of the engine beside an agent plus
 // those of others.
--- a/internal/role/enginerelay.go
+++ b/internal/role/enginerelay.go
@@ -50,7 +50,7 @@
 
 	address, err := netip.ParseAddrPort(o.GetEngine())
 	if err != nil {
-		return nil, twirp.InvalidArgumentError("Engine", "must be an IP:port")
+		return nil, twirp.InvalidArgumentError("Engine", "is no IP:port")
 	}
 
 	return &wire.EngineOrderAnswer{Result: r.engines.get(address).Order(ctx, o.GetOrder())}, nil
--- a/internal/role/membersservice.go
+++ b/internal/role/membersservice.go
@@ -21,7 +21,7 @@
 func (s *membersService) List(context.Context, *wire.MembersRequest) (*wire.MembersResponse, error) {
 	st := s.role.replica.Status()
 	if st.Leader != "" && st.Leader != s.role.VM {
-		return nil, twirp.NewErrorf(twirp.Unavailable, "not the leader: %s leads, at %s", st.Leader, st.LeaderAddr)
+		return nil, twirp.NewErrorf(twirp.Unavailable, "%s leads, at %s", st.Leader, st.LeaderAddr)
 	}
 
 	out := &wire.MembersResponse{Term: st.Term, Leader: st.Leader, Answered: s.role.VM}
@@ -56,7 +56,7 @@
 	case wire.MemberChangeKind_MemberAdd:
 		a, err := netip.ParseAddrPort(c.GetAddress())
 		if err != nil {
-			return twirp.InvalidArgumentError("Address", "must be an IP:port")
+			return twirp.InvalidArgumentError("Address", "is no IP:port")
 		}
 
 		return s.role.replica.AddLearner(ctx, quorum.Member{ID: c.GetID(), Addr: a})
@@ -67,7 +67,7 @@
 	case wire.MemberChangeKind_MemberLead:
 		return s.role.replica.TransferLeadership(ctx, c.GetID())
 	default:
-		return twirp.InvalidArgumentError("Kind", "is not a known change")
+		return twirp.InvalidArgumentError("Kind", "is no change")
 	}
 }
 
@@ -78,5 +78,5 @@
 		return twirp.NewError(twirp.FailedPrecondition, "nothing was changed: "+err.Error())
 	}
 
-	return twirp.NewError(twirp.Unavailable, "whether the change was made is unknown, check with member list: "+err.Error())
+	return twirp.NewError(twirp.Unavailable, "whether it was changed is unknown, look with member list: "+err.Error())
 }
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -99,7 +99,7 @@
 		return rk, nil
 	}
 
-	return nil, twirp.NewError(twirp.NotFound, "the target is not a rank of a group")
+	return nil, twirp.NewError(twirp.NotFound, "the target is no rank of a group")
 }
 
 // Order implements wire.Rank.
