--- a/cmd/parsleygate/cmds/load.go
+++ b/cmd/parsleygate/cmds/load.go
@@ -16,8 +16,8 @@
 
 func newLoad() *cobra.Command {
 	var (
-		l     load.Generator
-		desks []string
+		l               load.Generator
+		bookingServices []string
 	)
 
 	c := &cobra.Command{
@@ -30,8 +30,8 @@
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 
-			if len(desks) > 0 {
-				l.Runs = func(ctx context.Context) (map[string]int, error) { return fetchDeskRuns(ctx, desks) }
+			if len(bookingServices) > 0 {
+				l.Runs = func(ctx context.Context) (map[string]int, error) { return fetchBookingRuns(ctx, bookingServices) }
 			}
 
 			report, err := l.Run(ctx)
@@ -48,7 +48,7 @@
 	f.StringSliceVar(&l.Entries, "entry", []string{"http://127.0.0.1:8601", "http://127.0.0.1:8602", "http://127.0.0.1:8603"}, "base URLs of the entries")
 	f.StringVar(&l.DraftService, "drafts", "cooper-assist", "name of the model service")
 	f.StringVar(&l.BookingService, "bookings", "job-desk", "name of the booking service")
-	f.StringSliceVar(&desks, "desk", nil, "base URLs of the test booking desks, without the balancer in between")
+	f.StringSliceVar(&bookingServices, "desk", nil, "base URLs of the test booking desks, without the balancer in between")
 	f.Float64Var(&l.Rate, "rate", 100, "requests per second")
 	f.DurationVar(&l.Duration, "duration", 10*time.Second, "how long to send requests")
 	f.Float64Var(&l.BookingShare, "booking-share", 0.2, "fraction of requests that are bookings")
@@ -61,11 +61,11 @@
 	return c
 }
 
-// fetchDeskRuns asks the test booking desks how often each booking ran.
-func fetchDeskRuns(ctx context.Context, desks []string) (map[string]int, error) {
+// fetchBookingRuns queries the test booking services for the number of runs of each booking.
+func fetchBookingRuns(ctx context.Context, bookingServices []string) (map[string]int, error) {
 	all := make(map[string]int)
 
-	for _, base := range desks {
+	for _, base := range bookingServices {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/runs", nil)
 		if err != nil {
 			return nil, eris.Wrap(err, "request the runs of a desk")
--- a/cmd/parsleygate/cmds/local.go
+++ b/cmd/parsleygate/cmds/local.go
@@ -117,9 +117,9 @@
 	return eris.Wrap(g.Wait(), "run local deployment")
 }
 
-func usageHint(base, model, desk string) string {
+func usageHint(base, model, bookingService string) string {
 	return fmt.Sprintf(`Try:
   curl -N %[1]s/%[2]s/v1/drafts -d '{"Prompt":"stave 4 leaks","Tokens":12}'
   curl %[1]s/%[3]s/v1/bookings -H 'Idempotency-Key: cask-17' -d '{"Ref":"cask-17","Slot":"kiln-2 10:00"}'
-Stop with Ctrl-C.`, base, model, desk)
+Stop with Ctrl-C.`, base, model, bookingService)
 }
--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -202,7 +202,7 @@
 		Incarnation: role.IncarnationAt(time.Now()), Listener: p.listener, Identity: p.identity,
 		Controls: role.NewControlClient(s.ControlAddresses(), p.identity),
 		Settings: agent.Settings{
-			Admission:      admission.Settings{CreditLife: s.Agent.CreditLifetime, AnnounceTimeout: s.Agent.AnnounceTimeout},
+			Admission:      admission.Settings{CreditLifetime: s.Agent.CreditLifetime, AnnounceTimeout: s.Agent.AnnounceTimeout},
 			MaxAnswerBytes: s.Agent.MaxAnswerBytes, TargetIdleTimeout: s.Agent.TargetIdleTimeout,
 		},
 		Logs: p.logs, Dump: p.dump,
--- a/cmd/parsleygate/cmds/standin.go
+++ b/cmd/parsleygate/cmds/standin.go
@@ -90,9 +90,9 @@
 
 func (f *standinFlags) target(address netip.AddrPort) (http.Handler, func() testserver.Announcement) {
 	if !f.model {
-		desk := &testserver.BookingService{}
+		bookingService := &testserver.BookingService{}
 
-		return desk.Handler(), func() testserver.Announcement { return desk.Announcement(address, f.service, f.capacity) }
+		return bookingService.Handler(), func() testserver.Announcement { return bookingService.Announcement(address, f.service, f.capacity) }
 	}
 
 	e := &testserver.Engine{StepBase: f.step, ColdLimit: f.cold, WarmAfter: 4 * f.cold}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -37,7 +37,7 @@
 
 	if !c.attempts.ensureCapacity(now, c.Settings.MaxAttempts) {
 		c.attempts.revoke(expiresAt)
-		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, RetryAt: now.Add(c.Settings.CreditLife)}
+		return Decision{Verdict: verdict.NotRun, Cause: verdict.CauseOverload, RetryAt: now.Add(c.Settings.CreditLifetime)}
 	}
 
 	a := &attempt{
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -81,7 +81,7 @@
 
 		h := newHarness(t, 8, 8)
 		r := h.request(h.grant("entry-1", 4))
-		h.advance(DefaultCreditLife)
+		h.advance(DefaultCreditLifetime)
 		require.Equal(t, wire.AskState_AskClosed, h.query(r, false).State)
 		h.requireRejected(r, verdict.NotRun, verdict.CauseCredit)
 	})
@@ -150,7 +150,7 @@
 	h.requireRejected(r, verdict.NotRun, verdict.CauseCredit)
 
 	h.core.Settings.MaxAttempts = 4
-	h.advance(DefaultCreditLife)
+	h.advance(DefaultCreditLifetime)
 
 	for range 16 {
 		h.complete(h.admit(), nil)
--- a/internal/admission/grant.go
+++ b/internal/admission/grant.go
@@ -11,7 +11,7 @@
 	c.allocator.sweep(now)
 	c.allocator.serial++
 
-	grant := Grant{ExpiresAt: c.tickTime(uint64(now.Add(c.Settings.CreditLife).Sub(c.Started) / time.Millisecond))}
+	grant := Grant{ExpiresAt: c.tickTime(uint64(now.Add(c.Settings.CreditLifetime).Sub(c.Started) / time.Millisecond))}
 
 	// Events from different goroutines may arrive with times that are out of order.
 	if grant.ExpiresAt.After(c.lastExpiry) {
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -7,10 +7,10 @@
 
 // Settings configures a Core. Zero fields are replaced by their defaults.
 type Settings struct {
-	// CreditLife is how long a credit is valid. Slots that an entry requested are
+	// CreditLifetime is how long a credit is valid. Slots that an entry requested are
 	// reserved only for ReservationTTL. After that a request on the credit is admitted
 	// if there is capacity.
-	CreditLife     time.Duration
+	CreditLifetime time.Duration
 	ReservationTTL time.Duration
 	// ActiveTimeout is how long an entry counts in the fair shares after its last use of
 	// or request for a credit.
@@ -38,7 +38,7 @@
 
 // Defaults of the fields of Settings.
 const (
-	DefaultCreditLife       = 2 * time.Second
+	DefaultCreditLifetime   = 2 * time.Second
 	DefaultReservationTTL   = 50 * time.Millisecond
 	DefaultActiveTimeout    = time.Second
 	DefaultWaitTimeout      = 100 * time.Millisecond
@@ -53,7 +53,7 @@
 
 // fill sets zero fields to their defaults.
 func (s *Settings) fill() {
-	s.CreditLife = cmp.Or(s.CreditLife, DefaultCreditLife)
+	s.CreditLifetime = cmp.Or(s.CreditLifetime, DefaultCreditLifetime)
 	s.ReservationTTL = cmp.Or(s.ReservationTTL, DefaultReservationTTL)
 	s.ActiveTimeout = cmp.Or(s.ActiveTimeout, DefaultActiveTimeout)
 	s.WaitTimeout = cmp.Or(s.WaitTimeout, DefaultWaitTimeout)
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -4,15 +4,15 @@
 
 // counters are the agent's metrics.
 type counters struct {
-	admitted metrics.Counter
-	refused  metrics.Counter
-	ran      metrics.Counter
-	broken   metrics.Counter
-	crossed  metrics.Counter
-	asked    metrics.Counter
-	granted  metrics.Counter
-	boots    metrics.Counter
-	orders   metrics.Counter
+	admitted       metrics.Counter
+	refused        metrics.Counter
+	ran            metrics.Counter
+	broken         metrics.Counter
+	crossed        metrics.Counter
+	attemptQueries metrics.Counter
+	granted        metrics.Counter
+	boots          metrics.Counter
+	orders         metrics.Counter
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -21,14 +21,14 @@
 	}
 
 	return counters{
-		admitted: count("AgentAdmitted"),
-		refused:  count("AgentRefused"),
-		ran:      count("AgentRan"),
-		broken:   count("AgentBroken"),
-		crossed:  count("AgentCrossed"),
-		asked:    count("AgentAsked"),
-		granted:  count("AgentGranted"),
-		boots:    count("AgentTargetBoots"),
-		orders:   count("AgentOrders"),
+		admitted:       count("AgentAdmitted"),
+		refused:        count("AgentRefused"),
+		ran:            count("AgentRan"),
+		broken:         count("AgentBroken"),
+		crossed:        count("AgentCrossed"),
+		attemptQueries: count("AgentAsked"),
+		granted:        count("AgentGranted"),
+		boots:          count("AgentTargetBoots"),
+		orders:         count("AgentOrders"),
 	}
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -42,7 +42,7 @@
 	}
 
 	a := s.agent
-	a.counters.asked.Inc(1)
+	a.counters.attemptQueries.Inc(1)
 	status := a.admitter.queryAttempt(a.Now(), admission.AttemptQuery{
 		AttemptID:           r.GetAttemptID(),
 		Incarnation:         r.GetIncarnation(),
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -6,10 +6,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// groupApplied calls OnGroup for an applied log entry about an expert map.
+// groupApplied calls OnGroupEntry for an applied log entry about an expert map.
 func (s *Server) groupApplied(index uint64, e *wire.GroupEntry) {
-	if s.OnGroup != nil {
-		s.OnGroup(index, e, s.state.Groups())
+	if s.OnGroupEntry != nil {
+		s.OnGroupEntry(index, e, s.state.Groups())
 	}
 }
 
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -124,7 +124,7 @@
 
 	records := s.published.Load().records
 
-	return intent.Base{Version: records.Version, Records: records.All(), StopBlocker: s.StopUnsafe}, nil
+	return intent.Base{Version: records.Version, Records: records.All(), StopBlocker: s.StopBlocker}, nil
 }
 
 func loadsByID(collected collectedPolls) map[string]*wire.NodeLoad {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -47,17 +47,17 @@
 	// ones. Every control VM that may still answer polls must be among them.
 	Peers     []Peer
 	FindPeers func() []Peer
-	// StopUnsafe returns why the named control VM cannot be stopped safely yet. It returns
+	// StopBlocker returns why the named control VM cannot be stopped safely yet. It returns
 	// "" if stopping is safe or no control VM has that name.
-	StopUnsafe func(name string) string
+	StopBlocker func(name string) string
 
 	// Self returns this control VM as a node of the directory. If nil, the VM is not listed
 	// there and its stop cannot be planned.
 	Self func() *wire.Node
 
-	// OnGroup is called by the goroutine of the log after each entry about an expert map,
+	// OnGroupEntry is called by the goroutine of the log after each entry about an expert map,
 	// and with a nil entry after a snapshot was restored. It may be nil.
-	OnGroup func(index uint64, e *wire.GroupEntry, states []*wire.GroupState)
+	OnGroupEntry func(index uint64, e *wire.GroupEntry, states []*wire.GroupState)
 
 	// ReadDocument parses an adopted document. It is required if entries proxy directly to
 	// their targets. AnnounceInterval is the interval at which targets announce themselves.
@@ -231,8 +231,8 @@
 	s.claimCount.Store(int64(s.state.ClaimCount()))
 	s.publish(time.Now())
 
-	if s.OnGroup != nil {
-		s.OnGroup(s.state.Index(), nil, s.state.Groups())
+	if s.OnGroupEntry != nil {
+		s.OnGroupEntry(s.state.Index(), nil, s.state.Groups())
 	}
 
 	return nil
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -252,12 +252,12 @@
 	})
 }
 
-func (x *exchangeRun) ask(ctx context.Context, a exchange.Action) exchange.Action {
+func (x *exchangeRun) queryAttempt(ctx context.Context, a exchange.Action) exchange.Action {
 	sleepUntil(ctx, a.At)
 
 	address, err := x.holderAddress(a.Holder)
 	if err != nil {
-		return x.ex.AskFailed(time.Now())
+		return x.ex.QueryFailed(time.Now())
 	}
 
 	// The query may exceed the caller's deadline, bounded by its own short timeout: a
@@ -267,14 +267,14 @@
 		CreditExpiresAtTick: a.Holder.GetCreditExpiresAtTick(), Close: true,
 	})
 	if err != nil {
-		return x.ex.AskFailed(time.Now())
+		return x.ex.QueryFailed(time.Now())
 	}
 
-	return x.ex.Asked(time.Now(), r)
+	return x.ex.AttemptQueried(time.Now(), r)
 }
 
 // settle records the outcome for a claim. If that fails the claim stays open and a
-// resend asks the agent instead, so the exchange continues in both cases.
+// resend queries the agent instead, so the exchange continues in both cases.
 func (x *exchangeRun) settle(ctx context.Context, a exchange.Action) exchange.Action {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -221,7 +221,7 @@
 	e.Chooser.ApplyReport(routing.ReportReceived{
 		AgentID: agentID, Incarnation: l.GetCredit().GetIncarnation(), TakenAt: takenAt,
 		InFlight: int(l.GetInFlight()), Limit: int(l.GetLimit()), Queued: int(l.GetQueued()),
-		Cold: l.GetCold(), Leaving: l.GetLeaving(),
+		Cold: l.GetCold(), Draining: l.GetLeaving(),
 	})
 }
 
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -96,8 +96,8 @@
 		return x.lookUp(ctx)
 	case exchange.Send:
 		return x.send(ctx, a.Resume)
-	case exchange.Ask:
-		return x.ask(ctx, a)
+	case exchange.QueryAttempt:
+		return x.queryAttempt(ctx, a)
 	case exchange.Settle:
 		return x.settle(ctx, a)
 	default:
--- a/internal/exchange/action.go
+++ b/internal/exchange/action.go
@@ -19,10 +19,10 @@
 	Claim
 	// Send sends the request as the chosen attempt.
 	Send
-	// Ask asks the agent of Holder, not before At and over a new connection, for the
+	// QueryAttempt asks the agent of Holder, not before At and over a new connection, for the
 	// state of the holder's attempt. An attempt that has not arrived is closed: the
 	// agent will not run it later.
-	Ask
+	QueryAttempt
 	// LookUp asks the control VMs for the claim of the idempotency key without claiming
 	// it.
 	LookUp
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// minAskInterval and maxAskInterval bound the time between two queries for the
+	// minQueryInterval and maxQueryInterval bound the time between two queries for the
 	// state of an attempt. The interval doubles each time.
-	minAskInterval = 50 * time.Millisecond
-	maxAskInterval = time.Second
+	minQueryInterval = 50 * time.Millisecond
+	maxQueryInterval = time.Second
 	// maxInterruptions bounds how often one answer is resumed. resumeDelay is the time
 	// before each resumption.
 	maxInterruptions = 3
 	resumeDelay      = 20 * time.Millisecond
-	// maxAskFailures bounds the queries to an agent that does not answer.
-	maxAskFailures = 4
+	// maxQueryFailures bounds the queries to an agent that does not answer.
+	maxQueryFailures = 4
 	// retryDelay is the time after which a caller may retry when its key is in use, or
 	// when the outcome or the claim cannot be determined at the moment.
 	retryDelay = time.Second
@@ -43,18 +43,18 @@
 	// the given number of attempts, the last of which ended with err, and from when on.
 	Retry func(now time.Time, err *verdict.Error, attempts int) (at time.Time, ok bool)
 
-	attempts      int
-	ownAttempt    *wire.ClaimHolder
-	askedAttempt  *wire.ClaimHolder
-	claimedID     string
-	granted       bool
-	lookedUp      bool
-	relayed       bool
-	mayHaveRun    bool
-	interruptions int
-	askFailures   int
-	askInterval   time.Duration
-	lastErr       *verdict.Error
+	attempts       int
+	ownAttempt     *wire.ClaimHolder
+	queriedAttempt *wire.ClaimHolder
+	claimedID      string
+	granted        bool
+	lookedUp       bool
+	relayed        bool
+	mayHaveRun     bool
+	interruptions  int
+	queryFailures  int
+	queryInterval  time.Duration
+	lastErr        *verdict.Error
 }
 
 // Start returns the first action.
@@ -68,7 +68,7 @@
 // Chosen reports that a target and credit were chosen for the attempt in holder.
 func (e *Exchange) Chosen(holder *wire.ClaimHolder) Action {
 	e.ownAttempt = holder
-	e.askedAttempt = nil
+	e.queriedAttempt = nil
 	e.attempts++
 
 	if e.Keyed && !e.Idempotent {
@@ -99,7 +99,7 @@
 
 		return Action{Kind: Send}
 	case wire.ClaimState_ClaimOpen:
-		return e.askOther(now, r.GetHolder())
+		return e.queryOtherAttempt(now, r.GetHolder())
 	case wire.ClaimState_ClaimRecorded:
 		return Action{Kind: Deliver, Answer: r.GetAnswer()}
 	case wire.ClaimState_ClaimConflict:
@@ -152,35 +152,35 @@
 
 		return e.retry(now, outcome.Err)
 	default:
-		return e.askOwn(now, outcome.Err)
+		return e.queryOwnAttempt(now, outcome.Err)
 	}
 }
 
-// Asked reports an agent's response to Ask.
-func (e *Exchange) Asked(now time.Time, r *wire.AskResponse) Action {
+// AttemptQueried reports an agent's response to QueryAttempt.
+func (e *Exchange) AttemptQueried(now time.Time, r *wire.AskResponse) Action {
 	switch r.GetState() {
 	case wire.AskState_AskRunning:
-		e.askFailures = 0
+		e.queryFailures = 0
 
-		return e.askAgain(now, verdict.CauseKeyBusy)
+		return e.queryAgain(now, verdict.CauseKeyBusy)
 	case wire.AskState_AskRan:
-		return e.askedRan(r.GetAnswer())
+		return e.handleRan(r.GetAnswer())
 	case wire.AskState_AskClosed:
-		return e.askedClosed(now)
+		return e.handleClosed(now)
 	default:
 		return e.finishAnswerLost()
 	}
 }
 
-// AskFailed reports that the agent could not be reached. The state of the attempt
-// remains unknown, so its claim stays open and a later resend can ask again.
-func (e *Exchange) AskFailed(now time.Time) Action {
-	e.askFailures++
-	if e.askFailures >= maxAskFailures {
+// QueryFailed reports that the agent could not be reached. The state of the attempt
+// remains unknown, so its claim stays open and a later resend can query it again.
+func (e *Exchange) QueryFailed(now time.Time) Action {
+	e.queryFailures++
+	if e.queryFailures >= maxQueryFailures {
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryDelay)})
 	}
 
-	return e.askAgain(now, verdict.CauseSilent)
+	return e.queryAgain(now, verdict.CauseSilent)
 }
 
 func (e *Exchange) choose(now time.Time) Action {
@@ -219,33 +219,33 @@
 	return Action{Kind: Choose, At: at, Resume: true}
 }
 
-func (e *Exchange) askOwn(now time.Time, err *verdict.Error) Action {
+func (e *Exchange) queryOwnAttempt(now time.Time, err *verdict.Error) Action {
 	e.lastErr = err
-	e.askedAttempt = e.ownAttempt
-	e.askInterval = minAskInterval
+	e.queriedAttempt = e.ownAttempt
+	e.queryInterval = minQueryInterval
 
-	return Action{Kind: Ask, Holder: e.askedAttempt, At: now}
+	return Action{Kind: QueryAttempt, Holder: e.queriedAttempt, At: now}
 }
 
-func (e *Exchange) askOther(now time.Time, holder *wire.ClaimHolder) Action {
-	e.askedAttempt = holder
-	e.askInterval = minAskInterval
+func (e *Exchange) queryOtherAttempt(now time.Time, holder *wire.ClaimHolder) Action {
+	e.queriedAttempt = holder
+	e.queryInterval = minQueryInterval
 
-	return Action{Kind: Ask, Holder: holder, At: now}
+	return Action{Kind: QueryAttempt, Holder: holder, At: now}
 }
 
-func (e *Exchange) askAgain(now time.Time, cause verdict.Cause) Action {
-	at := now.Add(e.askInterval)
-	e.askInterval = min(2*e.askInterval, maxAskInterval)
+func (e *Exchange) queryAgain(now time.Time, cause verdict.Cause) Action {
+	at := now.Add(e.queryInterval)
+	e.queryInterval = min(2*e.queryInterval, maxQueryInterval)
 
 	if at.After(e.Deadline) {
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryDelay)})
 	}
 
-	return Action{Kind: Ask, Holder: e.askedAttempt, At: at}
+	return Action{Kind: QueryAttempt, Holder: e.queriedAttempt, At: at}
 }
 
-func (e *Exchange) askedRan(answer *wire.Answer) Action {
+func (e *Exchange) handleRan(answer *wire.Answer) Action {
 	if answer != nil && e.Keyed {
 		return e.settleRan(answer)
 	}
@@ -259,11 +259,11 @@
 	return e.settleThen(verdict.MayHaveRun, finish(err))
 }
 
-// askedClosed continues a request whose attempt is closed and can no longer run.
-func (e *Exchange) askedClosed(now time.Time) Action {
-	if e.askedAttempt != e.ownAttempt {
+// handleClosed continues a request whose attempt is closed and can no longer run.
+func (e *Exchange) handleClosed(now time.Time) Action {
+	if e.queriedAttempt != e.ownAttempt {
 		// Another entry's attempt is closed, so this exchange may replace its claim.
-		e.claimedID = e.askedAttempt.GetAttemptID()
+		e.claimedID = e.queriedAttempt.GetAttemptID()
 		if e.lookedUp {
 			return finish(e.lastErr)
 		}
@@ -325,7 +325,7 @@
 	return a
 }
 
-// settleThen records v for the attempt that was asked about or, if there is none, for
+// settleThen records v for the attempt that was queried or, if there is none, for
 // the claim that this exchange holds.
 func (e *Exchange) settleThen(v verdict.Verdict, then Action) Action {
 	if !e.Keyed || e.Idempotent {
@@ -333,8 +333,8 @@
 	}
 
 	attempt := e.claimedID
-	if e.askedAttempt != nil {
-		attempt = e.askedAttempt.GetAttemptID()
+	if e.queriedAttempt != nil {
+		attempt = e.queriedAttempt.GetAttemptID()
 	}
 
 	return Action{Kind: Settle, Verdict: v, Attempt: attempt, Then: &then}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -111,9 +111,9 @@
 	case "ended":
 		return s.e.Ended(s.now, attemptOutcome(words[1:]))
 	case "asked":
-		return s.e.Asked(s.now, askResponse(arg(1), arg(2)))
+		return s.e.AttemptQueried(s.now, askResponse(arg(1), arg(2)))
 	case "ask-failed":
-		return s.e.AskFailed(s.now)
+		return s.e.QueryFailed(s.now)
 	default:
 		t.Fatalf("unknown report %v", words)
 
@@ -188,7 +188,7 @@
 		return fmt.Sprintf("Claim replacing %q", a.Replaces)
 	case exchange.Send:
 		return fmt.Sprintf("Send%s", textIf(a.Resume, " to resume"))
-	case exchange.Ask:
+	case exchange.QueryAttempt:
 		return fmt.Sprintf("Ask %s at %s", a.Holder.GetAttemptID(), a.At.Sub(s.start))
 	case exchange.LookUp:
 		return "LookUp"
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -19,8 +19,8 @@
 	speedGain   = 0.3
 	// pollInterval is the interval at which ranks are polled for their status.
 	pollInterval = time.Second
-	// maxPopularityLife bounds for how long the current expert popularity is assumed to last.
-	maxPopularityLife = time.Hour
+	// maxPopularityDecay bounds for how long the current expert popularity is assumed to last.
+	maxPopularityDecay = time.Hour
 )
 
 // groupController manages the map of one group.
@@ -63,7 +63,7 @@
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
-			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: maxPopularityLife,
+			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: maxPopularityDecay,
 		},
 		planner: s.Planner,
 	}
--- a/internal/lockstep/fake_group_test.go
+++ b/internal/lockstep/fake_group_test.go
@@ -33,7 +33,7 @@
 	stepTime  time.Duration
 	heldTime  time.Duration
 	holdTimes []time.Duration
-	// weight is how often each expert is chosen in a step, by set.
+	// weight is the number of times that each expert is chosen in a step, by set.
 	weight [][]float64
 	// fault returns the fault that affects the n-th order.
 	fault  func(n int) fault
@@ -62,8 +62,8 @@
 	heldStep                                                  uint64
 	holds                                                     bool
 	expertSets, nextExpertSets                                [][]uint16
-	// wholeMap and nextWholeMap are the map of the whole group as it was ordered.
-	wholeMap, nextWholeMap string
+	// groupMap and nextGroupMap hold the map of all ranks, as ordered.
+	groupMap, nextGroupMap string
 	readyAt                time.Time
 	counts                 []uint64
 	slowdown               float64
@@ -150,7 +150,7 @@
 	for _, k := range g.ranks {
 		if k.armed != 0 && k.armedFor == g.step {
 			k.version, k.expertSets, k.armed, k.prepared = k.armed, k.nextExpertSets, 0, 0
-			k.wholeMap = k.nextWholeMap
+			k.groupMap = k.nextGroupMap
 		}
 
 		for s := range g.weight {
@@ -161,7 +161,7 @@
 	}
 
 	for i, k := range g.ranks {
-		if k.version == g.ranks[0].version && k.wholeMap != g.ranks[0].wholeMap && g.violation == "" {
+		if k.version == g.ranks[0].version && k.groupMap != g.ranks[0].groupMap && g.violation == "" {
 			g.violation = fmt.Sprintf("step %d began with two different maps of version %d", g.step, k.version)
 		}
 
@@ -464,7 +464,7 @@
 	}
 
 	k.highestVersion, k.prepared, k.nextExpertSets = o.GetVersion(), o.GetVersion(), expertSets
-	k.nextWholeMap = fmt.Sprint(o.GetMap())
+	k.nextGroupMap = fmt.Sprint(o.GetMap())
 	k.readyAt = time.Now().Add(time.Duration(totalNew) * expertCopyTime)
 
 	return wire.EngineResult_EngineDone
--- a/internal/placement/pack.go
+++ b/internal/placement/pack.go
@@ -89,7 +89,7 @@
 // bestRank returns the live rank with a free slot on which e finishes first,
 // less keepTolerance for ranks that hold e in old, or -1.
 func (w *layerState) bestRank(e Expert, share float64, old []Expert) int {
-	best, leastTime := -1, math.Inf(1)
+	best, minTime := -1, math.Inf(1)
 	for r := range w.ranks {
 		if w.liveRanks&(1<<r) == 0 || w.holders[e]&(1<<r) != 0 {
 			continue
@@ -98,8 +98,8 @@
 		if slices.Contains(old[r*w.slotsPerRank:(r+1)*w.slotsPerRank], e) {
 			t -= keepTolerance
 		}
-		if t < leastTime && slices.Contains(w.slots[r*w.slotsPerRank:(r+1)*w.slotsPerRank], None) {
-			best, leastTime = r, t
+		if t < minTime && slices.Contains(w.slots[r*w.slotsPerRank:(r+1)*w.slotsPerRank], None) {
+			best, minTime = r, t
 		}
 	}
 
--- a/internal/placement/repair.go
+++ b/internal/placement/repair.go
@@ -30,7 +30,7 @@
 // cheapestSlot returns the slot of a live rank that can take e and whose rank
 // then takes the least time.
 func (w *layerState) cheapestSlot(e Expert) (int, bool) {
-	slot, leastTime := -1, math.Inf(1)
+	slot, minTime := -1, math.Inf(1)
 	for j, b := range w.slots {
 		r := j / w.slotsPerRank
 		if w.liveRanks&(1<<r) == 0 || (b != None && replicas(w.holders[b]) < 2) {
@@ -40,8 +40,8 @@
 		if b != None {
 			extra -= w.tokens[b] / float64(replicas(w.holders[b]))
 		}
-		if t := w.rankTime(r, extra, 0); t < leastTime {
-			slot, leastTime = j, t
+		if t := w.rankTime(r, extra, 0); t < minTime {
+			slot, minTime = j, t
 		}
 	}
 
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// beats reports whether a change that brings the time of the slowest rank it
+// improves reports whether a change that brings the time of the slowest rank it
 // touches to newTime is better than the best one.
-func (v *changeSearch) beats(newTime, copies float64) bool {
+func (v *changeSearch) improves(newTime, copies float64) bool {
 	return v.slowestTime-max(newTime, v.idealTime) > v.best.Score*copies
 }
 
@@ -191,7 +191,7 @@
 	lost := s.shares[e]
 	more := lost * float64(n) / float64(n-1)
 	newTime := w.maxRankTime(w.holders[e]&^(1<<v.slowest), more-lost, more*more-lost*lost, w.rankTime(v.slowest, -lost, -lost*lost))
-	if v.beats(newTime, noFetchCopies) {
+	if v.improves(newTime, noFetchCopies) {
 		v.setBest(change{Kind: changeDrop, From: i}, newTime, noFetchCopies)
 	}
 }
@@ -251,7 +251,7 @@
 	d := t.Share - t.FreedShare
 	extraSquares := t.Share*t.Share - t.FreedShare*t.FreedShare
 	newTime := max(w.rankTime(v.slowest, -d, -extraSquares), w.rankTime(t.Receiver, d, extraSquares))
-	if v.beats(newTime, 2) {
+	if v.improves(newTime, 2) {
 		v.setBest(change{Kind: changeSwap, From: t.From, To: t.To}, newTime, 2)
 	}
 }
@@ -266,14 +266,14 @@
 	share, next, freed := t.Share*t.Share, t.ShareIfReplicated*t.ShareIfReplicated, t.FreedShare*t.FreedShare
 	moved := max(w.rankTime(v.slowest, extraOnSlowest-t.Share, extraSquares-share), w.rankTime(t.Receiver, t.Share-t.FreedShare, share-freed))
 	copied := max(w.rankTime(v.slowest, extraOnSlowest-t.Share+t.ShareIfReplicated, extraSquares-share+next), w.rankTime(t.Receiver, t.ShareIfReplicated-t.FreedShare, next-freed))
-	if !v.beats(min(moved, copied), 1) {
+	if !v.improves(min(moved, copied), 1) {
 		return
 	}
 	others := w.maxRankTime(t.OtherHolders&^(1<<v.slowest), t.ExtraPerHolder, t.ExtraSquares, 0)
-	if moved = max(moved, others); v.beats(moved, 1) {
+	if moved = max(moved, others); v.improves(moved, 1) {
 		v.setBest(change{Kind: changeMove, From: t.From, To: t.To}, moved, 1)
 	}
-	if copied = max(copied, others); v.beats(copied, 1) {
+	if copied = max(copied, others); v.improves(copied, 1) {
 		v.setBest(change{Kind: changeReplicate, From: t.From, To: t.To}, copied, 1)
 	}
 }
--- a/internal/quorum/status.go
+++ b/internal/quorum/status.go
@@ -44,7 +44,7 @@
 		s.Members = append(s.Members, c.memberStatus(m))
 	}
 
-	s.Reason = c.stopUnsafeReason()
+	s.Reason = c.stopBlocker()
 	s.SafeToStop = s.Reason == ""
 
 	return s
@@ -68,8 +68,8 @@
 	return s
 }
 
-// stopUnsafeReason returns why no further voter may be stopped now, or an empty string.
-func (c *Core) stopUnsafeReason() string {
+// stopBlocker returns why no further voter may be stopped now, or an empty string.
+func (c *Core) stopBlocker() string {
 	switch {
 	case c.fault != nil:
 		return c.fault.Error()
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -110,7 +110,7 @@
 	r.server = &control.Server{
 		Cluster: r.Cluster, Zone: r.Zone, VM: r.VM, Propose: r.replica.Propose, ReadIndex: r.readIndex,
 		NotProposed: func(err error) bool { return verdict.Of(err) == verdict.NotRun },
-		IsLeader:    r.isLeader, StopUnsafe: r.stopBlocker, FindPeers: r.findPeers, Self: r.self,
+		IsLeader:    r.isLeader, StopBlocker: r.stopBlocker, FindPeers: r.findPeers, Self: r.self,
 		ReadDocument: r.ReadDocument, Zones: r.Zones, AnnounceInterval: r.AnnounceInterval, ControlAddresses: r.controlAddresses,
 		Logger: r.Logs.Logger("control"),
 	}
@@ -121,7 +121,7 @@
 	}
 
 	r.director = r.newDirector()
-	r.server.OnGroup = r.director.OnApplied
+	r.server.OnGroupEntry = r.director.OnApplied
 	r.server.Init()
 	r.replica.Apply = r.server.Apply
 	r.replica.Snapshot = r.server.Snapshot
--- a/internal/role/directentry.go
+++ b/internal/role/directentry.go
@@ -201,7 +201,7 @@
 	r.logger = r.Logs.Logger("entry")
 	r.follower = &view.Follower{
 		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.poll,
-		Leaving: r.stopping, Relay: r.RelayAddr, Logger: r.Logs.Logger("view"),
+		Stopping: r.stopping, Relay: r.RelayAddr, Logger: r.Logs.Logger("view"),
 		OnChange: func(f *view.ClusterState) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -283,7 +283,7 @@
 		AgentID: t.Node.GetID(), Service: service, Addr: address,
 		Zone: t.Node.GetZone(), Region: regionOf(s, t.Node.GetZone()),
 		Capacity: int(t.Node.GetCapacity()), Incarnation: t.Node.GetIncarnation(),
-		Leaving: !t.Admissible(), ZoneOut: t.ZoneOut,
+		Draining: !t.Admissible(), ZoneOut: t.ZoneOut,
 	}
 }
 
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -10,11 +10,11 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// formerPeerRetention is how long a removed control VM is still asked which processes
+// removedPeerRetention is how long a removed control VM is still asked which processes
 // polled it. It may have answered polls as a member, and the leases of those polls may
 // still be valid. A decision that takes effect without asking it could be violated by a
 // process with such a lease.
-const formerPeerRetention = 10 * time.Second
+const removedPeerRetention = 10 * time.Second
 
 // peerTracker tracks the other control VMs. It takes them from the members in the log,
 // and, until formerPeerRetention after the start, also from the settings: this process
@@ -42,7 +42,7 @@
 	}
 
 	for _, m := range settings {
-		if now.Sub(l.started) < formerPeerRetention {
+		if now.Sub(l.started) < removedPeerRetention {
 			l.peers[m.ID] = trackedPeer{member: m, lastMemberAt: now}
 		}
 	}
@@ -55,7 +55,7 @@
 
 	for id, p := range l.peers {
 		switch {
-		case now.Sub(p.lastMemberAt) > formerPeerRetention:
+		case now.Sub(p.lastMemberAt) > removedPeerRetention:
 			delete(l.peers, id)
 		case id != self:
 			out = append(out, p.member)
--- a/internal/role/peers_test.go
+++ b/internal/role/peers_test.go
@@ -35,5 +35,5 @@
 	later := start.Add(time.Minute)
 	require.ElementsMatch(t, []string{"b", "c"}, idsOf(l.update(later, "a", []quorum.Member{a, b, c}, settings)))
 	require.ElementsMatch(t, []string{"b", "c", "d"}, idsOf(l.update(later.Add(time.Second), "a", []quorum.Member{a, b, d}, settings)))
-	require.ElementsMatch(t, []string{"b", "d"}, idsOf(l.update(later.Add(formerPeerRetention+time.Second), "a", []quorum.Member{a, b, d}, settings)))
+	require.ElementsMatch(t, []string{"b", "d"}, idsOf(l.update(later.Add(removedPeerRetention+time.Second), "a", []quorum.Member{a, b, d}, settings)))
 }
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -162,7 +162,7 @@
 		// change, and one with 1,773 routes occupied a link of 8 Mbit/s for a second,
 		// during which the directing agent received nothing else.
 		ServicesOnly: true,
-		Leaving:      func() bool { return true }, OnChange: func(*view.ClusterState) {}, Logger: a.Logs.Logger("view"),
+		Stopping:     func() bool { return true }, OnChange: func(*view.ClusterState) {}, Logger: a.Logs.Logger("view"),
 	}
 	a.follower.Init()
 
--- a/internal/routing/chooser_test.go
+++ b/internal/routing/chooser_test.go
@@ -69,7 +69,7 @@
 	t.Parallel()
 
 	list := targets(2)
-	list[0].Leaving = true
+	list[0].Draining = true
 	list[1].ZoneOut = true
 
 	_, none := newChooser(1, list...).Choose(epoch, routing.Request{Service: service})
--- a/internal/routing/decisions_test.go
+++ b/internal/routing/decisions_test.go
@@ -85,14 +85,14 @@
 		f := strings.Fields(line)
 		list = append(list, routing.Target{
 			AgentID: f[0], Service: service, Zone: f[1], Region: "central-th", Capacity: 8, Incarnation: 1,
-			Cold: slices.Contains(f, "cold"), Leaving: slices.Contains(f, "leaving"), ZoneOut: slices.Contains(f, "out"),
+			Cold: slices.Contains(f, "cold"), Draining: slices.Contains(f, "leaving"), ZoneOut: slices.Contains(f, "out"),
 		})
 	}
 
 	s.c.ChangeTargets(routing.TargetsChanged{Targets: list})
 }
 
-func (s *script) credit(t *testing.T, d *datadriven.TestData, slots int, life time.Duration) string {
+func (s *script) credit(t *testing.T, d *datadriven.TestData, slots int, lifetime time.Duration) string {
 	t.Helper()
 
 	var (
@@ -107,7 +107,7 @@
 	for _, id := range d.CmdArgs {
 		if len(id.Vals) == 0 {
 			s.c.ApplyCredit(routing.CreditChanged{
-				AgentID: id.Key, Incarnation: 1, Slots: slots, ExpiresAt: s.now.Add(life), RetryAt: againAt,
+				AgentID: id.Key, Incarnation: 1, Slots: slots, ExpiresAt: s.now.Add(lifetime), RetryAt: againAt,
 			})
 		}
 	}
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -17,9 +17,9 @@
 	// Capacity is how many requests the target can handle at once when warm.
 	Capacity int
 	Cold     bool
-	// Leaving targets, and targets with ZoneOut set, get no new requests.
-	Leaving bool
-	ZoneOut bool
+	// Draining targets, and targets with ZoneOut set, get no new requests.
+	Draining bool
+	ZoneOut  bool
 	// Incarnation is that of the agent. A new incarnation starts without recorded
 	// state.
 	Incarnation uint64
@@ -40,7 +40,7 @@
 	Limit    int
 	Queued   int
 	Cold     bool
-	Leaving  bool
+	Draining bool
 }
 
 // CreditChanged is a credit that an agent granted to this entry.
--- a/internal/routing/model_agent_test.go
+++ b/internal/routing/model_agent_test.go
@@ -176,7 +176,7 @@
 	}
 }
 
-const creditLife = 2 * time.Second
+const creditLifetime = 2 * time.Second
 
 // reserved returns the slots that the agent holds for the entries other than the given
 // one, and the number of these entries.
@@ -209,7 +209,7 @@
 	}
 
 	res := &t.reservations[entry]
-	res.slots, res.requested, res.expiresAt = slots, requested, now+creditLife
+	res.slots, res.requested, res.expiresAt = slots, requested, now+creditLifetime
 }
 
 // full reports whether an entry gets no slot: its own slots are in use, and the others
--- a/internal/routing/no_target.go
+++ b/internal/routing/no_target.go
@@ -29,7 +29,7 @@
 			cause = verdict.CauseOverload
 		case cause == verdict.CauseNoTarget && t.ZoneOut:
 			cause = verdict.CauseZoneOut
-		case cause == verdict.CauseNoTarget && t.Leaving:
+		case cause == verdict.CauseNoTarget && t.Draining:
 			cause = verdict.CauseLeaving
 		}
 
--- a/internal/routing/pickers_test.go
+++ b/internal/routing/pickers_test.go
@@ -27,7 +27,7 @@
 func (p *baseline) usable(i int, req routing.Request) bool {
 	t := p.list[i]
 
-	return !t.Leaving && !t.ZoneOut && !slices.Contains(req.Excluded, t.AgentID)
+	return !t.Draining && !t.ZoneOut && !slices.Contains(req.Excluded, t.AgentID)
 }
 
 // capacity returns the total capacity of the targets whose zone is not out.
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -71,7 +71,7 @@
 		})
 	case 2:
 		d.ZoneOut = rapid.Bool().Draw(t, "out")
-		d.Leaving = rapid.Bool().Draw(t, "leaving")
+		d.Draining = rapid.Bool().Draw(t, "leaving")
 
 		if rapid.Bool().Draw(t, "restarted") {
 			d.Incarnation++
@@ -120,7 +120,7 @@
 
 	i := b.index[got.AgentID]
 	require.NotEqual(t, excluded, i)
-	require.False(t, b.targets[i].ZoneOut || b.targets[i].Leaving, "chosen although leaving or in a zone that is out")
+	require.False(t, b.targets[i].ZoneOut || b.targets[i].Draining, "chosen although leaving or in a zone that is out")
 	require.True(t, b.now.Before(b.creditExpiresAt[i]), "chosen without a credit")
 	require.Less(t, b.inFlight[i], b.slots[i], "chosen beyond its credit")
 	require.Equal(t, b.targets[i].Incarnation, got.Incarnation)
--- a/internal/routing/target.go
+++ b/internal/routing/target.go
@@ -36,7 +36,7 @@
 }
 
 // acceptsNew reports whether the target may get new requests at all.
-func (t *target) acceptsNew() bool { return !t.Leaving && !t.ZoneOut }
+func (t *target) acceptsNew() bool { return !t.Draining && !t.ZoneOut }
 
 // hasCredit reports whether this entry holds a valid credit.
 func (t *target) hasCredit(now time.Time) bool { return now.Before(t.creditExpiresAt) }
--- a/internal/routing/updates.go
+++ b/internal/routing/updates.go
@@ -93,7 +93,7 @@
 	t.Cold = ev.Cold
 
 	t.stoppedUntil = time.Time{}
-	if ev.Leaving {
+	if ev.Draining {
 		t.stoppedUntil = ev.TakenAt.Add(c.Settings.StopReportTTL)
 	}
 
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -57,8 +57,8 @@
 	Seeds func() []netip.AddrPort
 	// Poll sends one poll to a control VM. It must return when ctx is done.
 	Poll func(ctx context.Context, control netip.AddrPort, r *wire.FollowRequest) (*wire.FollowResponse, error)
-	// Leaving, if set, reports whether this process is stopping.
-	Leaving func() bool
+	// Stopping, if set, reports whether this process is stopping.
+	Stopping func() bool
 	// Relay is the address at which this process relays orders to engines; invalid if
 	// it does not.
 	Relay netip.AddrPort
@@ -237,7 +237,7 @@
 	s := f.State()
 	r := &wire.FollowRequest{
 		Cluster: f.Cluster, ID: f.ID, Zone: f.Zone, KnownIndex: s.Index, KnownNumber: s.Number,
-		DirectoryBoot: c.directoryBoot, DirectoryRevision: c.directoryRevision, Leaving: f.Leaving != nil && f.Leaving(),
+		DirectoryBoot: c.directoryBoot, DirectoryRevision: c.directoryRevision, Leaving: f.Stopping != nil && f.Stopping(),
 		ServicesOnly: f.ServicesOnly, RosterHash: c.rosterHash,
 	}
 
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -40,10 +40,10 @@
 	}
 
 	p.mu.Lock()
-	out, silent := p.answers[at], p.unresponsive[at]
+	out, unresponsive := p.answers[at], p.unresponsive[at]
 	p.mu.Unlock()
 
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 
 		return nil, errCutOff
