--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -23,27 +23,27 @@
 func Metrics() []Metric {
 	return []Metric{
 		{"Relay.Requests", "requests", "Requests that callers sent.", func(r *Relay) int64 { return r.counters.requests.Load() }},
-		{"Relay.Served", "requests", "Requests that got a target's answer, failures of the target included.", func(r *Relay) int64 { return r.counters.completions.Load() }},
-		{"Relay.Refused", "requests", "Requests refused as not run, with Retry-After.", func(r *Relay) int64 { return r.counters.refused.Load() }},
-		{"Relay.Denied", "requests", "Requests denied: no route, no key, malformed or too long.", func(r *Relay) int64 { return r.counters.denied.Load() }},
-		{"Relay.Failed", "requests", "Requests that may have run and got no whole answer (502, 504).", func(r *Relay) int64 { return r.counters.failed.Load() }},
-		{"Relay.Cut", "streams", "Streams that were cut after their first event.", func(r *Relay) int64 { return r.counters.cut.Load() }},
-		{"Relay.SentAgain", "sends", "Sends to a further target.", func(r *Relay) int64 { return r.counters.retries.Load() }},
-		{"Relay.SentAgainUnpaid", "sends", "Sends to a further target that took nothing from the retry budget, as no target had read the request.", func(r *Relay) int64 { return r.counters.freeRetries.Load() }},
-		{"Relay.Misdirected", "sends", "Sends that another target than the one that was meant rejected.", func(r *Relay) int64 { return r.counters.misdirected.Load() }},
-		{"Relay.BudgetSpent", "requests", "Requests that were not sent to a further target since the retry budget was spent.", func(r *Relay) int64 { return r.counters.budgetSpent.Load() }},
-		{"Relay.CallersLeft", "requests", "Requests whose caller left before the answer.", func(r *Relay) int64 { return r.counters.disconnected.Load() }},
-		{"Relay.Waiting", "requests", "Requests that wait for a target now.", func(r *Relay) int64 {
+		{"Relay.Served", "requests", "Requests answered by a target, including failures of the target.", func(r *Relay) int64 { return r.counters.completions.Load() }},
+		{"Relay.Refused", "requests", "Requests refused without being run, with Retry-After.", func(r *Relay) int64 { return r.counters.refused.Load() }},
+		{"Relay.Denied", "requests", "Requests denied: no route, no key, malformed or too large.", func(r *Relay) int64 { return r.counters.denied.Load() }},
+		{"Relay.Failed", "requests", "Requests that may have run and got no complete answer (502, 504).", func(r *Relay) int64 { return r.counters.failed.Load() }},
+		{"Relay.Cut", "streams", "Streams that broke off after their first event.", func(r *Relay) int64 { return r.counters.cut.Load() }},
+		{"Relay.SentAgain", "sends", "Retries at another target.", func(r *Relay) int64 { return r.counters.retries.Load() }},
+		{"Relay.SentAgainUnpaid", "sends", "Retries at another target that were not charged to the retry budget, because no target had read the request.", func(r *Relay) int64 { return r.counters.freeRetries.Load() }},
+		{"Relay.Misdirected", "sends", "Attempts rejected because a target other than the intended one answers at the address.", func(r *Relay) int64 { return r.counters.misdirected.Load() }},
+		{"Relay.BudgetSpent", "requests", "Requests that were not retried because the retry budget was exhausted.", func(r *Relay) int64 { return r.counters.budgetSpent.Load() }},
+		{"Relay.CallersLeft", "requests", "Requests whose caller disconnected before the answer.", func(r *Relay) int64 { return r.counters.disconnected.Load() }},
+		{"Relay.Waiting", "requests", "Requests currently waiting for a target.", func(r *Relay) int64 {
 			r.queue.mu.Lock()
 			defer r.queue.mu.Unlock()
 
 			return int64(r.queue.dispatcher.Waiting())
 		}},
-		{"Relay.Targets", "targets", "Targets that the directory holds.", func(r *Relay) int64 { return int64(len(r.State().Targets)) }},
-		{"Relay.Entries", "entries", "Entries that share the targets, this one included.", func(r *Relay) int64 { return int64(r.State().Entries) }},
-		{"Relay.ConfigurationNumber", "number", "The operators' number of the configuration in force.", func(r *Relay) int64 { return int64(r.State().Number) }},
-		{"Relay.StateIndex", "log index", "The log index of the state in force.", func(r *Relay) int64 { return int64(r.State().Index) }},
-		{"Relay.ServedLinesLeftOut", "lines", "Log lines of served requests that sampling left out.", func(r *Relay) int64 { return r.completions.Suppressed() }},
+		{"Relay.Targets", "targets", "Targets in the directory.", func(r *Relay) int64 { return int64(len(r.State().Targets)) }},
+		{"Relay.Entries", "entries", "Entries that share the targets, including this one.", func(r *Relay) int64 { return int64(r.State().Entries) }},
+		{"Relay.ConfigurationNumber", "number", "Number that the operators gave to the configuration in force.", func(r *Relay) int64 { return int64(r.State().Number) }},
+		{"Relay.StateIndex", "log index", "Log index of the state in force.", func(r *Relay) int64 { return int64(r.State().Index) }},
+		{"Relay.ServedLinesLeftOut", "lines", "Log lines of completed requests dropped by sampling.", func(r *Relay) int64 { return r.completions.Suppressed() }},
 	}
 }
 
@@ -55,9 +55,9 @@
 // Histograms describes the histograms, in the order in which Register adds them.
 func Histograms() []Metric {
 	return []Metric{
-		{Name: "Relay.WaitMillis", Unit: "ms", Help: "From a request's arrival until it has a target."},
-		{Name: "Relay.FirstAnswerMillis", Unit: "ms", Help: "From a request's arrival until the first byte of its answer leaves."},
-		{Name: "Relay.WholeMillis", Unit: "ms", Help: "From a request's arrival until its answer is whole."},
+		{Name: "Relay.WaitMillis", Unit: "ms", Help: "Time from a request's arrival until it is assigned to a target."},
+		{Name: "Relay.FirstAnswerMillis", Unit: "ms", Help: "Time from a request's arrival until the first byte of its answer is sent."},
+		{Name: "Relay.WholeMillis", Unit: "ms", Help: "Time from a request's arrival until its answer is complete."},
 	}
 }
 
@@ -99,15 +99,15 @@
 	var b strings.Builder
 
 	b.WriteString("# Metrics\n\nGenerated by `make docs`. Each process serves its metrics at its `AdminAddress`: `/metrics` as JSON, `/metrics.txt` as text,\n")
-	b.WriteString("one `name value` a line. A histogram has its count, min, mean, max and the quantiles p50, p95, p99 of the last minutes.\n\n")
-	b.WriteString("## An entry that is the door of its targets\n\n| metric | unit | meaning |\n| --- | --- | --- |\n")
+	b.WriteString("one `name value` per line. A histogram has its count, min, mean and max, and the quantiles p50, p95 and p99 of the last minutes.\n\n")
+	b.WriteString("## Entries that proxy directly to their targets\n\n| metric | unit | meaning |\n| --- | --- | --- |\n")
 
 	for _, m := range append(Metrics(), Histograms()...) {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", m.Name, m.Unit, m.Help)
 	}
 
 	b.WriteString("\n## Every process\n\n| metric | unit | meaning |\n| --- | --- | --- |\n")
-	fmt.Fprintf(&b, "| %s | lines | Log lines dropped since their reader stood still. |\n", logs.DroppedMetric)
+	fmt.Fprintf(&b, "| %s | lines | Log lines dropped because their reader was stalled. |\n", logs.DroppedMetric)
 
 	return b.String()
 }
