--- a/cmd/parsleygate/cmds/confirm.go
+++ b/cmd/parsleygate/cmds/confirm.go
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// statusPollInterval is how often confirm --wait polls the status of the decision.
+// statusPollInterval is the interval at which confirm --wait polls the status of the decision.
 const statusPollInterval = 500 * time.Millisecond
 
 var errNotInForce = errors.New("the decision is made, but is not yet known to be in force everywhere")
--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -65,7 +65,7 @@
 	c.updateBounds(now)
 
 	// A target without work may have been scaled down or lost its caches. When a
-	// zone returns to service, all of its targets get work again at once.
+	// zone returns to service, all of its targets get work again immediately.
 	if readmitted {
 		c.ramp.reset(now, c.Settings.RampInterval)
 	}
@@ -104,7 +104,7 @@
 	}
 
 	// The first in-flight count of a boot may be older than the last work sent to the
-	// target, so it cannot show that this work is gone.
+	// target, so it cannot show that this work has ended.
 	if inFlightKnown {
 		c.unknown.reconcile(int(a.InFlight), previous, c.runningSince(previous))
 	}
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -22,7 +22,7 @@
 	// active until activeUntil.
 	active      bool
 	activeUntil time.Time
-	// unmetRequests counts how often the entry was denied a slot since it last got one.
+	// unmetRequests counts how many times the entry was denied a slot since it last got one.
 	// At waitingUntil it loses its queue position.
 	unmetRequests int
 	waitingUntil  time.Time
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -84,8 +84,8 @@
 		case p := <-r.parts:
 			heartbeat.Reset(x.agent.Settings.HeartbeatInterval)
 
-			// The last part and the disconnect may be pending at once. The response must then
-			// be kept for the entry's query.
+			// The last part and the disconnect may be pending at the same time. The
+			// response must then be kept for the entry's query.
 			if entryCtx.Err() != nil {
 				x.markDisconnected()
 			}
@@ -111,7 +111,7 @@
 // The agent can't tell whether the caller canceled or the entry's connection broke. An
 // idempotent request is canceled to free the target, and so is a stream, which can't be
 // resumed later. Any other request runs until its deadline and its response is kept: if it
-// were canceled, nobody could tell whether it had taken effect.
+// were canceled, it would be unknown whether it had taken effect.
 func (x *exchange) mayCancel() bool {
 	return x.req.GetIdempotent() || x.stream
 }
@@ -144,7 +144,7 @@
 		x.recorded.Headers = h.Headers
 	}
 
-	// With a known length, the body follows at once, so the head need not be flushed alone.
+	// With a known length, the body follows immediately, so the head need not be flushed alone.
 	x.sendFrame(&wire.Frame{Kind: &wire.Frame_Head{Head: h}}, resp.ContentLength >= 0)
 }
 
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -220,7 +220,7 @@
 }
 
 // Guards against losing the response of a non-idempotent request that its entry queries, and
-// against large responses filling the agent's memory. A response must be kept as a whole or
+// against large responses filling the agent's memory. A response must be kept completely or
 // not at all.
 func TestRecordedResponses(t *testing.T) {
 	t.Parallel()
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -211,7 +211,7 @@
 	})
 }
 
-// A follower's held request must be answered at once when a document is adopted, a zone
+// A follower's held request must be answered immediately when a document is adopted, a zone
 // goes out, or a target is announced or ends.
 func TestFollowReturnsOnChange(t *testing.T) {
 	t.Parallel()
@@ -302,9 +302,9 @@
 	})
 }
 
-// All control VMs are killed at once and restart. Their followers must at once get the
-// targets known before, including the removed ones. A truncated file must count as no saved
-// directory.
+// All control VMs are killed at the same time and restart. Their followers must immediately
+// get the targets known before, including the removed ones. A truncated file must count as
+// no saved directory.
 func TestTargetsSurviveRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// Follow answers an entry that proxies directly to its targets. It answers at once if the
+// Follow answers an entry that proxies directly to its targets. It answers immediately if the
 // entry lacks something, otherwise at the next change or at the end of the requested wait.
 func (s *Server) Follow(ctx context.Context, r *wire.FollowRequest) (*wire.FollowResponse, error) {
 	if r.GetCluster() != s.Cluster {
--- a/internal/control/inforce_test.go
+++ b/internal/control/inforce_test.go
@@ -46,10 +46,10 @@
 	})
 }
 
-// A silent partition cuts off one entry just before a zone goes out. While the entry's
-// lease holds, it still sends into the zone: the decision must not be in force, and the
-// status must name the entry. Once the lease has expired, the entry refuses new work and
-// the decision must be in force, although the entry never received it.
+// A partition that silently drops packets cuts off one entry just before a zone goes out. While
+// the entry's lease holds, it still sends into the zone: the decision must not be in force,
+// and the status must name the entry. Once the lease has expired, the entry refuses new work
+// and the decision must be in force, although the entry never received it.
 func TestInForceOnceLeaseOfPartitionedProcessExpires(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -138,7 +138,7 @@
 // A control VM is isolated for an hour, during 300 decisions, and one entry can reach only
 // that VM. The entry must soon refuse work although the VM still answers it, and must hold
 // the last decision after the isolation ends. An entry that can reach the other VMs must
-// switch to them at once.
+// switch to them immediately.
 func TestEntryOfIsolatedControlVMRefusesUntilHeal(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -12,8 +12,8 @@
 	asOf time.Time
 }
 
-// applyCheckInterval is how often a read checks whether the commands up to its index have
-// been applied.
+// applyCheckInterval is the interval at which a read checks whether the commands up to
+// its index have been applied.
 const applyCheckInterval = 2 * time.Millisecond
 
 // runConfirmations confirms with a quorum every ReadIndexInterval that the state of this VM
--- a/internal/control/liveness_test.go
+++ b/internal/control/liveness_test.go
@@ -98,7 +98,7 @@
 }
 
 // One agent crashes, another is partitioned for a while, a third ends in order. The first
-// two must leave the directory after the timeout and the third at once. The second must
+// two must leave the directory after the timeout and the third immediately. The second must
 // return when its partition ends.
 func TestUnresponsiveProcessesExpire(t *testing.T) {
 	t.Parallel()
--- a/internal/control/notifier.go
+++ b/internal/control/notifier.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// notifier wakes all waiters at once when something changes.
+// notifier wakes all waiters when something changes.
 type notifier struct {
 	current atomic.Pointer[chan struct{}]
 }
--- a/internal/control/poll.go
+++ b/internal/control/poll.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Poll answers a poll of an entry or agent. It answers at once if the process lacks a
+// Poll answers a poll of an entry or agent. It answers immediately if the process lacks a
 // version or if this VM's state is not confirmed as current; otherwise it waits for a
 // change or for the end of the requested wait.
 func (s *Server) Poll(ctx context.Context, r *wire.PollRequest) (*wire.PollResponse, error) {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -113,7 +113,7 @@
 	// ClockMargin is added to Lease and MaxCreditLifetime before a version counts as in
 	// force by elapsed time. It covers clocks that run at different rates.
 	ClockMargin time.Duration
-	// ReadIndexInterval is how often this VM confirms that its state is current.
+	// ReadIndexInterval is the interval at which this VM confirms that its state is current.
 	ReadIndexInterval time.Duration
 	// MaxPollWait bounds how long a poll is held.
 	MaxPollWait time.Duration
@@ -121,9 +121,9 @@
 	ReportBatchInterval time.Duration
 	// ExpiryTimeout is the time without a poll after which a process is expired.
 	ExpiryTimeout time.Duration
-	// ExpiryCheckInterval is how often the leader looks for processes to expire.
+	// ExpiryCheckInterval is the interval at which the leader looks for processes to expire.
 	ExpiryCheckInterval time.Duration
-	// TickInterval is how often the leader advances the clock of the state.
+	// TickInterval is the interval at which the leader advances the clock of the state.
 	TickInterval time.Duration
 	// ProposeTimeout bounds a proposal that this VM makes on its own behalf.
 	ProposeTimeout time.Duration
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -17,7 +17,7 @@
 // State is the state that a target announced, or Unresponsive if announcements are missing.
 type State uint8
 
-// The states of a target, in their usual order.
+// The states of a target, in the order in which they normally follow each other.
 const (
 	Ready State = iota
 	// Draining targets accept no new work and finish their requests.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -97,7 +97,7 @@
 // For two seconds, a burst brings three times the load that the targets can process. First
 // come, first served would make every request late after the first half second. Instead,
 // requests that can still meet their soft deadline are placed first, the newest of them
-// before the others, and requests that cannot meet their deadline are refused at once with
+// before the others, and requests that cannot meet their deadline are refused immediately with
 // a retry time.
 func TestBurstCompletesRequestsThatCanMeetTheirSoftDeadline(t *testing.T) {
 	t.Parallel()
@@ -265,7 +265,7 @@
 	require.Len(t, got, 4)
 }
 
-// One engine rejects every request at once. Its load makes it look free, so it would
+// One engine rejects every request immediately. Its load makes it look free, so it would
 // receive all requests. It must be ejected briefly after each rejection.
 func TestRejectingTargetIsEjectedBriefly(t *testing.T) {
 	t.Parallel()
@@ -317,7 +317,7 @@
 	require.Contains(t, f.placed, f.submit(now, nil))
 }
 
-// A request without a target that may receive it must be refused at once, not at its
+// A request without a target that may receive it must be refused immediately, not at its
 // deadline.
 func TestRequestWithoutEligibleTargetIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
@@ -338,9 +338,9 @@
 	require.Equal(t, verdict.CauseNoTarget, f.refused[id].Cause)
 }
 
-// After an outage of a zone, four cold and empty engines return at once beside full ones,
-// and every entry sees them empty. All entries together must not exceed the limit of a cold
-// target in any second, or it fails again.
+// After an outage of a zone, four cold and empty engines return at the same time, beside
+// full ones, and every entry sees them empty. All entries together must not exceed the
+// limit of a cold target in any second, or it fails again.
 func TestColdLimitHoldsOverAllEntries(t *testing.T) {
 	t.Parallel()
 
@@ -396,7 +396,7 @@
 
 // Demand exceeds the capacity of a lock-step group, and event gaps approach the accepted
 // gap. The limit must fall, so that running requests meet their latency target, and rise
-// again afterwards. Its initial value is low, because every caller reconnects at once after
+// again afterwards. Its initial value is low, because every caller reconnects immediately after
 // a restart of all entries.
 func TestConcurrencyLimitFollowsEventGaps(t *testing.T) {
 	t.Parallel()
@@ -503,7 +503,7 @@
 
 // The only target of a service refuses connections repeatedly and is ejected for longer
 // than the next caller waits. Guards against holding that request until its deadline and
-// reporting an overload. It must be refused at once with the cause that the target is down,
+// reporting an overload. It must be refused immediately with the cause that the target is down,
 // and with a retry time close to the end of the ejection.
 func TestRequestIsRefusedWhenEjectionOutlastsItsDeadline(t *testing.T) {
 	t.Parallel()
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -27,7 +27,8 @@
 	// longStepDuration of each longStepInterval.
 	step, longStep, longStepInterval, longStepDuration time.Duration
 	maxGap, latencyTarget, timeout                     time.Duration
-	// reportInterval is how often a target reports its load to the entries that use it.
+	// reportInterval is the interval at which a target reports its load to the entries that use
+	// it.
 	reportInterval time.Duration
 	duration       time.Duration
 	settings       dispatch.Settings
--- a/internal/dispatch/group_test.go
+++ b/internal/dispatch/group_test.go
@@ -226,7 +226,7 @@
 	require.Less(t, missedFraction, 0.1)
 }
 
-// The demand of a busy group shifts further than usual. Requests that started in the long
+// The demand of a busy group shifts further than normal. Requests that started in the long
 // steps before the next expert map lengthened these steps beyond what callers accept, and
 // made every request of the group late. With starts delayed for that half second, at least
 // a third of the late requests must be avoided.
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -181,7 +181,7 @@
 // refuseUnservable refuses requests that would exceed their deadline before an answer, and
 // those without an eligible target. A late request is refused once the requests ahead of it
 // are more than complete in its remaining time. If all targets are ejected, a request whose
-// deadline precedes the end of the first ejection is refused at once. The remaining
+// deadline precedes the end of the first ejection is refused immediately. The remaining
 // requests are left sorted.
 func (d *Dispatcher) refuseUnservable(now time.Time, s *service) []Action {
 	var out []Action
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -44,14 +44,14 @@
 	// times observed during a stall would cause all requests to be refused, and with
 	// nothing placed no shorter time would ever be observed.
 	MaxFirstAnswerTime time.Duration
-	// LimitUpdateInterval is how often the concurrency limit of targets is updated. Event
-	// gaps above HighEventGap, as a ratio of the gap that callers accept, lower it; gaps
-	// below LowEventGap raise it.
+	// LimitUpdateInterval is the interval at which the concurrency limit of targets is
+	// updated. Event gaps above HighEventGap, as a ratio of the gap that callers accept,
+	// lower it; gaps below LowEventGap raise it.
 	LimitUpdateInterval time.Duration
 	HighEventGap        float64
 	LowEventGap         float64
 	// LongStepGap is the event gap, as a ratio of the gap that callers accept, from which a
-	// step counts as long and fewer requests than usual are started. From NoStartGap on,
+	// step counts as long and fewer requests than normal are started. From NoStartGap on,
 	// none are started.
 	LongStepGap float64
 	NoStartGap  float64
--- a/internal/e2e/blackhole_test.go
+++ b/internal/e2e/blackhole_test.go
@@ -23,7 +23,7 @@
 	dropInbound, dropOutbound bool
 }
 
-// blackholeConn is a connection that drops received or written data for good, as when a
+// blackholeConn is a connection that permanently drops received or written data, as when a
 // device between its ends has lost the connection's state.
 type blackholeConn struct {
 	net.Conn
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// dropCurrent black-holes the open connections, in the given directions, for good.
+// dropCurrent permanently black-holes the open connections, in the given directions.
 func (l *blackholeListener) dropCurrent(inbound, outbound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/draft_fault_test.go
@@ -150,7 +150,7 @@
 }
 
 // A caller disconnects while its answer is generated. The agent must see this, or the
-// engine continues to generate an answer that nobody reads.
+// engine continues to generate an answer that no caller reads.
 func TestCallerDisconnectReachesAgent(t *testing.T) {
 	t.Parallel()
 
--- a/internal/entry/prefix.go
+++ b/internal/entry/prefix.go
@@ -9,7 +9,7 @@
 	maxPrefixes = 16
 )
 
-// prefixHashes returns the hashes of the body's prefixes of whole blocks, shortest
+// prefixHashes returns the hashes of the body's prefixes of complete blocks, shortest
 // first. Engines cache prompts by prefix, so requests with common prefixes benefit from
 // the same target.
 func (c *call) prefixHashes() []uint64 {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -17,7 +17,7 @@
 	// state of an attempt. The interval doubles each time.
 	minQueryInterval = 50 * time.Millisecond
 	maxQueryInterval = time.Second
-	// maxInterruptions bounds how often one answer is resumed. resumeDelay is the time
+	// maxInterruptions bounds how many times one answer is resumed. resumeDelay is the time
 	// before each resumption.
 	maxInterruptions = 3
 	resumeDelay      = 20 * time.Millisecond
@@ -113,7 +113,7 @@
 	}
 }
 
-// ClaimFailed reports that no control VM answered a claim or a look-up. This exchange
+// ClaimFailed reports that no control VM answered a claim or a lookup. This exchange
 // sends nothing, but an earlier request with the same key may have run, so the verdict
 // is not NotRun. The caller can safely resend under the same key.
 func (e *Exchange) ClaimFailed(now time.Time) Action {
--- a/internal/expertgroup/switch_test.go
+++ b/internal/expertgroup/switch_test.go
@@ -138,7 +138,7 @@
 }
 
 // Guards against ranks that compute a step with different maps, which corrupts responses, and
-// against a group that stops for good. In each phase of a switch a leader, an agent, an engine
+// against a group that never resumes. In each phase of a switch a leader, an agent, an engine
 // or the log fails, some of them together, or old orders are delivered again. After the faults
 // end, the next map must come into force.
 func TestFaultsInEachSwitchPhase(t *testing.T) {
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -179,7 +179,7 @@
 // onConfirmEntry sends a rank the current map. That the entry was applied
 // proves that this VM was the leader after the rank reported that it has no
 // confirmed record. A deposed leader never gets here, so a rank without a
-// record of its own is never given an outdated one.
+// record is never sent an outdated one.
 func (c *Coordinator) onConfirmEntry(index Fence, e Entry, out []Action) []Action {
 	v := &c.ranks[e.Rank]
 	if v.confirming == e.Incarnation {
--- a/internal/expertmap/record.go
+++ b/internal/expertmap/record.go
@@ -47,8 +47,8 @@
 	Version Version
 }
 
-// Record is the state of a group's map after the log entry AsOf. It stays true
-// whoever relays it: a switch that it shows as decided remains decided.
+// Record is the state of a group's map after the log entry AsOf. It remains valid
+// whichever process forwards it: a switch that it shows as decided remains decided.
 type Record struct {
 	AsOf    Fence
 	Current Activation
--- a/internal/expertmap/switch_test.go
+++ b/internal/expertmap/switch_test.go
@@ -100,7 +100,7 @@
 // Guards against faults during a switch: a rank, an agent or the leader fails,
 // or messages arrive late or twice. If two ranks then computed the same step
 // with different maps, responses would be garbled. If the group waited for a
-// decision that nobody makes, there would be no responses.
+// decision that is never made, there would be no responses.
 func TestSwitchRecoversFromFaultsAtEveryPoint(t *testing.T) {
 	t.Parallel()
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -35,7 +35,7 @@
 	// NewCreationID returns a random number other than 0. It is called for a new data
 	// folder.
 	NewCreationID func() uint64
-	// Files are the file operations. The zero value stands for OSFiles.
+	// Files are the file operations. The zero value means OSFiles.
 	Files Files
 
 	creationID uint64
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -26,7 +26,7 @@
 }
 
 // testWrites returns the kinds of writes that a replica makes: votes, entries, entries
-// that replace others, a snapshot of its own state and one received from the leader.
+// that replace others, a snapshot of the replica's state and one received from the leader.
 func testWrites() []quorum.Persist {
 	return []quorum.Persist{
 		{State: &quorum.HardState{Term: 1, Vote: "vm0"}, Snapshot: &quorum.Snapshot{Members: quorum.Members{{ID: "vm0", Birth: 7}}}},
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -180,8 +180,8 @@
 	case wire.Verdict_Ran:
 		t.recordAnswer(entry, r.GetAnswer())
 	case wire.Verdict_NotRun:
-		// A late NotRun does not undo a loss: whoever recorded the loss had more
-		// information.
+		// A late NotRun does not undo a loss: the sender that recorded the loss had
+		// more information.
 		if entry.GetState() == wire.ClaimEntryState_ClaimEntryOpen {
 			t.remove(key)
 		}
--- a/internal/ledger/nodes_test.go
+++ b/internal/ledger/nodes_test.go
@@ -106,7 +106,7 @@
 }
 
 // A planned stop names one incarnation. If it were kept after the process restarted,
-// the new incarnation would be drained at once.
+// the new incarnation would be drained immediately.
 func TestStopIsRemovedAtNextIncarnation(t *testing.T) {
 	t.Parallel()
 
--- a/internal/load/callers.go
+++ b/internal/load/callers.go
@@ -41,7 +41,7 @@
 	total      time.Duration
 }
 
-// maxBookingAttempts bounds how often a caller sends a booking with the same idempotency
+// maxBookingAttempts bounds how many times a caller sends a booking with the same idempotency
 // key while the outcome is unknown.
 const maxBookingAttempts = 4
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -39,7 +39,7 @@
 	// Phase returns the name of the phase under which a new request is counted; may be
 	// nil.
 	Phase func() string
-	// Runs returns how often each booking ran, as counted by the targets; may be nil.
+	// Runs returns how many times each booking ran, as counted by the targets; may be nil.
 	Runs func(ctx context.Context) (map[string]int, error)
 
 	client          *http.Client
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// subscribeInterval is how often an entry renews its subscription to an agent,
+	// subscribeInterval is the interval at which an entry renews its subscription to an agent,
 	// subscriptionTTL how long a subscription is valid.
 	subscribeInterval = 2 * time.Second
 	subscriptionTTL   = 5 * time.Second
-	// resubscribeInterval is how often an entry sends a subscription to an agent that has
-	// sent no report for unresponsiveAfter.
+	// resubscribeInterval is the interval at which an entry sends a subscription to an
+	// agent that has sent no report for unresponsiveAfter.
 	resubscribeInterval = 250 * time.Millisecond
 	unresponsiveAfter   = time.Second
-	// checkInterval is how often an agent reads the load. It publishes the load if it has
-	// changed, and at least every maxPublishInterval.
+	// checkInterval is the interval at which an agent reads the load. It publishes the
+	// load if it has changed, and at least every maxPublishInterval.
 	checkInterval      = 100 * time.Millisecond
 	maxPublishInterval = 500 * time.Millisecond
 	// maxSubscribers limits the entries to which one agent reports.
--- a/internal/local/exercise.go
+++ b/internal/local/exercise.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Runs returns how often each booking ran, over all booking services.
+// Runs returns how many times each booking ran, over all booking services.
 func (inst *Instance) Runs(context.Context) (map[string]int, error) {
 	all := make(map[string]int)
 
--- a/internal/local/targets.go
+++ b/internal/local/targets.go
@@ -88,7 +88,7 @@
 	return t.Bookings.Handler()
 }
 
-// announceRestarts makes an engine announce a restart at once. The engine accepts
+// announceRestarts makes an engine announce a restart immediately. The engine accepts
 // requests again when its agent has accepted the announcement.
 func (t *Target) announceRestarts(a *testserver.Announcer) {
 	if t.Engine == nil {
--- a/internal/lockstep/demand.go
+++ b/internal/lockstep/demand.go
@@ -77,7 +77,7 @@
 
 const (
 	// minShift is the smallest share of choices that must have moved to other experts before
-	// earlier counts are dropped at once. Without that, a decay of one second would hide a
+	// earlier counts are dropped immediately. Without that, a decay of one second would hide a
 	// shift for as long. The value is low enough for a large group, where each poll contains
 	// some choices from before the shift.
 	minShift = 0.04
--- a/internal/lockstep/engine.go
+++ b/internal/lockstep/engine.go
@@ -1,6 +1,6 @@
 // Package lockstep maintains the expert map of a lock-step group whose engines take orders. It
-// reads how often experts are chosen, searches for a better map, and switches all ranks to it
-// in the same step.
+// reads how many times each expert is chosen, searches for a better map, and switches all
+// ranks to it in the same step.
 //
 // The agent beside the first rank directs the group. This needs no replicated log and no
 // election: fencing numbers rise with each attempt, engines refuse lower ones, and an agent
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -498,7 +498,7 @@
 // The VM of the director of a large group is unresponsive for a moment, and the standby begins
 // to release the hold with a higher fencing number, but gets no further. Guards against a
 // director that resends its refused order to lift the hold for two seconds, while the group is
-// stopped and callers disconnect: it must release the hold itself at once.
+// stopped and callers disconnect: it must release the hold itself immediately.
 func TestFencedDirectorReleasesHold(t *testing.T) {
 	t.Parallel()
 
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -73,7 +73,7 @@
 // orderState is the state of an order at one rank.
 type orderState struct {
 	// accepted is set once the rank has, or must have, accepted the order. unanswered is set
-	// once the order got no answer, and timeouts counts how often.
+	// once the order got no answer, and timeouts counts how many times.
 	accepted, unanswered bool
 	// confirmed is set once the rank's report shows that the order was carried out.
 	confirmed bool
@@ -170,7 +170,7 @@
 	}
 }
 
-// maxOrderAttempts is how often an order to one rank is sent if no answer arrives.
+// maxOrderAttempts is how many times an order to one rank is sent if no answer arrives.
 const maxOrderAttempts = 4
 
 func (s *Switcher) order(kind wire.EngineOrderKind, fence, version, step uint64) *wire.EngineOrder {
@@ -192,7 +192,7 @@
 }
 
 // orderOnce sends an order that has already timed out the given number of times. The time-out
-// is the one for an order sent to concurrent ranks at once.
+// is the one for an order that is sent to several ranks, their number being concurrent.
 func (s *Switcher) orderOnce(ctx context.Context, rank int, o *wire.EngineOrder, timeouts, concurrent int) wire.EngineResult {
 	began := time.Now()
 
@@ -210,8 +210,8 @@
 	return result
 }
 
-// orderTimeout returns the upper bound of the time-out for o when it is sent to concurrent
-// ranks at once.
+// orderTimeout returns the upper bound of the time-out for o when it is sent to several
+// ranks, their number being concurrent.
 func (s *Switcher) orderTimeout(o *wire.EngineOrder, concurrent int) time.Duration {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
 		return s.Settings.requestTimeout(concurrent)
--- a/internal/lockstep/polls.go
+++ b/internal/lockstep/polls.go
@@ -120,7 +120,7 @@
 	return min(max(bound, minWait)<<min(s.missedRounds, maxTimeoutDoublings), maxWait)
 }
 
-// maxPollAttempts is how often a rank is polled if a switch depends on its answer.
+// maxPollAttempts is how many times a rank is polled if a switch depends on its answer.
 const maxPollAttempts = 4
 
 // pollWithRetry polls one rank, and again if no answer arrives in time. One lost packet should
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -218,8 +218,8 @@
 
 // liftHold lifts the hold of a rank. It repeats the order until the rank reports that the hold
 // is lifted, because the group may be stopped until then. If it times out, the next poll
-// detects the hold again. It returns at once if the order is fenced: repeating the order would
-// not help, and the agent with the higher fencing number releases the hold.
+// detects the hold again. It returns immediately if the order is fenced: repeating the order
+// would not help, and the agent with the higher fencing number releases the hold.
 func (s *Switcher) liftHold(ctx context.Context, rank int, fence, step uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.GoTimeout)
 	defer cancel()
--- a/internal/logs/sampler.go
+++ b/internal/logs/sampler.go
@@ -6,7 +6,7 @@
 )
 
 // Sampler limits how many lines of one kind are logged per second, so that routine lines
-// don't crowd out those that explain a failure. Set its fields before use.
+// don't displace those that explain a failure. Set its fields before use.
 type Sampler struct {
 	PerSecond int
 
--- a/internal/logs/stall.go
+++ b/internal/logs/stall.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// stallCheckInterval is how often a process reads the clock. It is long enough that the
-	// CPU time is not measurable, and short enough to date a stall.
+	// stallCheckInterval is the interval at which a process reads the clock. It is long
+	// enough that the CPU time is not measurable, and short enough to date a stall.
 	stallCheckInterval = 250 * time.Millisecond
 	// minLoggedStall is the shortest stall that is logged. Timers on a busy VM are late by
 	// tens of milliseconds, and by 100 ms on one that has used up its CPU quota.
--- a/internal/orders/core_test.go
+++ b/internal/orders/core_test.go
@@ -167,7 +167,7 @@
 }
 
 // The agent died while its engine, which ignores fencing numbers, was working on an
-// order. If the restarted agent sent the next order at once, the earlier one could
+// order. If the restarted agent sent the next order immediately, the earlier one could
 // take effect after it and the engine would run an old version.
 func TestRestartedAgentWaitsForUnsettledOrder(t *testing.T) {
 	t.Parallel()
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -51,7 +51,7 @@
 }
 
 // An expert without a live rank loses its tokens, so every decision must keep
-// one, whatever the load. The fixed seeds include two former failures: packing
+// one, whatever the load. The fixed seeds include two earlier failures: packing
 // left out an expert if the live ranks had too few slots, and a rank with many
 // copies to fetch took longer than the gain was worth.
 func TestDecideKeepsEveryExpertOnALiveRank(t *testing.T) {
@@ -171,7 +171,7 @@
 
 // The load alternates between two distributions every minute. A planner that
 // trusts each estimate moves the same weights back and forth, which slows every
-// step for little gain. The planner must measure that its gains are gone by the
+// step for little gain. The planner must measure that its gains have disappeared by the
 // next decision, and move less than a quarter of what planners without history
 // move.
 func TestAlternatingLoadMovesLittle(t *testing.T) {
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -202,7 +202,7 @@
 type policy struct {
 	name   string
 	decide func(now time.Time, g *placement.Group) *placement.Map
-	// instant maps are used at once, without waiting for the weight store.
+	// instant maps are used immediately, without waiting for the weight store.
 	instant bool
 }
 
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -39,8 +39,8 @@
 type Tracker struct {
 	Layers, Experts, Ranks int
 	// Gain is the weight of a new window's shares in the estimate, in (0, 1],
-	// while popularity changes at its usual rate. The weight grows, up to 1, if a
-	// window differs far more than usual.
+	// while popularity changes at its typical rate. The weight grows, up to 1, if a
+	// window differs far more than typical.
 	Gain float64
 	// SpeedGain is the weight of a newly measured rank speed in the estimate.
 	SpeedGain float64
@@ -146,7 +146,7 @@
 			s.Speed = speed
 		}
 		// Averages time per token rather than tokens per second, so that a stall
-		// shows at once.
+		// shows immediately.
 		s.Speed = 1 / ((1-t.SpeedGain)/s.Speed + t.SpeedGain/speed)
 	}
 	s.setBase(r)
--- a/internal/quorum/cases_test.go
+++ b/internal/quorum/cases_test.go
@@ -66,8 +66,8 @@
 	return strings.Join(out, " ")
 }
 
-// findHost returns the host with the given ID. "leader" stands for the current leader and
-// "follower" for the last host that does not lead.
+// findHost returns the host with the given ID. "leader" means the current leader and
+// "follower" the last host that does not lead.
 func (c *caseRunner) findHost(t *testing.T, id string) *host {
 	h := c.sim.host(id)
 
--- a/internal/quorum/simulation_test.go
+++ b/internal/quorum/simulation_test.go
@@ -76,7 +76,7 @@
 	leaderOfTerm            map[uint64]string
 	violations              []string
 	messages, chunks        int
-	removedCount            int // how often a host was notified of its removal
+	removedCount            int // how many times a host was notified of its removal
 	appendBytes             int
 }
 
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -10,8 +10,8 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-// tickInterval is how often waiting requests are reconsidered. It is short compared with the
-// ejection times of targets, and no timer runs while nothing waits.
+// tickInterval is the interval at which waiting requests are reconsidered. It is short
+// compared with the ejection times of targets, and no timer runs while nothing waits.
 const tickInterval = 20 * time.Millisecond
 
 // queue serializes calls of the dispatcher, and wakes the goroutines of requests that were
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -287,7 +287,7 @@
 }
 
 // baselineTokens is the size of a typical generation request, for which Work is 1. A generated
-// token takes a step of its own; a prompt token counts as a tenth of one.
+// token takes one step; a prompt token counts as a tenth of one.
 const baselineTokens = 180
 
 // work returns the expected work relative to a typical request.
--- a/internal/retries/budget.go
+++ b/internal/retries/budget.go
@@ -25,7 +25,7 @@
 	lastRefill  time.Time
 }
 
-// Settings are the tunable parameters of a Budget. A zero field stands for the default
+// Settings are the tunable parameters of a Budget. A zero field means the default
 // given in parentheses.
 type Settings struct {
 	// Ratio is the number of retries that each request adds to the budget (0.2).
--- a/internal/retries/budget_test.go
+++ b/internal/retries/budget_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// If all targets of a service are down, every request fails at once. Retrying each of them
+// If all targets of a service are down, every request fails immediately. Retrying each of them
 // would multiply the load of the callers just when targets come back, and overload them
 // again.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
--- a/internal/retries/shared_budget_test.go
+++ b/internal/retries/shared_budget_test.go
@@ -62,7 +62,7 @@
 func TestBudgetHoldsWhileEntryCountsAreIncomplete(t *testing.T) {
 	t.Parallel()
 
-	// An entry queries all control VMs at once, and again within 600 ms.
+	// An entry queries all control VMs immediately, and again within 600 ms.
 	const countedAfter = time.Second
 
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/role/automembership.go
+++ b/internal/role/automembership.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// membershipInterval is how often the leader checks the control set, and how often
-	// a VM that is not a member asks to join.
+	// membershipInterval is the interval at which the leader checks the control set,
+	// and at which a VM that is not a member asks to join.
 	membershipInterval = 400 * time.Millisecond
 	// membershipChangeTimeout bounds one change of the set.
 	membershipChangeTimeout = 2 * time.Second
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -206,8 +206,8 @@
 	return eris.Wrap(g.Wait(), "run control VM")
 }
 
-// stopPollInterval is how often a control VM checks whether the operators plan to stop
-// it.
+// stopPollInterval is the interval at which a control VM checks whether the operators
+// plan to stop it.
 const stopPollInterval = 500 * time.Millisecond
 
 // plannedStop returns a channel that is closed once the operators plan a stop of this
--- a/internal/role/controlclient.go
+++ b/internal/role/controlclient.go
@@ -41,7 +41,7 @@
 
 // Discover adds the control VMs of the directory to those of the settings, and returns
 // all addresses. A VM that replaced another one is thus found without a change of
-// settings. An address whose VM is gone costs an occasional failed attempt.
+// settings. An address whose VM no longer exists costs an occasional failed attempt.
 func (c *ControlClient) Discover(s *view.Snapshot) []netip.AddrPort {
 	all := slices.Clone(c.Addresses)
 
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -15,7 +15,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// rankCheckInterval is how often an agent checks whether its target is a rank.
+// rankCheckInterval is the interval at which an agent checks whether its target is a rank.
 const rankCheckInterval = 200 * time.Millisecond
 
 // runRank waits until the target announces itself as a rank of a group, then runs the
--- a/internal/role/rankagent.go
+++ b/internal/role/rankagent.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// rankWatchInterval is how often an agent checks its engine's rank, group and
+	// rankWatchInterval is the interval at which an agent checks its engine's rank, group and
 	// epoch.
 	rankWatchInterval = 200 * time.Millisecond
 	// peerTimeout bounds one request to another agent. After it, the request goes to
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -63,8 +63,8 @@
 	// ConsecutiveUnresponsive is how many unresponsive connections without a success in
 	// between eject a target (3).
 	ConsecutiveUnresponsive int
-	// WarmUpInterval is how often an entry sends an idle cold target a request that a
-	// warm one could handle (500 ms).
+	// WarmUpInterval is the interval at which an entry sends an idle cold target a
+	// request that a warm one could handle (500 ms).
 	WarmUpInterval time.Duration
 	// ColdTrafficThreshold is the share of the warm capacity in use above which cold
 	// targets get all requests that their credits allow (0.5).
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -18,7 +18,7 @@
 
 // Subsetter chooses the subset of targets to which each entry of a large deployment keeps
 // connections. Every process computes the same result from the same lists, in any order. A
-// zero field stands for the default given in parentheses.
+// zero field means the default given in parentheses.
 type Subsetter struct {
 	// Size is the number of targets per entry (30). If there are no more targets than that,
 	// an entry uses all of them.
--- a/internal/shares/subset_cache.go
+++ b/internal/shares/subset_cache.go
@@ -63,7 +63,7 @@
 // contain only those that may receive new requests, so that a zone that is out leaves no
 // gap. The subset is recomputed only if an input has changed. Within minRecomputeInterval
 // the cached subset is returned and RecomputeAt is set. Whether a target may receive
-// requests is reported separately and takes effect at once.
+// requests is reported separately and takes effect immediately.
 func (c *SubsetCache) Targets(now time.Time, service string, self Node, entries, targets []Node) map[string]Share {
 	if c.subsets == nil {
 		c.subsets = make(map[string]*cachedSubset)
--- a/internal/shares/subset_cache_test.go
+++ b/internal/shares/subset_cache_test.go
@@ -42,7 +42,7 @@
 	recomputed := cache.Targets(cache.RecomputeAt, "assist", self, entries, manyNodes("t", 90))
 	require.NotEqual(t, first, recomputed)
 
-	// Small sets of targets are used at once, as they need no computation.
+	// Small sets of targets are used immediately, as they need no computation.
 	require.Len(t, cache.Targets(now, "desk", self, entries, manyNodes("d", 2)), 2)
 	require.Len(t, cache.Targets(now, "desk", self, entries, manyNodes("d", 3)), 3)
 }
--- a/internal/shares/subset_test.go
+++ b/internal/shares/subset_test.go
@@ -139,7 +139,7 @@
 
 // BenchmarkSubset measures evenness, the fraction of local targets, and the number of moved
 // pairs (of 12,300) when one target is removed, one entry is removed, and 41 of 410 entries
-// are removed at once.
+// are removed at the same time.
 func BenchmarkSubset(b *testing.B) {
 	algorithms := []struct {
 		name   string
--- a/internal/testserver/announce.go
+++ b/internal/testserver/announce.go
@@ -34,7 +34,7 @@
 }
 
 // Announcement returns the current announcement of the booking service. It always
-// announces no requests in flight, because bookings are answered at once.
+// announces no requests in flight, because bookings are answered immediately.
 func (s *BookingService) Announcement(address netip.AddrPort, service string, capacity int) Announcement {
 	return Announcement{
 		BootID: s.BootID(), Address: address, Service: service, Capacity: capacity, InFlight: new(uint32),
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -16,7 +16,7 @@
 // Line is one log line of the request.
 type Line struct {
 	At time.Time
-	// Process identifies the process that logged the line: the last word before the line's
+	// Process identifies the process that logged the line: the last field before the line's
 	// timestamp if there is one, else the name of the log.
 	Process string
 	Message string
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -91,7 +91,7 @@
 	AnswerTimeout time.Duration
 	// RetryDelay is the delay after a failed poll.
 	RetryDelay time.Duration
-	// RefreshInterval is how often the list of control VMs is recomputed.
+	// RefreshInterval is the interval at which the list of control VMs is recomputed.
 	RefreshInterval time.Duration
 }
 
--- a/internal/view/follower_test.go
+++ b/internal/view/follower_test.go
@@ -142,7 +142,7 @@
 	})
 }
 
-// A connection becomes unresponsive for good. The poll times out after a second, and
+// A connection becomes permanently unresponsive. The poll times out after a second, and
 // the next one, over a new connection, delivers the missed update.
 func TestFollowerTimesOutUnresponsiveControlVM(t *testing.T) {
 	t.Parallel()
@@ -272,9 +272,9 @@
 	}
 }
 
-// Two control VMs report some entries each, and one of them is lost for good. Guards
+// Two control VMs report some entries each, and one of them fails permanently. Guards
 // against an entry that counts too few other entries, and against one that counts lost
-// entries for ever.
+// entries forever.
 func TestRosterMergesControlVMsAndDropsUnreachableOnes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
