--- a/cmd/parsleygate/cmds/direct.go
+++ b/cmd/parsleygate/cmds/direct.go
@@ -36,7 +36,7 @@
 
 	e := &role.DirectEntry{
 		LoadConn: datagrams, AgentPort: s.Seeds.Port,
-		RelayAddr: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.adminMux,
+		RelayAddress: s.Process.AdminAddress, EngineAt: platform.Engine, InternalMux: p.adminMux,
 		ID: s.Process.ID, Cluster: s.Process.Cluster, Zone: s.Process.Zone, Listener: p.listener, ReadyListener: ready,
 		Seeds: p.seedSource(), Dialect: platform.Dialect(), ReadinessHandler: platform.Readiness,
 		Budget:      &retries.SharedBudget{Ratio: s.Routing.RetryRatio, Slack: s.Routing.MinRetries, Window: s.Routing.RetryWindow},
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -18,7 +18,7 @@
 
 	target := httpTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.Header().Set("X-Remaining", r.Header.Get(RemainingHeader))
+		w.Header().Set("X-Remaining", r.Header.Get(HeaderRemaining))
 		w.Header().Set("X-Path", r.URL.RequestURI())
 
 		for _, word := range strings.Fields(string(body)) {
@@ -39,6 +39,6 @@
 
 	require.Equal(t, "/draft?x=1", got["X-Path"])
 	require.NotEmpty(t, got["X-Remaining"])
-	require.NotContains(t, got, RequestIDHeader)
+	require.NotContains(t, got, HeaderRequestID)
 	require.NotZero(t, a.end.GetLoad().GetCredit().GetSlots())
 }
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -7,9 +7,9 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// ColdHeader is a response header that a cold engine sets to "true". It tells the agent sooner
+// HeaderCold is a response header that a cold engine sets to "true". It tells the agent sooner
 // than the next announcement would.
-const ColdHeader = "Parsleygate-Target-Cold"
+const HeaderCold = "Parsleygate-Target-Cold"
 
 func (a *Agent) reportCold() { a.admitter.reportCold(a.Now()) }
 
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -260,7 +260,7 @@
 	t.Helper()
 
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
+		w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID))
 		h(w, r)
 	}))
 	t.Cleanup(srv.Close)
@@ -303,7 +303,7 @@
 					}
 
 					_, _ = io.Copy(io.Discard, hr.Body)
-					script(c, hr.Header.Get(RequestIDHeader))
+					script(c, hr.Header.Get(HeaderRequestID))
 				}
 			})
 		}
--- a/internal/agent/order_test.go
+++ b/internal/agent/order_test.go
@@ -114,7 +114,7 @@
 
 // Guards against two orders that overlap at the engine, and against a resent order that is
 // executed again. The first order takes long, and its sender cancels the call.
-func TestOrdersAreSerialised(t *testing.T) {
+func TestOrdersAreSerialized(t *testing.T) {
 	t.Parallel()
 
 	e := &fakeEngine{release: make(chan struct{})}
@@ -197,7 +197,7 @@
 			_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber - 1, Done: true})
 		}, "EngineSilent"},
 		{"answer to another request", func(w http.ResponseWriter, o EngineOrder) {
-			w.Header().Set(RequestIDHeader, "other")
+			w.Header().Set(HeaderRequestID, "other")
 			_ = json.NewEncoder(w).Encode(EngineAnswer{FencingNumber: o.FencingNumber, Done: true})
 		}, "EngineSilent"},
 		{"truncated answer", func(w http.ResponseWriter, _ EngineOrder) { _, _ = io.WriteString(w, `{"FencingNumber":5,"Do`) }, "EngineSilent"},
--- a/internal/agent/response_reader.go
+++ b/internal/agent/response_reader.go
@@ -74,7 +74,7 @@
 		return
 	}
 
-	if resp.Header.Get(ColdHeader) == "true" {
+	if resp.Header.Get(HeaderCold) == "true" {
 		r.exchange.agent.reportCold()
 	}
 
--- a/internal/agent/target.go
+++ b/internal/agent/target.go
@@ -22,10 +22,10 @@
 
 // Headers between the agent and its target.
 const (
-	// RequestIDHeader identifies the attempt. The target must echo it in its response.
-	RequestIDHeader = "Parsleygate-Request-Id"
-	// RemainingHeader is the time until the caller's deadline, in milliseconds.
-	RemainingHeader = "Parsleygate-Remaining-Ms"
+	// HeaderRequestID identifies the attempt. The target must echo it in its response.
+	HeaderRequestID = "Parsleygate-Request-Id"
+	// HeaderRemaining is the time until the caller's deadline, in milliseconds.
+	HeaderRemaining = "Parsleygate-Remaining-Ms"
 )
 
 // maxIdleConns bounds the idle connections to the target.
@@ -146,7 +146,7 @@
 // is delimited only by the end of its connection would look complete even if it were
 // truncated.
 func (c *call) checkResponse(req *wire.Request, resp *http.Response) *verdict.Error {
-	if echo := resp.Header.Get(RequestIDHeader); echo != c.attemptID {
+	if echo := resp.Header.Get(HeaderRequestID); echo != c.attemptID {
 		return &verdict.Error{Cause: verdict.CauseCrossed, Err: eris.Errorf("response echoes request ID %q", echo)}
 	}
 
@@ -178,11 +178,11 @@
 
 	hr.ContentLength = int64(len(req.GetBody()))
 	hr.Header = forwardedHeaders(req.GetHeaders())
-	hr.Header.Set(RequestIDHeader, req.GetAttemptID())
+	hr.Header.Set(HeaderRequestID, req.GetAttemptID())
 
 	if at, ok := ctx.Deadline(); ok {
 		remaining := max(time.Until(at), 0).Milliseconds()
-		hr.Header.Set(RemainingHeader, strconv.FormatInt(remaining, 10))
+		hr.Header.Set(HeaderRemaining, strconv.FormatInt(remaining, 10))
 	}
 
 	return hr, nil
@@ -228,8 +228,8 @@
 	"Trailer":             true,
 	"Transfer-Encoding":   true,
 	"Upgrade":             true,
-	RequestIDHeader:       true,
-	RemainingHeader:       true,
+	HeaderRequestID:       true,
+	HeaderRemaining:       true,
 }
 
 // forwardedHeaders returns the headers to send to the target.
--- a/internal/agent/target_fault_test.go
+++ b/internal/agent/target_fault_test.go
@@ -28,24 +28,24 @@
 		cause  string
 	}{
 		{"response to another request", func(c net.Conn, _ string) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nok", RequestIDHeader)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nok", HeaderRequestID)
 		}, "AnswerCrossed"},
 		{"bodyless response to another request", func(c net.Conn, _ string) {
-			fmt.Fprintf(c, "HTTP/1.1 204 No Content\r\n%s: other\r\n\r\n", RequestIDHeader)
+			fmt.Fprintf(c, "HTTP/1.1 204 No Content\r\n%s: other\r\n\r\n", HeaderRequestID)
 		}, "AnswerCrossed"},
 		{"response without a request ID", func(c net.Conn, _ string) {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}, "AnswerCrossed"},
 		{"body shorter than Content-Length", func(c net.Conn, id string) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", RequestIDHeader, id)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", HeaderRequestID, id)
 			c.Close()
 		}, "AnswerBroken"},
 		{"truncated chunked body", func(c net.Conn, id string) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", RequestIDHeader, id)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", HeaderRequestID, id)
 			c.Close()
 		}, "AnswerBroken"},
 		{"response without a length", func(c net.Conn, id string) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\nhalf", RequestIDHeader, id)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\nhalf", HeaderRequestID, id)
 			c.Close()
 		}, "AnswerBroken"},
 		{"closed without a response", func(c net.Conn, _ string) { c.Close() }, "AnswerBroken"},
@@ -86,7 +86,7 @@
 
 	hang := func(c net.Conn, _ string) { _, _ = io.Copy(io.Discard, c) }
 	partial := func(c net.Conn, id string) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", RequestIDHeader, id)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 9\r\n\r\nhalf", HeaderRequestID, id)
 		hang(c, id)
 	}
 	shortIdleTimeout := func(a *Agent) { a.Settings.TargetIdleTimeout = time.Second }
@@ -197,7 +197,7 @@
 
 			target := newRawTarget(t, func(c net.Conn, id string) {
 				if reads.Add(1) == 1 {
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", RequestIDHeader, id)
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", HeaderRequestID, id)
 					return
 				}
 
@@ -267,7 +267,7 @@
 		{Name: "Transfer-Encoding", Value: "chunked"},
 		{Name: "Content-Length", Value: "999"},
 		{Name: "Upgrade", Value: "h2c"},
-		{Name: RequestIDHeader, Value: "forged"},
+		{Name: HeaderRequestID, Value: "forged"},
 		{Name: "X-Kept", Value: "b"},
 		{Name: "X-Kept", Value: "c"},
 	}
@@ -276,7 +276,7 @@
 
 	hr := got.Load()
 	require.Equal(t, []string{"b", "c"}, hr.Header["X-Kept"])
-	require.Equal(t, []string{req.GetAttemptID()}, hr.Header[http.CanonicalHeaderKey(RequestIDHeader)])
+	require.Equal(t, []string{req.GetAttemptID()}, hr.Header[http.CanonicalHeaderKey(HeaderRequestID)])
 	require.EqualValues(t, 4, hr.ContentLength)
 
 	for _, name := range []string{"X-Secret", "Upgrade", "Connection"} {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/parsleygate/parsleygate/internal/dispatch"
 )
 
-// BenchmarkReport records load reports of 600 targets of one service, ten times a second
+// BenchmarkReportLoad records load reports of 600 targets of one service, ten times a second
 // each. A report took 16.3 µs when each one caused a scan of the slowdowns of all targets,
 // and takes 0.07 µs with a scan only on changes.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkReportLoad(b *testing.B) {
 	const targets = 600
 
 	d := &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(1, 2))}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -319,7 +319,7 @@
 
 // A request without a target that may receive it must be refused immediately, not at its
 // deadline.
-func TestRequestWithoutEligibleTargetIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutEligibleTargetIsRefusedImmediately(t *testing.T) {
 	t.Parallel()
 
 	f := newFixture(t, 2, 4, 1, nil)
@@ -483,7 +483,7 @@
 	require.Contains(t, f.placed, id)
 }
 
-func BenchmarkOffer(b *testing.B) {
+func BenchmarkSubmit(b *testing.B) {
 	d := &dispatch.Dispatcher{Settings: dispatch.DefaultSettings(), Rand: rand.New(rand.NewPCG(1, 2))}
 
 	var targets []dispatch.Target
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -178,7 +178,7 @@
 // needed.
 func (x *exchangeRun) ensureCredit(ctx context.Context, c routing.Choice) (*wire.Credit, error) {
 	if c.NeedsCredit {
-		req := routing.CreditRequest{Service: x.call.service.GetName(), AgentID: c.AgentID, Addr: c.Addr, Incarnation: c.Incarnation, Wanted: 1}
+		req := routing.CreditRequest{Service: x.call.service.GetName(), AgentID: c.AgentID, Address: c.Address, Incarnation: c.Incarnation, Wanted: 1}
 		if err := x.entry.requestCredit(ctx, req); err != nil {
 			return nil, err
 		}
@@ -196,7 +196,7 @@
 	x.choice = c
 	x.attempt = &wire.ClaimHolder{
 		AttemptID: uuid.NewString(), EntryID: x.entry.ID,
-		AgentID: c.AgentID, AgentAddress: c.Addr.String(),
+		AgentID: c.AgentID, AgentAddress: c.Address.String(),
 		Incarnation: credit.GetIncarnation(), CreditExpiresAtTick: credit.GetExpiresAtTick(),
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -172,7 +172,7 @@
 func (e *Entry) requestCredit(ctx context.Context, req routing.CreditRequest) error {
 	sent := time.Now()
 
-	r, err := e.Agents.Grant(ctx, req.Addr, &wire.GrantRequest{
+	r, err := e.Agents.Grant(ctx, req.Address, &wire.GrantRequest{
 		EntryID: e.ID, Wanted: uint32(req.Wanted), Using: uint32(req.Using),
 	})
 	if err != nil {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -246,7 +246,7 @@
 
 	for _, a := range agents {
 		ev.Targets = append(ev.Targets, routing.Target{
-			AgentID: a.id, Service: service, Addr: a.address(), Zone: "muscat-a", Capacity: 64, Incarnation: 1,
+			AgentID: a.id, Service: service, Address: a.address(), Zone: "muscat-a", Capacity: 64, Incarnation: 1,
 		})
 	}
 
--- a/internal/entry/queue.go
+++ b/internal/entry/queue.go
@@ -91,7 +91,7 @@
 	q.waiting[item.ID] = turn
 	q.mu.Unlock()
 
-	action, others := q.core.Offer(time.Now(), item)
+	action, others := q.core.Submit(time.Now(), item)
 	if action.Kind != fairness.Wait {
 		others = append(others, action)
 	}
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -27,7 +27,7 @@
 
 	start := time.Now()
 	status := x.observeResponse(start, &receiver)
-	res := x.entry.Agents.Send(ctx, x.choice.Addr, x.wireRequest(resume), receiver)
+	res := x.entry.Agents.Send(ctx, x.choice.Address, x.wireRequest(resume), receiver)
 	x.recordOutcome(start, res, *status)
 
 	x.ex.Resumable = x.reply.resumable()
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -23,9 +23,9 @@
 	resumeDelay      = 20 * time.Millisecond
 	// maxQueryFailures bounds the queries to an agent that does not answer.
 	maxQueryFailures = 4
-	// retryDelay is the time after which a caller may retry when its key is in use, or
+	// retryAfter is the time after which a caller may retry when its key is in use, or
 	// when the outcome or the claim cannot be determined at the moment.
-	retryDelay = time.Second
+	retryAfter = time.Second
 )
 
 // Exchange is the state of one request. Its exported fields must be set before Start.
@@ -107,7 +107,7 @@
 	case wire.ClaimState_ClaimLost:
 		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost})
 	case wire.ClaimState_ClaimFull:
-		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(retryDelay)))
+		return finish(verdict.Refuse(verdict.CauseClaims, now.Add(retryAfter)))
 	default:
 		return e.ClaimFailed(now)
 	}
@@ -117,7 +117,7 @@
 // sends nothing, but an earlier request with the same key may have run, so the verdict
 // is not NotRun. The caller can safely resend under the same key.
 func (e *Exchange) ClaimFailed(now time.Time) Action {
-	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(retryDelay)})
+	return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseClaims, RetryAt: now.Add(retryAfter)})
 }
 
 // LookedUp reports the state of the key of a request that is about to be refused.
@@ -177,7 +177,7 @@
 func (e *Exchange) QueryFailed(now time.Time) Action {
 	e.queryFailures++
 	if e.queryFailures >= maxQueryFailures {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryDelay)})
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseSilent, RetryAt: now.Add(retryAfter)})
 	}
 
 	return e.queryAgain(now, verdict.CauseSilent)
@@ -239,7 +239,7 @@
 	e.queryInterval = min(2*e.queryInterval, maxQueryInterval)
 
 	if at.After(e.Deadline) {
-		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryDelay)})
+		return finish(&verdict.Error{Verdict: verdict.MayHaveRun, Cause: cause, RetryAt: now.Add(retryAfter)})
 	}
 
 	return Action{Kind: QueryAttempt, Holder: e.queriedAttempt, At: at}
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -59,7 +59,7 @@
 	return &groupController{
 		ctx: ctx, director: d, name: g.GetName(), shape: shape, orderInFlight: make(map[int]bool),
 		coordinator: &expertmap.Coordinator{
-			Ranks: shape.Ranks, Margin: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
+			Ranks: shape.Ranks, SwitchLead: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
@@ -237,7 +237,7 @@
 func (c *groupController) evaluate(now time.Time, reports []*wire.RankReport) {
 	for _, r := range reports {
 		_, err := c.tracker.Observe(&popularity.Report{
-			Rank: int(r.GetRank()), Incarnation: r.GetIncarnation(), Seq: r.GetSequence(),
+			Rank: int(r.GetRank()), Incarnation: r.GetIncarnation(), Sequence: r.GetSequence(),
 			Busy: time.Duration(r.GetBusyMicros()) * time.Microsecond, Work: r.GetWork(), Tokens: r.GetTokens(),
 		})
 		if err != nil {
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -12,10 +12,10 @@
 type Coordinator struct {
 	// Ranks is the number of ranks in the group.
 	Ranks int
-	// Margin is the number of steps between the latest step that any rank has
+	// SwitchLead is the number of steps between the latest step that any rank has
 	// begun and the first step of a new map. If the decision reaches all ranks
-	// within Margin steps, no step is delayed by the switch.
-	Margin Step
+	// within SwitchLead steps, no step is delayed by the switch.
+	SwitchLead Step
 	// StageTimeout bounds the time from a proposal until every rank has loaded
 	// the map, PrepareTimeout the time from then until every rank has promised to
 	// hold.
@@ -239,7 +239,7 @@
 	}
 	if c.progress.phase == phaseStaging && c.allRanks(func(s *Status) bool { return s.Staged == c.progress.fence }) {
 		c.progress.phase, c.progress.deadline = phasePreparing, now.Add(c.PrepareTimeout)
-		c.progress.step = c.latestStep() + max(1, c.Margin)
+		c.progress.step = c.latestStep() + max(1, c.SwitchLead)
 		c.resendAt = now
 	}
 	if c.progress.phase == phasePreparing && c.allRanks(func(s *Status) bool { return s.Promised == c.progress.fence }) {
--- a/internal/expertmap/example_test.go
+++ b/internal/expertmap/example_test.go
@@ -11,7 +11,7 @@
 // of the caller that appends entries to the log and delivers messages.
 func Example() {
 	now := time.Unix(0, 0)
-	c := &expertmap.Coordinator{Ranks: 1, Margin: 10, StageTimeout: time.Minute, PrepareTimeout: time.Minute}
+	c := &expertmap.Coordinator{Ranks: 1, SwitchLead: 10, StageTimeout: time.Minute, PrepareTimeout: time.Minute}
 	p := &expertmap.Participant{Rank: 0, Incarnation: 1 << 32}
 	c.Start(expertmap.Record{Current: expertmap.Activation{Version: 1}})
 
--- a/internal/expertmap/simulation_test.go
+++ b/internal/expertmap/simulation_test.go
@@ -89,7 +89,7 @@
 
 func (g *group) restartControl(i int) {
 	g.nodes[i] = &Coordinator{
-		Ranks: 4, Margin: 20, StageTimeout: 3 * time.Second, PrepareTimeout: 2 * time.Second, ResendInterval: 50 * time.Millisecond,
+		Ranks: 4, SwitchLead: 20, StageTimeout: 3 * time.Second, PrepareTimeout: 2 * time.Second, ResendInterval: 50 * time.Millisecond,
 	}
 	g.nodes[i].Start(Record{Current: Activation{Version: 1, Previous: 1}})
 	g.applied[i] = 0
--- a/internal/fairness/bench_test.go
+++ b/internal/fairness/bench_test.go
@@ -21,7 +21,7 @@
 
 // policy is an admission policy.
 type policy struct {
-	offer  func(now time.Time, it fairness.Item) (fairness.Action, []fairness.Action)
+	submit func(now time.Time, it fairness.Item) (fairness.Action, []fairness.Action)
 	finish func(now time.Time, id uint64) []fairness.Action
 	tick   func(now time.Time) []fairness.Action
 }
@@ -34,7 +34,7 @@
 	)
 
 	return policy{
-		offer: func(_ time.Time, it fairness.Item) (fairness.Action, []fairness.Action) {
+		submit: func(_ time.Time, it fairness.Item) (fairness.Action, []fairness.Action) {
 			switch {
 			case busy < slots:
 				busy++
@@ -69,7 +69,7 @@
 	q.Settings = s
 	q.SetCapacity(epoch, slots)
 
-	return policy{offer: q.Offer, finish: q.Finish, tick: q.Tick}
+	return policy{submit: q.Submit, finish: q.Finish, tick: q.Tick}
 }
 
 // event is a scheduled action.
@@ -145,7 +145,7 @@
 		b.requests[b.next] = request{ws: ws, arrived: b.now}
 		b.offered[ws]++
 
-		itemAction, otherActions := b.offer(epoch.Add(b.now), fairness.Item{
+		itemAction, otherActions := b.submit(epoch.Add(b.now), fairness.Item{
 			ID: b.next, Workspace: fmt.Sprintf("w%d", ws), Deadline: epoch.Add(b.now + requestTimeout),
 		})
 		b.apply(append(otherActions, itemAction))
@@ -308,9 +308,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkOffer measures one request through the queue, for one workspace and for
+// BenchmarkSubmit measures one request through the queue, for one workspace and for
 // 13,000 workspaces that all have waiting requests.
-func BenchmarkOffer(b *testing.B) {
+func BenchmarkSubmit(b *testing.B) {
 	for _, n := range []int{1, 13000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			q := newQueue(1)
@@ -326,7 +326,7 @@
 
 			for range 2*n + 62 {
 				id++
-				q.Offer(epoch, fairness.Item{ID: id, Workspace: names[int(id)%n]})
+				q.Submit(epoch, fairness.Item{ID: id, Workspace: names[int(id)%n]})
 			}
 
 			oldest := uint64(0)
@@ -336,7 +336,7 @@
 			for b.Loop() {
 				id++
 				oldest++
-				q.Offer(epoch, fairness.Item{ID: id, Workspace: names[int(id)%n]})
+				q.Submit(epoch, fairness.Item{ID: id, Workspace: names[int(id)%n]})
 				q.Finish(epoch, oldest)
 			}
 
--- a/internal/fairness/decisions_test.go
+++ b/internal/fairness/decisions_test.go
@@ -49,7 +49,7 @@
 			case "offer":
 				for i := range uint64(n) {
 					it.ID = id + i
-					itemAction, otherActions := q.Offer(now, it)
+					itemAction, otherActions := q.Submit(now, it)
 					out = append(append(out, itemAction), otherActions...)
 				}
 			case "finish":
--- a/internal/fairness/estimate.go
+++ b/internal/fairness/estimate.go
@@ -12,7 +12,7 @@
 func (q *Queue) estimateWait(now time.Time, f *flow, ahead float64) time.Duration {
 	slots := q.expectedSlots(now)
 	if slots == 0 {
-		return q.Settings.MaxRetryDelay
+		return q.Settings.MaxRetryAfter
 	}
 
 	weights := q.waitingWeight
@@ -56,17 +56,17 @@
 	return excess, excess > 0
 }
 
-// zeroCapacityRetryDelay is the minimum retry delay while there is no capacity at all,
+// zeroCapacityRetryAfter is the minimum retry delay while there is no capacity at all,
 // because the end of that state can't be estimated.
-const zeroCapacityRetryDelay = 5 * time.Second
+const zeroCapacityRetryAfter = 5 * time.Second
 
 // refusal returns a refusal of e with the time after which a retry may succeed. Up to
 // half of the delay is added at random, to spread the retries of callers that are
 // refused together.
 func (q *Queue) refusal(now time.Time, e *itemState, excess time.Duration) Action {
-	delay := min(max(excess, q.Settings.MinRetryDelay), q.Settings.MaxRetryDelay)
+	delay := min(max(excess, q.Settings.MinRetryAfter), q.Settings.MaxRetryAfter)
 	if q.expectedSlots(now) == 0 {
-		delay = zeroCapacityRetryDelay
+		delay = zeroCapacityRetryAfter
 	}
 
 	delay += time.Duration(q.Rand.Float64() * float64(delay) / 2)
--- a/internal/fairness/memory_bench_test.go
+++ b/internal/fairness/memory_bench_test.go
@@ -24,7 +24,7 @@
 		q.SetCapacity(epoch, 1)
 
 		for id := range uint64(workspaces + 1) {
-			q.Offer(epoch, fairness.Item{ID: id, Workspace: fmt.Sprintf("workspace-%d", id)})
+			q.Submit(epoch, fairness.Item{ID: id, Workspace: fmt.Sprintf("workspace-%d", id)})
 		}
 
 		runtime.GC()
--- a/internal/fairness/queue.go
+++ b/internal/fairness/queue.go
@@ -88,9 +88,9 @@
 	return q.takeActions()
 }
 
-// Offer adds a new item. The first result is the action on that item, the second those
+// Submit adds a new item. The first result is the action on that item, the second those
 // on others.
-func (q *Queue) Offer(now time.Time, it Item) (Action, []Action) {
+func (q *Queue) Submit(now time.Time, it Item) (Action, []Action) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.initLocked()
--- a/internal/fairness/queue_test.go
+++ b/internal/fairness/queue_test.go
@@ -120,7 +120,7 @@
 		it.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 
-	itemAction, otherActions := c.q.Offer(now, it)
+	itemAction, otherActions := c.q.Submit(now, it)
 	require.Equal(t, id, itemAction.ID)
 
 	switch itemAction.Kind {
@@ -159,7 +159,7 @@
 		now := epoch
 		for id := uint64(1); id <= 20_000; id++ {
 			now = now.Add(10 * time.Millisecond)
-			q.Offer(now, fairness.Item{ID: id, Workspace: fmt.Sprintf("w%d", id)})
+			q.Submit(now, fairness.Item{ID: id, Workspace: fmt.Sprintf("w%d", id)})
 
 			if id > 10 {
 				q.Finish(now, id-10)
--- a/internal/fairness/settings.go
+++ b/internal/fairness/settings.go
@@ -24,10 +24,10 @@
 	// ZeroCapacityGrace is how long a capacity of 0 is assumed to be temporary (2 s).
 	// After that all waiting and new items are refused.
 	ZeroCapacityGrace time.Duration
-	// MinRetryDelay and MaxRetryDelay bound the retry delay of a refused caller (200
+	// MinRetryAfter and MaxRetryAfter bound the retry delay of a refused caller (200
 	// ms, 30 s).
-	MinRetryDelay time.Duration
-	MaxRetryDelay time.Duration
+	MinRetryAfter time.Duration
+	MaxRetryAfter time.Duration
 }
 
 func (s Settings) withDefaults() Settings {
@@ -37,8 +37,8 @@
 	s.DeadlineMargin = cmp.Or(s.DeadlineMargin, 3)
 	s.WaitFactor = cmp.Or(s.WaitFactor, 2)
 	s.ZeroCapacityGrace = cmp.Or(s.ZeroCapacityGrace, 2*time.Second)
-	s.MinRetryDelay = cmp.Or(s.MinRetryDelay, 200*time.Millisecond)
-	s.MaxRetryDelay = cmp.Or(s.MaxRetryDelay, 30*time.Second)
+	s.MinRetryAfter = cmp.Or(s.MinRetryAfter, 200*time.Millisecond)
+	s.MaxRetryAfter = cmp.Or(s.MaxRetryAfter, 30*time.Second)
 
 	return s
 }
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -173,7 +173,7 @@
 	late := g.late
 	g.late = nil
 	for r := range shape.Ranks {
-		rep := popularity.Report{Rank: r, Incarnation: 1, Seq: g.seq, Busy: g.busy[r], Work: g.work[r], Tokens: g.counts[r]}
+		rep := popularity.Report{Rank: r, Incarnation: 1, Sequence: g.seq, Busy: g.busy[r], Work: g.work[r], Tokens: g.counts[r]}
 		switch x := g.rng.Float64(); {
 		case x < lostReportRate:
 		case x < lostReportRate+lateReportRate:
--- a/internal/popularity/tracker.go
+++ b/internal/popularity/tracker.go
@@ -20,8 +20,8 @@
 	// Incarnation identifies a start of the rank's engine; it must be higher at
 	// each start.
 	Incarnation uint64
-	// Seq grows with each report of an incarnation.
-	Seq uint64
+	// Sequence grows with each report of an incarnation.
+	Sequence uint64
 	// Busy is the time spent in expert layers since the engine's start, and Work
 	// the number of tokens computed there.
 	Busy time.Duration
@@ -58,11 +58,11 @@
 
 // rankState is the state of one rank as of its last report.
 type rankState struct {
-	Incarnation, Seq uint64
-	Seen             bool
-	Busy             time.Duration
-	Work             uint64
-	Tokens           []uint64
+	Incarnation, Sequence uint64
+	Seen                  bool
+	Busy                  time.Duration
+	Work                  uint64
+	Tokens                []uint64
 	// Speed is the estimated speed in tokens per second of busy time; zero before
 	// the first measurement.
 	Speed float64
@@ -114,7 +114,7 @@
 		s.setBase(r)
 
 		return true, nil
-	case r.Incarnation < s.Incarnation || r.Seq <= s.Seq:
+	case r.Incarnation < s.Incarnation || r.Sequence <= s.Sequence:
 		return false, nil
 	}
 	t.addDeltas(s, r)
@@ -123,7 +123,7 @@
 }
 
 func (s *rankState) setBase(r *Report) {
-	s.Seen, s.Incarnation, s.Seq = true, r.Incarnation, r.Seq
+	s.Seen, s.Incarnation, s.Sequence = true, r.Incarnation, r.Sequence
 	s.Busy, s.Work = r.Busy, r.Work
 	if len(r.Tokens) != 0 {
 		s.Tokens = append(s.Tokens[:0], r.Tokens...)
--- a/internal/popularity/tracker_test.go
+++ b/internal/popularity/tracker_test.go
@@ -23,8 +23,8 @@
 func ExampleTracker() {
 	t := newTracker()
 	start := time.Unix(0, 0)
-	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Seq: 1, Tokens: []uint64{0, 0, 0, 0}})
-	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Seq: 2, Tokens: []uint64{60, 20, 10, 10}})
+	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Sequence: 1, Tokens: []uint64{0, 0, 0, 0}})
+	t.Observe(&popularity.Report{Rank: 0, Incarnation: 1, Sequence: 2, Tokens: []uint64{60, 20, 10, 10}})
 	t.CloseWindow(start)
 	fmt.Println(t.TokenShares(), t.Decay())
 	// Output: [0.6 0.2 0.1 0.1] 1h0m0s
@@ -43,7 +43,7 @@
 			for e := range total {
 				total[e] += uint64(rapid.IntRange(0, 50).Draw(t, "tokens"))
 			}
-			sent = append(sent, popularity.Report{Incarnation: 1, Seq: uint64(seq), Tokens: append([]uint64(nil), total...)})
+			sent = append(sent, popularity.Report{Incarnation: 1, Sequence: uint64(seq), Tokens: append([]uint64(nil), total...)})
 		}
 		observe(t, tr, &sent[0])
 		newest := 0
@@ -82,11 +82,11 @@
 	t.Parallel()
 
 	tr := newTracker()
-	observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 9, Tokens: []uint64{900, 900, 900, 900}})
-	require.True(t, observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 1, Tokens: []uint64{5, 0, 0, 0}}))
-	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Seq: 10, Tokens: []uint64{2900, 900, 900, 900}}), "a report of an earlier incarnation is dropped")
-	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 2, Tokens: []uint64{15, 10, 10, 10}})
-	observe(t, tr, &popularity.Report{Incarnation: 2, Seq: 3, Tokens: []uint64{0, 10, 10, 10}})
+	observe(t, tr, &popularity.Report{Incarnation: 1, Sequence: 9, Tokens: []uint64{900, 900, 900, 900}})
+	require.True(t, observe(t, tr, &popularity.Report{Incarnation: 2, Sequence: 1, Tokens: []uint64{5, 0, 0, 0}}))
+	require.False(t, observe(t, tr, &popularity.Report{Incarnation: 1, Sequence: 10, Tokens: []uint64{2900, 900, 900, 900}}), "a report of an earlier incarnation is dropped")
+	observe(t, tr, &popularity.Report{Incarnation: 2, Sequence: 2, Tokens: []uint64{15, 10, 10, 10}})
+	observe(t, tr, &popularity.Report{Incarnation: 2, Sequence: 3, Tokens: []uint64{0, 10, 10, 10}})
 	tr.CloseWindow(time.Unix(60, 0))
 	require.Equal(t, []float64{0.25, 0.25, 0.25, 0.25}, tr.TokenShares())
 }
@@ -98,7 +98,7 @@
 	tr.Layers, tr.Experts = layers, experts
 	counts := make([]uint64, layers*experts)
 	for w := range windows + 1 {
-		tr.Observe(&popularity.Report{Incarnation: 1, Seq: uint64(w), Tokens: counts})
+		tr.Observe(&popularity.Report{Incarnation: 1, Sequence: uint64(w), Tokens: counts})
 		tr.CloseWindow(time.Unix(int64(w+1)*60, 0))
 		for e, share := range f(w) {
 			counts[e] += uint64(share * 1e6)
@@ -163,7 +163,7 @@
 			if r == 1 && w == 3 {
 				busy = 22 * time.Second
 			}
-			observe(t, tr, &popularity.Report{Rank: r, Incarnation: 1, Seq: w, Busy: busy, Work: w * speed})
+			observe(t, tr, &popularity.Report{Rank: r, Incarnation: 1, Sequence: w, Busy: busy, Work: w * speed})
 		}
 	}
 	speeds := tr.Speeds()
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -87,8 +87,8 @@
 
 	// The answer is buffered until it is complete: a truncated answer must not look
 	// complete, and the request may still be retried at another target.
-	body, err := io.ReadAll(io.LimitReader(answer.Body, p.relay.Limits.AnswerBytes+1))
-	if err != nil || int64(len(body)) > p.relay.Limits.AnswerBytes {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, p.relay.Limits.MaxAnswerBytes+1))
+	if err != nil || int64(len(body)) > p.relay.Limits.MaxAnswerBytes {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseBroken, Err: err}
 	}
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -62,17 +62,17 @@
 
 // Limits bounds the memory that one request may hold.
 type Limits struct {
-	// AnswerBytes is the maximum length of an answer that is buffered until it is complete.
-	AnswerBytes int64
-	// EventBytes is the maximum length of a stream event.
-	EventBytes int
-	// BodyBytes is the maximum length of a request body if the configuration sets none.
-	BodyBytes int64
+	// MaxAnswerBytes is the maximum length of an answer that is buffered until it is complete.
+	MaxAnswerBytes int64
+	// MaxEventBytes is the maximum length of a stream event.
+	MaxEventBytes int
+	// MaxBodyBytes is the maximum length of a request body if the configuration sets none.
+	MaxBodyBytes int64
 }
 
 // DefaultLimits returns limits that fit generation streams and small API calls.
 func DefaultLimits() Limits {
-	return Limits{AnswerBytes: 8 << 20, EventBytes: 1 << 20, BodyBytes: 4 << 20}
+	return Limits{MaxAnswerBytes: 8 << 20, MaxEventBytes: 1 << 20, MaxBodyBytes: 4 << 20}
 }
 
 // Init must be called once, before the first request.
@@ -233,9 +233,9 @@
 		}
 	}
 
-	maxBody := table.Limits.BodyBytes
+	maxBody := table.Limits.MaxBodyBytes
 	if maxBody <= 0 {
-		maxBody = p.relay.Limits.BodyBytes
+		maxBody = p.relay.Limits.MaxBodyBytes
 	}
 
 	var err error
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,7 +15,7 @@
 // forwardStream forwards a stream event by event, each as soon as it is complete.
 func (p *proxiedRequest) forwardStream(ctx context.Context, answer *targetclient.Answer) error {
 	flusher := http.NewResponseController(p.w)
-	events := targetclient.NewEventReader(answer.Body, p.relay.Limits.EventBytes)
+	events := targetclient.NewEventReader(answer.Body, p.relay.Limits.MaxEventBytes)
 
 	if !p.streaming {
 		// The head is sent with the first event: until then the request can still be
--- a/internal/role/directentry.go
+++ b/internal/role/directentry.go
@@ -64,11 +64,11 @@
 	// port at which agents accept subscriptions to them.
 	LoadConn  net.PacketConn
 	AgentPort uint16
-	// RelayAddr is the address at which InternalMux is served. Agents send orders
+	// RelayAddress is the address at which InternalMux is served. Agents send orders
 	// through it to the engines that EngineAt returns.
-	RelayAddr   netip.AddrPort
-	EngineAt    func(netip.AddrPort) lockstep.Engine
-	InternalMux *http.ServeMux
+	RelayAddress netip.AddrPort
+	EngineAt     func(netip.AddrPort) lockstep.Engine
+	InternalMux  *http.ServeMux
 	// Seeds returns the control VMs in the current settings.
 	Seeds func() []netip.AddrPort
 	// Dialect and ReadinessHandler define the deployment's HTTP conventions.
@@ -201,7 +201,7 @@
 	r.logger = r.Logs.Logger("entry")
 	r.follower = &view.Follower{
 		Cluster: r.Cluster, ID: r.ID, Zone: r.Zone, Seeds: r.Seeds, Poll: r.clients.poll,
-		Stopping: r.stopping, Relay: r.RelayAddr, Logger: r.Logs.Logger("view"),
+		Stopping: r.stopping, Relay: r.RelayAddress, Logger: r.Logs.Logger("view"),
 		OnChange: func(f *view.ClusterState) { r.relay.Apply(f) },
 	}
 	r.relay = &relay.Relay{
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -280,7 +280,7 @@
 
 func newTarget(s *view.Snapshot, service string, address netip.AddrPort, t view.Target) routing.Target {
 	return routing.Target{
-		AgentID: t.Node.GetID(), Service: service, Addr: address,
+		AgentID: t.Node.GetID(), Service: service, Address: address,
 		Zone: t.Node.GetZone(), Region: regionOf(s, t.Node.GetZone()),
 		Capacity: int(t.Node.GetCapacity()), Incarnation: t.Node.GetIncarnation(),
 		Draining: !t.Admissible(), ZoneOut: t.ZoneOut,
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -112,10 +112,10 @@
 
 // Limits bound the requests of callers and the time taken to receive them.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Declaration is one version of the configuration that operators declare.
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -23,7 +23,7 @@
 			{Name: "b", Host: "desk.example", Prefix: "/kiln/drafts/", Retry: routes.RetryResume, Stream: true, Timeout: 8 * time.Second, EventGapTarget: 120 * time.Millisecond, Priority: 1, Shares: []routes.Share{{Service: "drafts", Weight: 90}, {Service: "desk", Weight: 10}}},
 		},
 		Workspaces: []routes.Workspace{{Name: "coopers", Keys: []string{"k1", "k2"}, Priority: 1}},
-		Limits:     routes.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
+		Limits:     routes.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
 	if edit != nil {
 		edit(&d)
--- a/internal/routes/wire.go
+++ b/internal/routes/wire.go
@@ -9,7 +9,7 @@
 // ToWire converts d to its wire form.
 func (d *Declaration) ToWire() *wire.RouteTable {
 	out := &wire.RouteTable{Number: d.Number, Limits: &wire.CallerLimits{
-		HeaderBytes: uint64(d.Limits.HeaderBytes), BodyBytes: uint64(d.Limits.BodyBytes),
+		HeaderBytes: uint64(d.Limits.MaxHeaderBytes), BodyBytes: uint64(d.Limits.MaxBodyBytes),
 		HeaderMillis: millis(d.Limits.HeaderTimeout), IdleMillis: millis(d.Limits.IdleTimeout),
 	}}
 
@@ -55,7 +55,7 @@
 func FromWire(w *wire.RouteTable) Declaration {
 	l := w.GetLimits()
 	d := Declaration{Number: w.GetNumber(), Limits: Limits{
-		HeaderBytes: int(l.GetHeaderBytes()), BodyBytes: int64(l.GetBodyBytes()),
+		MaxHeaderBytes: int(l.GetHeaderBytes()), MaxBodyBytes: int64(l.GetBodyBytes()),
 		HeaderTimeout: duration(l.GetHeaderMillis()), IdleTimeout: duration(l.GetIdleMillis()),
 	}}
 
--- a/internal/routing/chooser.go
+++ b/internal/routing/chooser.go
@@ -58,7 +58,7 @@
 
 	p := c.pools[req.Service]
 	if p == nil {
-		return Choice{}, &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
+		return Choice{}, &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryAfter))}
 	}
 
 	t := c.pick(now, p, &req)
@@ -78,7 +78,7 @@
 	t.setInFlight(now, t.inFlight+1)
 
 	return Choice{
-		AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Cold: t.Cold,
+		AgentID: t.AgentID, Address: t.Address, Incarnation: t.Incarnation, Cold: t.Cold,
 		NeedsCredit: !t.hasCredit(now), Probe: probe, MatchedPrefixes: c.recordPrefixes(now, t, &req),
 	}, nil
 }
--- a/internal/routing/chooser_test.go
+++ b/internal/routing/chooser_test.go
@@ -31,7 +31,7 @@
 	for i := range list {
 		list[i] = routing.Target{
 			AgentID: fmt.Sprintf("t%02d", i), Service: service, Zone: zones[i%3], Region: "central-th",
-			Addr:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(9000+i)),
+			Address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(9000+i)),
 			Capacity: 8, Incarnation: 1,
 		}
 	}
@@ -65,7 +65,7 @@
 	require.NotNil(t, none)
 }
 
-func TestLeavingAndZoneOutTargetsAreNotChosen(t *testing.T) {
+func TestDrainingAndZoneOutTargetsAreNotChosen(t *testing.T) {
 	t.Parallel()
 
 	list := targets(2)
--- a/internal/routing/cost.go
+++ b/internal/routing/cost.go
@@ -30,7 +30,7 @@
 // a warm target.
 func (c *Chooser) coldCost(now time.Time, p *pool, t *target, req *Request, load float64) float64 {
 	warmUp := req.Idempotent && !now.Before(t.nextWarmUpAt)
-	if warmUp || p.warmUtilisation > c.Settings.ColdTrafficThreshold {
+	if warmUp || p.warmUtilization > c.Settings.ColdTrafficThreshold {
 		return load / float64(max(t.maxInFlight(), t.Capacity)) / 2
 	}
 
--- a/internal/routing/credits.go
+++ b/internal/routing/credits.go
@@ -42,7 +42,7 @@
 
 			t.creditRequested(now, slots, &c.Settings)
 			requests = append(requests, CreditRequest{
-				Service: service, AgentID: t.AgentID, Addr: t.Addr, Incarnation: t.Incarnation, Wanted: slots, Using: t.inFlight,
+				Service: service, AgentID: t.AgentID, Address: t.Address, Incarnation: t.Incarnation, Wanted: slots, Using: t.inFlight,
 			})
 		}
 	}
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -11,7 +11,7 @@
 type Target struct {
 	AgentID string
 	Service string
-	Addr    netip.AddrPort
+	Address netip.AddrPort
 	Zone    string
 	Region  string
 	// Capacity is how many requests the target can handle at once when warm.
@@ -100,7 +100,7 @@
 // Choice is the target of one request. It counts as in flight until Finish.
 type Choice struct {
 	AgentID     string
-	Addr        netip.AddrPort
+	Address     netip.AddrPort
 	Incarnation uint64
 	Cold        bool
 	// NeedsCredit is true if a credit must be requested before sending.
@@ -129,7 +129,7 @@
 type CreditRequest struct {
 	Service     string
 	AgentID     string
-	Addr        netip.AddrPort
+	Address     netip.AddrPort
 	Incarnation uint64
 	Wanted      int
 	Using       int
--- a/internal/routing/no_target.go
+++ b/internal/routing/no_target.go
@@ -9,7 +9,7 @@
 // The mean retry delays where no target reported one.
 const (
 	fullRetryDelay     = 300 * time.Millisecond
-	noTargetRetryDelay = 3 * time.Second
+	noTargetRetryAfter = 3 * time.Second
 )
 
 // jitter returns a random duration between 0.5 and 1.5 times d.
@@ -39,7 +39,7 @@
 	}
 
 	if cause != verdict.CauseOverload && cause != verdict.CauseColdLimit {
-		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
+		return &NoTarget{Cause: cause, RetryAt: now.Add(c.jitter(noTargetRetryAfter))}
 	}
 
 	at := p.earliestRetry(now)
@@ -60,7 +60,7 @@
 
 	p := c.pools[service]
 	if p == nil {
-		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryDelay))}
+		return &NoTarget{Cause: verdict.CauseNoTarget, RetryAt: now.Add(c.jitter(noTargetRetryAfter))}
 	}
 
 	for _, t := range p.targets {
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -13,9 +13,9 @@
 	medianWait float64
 	// meanLoad is the mean share of the capacity that other entries use.
 	meanLoad float64
-	// warmUtilisation is the share of the warm targets' capacity in use, including by
+	// warmUtilization is the share of the warm targets' capacity in use, including by
 	// this entry.
-	warmUtilisation float64
+	warmUtilization float64
 	// eventsSinceRefresh counts the events since the three values above were computed.
 	eventsSinceRefresh int
 	// ejected counts the ejected targets that are reachable.
@@ -64,7 +64,7 @@
 
 	p.medianWait = median(waits)
 	p.meanLoad = ratio(load, capacity)
-	p.warmUtilisation = ratio(warmLoad, warmCapacity)
+	p.warmUtilization = ratio(warmLoad, warmCapacity)
 }
 
 func ratio(a, b float64) float64 {
--- a/internal/routing/zone_bench_test.go
+++ b/internal/routing/zone_bench_test.go
@@ -45,7 +45,7 @@
 	}
 	// A request for which no target has capacity waits for the next credit.
 	j.onNoCapacity = func() { d.apply(d.queue.Requeue(d.m.clock(), id)) }
-	itemAction, otherActions := d.queue.Offer(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
+	itemAction, otherActions := d.queue.Submit(d.m.clock(), fairness.Item{ID: id, Workspace: "w", Deadline: epoch.Add(j.deadline)})
 	d.apply(append(otherActions, itemAction))
 }
 
