--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -1,6 +1,6 @@
 // Package admission decides which requests one agent forwards to its target. It
 // performs no I/O: each method handles one event, with the time at which it happened
-// as an argument, and returns a decision. The caller serialises the calls.
+// as an argument, and returns a decision. The caller serializes the calls.
 package admission
 
 import (
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -49,7 +49,7 @@
 	// not ended.
 	open []string
 	// admitted counts the admissions of each attempt. notRun holds the attempts that
-	// were reported as NotRun and must never run from then on.
+	// were reported as NotRun and must never run afterwards.
 	admitted map[string]int
 	notRun   map[string]bool
 	n        int
--- a/internal/agent/admitter.go
+++ b/internal/agent/admitter.go
@@ -7,7 +7,7 @@
 	"github.com/parsleygate/parsleygate/internal/admission"
 )
 
-// admitter serialises access to the admission core. An event takes about a microsecond, so a
+// admitter serializes access to the admission core. An event takes about a microsecond, so a
 // mutex costs less than a dedicated goroutine. The current view is read before each event.
 type admitter struct {
 	mu   sync.Mutex
--- a/internal/agent/announce.go
+++ b/internal/agent/announce.go
@@ -7,7 +7,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// HeaderCold is a response header that a cold engine sets to "true". It tells the agent sooner
+// HeaderCold is a response header that a cold engine sets to "true". It informs the agent sooner
 // than the next announcement would.
 const HeaderCold = "Parsleygate-Target-Cold"
 
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -108,7 +108,7 @@
 
 // mayCancel reports whether the request may be canceled once its entry has disconnected.
 //
-// The agent can't tell whether the caller canceled or the entry's connection broke. An
+// The agent cannot detect whether the caller canceled or the entry's connection broke. An
 // idempotent request is canceled to free the target, and so is a stream, which can't be
 // resumed later. Any other request runs until its deadline and its response is kept: if it
 // were canceled, it would be unknown whether it had taken effect.
--- a/internal/control/documents_test.go
+++ b/internal/control/documents_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// A control VM without a quorum, or one resumed after a suspension, cannot tell whether its
+// A control VM without a quorum, or one resumed after a suspension, cannot determine whether its
 // document is the latest. It must return an error instead of the document.
 func TestDocumentReadNeedsQuorum(t *testing.T) {
 	t.Parallel()
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -150,7 +150,7 @@
 	require.Equal(t, directory.Ready, m.Targets()[0].State)
 }
 
-// Most announcements repeat the previous one. They are published only now and then, so that
+// Most announcements repeat the previous one. They are published only occasionally, so that
 // a thousand targets do not wake every entry a thousand times a second.
 func TestUnchangedAnnouncementsAreRarelyPublished(t *testing.T) {
 	t.Parallel()
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -210,7 +210,7 @@
 	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 
-		// Op "dial" tells callers that no byte of a request was sent.
+		// Op "dial" indicates to callers that no byte of a request was sent.
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 
--- a/internal/ledger/claims_test.go
+++ b/internal/ledger/claims_test.go
@@ -151,7 +151,7 @@
 	require.Equal(t, wire.ClaimState_ClaimFull, h.claim("3", "a", "b", "").GetState())
 }
 
-// Two control VMs both believe that they lead and send a tick for the same interval;
+// Two control VMs both consider themselves the leader and send a tick for the same interval;
 // one of them has a clock that jumped by days. If both ticks or the jump counted,
 // claim windows would end early and a request could run twice.
 func TestClockNeverRunsAheadOfRealTime(t *testing.T) {
--- a/internal/ledger/maps.go
+++ b/internal/ledger/maps.go
@@ -9,7 +9,7 @@
 // putMap stages an expert map, or commits the staged one. The committed map of the
 // group stays in force while another is staged. The fencing number is the log index,
 // so it grows with each change of any map, and a late order of an earlier map can be
-// recognised.
+// recognized.
 func (l *Ledger) putMap(index uint64, m *wire.ExpertMap) *wire.MapAnswer {
 	committed := l.records.get(ExpertMapPrefix + m.GetGroup()).GetExpertMap()
 	staged := l.records.get(StagedMapPrefix + m.GetGroup()).GetExpertMap()
--- a/internal/lockstep/answer_times.go
+++ b/internal/lockstep/answer_times.go
@@ -8,10 +8,10 @@
 )
 
 // answerTimes estimates how long ranks take to answer orders, by kind of order, and derives
-// time-outs from that.
+// timeouts from that.
 //
 // A switch needs an answer from every rank. With one order in ten unanswered, most switches met
-// at least one, and with a fixed time-out each of them cost 150 to 250 ms, during which the
+// at least one, and with a fixed timeout each of them cost 150 to 250 ms, during which the
 // group kept using the old map. Answers usually arrive within a few milliseconds, so an order
 // that takes much longer is resent. Resending is safe: a rank reports an order that it has
 // already carried out as done, or refuses it.
@@ -25,7 +25,7 @@
 	answerTimeWindow = 64
 	// answerTimeMargin is the number of mean deviations above the mean that an answer may take.
 	answerTimeMargin = 4
-	// minAnswerTimeout is the shortest time-out for an answer, several times the longest
+	// minAnswerTimeout is the shortest timeout for an answer, several times the longest
 	// network latency within a region. Each rank that is addressed at the same time adds
 	// minTimeoutPerRank, because all requests leave one VM that has a quarter of a processor.
 	minAnswerTimeout  = 25 * time.Millisecond
@@ -38,7 +38,7 @@
 }
 
 // timeout returns how long to wait for the answer to an order that has already timed out the
-// given number of times. It doubles with each time-out, because ranks may have become slower,
+// given number of times. It doubles with each timeout, because ranks may have become slower,
 // up to maxWait.
 func (a *answerTimes) timeout(kind wire.EngineOrderKind, ranks int, maxWait time.Duration, timeouts int) time.Duration {
 	bound, known := a.byKind.UpperBound(kind, answerTimeMargin)
--- a/internal/lockstep/engine.go
+++ b/internal/lockstep/engine.go
@@ -177,7 +177,7 @@
 	CopyTime time.Duration
 }
 
-// Settings are the intervals, time-outs and thresholds of a directing agent.
+// Settings are the intervals, timeouts and thresholds of a directing agent.
 type Settings struct {
 	// PollInterval is the interval at which counts are read.
 	PollInterval time.Duration
@@ -221,7 +221,7 @@
 }
 
 // requestTimeout bounds an order or poll sent to the given number of ranks. A standby without
-// open connections needs more time the more ranks there are: with a fixed time-out it received
+// open connections needs more time the more ranks there are: with a fixed timeout it received
 // answers from too few ranks of a large group and could not release its hold.
 func (s *Settings) requestTimeout(ranks int) time.Duration {
 	return s.OrderTimeout + time.Duration(ranks)*s.PerRankTimeout
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -378,7 +378,7 @@
 }
 
 // One order in ten is unanswered and carried out two seconds later. Guards against waiting for
-// a fixed time-out for each order, which kept the wrong map in use for a second: the map must
+// a fixed timeout for each order, which kept the wrong map in use for a second: the map must
 // follow demand nearly as soon as without lost answers.
 func TestMapFollowsDemandShiftWithUnansweredOrders(t *testing.T) {
 	t.Parallel()
@@ -474,8 +474,8 @@
 	require.LessOrEqual(t, times[seeds-1], 2*time.Second, "maximum: %v", times)
 }
 
-// The directing VM becomes slow, and polls take ten times as long as before. The poll time-out
-// is estimated from answered polls. Guards against a time-out that never grows because no poll
+// The directing VM becomes slow, and polls take ten times as long as before. The poll timeout
+// is estimated from answered polls. Guards against a timeout that never grows because no poll
 // is answered in time, with which the director received no reports as long as the VM was slow.
 func TestPollTimeoutAdaptsToSlowerPolls(t *testing.T) {
 	t.Parallel()
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -191,7 +191,7 @@
 	return result
 }
 
-// orderOnce sends an order that has already timed out the given number of times. The time-out
+// orderOnce sends an order that has already timed out the given number of times. The timeout
 // is the one for an order that is sent to several ranks, their number being concurrent.
 func (s *Switcher) orderOnce(ctx context.Context, rank int, o *wire.EngineOrder, timeouts, concurrent int) wire.EngineResult {
 	began := time.Now()
@@ -210,7 +210,7 @@
 	return result
 }
 
-// orderTimeout returns the upper bound of the time-out for o when it is sent to several
+// orderTimeout returns the upper bound of the timeout for o when it is sent to several
 // ranks, their number being concurrent.
 func (s *Switcher) orderTimeout(o *wire.EngineOrder, concurrent int) time.Duration {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
--- a/internal/lockstep/polls.go
+++ b/internal/lockstep/polls.go
@@ -106,7 +106,7 @@
 
 // pollTimeout bounds a round of polls that not all ranks must answer. It doubles after each
 // round that most ranks did not answer in time: the estimate includes only answered polls, so
-// if all ranks became slower than the time-out, it would never recover.
+// if all ranks became slower than the timeout, it would never recover.
 func (s *Switcher) pollTimeout() time.Duration {
 	maxWait := s.Settings.requestTimeout(s.Group.Size)
 
--- a/internal/logs/stall.go
+++ b/internal/logs/stall.go
@@ -21,7 +21,7 @@
 // StallDetector logs when the process did not run for a while because its VM was
 // suspended or it got no CPU time. After a stall the state of the process is out of date,
 // its connections may be closed, and the durations of requests in flight include the
-// stall. The log line is the only way to tell a stall from a slow target. Set the fields
+// stall. The log line is the only way to distinguish a stall from a slow target. Set the fields
 // before Run.
 type StallDetector struct {
 	Logger *slog.Logger
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,6 +1,6 @@
 // Package orders decides which orders of the control plane an agent forwards to its
 // engine. It performs no I/O: each method handles one event, with the time at which
-// it happened as an argument. The caller serialises the calls.
+// it happened as an argument. The caller serializes the calls.
 //
 // Orders carry fencing numbers, which only increase. Some engines reject an old
 // number and others ignore the number, so it is checked here for all engines.
--- a/internal/quorum/bootstrap.go
+++ b/internal/quorum/bootstrap.go
@@ -10,7 +10,7 @@
 
 // bootstrap is the state of a founder with an empty data folder. The replica group may be
 // new, or the founder may have been a member whose disk was lost. The founder asks all
-// other founders and does not take part in the group until it can tell these cases apart.
+// other founders and does not take part in the group until it can distinguish these cases.
 type bootstrap struct {
 	helloAt     time.Time
 	creationIDs map[string]uint64
--- a/internal/retries/budget.go
+++ b/internal/retries/budget.go
@@ -84,7 +84,7 @@
 	ReasonCallerCanceled  Reason = "CallerLeft"
 )
 
-// Decision tells whether and when to retry.
+// Decision says whether and when to retry.
 type Decision struct {
 	Retry bool
 	At    time.Time
--- a/internal/routing/model_results_test.go
+++ b/internal/routing/model_results_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// imbalance returns the coefficient of variation of the targets' utilisation.
+// imbalance returns the coefficient of variation of the targets' utilization.
 func (m *model) imbalance() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -24,7 +24,7 @@
 // Units returns the number of whole units of total that this entry has at now. The
 // remainder of the division goes to the entries with the lowest indexes. If there are fewer
 // units than entries, the units rotate among the entries, one at a time. Every entry thus
-// gets a turn, and hardly more than total units are used within a short window.
+// gets a turn, and little more than total units are used within a short window.
 func (s Share) Units(now time.Time, total float64) int {
 	units := int(total)
 
--- a/internal/testserver/draft.go
+++ b/internal/testserver/draft.go
@@ -15,7 +15,7 @@
 }
 
 // Token returns the n-th token of the answer to prompt, counting from 1. Tokens depend
-// only on the prompt and n: callers can recognise wrong or mixed answers, and any
+// only on the prompt and n: callers can recognize wrong or mixed answers, and any
 // target can resume a stream.
 func Token(prompt string, n int) string {
 	sum := xxhash.Sum64String(prompt + "#" + strconv.Itoa(n))
--- a/internal/testserver/rank_group.go
+++ b/internal/testserver/rank_group.go
@@ -76,7 +76,7 @@
 	MapVersions []uint64
 }
 
-// Init initialises the group. It must be called once before any other method.
+// Init initializes the group. It must be called once before any other method.
 func (g *RankGroup) Init() {
 	g.rnd = rand.New(rand.NewPCG(g.Seed, 7))
 	g.ranks = make([]*rankEngine, g.Shape.Ranks)
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -157,7 +157,7 @@
 
 // pollWait returns how long the next poll may be held. It is random because a change
 // answers the polls of all readers at once, and without jitter they would stay
-// synchronised.
+// synchronized.
 func (r *Reader) pollWait() time.Duration {
 	return r.Settings.MaxPollWait - rand.N(r.Settings.MaxPollWait/pollWaitJitterDivisor+1)
 }
