--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -172,7 +172,7 @@
 func (e *Entry) requestCredit(ctx context.Context, req routing.CreditRequest) error {
 	sent := time.Now()
 
-	r, err := e.Agents.Grant(ctx, req.Addr, &wire.GrantRequest{
+	r, err := e.Agents.Grant(ctx, req.Address, &wire.GrantRequest{
 		EntryID: e.ID, Wanted: uint32(req.Wanted), Using: uint32(req.Using),
 	})
 	if err != nil {
@@ -221,7 +221,7 @@
 	e.Chooser.ApplyReport(routing.ReportReceived{
 		AgentID: agentID, Incarnation: l.GetCredit().GetIncarnation(), TakenAt: takenAt,
 		InFlight: int(l.GetInFlight()), Limit: int(l.GetLimit()), Queued: int(l.GetQueued()),
-		Cold: l.GetCold(), Leaving: l.GetLeaving(),
+		Cold: l.GetCold(), Draining: l.GetLeaving(),
 	})
 }
 
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -19,8 +19,8 @@
 	speedGain   = 0.3
 	// pollInterval is the interval at which ranks are polled for their status.
 	pollInterval = time.Second
-	// maxPopularityLife bounds for how long the current expert popularity is assumed to last.
-	maxPopularityLife = time.Hour
+	// maxPopularityDecay bounds for how long the current expert popularity is assumed to last.
+	maxPopularityDecay = time.Hour
 )
 
 // groupController manages the map of one group.
@@ -59,11 +59,11 @@
 	return &groupController{
 		ctx: ctx, director: d, name: g.GetName(), shape: shape, orderInFlight: make(map[int]bool),
 		coordinator: &expertmap.Coordinator{
-			Ranks: shape.Ranks, Margin: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
+			Ranks: shape.Ranks, SwitchLead: s.SwitchLead, StageTimeout: s.StageTimeout, PrepareTimeout: s.PrepareTimeout, ResendInterval: s.ResendInterval,
 		},
 		tracker: &popularity.Tracker{
 			Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks,
-			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: maxPopularityLife,
+			Gain: trackerGain, SpeedGain: speedGain, MaxDecay: maxPopularityDecay,
 		},
 		planner: s.Planner,
 	}
@@ -237,7 +237,7 @@
 func (c *groupController) evaluate(now time.Time, reports []*wire.RankReport) {
 	for _, r := range reports {
 		_, err := c.tracker.Observe(&popularity.Report{
-			Rank: int(r.GetRank()), Incarnation: r.GetIncarnation(), Seq: r.GetSequence(),
+			Rank: int(r.GetRank()), Incarnation: r.GetIncarnation(), Sequence: r.GetSequence(),
 			Busy: time.Duration(r.GetBusyMicros()) * time.Microsecond, Work: r.GetWork(), Tokens: r.GetTokens(),
 		})
 		if err != nil {
--- a/internal/lockstep/polls.go
+++ b/internal/lockstep/polls.go
@@ -106,7 +106,7 @@
 
 // pollTimeout bounds a round of polls that not all ranks must answer. It doubles after each
 // round that most ranks did not answer in time: the estimate includes only answered polls, so
-// if all ranks became slower than the time-out, it would never recover.
+// if all ranks became slower than the timeout, it would never recover.
 func (s *Switcher) pollTimeout() time.Duration {
 	maxWait := s.Settings.requestTimeout(s.Group.Size)
 
@@ -120,7 +120,7 @@
 	return min(max(bound, minWait)<<min(s.missedRounds, maxTimeoutDoublings), maxWait)
 }
 
-// maxPollAttempts is how often a rank is polled if a switch depends on its answer.
+// maxPollAttempts is how many times a rank is polled if a switch depends on its answer.
 const maxPollAttempts = 4
 
 // pollWithRetry polls one rank, and again if no answer arrives in time. One lost packet should
