--- a/internal/intent/reference.go
+++ b/internal/intent/reference.go
@@ -5,48 +5,51 @@
 	"strings"
 )
 
-// descriptions holds the text for each section and key, the latter as Section.Key.
+// descriptions holds the description of each section, by keyword, and of each key, by
+// Section.Key.
 var descriptions = map[string]string{
-	"Zone":                    "An availability zone. Targets in a zone that is not declared get no work.",
+	"Zone":                    "An availability zone. Targets in an undeclared zone get no new work.",
 	"Zone.Region":             "The region of the zone.",
-	"Zone.Out":                "true takes the zone out: no new work goes into it, and what runs there finishes.",
-	"Service":                 "A service that callers reach.",
-	"Service.IdempotentCalls": "The calls that may be run again; all others run at most once.",
-	"Service.Resumable":       "Its engines can continue an interrupted event stream.",
-	"Service.Model":           "The model that its targets load.",
-	"Service.WeightBytes":     "What one target loads when it starts cold; plans count it.",
-	"Service.LongestRun":      "How long one request may take; plans use it where targets report nothing.",
-	"ColdLimit":               "The limits of the targets of a declared service.",
-	"ColdLimit.Cold":          "How many requests at once a cold target gets at first.",
-	"ColdLimit.Warm":          "How many requests at once a warm target gets at most.",
-	"Target":                  "The operators' word on the target of one agent, named by the agent's ID.",
-	"Target.Retired":          "true retires the target: it gets no new work.",
-	"Workspace":               "The share of one workspace.",
-	"Workspace.Weight":        "Its share under overload, against the other workspaces' weights. A new workspace has 1.",
-	"Workspace.Priority":      "Higher goes first.",
-	"Stop":                    "A planned stop of one process: it finishes what it has and ends. It is over once the process runs again; take the section out of the file then.",
-	"Stop.Reason":             "Why, for history.",
-	"Group":                   "An expert group.",
-	"Group.Service":           "The service that it serves.",
-	"Group.Ranks":             "How many ranks it has.",
-	"Group.Experts":           "How many experts a layer has.",
-	"Group.Layers":            "How many layers it has.",
-	"Group.Slots":             "How many experts of a layer a rank holds.",
+	"Zone.Out":                "Whether the zone is out of service. Its targets then get no new work; work in progress completes.",
+	"Service":                 "A service that callers can request.",
+	"Service.IdempotentCalls": "The calls that may run more than once, by method and path. The path is a glob pattern in which `*` and `?` do not match `/`. All other calls run at most once, whatever their method.",
+	"Service.Resumable":       "Whether the engines of the service can continue an interrupted event stream. Used only for idempotent calls.",
+	"Service.Model":           "The model that the targets of the service load. Plans count a cold start of each target if it changes.",
+	"Service.WeightBytes":     "The size in bytes of the model weights that one target loads in a cold start, for the cost in plans. 0 means unknown.",
+	"Service.LongestRun":      "The maximum duration of one request. Plans use it for targets that have requests but report no duration. 0 means unknown.",
+	"ColdLimit":               "The limits on concurrent requests at each target of a service, named by the service. The service must be declared.",
+	"ColdLimit.Cold":          "The maximum number of concurrent requests at a target that has just started. The limit grows from there to that of a warm target. 0 counts as 1.",
+	"ColdLimit.Warm":          "The maximum number of concurrent requests at a warm target. The capacity that the target reports applies if it is smaller, or if this is 0. If neither is set, the limit is 1.",
+	"Target":                  "The policy for one target, named by the ID of its agent.",
+	"Target.Retired":          "Whether the target is retired. It then gets no new work.",
+	"Workspace":               "The fair-share settings of one workspace.",
+	"Workspace.Weight":        "The share of the workspace under overload, relative to the weights of the other workspaces. 1 in a new section.",
+	"Workspace.Priority":      "The minimum priority of the workspace's requests. Requests with a higher priority are served first; other workspaces are not affected. Values below -1 count as -1, values above 2 as 2.",
+	"Stop":                    "A planned stop of one process, named by its ID: the process finishes its work and exits. The stop is removed once the process has restarted. Delete the section from the file then; otherwise the next use of the file stops the process again.",
+	"Stop.Reason":             "The reason for the stop. It is stored, but has no effect.",
+	"Group":                   "A lock-step group of servers that hold the experts of a model. Ranks, Experts, Layers and Slots of an existing group cannot be changed.",
+	"Group.Service":           "The service that the group serves. It must be declared.",
+	"Group.Ranks":             "The number of ranks, the servers of the group. An expert map needs at least 1.",
+	"Group.Experts":           "The number of experts per layer. An expert map needs at least 1.",
+	"Group.Layers":            "The number of layers that have experts. An expert map needs at least 1.",
+	"Group.Slots":             "The number of experts of one layer that fit on a rank. 0 means Experts divided by Ranks, rounded up, plus 1. An expert map needs Ranks times Slots to be at least Experts.",
 }
 
-// Reference returns the reference of declarations in Markdown.
+// Reference returns the declarations reference, in Markdown.
 func Reference() string {
 	var b strings.Builder
 
 	b.WriteString("# Declarations\n\n" +
-		"What operators declare, in INI; `parsleygate plan -f FILE` says what a declaration would change. Names stand in double\n" +
-		"quotes in the section's head and have " + allowedNames + ".\n\n" +
-		"What a declaration does not mention stays as it is. `Removed = true`, alone in its section, removes what the section\n" +
-		"names. An unknown section or key, or one that is given twice, is an error with its line. Comments stand on lines of\n" +
-		"their own, after `#` or `;`. At most " + fmt.Sprint(MaxBytes) + " bytes are read.\n")
+		"Generated by `go test ./internal/intent -update`. A declaration is an INI file with operators' configuration.\n" +
+		"`parsleygate plan -f FILE` shows what it would change. The name in a section's heading is in double quotes and has\n" +
+		allowedNames + ".\n\n" +
+		"What a declaration does not mention stays unchanged. Keys that a new section does not set are false, 0 or empty, unless\n" +
+		"stated otherwise. `Removed = true`, as the only key, removes what the section declares; [ColdLimit] does not have it. An\n" +
+		"unknown or duplicate section or key is an error with its line. Comments are whole lines that begin with `#` or `;`. At most\n" +
+		fmt.Sprint(MaxBytes) + " bytes are accepted.\n")
 
 	for _, k := range sectionKinds {
-		fmt.Fprintf(&b, "\n## [%s \"name\"]\n\n%s\n\n| key | allowed | what it does |\n| --- | --- | --- |\n",
+		fmt.Fprintf(&b, "\n## [%s \"name\"]\n\n%s\n\n| key | allowed values | description |\n| --- | --- | --- |\n",
 			k.keyword, descriptions[k.keyword])
 
 		for _, f := range k.fields {
