--- a/cmd/parsleygate/cmds/process.go
+++ b/cmd/parsleygate/cmds/process.go
@@ -152,7 +152,7 @@
 
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			p.logs.Logger("admin").Error("Admin server failed.", "error", err)
+			p.logs.Logger("admin").Error("HTTP server failed.", "error", err)
 		}
 	}()
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -133,7 +133,7 @@
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 	close(a.listening)
-	a.Logger.Info("agent is listening", "address", a.listenAddress, "incarnation", a.Incarnation)
+	a.Logger.Info("Listening for connections.", "address", a.listenAddress, "incarnation", a.Incarnation)
 
 	stopAnnounce := a.serveAnnouncements()
 	defer stopAnnounce()
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -13,7 +13,7 @@
 	a.prepare()
 	a.admitter.drain()
 	a.orders.drain()
-	a.Logger.Info("agent is draining")
+	a.Logger.Info("Draining: refusing new requests and waiting for those in flight.")
 
 	t := time.NewTicker(a.Settings.TickInterval)
 	defer t.Stop()
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -88,7 +88,7 @@
 	bt := newBlockingTarget()
 	disconnected := make(chan struct{})
 	r := newFixture(t, httpTarget(t, bt.serve("text/plain")), func(a *Agent) {
-		a.Logger = slog.New(messageHandler{message: "entry disconnected", onMessage: func() { close(disconnected) }})
+		a.Logger = slog.New(messageHandler{message: "Entry disconnected during a request.", onMessage: func() { close(disconnected) }})
 		a.Settings.AttemptQueryWait = 4 * time.Second
 		a.Settings.TickInterval = time.Millisecond
 	})
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -244,7 +244,7 @@
 		a.counters.crossed.Inc(1)
 	}
 
-	a.Logger.Warn("request failed", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
+	a.Logger.Warn("Request failed: no complete response from the target.", "attempt", x.call.attemptID, "cause", e.Cause, "verdict", e.Verdict, "err", e.Err)
 	x.send(refusalFrame(x.call.attemptID, refusal{verdict: e.Verdict, cause: e.Cause, retryAt: e.RetryAt}, now, load))
 }
 
@@ -282,5 +282,5 @@
 	}
 
 	x.disconnected = true
-	x.agent.Logger.Info("entry disconnected", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
+	x.agent.Logger.Info("Entry disconnected during a request.", "attempt", x.call.attemptID, "cancelled", x.mayCancel())
 }
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -96,7 +96,7 @@
 func (a *Agent) announce(ann *Announcement) {
 	previous := a.target.latest.Swap(ann)
 	if previous == nil || previous.BootID != ann.BootID {
-		a.Logger.Info("target announced a new boot", "boot", ann.BootID, "service", ann.Service, "address", ann.Address)
+		a.Logger.Info("Target announced a new boot.", "boot", ann.BootID, "service", ann.Service, "address", ann.Address)
 		a.counters.boots.Inc(1)
 	}
 
@@ -140,7 +140,7 @@
 	enc.SetIndent("", "  ")
 
 	if err := enc.Encode(a.Dump()); err != nil {
-		a.Logger.Debug("dump not written", "err", err)
+		a.Logger.Debug("Writing the dump failed.", "err", err)
 	}
 }
 
--- a/internal/control/base.go
+++ b/internal/control/base.go
@@ -45,7 +45,7 @@
 
 	data, err := encodeBase(p.records.All())
 	if err != nil {
-		s.Logger.Error("encoding the base of a full answer failed; sending the records uncompressed", "error", err)
+		s.Logger.Error("Encoding the base of a full answer failed; sending the records uncompressed.", "error", err)
 		return nil, p.records.DeltaSince(0)
 	}
 
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -36,7 +36,7 @@
 
 	asOf, index, err := s.ReadIndex(ctx)
 	if err != nil {
-		s.Logger.Debug("read index failed; the state is not confirmed as current", "error", err)
+		s.Logger.Debug("Read index failed; the state is not confirmed as current.", "error", err)
 		return
 	}
 
--- a/internal/control/trackers.go
+++ b/internal/control/trackers.go
@@ -124,7 +124,7 @@
 	defer cancel()
 
 	if _, err := s.propose(ctx, command); err != nil && ctx.Err() == nil {
-		s.Logger.Warn("proposing an internal command failed", "error", err)
+		s.Logger.Warn("Proposing an internal command failed.", "error", err)
 	}
 }
 
@@ -166,6 +166,6 @@
 		return
 	}
 
-	s.Logger.Info("expiring unresponsive processes", "count", len(expired), "first", expired[0].GetID())
+	s.Logger.Info("Expiring unresponsive processes.", "count", len(expired), "first", expired[0].GetID())
 	s.proposeInternal(ctx, &wire.Command{Kind: &wire.Command_Expiry{Expiry: &wire.Expiry{Nodes: expired}}})
 }
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -284,7 +284,7 @@
 		AttemptID: a.Attempt, Verdict: wire.Verdict(a.Verdict), Answer: a.Answer,
 	})
 	if err != nil {
-		x.entry.Logger.Warn("claim not settled; a resend will ask the agent", "key", x.call.key, "verdict", a.Verdict.String(), "error", err)
+		x.entry.Logger.Warn("Settling a claim failed; a resend will query the agent.", "key", x.call.key, "verdict", a.Verdict.String(), "error", err)
 	}
 
 	return *a.Then
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -115,7 +115,7 @@
 
 	go e.runTicker(tickCtx)
 
-	e.Logger.Info("serving callers", "address", e.Listener.Addr().String(), "zone", e.Zone)
+	e.Logger.Info("Serving callers.", "address", e.Listener.Addr().String(), "zone", e.Zone)
 
 	select {
 	case err := <-serveErr:
@@ -131,7 +131,7 @@
 
 func (e *Entry) drain(server *http.Server) error {
 	e.stopping.Store(true)
-	e.Logger.Info("stopping; refusing new requests", "inFlight", e.counters.inFlight.Load())
+	e.Logger.Info("Stopping: refusing new requests.", "inFlight", e.counters.inFlight.Load())
 	time.Sleep(e.ShutdownDelay)
 
 	// Shutdown waits for all answers in flight without a time limit, since each request
@@ -140,7 +140,7 @@
 
 	e.inFlight.Wait()
 	e.Agents.Close()
-	e.Logger.Info("stopped; all requests have ended")
+	e.Logger.Info("Stopped: all requests have ended.")
 
 	return eris.Wrap(err, "stop serving")
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -117,7 +117,7 @@
 		x.reply.flushPending()
 	case x.reply.headSent:
 		counters.broken.Add(1)
-		x.entry.Logger.Warn("answer to caller cut off", "request", x.call.id, "tries", x.ex.Attempts(), "callerGone", x.reply.callerGone, "error", a.Err)
+		x.entry.Logger.Warn("Answer to the caller was cut off.", "request", x.call.id, "tries", x.ex.Attempts(), "callerGone", x.reply.callerGone, "error", a.Err)
 		x.reply.abort()
 	case a.Err != nil:
 		counters.countRefusal(a.Err)
--- a/internal/expertgroup/director.go
+++ b/internal/expertgroup/director.go
@@ -145,7 +145,7 @@
 		return
 	}
 
-	d.Logger.Warn("event queue overflowed; restarting all group controllers from the latest state")
+	d.Logger.Warn("Event queue overflowed; restarting all group controllers from the latest state.")
 	d.mergeStates(*d.latestStates.Load())
 	d.stepDown()
 }
--- a/internal/expertgroup/group_controller.go
+++ b/internal/expertgroup/group_controller.go
@@ -127,7 +127,7 @@
 		defer cancel()
 
 		if err := c.director.Propose(ctx, entry); err != nil {
-			c.director.Logger.Debug("log entry not appended", "group", c.name, "error", err)
+			c.director.Logger.Debug("Appending a log entry failed.", "group", c.name, "error", err)
 		}
 	}()
 }
@@ -166,7 +166,7 @@
 		c.orderInFlight[o.Rank] = false
 
 		if err != nil {
-			c.director.Logger.Debug("rank did not answer an order", "group", c.name, "rank", o.Rank, "error", err)
+			c.director.Logger.Debug("Rank did not answer an order.", "group", c.name, "rank", o.Rank, "error", err)
 
 			return
 		}
@@ -189,7 +189,7 @@
 		c.director.committedSwitches.Add(1)
 	}
 
-	c.director.Logger.Info("switch ended", "group", c.name, "version", a.Version, "committed", a.Outcome == expertmap.Committed)
+	c.director.Logger.Info("Map switch ended.", "group", c.name, "version", a.Version, "committed", a.Outcome == expertmap.Committed)
 }
 
 // collectReports asks every rank for its report, and considers a new map once all ranks have
@@ -207,7 +207,7 @@
 				Group: c.name, Rank: uint32(n.Rank), Tokens: c.needsTokenCounts(n.Rank),
 			})
 			if err != nil {
-				c.director.Logger.Debug("rank did not return a report", "group", c.name, "rank", n.Rank, "error", err)
+				c.director.Logger.Debug("Rank did not return a report.", "group", c.name, "rank", n.Rank, "error", err)
 			}
 
 			reports <- r
@@ -241,7 +241,7 @@
 			Busy: time.Duration(r.GetBusyMicros()) * time.Microsecond, Work: r.GetWork(), Tokens: r.GetTokens(),
 		})
 		if err != nil {
-			c.director.Logger.Warn("rank report rejected", "group", c.name, "rank", r.GetRank(), "error", err)
+			c.director.Logger.Warn("Rank report rejected.", "group", c.name, "rank", r.GetRank(), "error", err)
 		}
 	}
 
@@ -252,7 +252,7 @@
 	}
 
 	if err := c.propose(now); err != nil {
-		c.director.Logger.Debug("new map not proposed", "group", c.name, "error", err)
+		c.director.Logger.Debug("Proposing a new map failed.", "group", c.name, "error", err)
 	}
 }
 
@@ -270,7 +270,7 @@
 		return err
 	}
 
-	c.director.Logger.Info("proposing a new map", "group", c.name, "why", d.Reason.String(), "moves", len(d.Moves),
+	c.director.Logger.Info("Proposing a new map.", "group", c.name, "why", d.Reason.String(), "moves", len(d.Moves),
 		"bytes", d.Bytes, "skewBefore", d.Before.Skew(), "skewAfter", d.After.Skew(), "saved", d.Saved, "cost", d.Cost)
 
 	version := nextVersion(c.coordinator.Record().AsOf, d.Map)
--- a/internal/local/entries.go
+++ b/internal/local/entries.go
@@ -45,7 +45,7 @@
 		}
 	}
 
-	inst.logger.Info("deployment is up", "entries", len(inst.entryAddresses), "targets", len(inst.engineTargets)+len(inst.bookingTargets))
+	inst.logger.Info("Deployment is up.", "entries", len(inst.entryAddresses), "targets", len(inst.engineTargets)+len(inst.bookingTargets))
 
 	return nil
 }
--- a/internal/logs/stall.go
+++ b/internal/logs/stall.go
@@ -53,7 +53,7 @@
 
 		now, err = s.SinceBoot()
 		if missed := now - last - stallCheckInterval; err == nil && missed >= minLoggedStall {
-			s.Logger.Warn("Process was not scheduled or its VM was suspended.", "for", missed.Round(time.Millisecond))
+			s.Logger.Warn("Stalled: the process was not scheduled or its VM was suspended.", "for", missed.Round(time.Millisecond))
 		}
 
 		last = now
--- a/internal/logs/stall_test.go
+++ b/internal/logs/stall_test.go
@@ -42,7 +42,7 @@
 		stop()
 		<-ended
 		require.Equal(t, 1, strings.Count(out.String(), "\n"), "want one line only: %s", out.String())
-		require.Contains(t, out.String(), "process: Process was not scheduled or its VM was suspended.")
+		require.Contains(t, out.String(), "process: Stalled: the process was not scheduled or its VM was suspended.")
 		require.Contains(t, out.String(), "for=4s")
 	})
 }
--- a/internal/rank/jobs.go
+++ b/internal/rank/jobs.go
@@ -92,7 +92,7 @@
 	}
 
 	if err != nil {
-		r.Logger.Debug("engine order failed", "group", r.Group, "error", err)
+		r.Logger.Debug("Order to the engine failed.", "group", r.Group, "error", err)
 	}
 
 	if j.action.Kind != expertmap.ActionHold {
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -194,7 +194,7 @@
 
 	err := j.engine.Do(loadCtx, a)
 	if err != nil {
-		r.Logger.Debug("engine failed to load expert map", "group", r.Group, "version", a.Version, "error", err)
+		r.Logger.Debug("Loading an expert map into the engine failed.", "group", r.Group, "version", a.Version, "error", err)
 		waitBeforeRetry(ctx)
 	}
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -165,7 +165,7 @@
 	r.failPending()
 	err = errors.Join(err, r.journal.Close())
 	if err != nil {
-		r.Logger.Error("Replica stopped.", "err", err)
+		r.Logger.Error("Stopped because of an error.", "err", err)
 	}
 
 	return err
--- a/internal/role/agent.go
+++ b/internal/role/agent.go
@@ -70,7 +70,7 @@
 	case <-ctx.Done():
 		// Every request has a deadline, so draining terminates.
 		if err := r.agent.Drain(context.WithoutCancel(ctx)); err != nil {
-			r.Logs.Logger("agent").Warn("draining the agent failed", slog.Any("error", err))
+			r.Logs.Logger("agent").Warn("Draining failed.", slog.Any("error", err))
 		}
 	case <-work.Done():
 	}
@@ -145,7 +145,7 @@
 	defer cancel()
 
 	if err := r.reader.Leave(ctx); err != nil {
-		r.Logs.Logger("agent").Info("no control VM was informed that this process has ended; they will expire it", slog.Any("error", err))
+		r.Logs.Logger("agent").Info("No control VM was informed that this process has ended; they will expire it.", slog.Any("error", err))
 	}
 }
 
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -257,7 +257,7 @@
 	defer cancel()
 
 	if err := r.replica.TransferLeadership(ctx, ""); err != nil {
-		r.Logs.Logger("control").Warn("leadership transfer failed; the stop may cause an election", "error", err)
+		r.Logs.Logger("control").Warn("Leadership transfer failed; the stop may cause an election.", "error", err)
 	}
 }
 
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -187,7 +187,7 @@
 
 func (r *Entry) publishChange(s *view.Snapshot) {
 	if err := r.bus.ConfigurationChanged(events.ConfigurationChanged{Version: s.Version}); err != nil {
-		r.Logs.Logger("events").Warn("event not published", slog.Any("error", err))
+		r.Logs.Logger("events").Warn("Publishing a configuration change failed.", slog.Any("error", err))
 	}
 }
 
@@ -209,7 +209,7 @@
 
 func (r *Entry) logConfiguration(ev events.ConfigurationChanged) {
 	v := viewState(r.reader.Snapshot())
-	r.Logs.Logger("entry").Debug("configuration changed", "version", ev.Version, "nodes", v.Nodes, "zonesOut", v.ZonesOut)
+	r.Logs.Logger("entry").Debug("Configuration changed.", "version", ev.Version, "nodes", v.Nodes, "zonesOut", v.ZonesOut)
 }
 
 func (r *Entry) self() *wire.Node {
@@ -245,7 +245,7 @@
 	defer cancel()
 
 	if err := r.reader.Leave(ctx); err != nil {
-		r.Logs.Logger("entry").Info("no control VM was informed that this process has ended; they will expire it", slog.Any("error", err))
+		r.Logs.Logger("entry").Info("No control VM was informed that this process has ended; they will expire it.", slog.Any("error", err))
 	}
 }
 
--- a/internal/role/membersservice.go
+++ b/internal/role/membersservice.go
@@ -46,7 +46,7 @@
 		return nil, memberChangeError(err)
 	}
 
-	s.role.Logs.Logger("control").Info("control set changed by operator", "change", c.GetKind().String(), "id", c.GetID())
+	s.role.Logs.Logger("control").Info("Control set changed by an operator.", "change", c.GetKind().String(), "id", c.GetID())
 
 	return &wire.MemberChanged{}, nil
 }
--- a/internal/role/rank.go
+++ b/internal/role/rank.go
@@ -35,7 +35,7 @@
 	rk := r.newRank(r.agent.Node())
 	rk.Init()
 	r.rank.Store(rk)
-	r.Logs.Logger("rank").Info("target announced itself as a rank", "group", rk.Group, "rank", rk.Number)
+	r.Logs.Logger("rank").Info("Target announced itself as a rank.", "group", rk.Group, "rank", rk.Number)
 
 	return rk.Run(ctx)
 }
--- a/internal/view/reader.go
+++ b/internal/view/reader.go
@@ -222,7 +222,7 @@
 	if err == nil {
 		r.failures = 0
 	} else {
-		r.Logger.Debug("poll failed", "control", r.Controls[r.controlIndex], "error", err)
+		r.Logger.Debug("Poll failed; retrying at the next control VM.", "control", r.Controls[r.controlIndex], "error", err)
 
 		limit := min(r.Settings.MinBackoff<<min(r.failures, 10), r.Settings.MaxBackoff)
 		wait = limit/2 + rand.N(limit/2+1)
