--- a/internal/agent/order.go
+++ b/internal/agent/order.go
@@ -160,7 +160,7 @@
 		executor.core.Unanswered(now, o.FencingNumber)
 	}
 
-	a.Logger.Info("Order to the engine finished.", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
+	a.Logger.Info("Order to the engine ended.", "number", o.FencingNumber, "done", r.Done, "cause", r.Cause, "err", err)
 
 	run.result = r
 	close(run.done)
--- a/internal/control/savedtargets.go
+++ b/internal/control/savedtargets.go
@@ -82,7 +82,7 @@
 	}
 
 	if err != nil {
-		s.Logger.Info("No saved directory of targets; starting with an empty one.", "error", err)
+		s.Logger.Info("No usable saved directory of targets; starting with an empty one.", "error", err)
 
 		return
 	}
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -364,7 +364,7 @@
 	}
 
 	if !slices.Equal(next.ZonesOut, out.GetZonesOut()) {
-		f.Logger.Info("Zones that are out changed.", "zones", out.GetZonesOut(), "index", out.GetIndex())
+		f.Logger.Info("The list of zones that are out changed.", "zones", out.GetZonesOut(), "index", out.GetIndex())
 	}
 
 	next.Index, next.ZonesOut = out.GetIndex(), out.GetZonesOut()
