--- a/cmd/parsleygate/cmds/direct.go
+++ b/cmd/parsleygate/cmds/direct.go
@@ -66,7 +66,7 @@
 }
 
 // runAutoMemberControl runs a control VM that discovers the other members through seeds. A
-// VM that was removed from the quorum while it was down rejoins with a new ID.
+// VM that was removed from the control set while it was down rejoins with a new ID.
 func runAutoMemberControl(ctx context.Context, p *process) error {
 	// Each run opens its own listener, so that connections are refused, rather than left
 	// unanswered, while the VM waits for its disk.
--- a/cmd/parsleygate/cmds/member.go
+++ b/cmd/parsleygate/cmds/member.go
@@ -8,7 +8,7 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// newMember returns the commands that list and change the members of the control VM quorum.
+// newMember returns the commands that list and change the members of the control set.
 func newMember() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "member",
--- a/internal/role/peers.go
+++ b/internal/role/peers.go
@@ -17,7 +17,7 @@
 const removedPeerRetention = 10 * time.Second
 
 // peerTracker tracks the other control VMs. It takes them from the members in the log,
-// and, until formerPeerRetention after the start, also from the settings: this process
+// and, until removedPeerRetention after the start, also from the settings: this process
 // does not know which members were removed shortly before it started.
 type peerTracker struct {
 	started time.Time
