--- a/internal/lockstep/demand_test.go
+++ b/internal/lockstep/demand_test.go
@@ -103,7 +103,7 @@
 // In a group of 63 ranks with a few hundred requests, some of the most popular experts change,
 // which moves a fifth of all choices. Guards against mistaking that for turnover of requests,
 // which moves as much in a small group: the map then matched the old demand for two seconds,
-// steps took twice as long, and half of the drafts were late.
+// steps took twice as long, and half of the requests were late.
 func TestDemandShiftDetectedInLargeGroup(t *testing.T) {
 	t.Parallel()
 
--- a/internal/lockstep/director.go
+++ b/internal/lockstep/director.go
@@ -37,8 +37,8 @@
 // on the demand.
 const minPollCounts = 200
 
-// Run directs the group until ctx ends, as it must when the group begins another epoch. A
-// switch that has begun is finished first.
+// Run directs the group until ctx ends. The caller must cancel ctx once the group begins another
+// epoch. A switch that has begun is finished first.
 func (d *Director) Run(ctx context.Context) {
 	d.switcher = &Switcher{Group: d.Group, Settings: d.Settings, Logger: d.Logger}
 	d.demandEstimator = newDemandEstimator(d.Shape, d.Settings.DemandDecay)
--- a/internal/lockstep/lockstep_test.go
+++ b/internal/lockstep/lockstep_test.go
@@ -399,7 +399,7 @@
 // The steps of a busy group take nearly as long as the event gap that callers tolerate, because
 // a shift of demand has doubled their duration, and one order in ten is unanswered. Guards
 // against switches that hold their step until the last rank is armed: the added delay made
-// every draft of the group late.
+// every stream of the group late.
 func TestSwitchRarelyHoldsLongSteps(t *testing.T) {
 	t.Parallel()
 
--- a/internal/lockstep/orders.go
+++ b/internal/lockstep/orders.go
@@ -83,7 +83,8 @@
 func (d *orderState) done() bool { return d.accepted && d.confirmed }
 
 // orderPending sends the order to the ranks that have not accepted it yet and returns those
-// that refuse it. By fan-out, ranks are also confirmed by the poll that follows the order.
+// that refuse it. A fan-out also polls each rank after its order, so ranks that carried the order
+// out immediately are confirmed without another poll.
 func (s *Switcher) orderPending(ctx context.Context, states []orderState, order func(rank int) *wire.EngineOrder, confirmed func(*Report) bool) []int {
 	results := make([]wire.EngineResult, len(states))
 
@@ -191,8 +192,8 @@
 	return result
 }
 
-// orderOnce sends an order that has already timed out the given number of times. The timeout
-// is the one for an order that is sent to several ranks, their number being concurrent.
+// orderOnce sends an order that has already timed out timeouts times. It waits for the answer as
+// long as if the order were sent to concurrent ranks at once.
 func (s *Switcher) orderOnce(ctx context.Context, rank int, o *wire.EngineOrder, timeouts, concurrent int) wire.EngineResult {
 	began := time.Now()
 
@@ -210,8 +211,8 @@
 	return result
 }
 
-// orderTimeout returns the upper bound of the timeout for o when it is sent to several
-// ranks, their number being concurrent.
+// orderTimeout returns the upper bound of the timeout for o when it is sent to the given number
+// of ranks at once.
 func (s *Switcher) orderTimeout(o *wire.EngineOrder, concurrent int) time.Duration {
 	if o.GetKind() != wire.EngineOrderKind_EngineOrderPrepare {
 		return s.Settings.requestTimeout(concurrent)
--- a/internal/lockstep/switch.go
+++ b/internal/lockstep/switch.go
@@ -177,7 +177,8 @@
 }
 
 // holder is the rank that holds the step of a switch. It is not the rank of the directing
-// agent: if the agent beside the holder fails, the director can still lift the hold.
+// agent: the agent beside the holder relays these orders, and if that agent fails, the director
+// can still lift the hold.
 func (s *Switcher) holder() int { return min(1, s.Group.Size-1) }
 
 // hold makes the holder hold a step in the near future and returns that step once the holder
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// eventGap records a gap between two events of a stream, as a ratio to the gap that the route
+// recordEventGap records a gap between two events of a stream, as a ratio to the gap that the route
 // allows.
-func (q *queue) eventGap(a dispatch.Action, ratio float64) {
+func (q *queue) recordEventGap(a dispatch.Action, ratio float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/internal/relay/retry.go
+++ b/internal/relay/retry.go
@@ -50,7 +50,7 @@
 	}
 
 	// The share is read now: when the request arrived, shortly after a restart, this entry
-	// may have known few of the others and taken its share for larger.
+	// may have known only a few of the others and overestimated its share.
 	share := p.relay.entryShares.budgetShare(p.service)
 
 	if p.readBy != readByNone && !p.relay.Budget.Allow(now, p.service, share) {
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -8,7 +8,7 @@
 const (
 	// maxStartupWait bounds how long a request waits at an entry that has no configuration yet.
 	maxStartupWait = time.Second
-	// startupWaitDivisor bounds that wait to this fraction of the caller's remaining time.
+	// startupWaitDivisor bounds that wait to the caller's remaining time divided by it.
 	startupWaitDivisor = 4
 )
 
--- a/internal/retries/shared_budget.go
+++ b/internal/retries/shared_budget.go
@@ -89,9 +89,9 @@
 	return true
 }
 
-// availableSlack returns the slack of all entries together per window, given the age of
-// this entry's account. It grows linearly to initialSlackFraction during
-// the first window.
+// availableSlack returns the slack of all entries together per window, given the age of this
+// entry's account. During the first window it grows linearly from zero to initialSlackFraction
+// of the usable slack. Afterwards it is all of the usable slack.
 func (s *SharedBudget) availableSlack(age time.Duration) float64 {
 	usable := s.Slack * usableFraction
 	if age >= s.Window {
--- a/internal/shares/subset.go
+++ b/internal/shares/subset.go
@@ -114,9 +114,9 @@
 	}
 }
 
-func hashes(places []Node) []uint64 {
-	out := make([]uint64, len(places))
-	for i, p := range places {
+func hashes(nodes []Node) []uint64 {
+	out := make([]uint64, len(nodes))
+	for i, p := range nodes {
 		out[i] = xxhash.Sum64String(p.ID)
 	}
 
