--- a/internal/intent/plan.go
+++ b/internal/intent/plan.go
@@ -150,7 +150,7 @@
 	return e.usableBefore[node.GetID()] == nil || e.reloading[node.GetService()]
 }
 
-// drains returns the processes that the changes remove or stop, with the work that
+// drains returns the processes that the changes take out of use or stop, with the work that
 // each must finish first.
 func (e *estimate) drains(changes []*wire.Change) []*wire.DrainLine {
 	draining := map[string]*wire.Node{}
--- a/internal/ledger/decisions_test.go
+++ b/internal/ledger/decisions_test.go
@@ -95,7 +95,7 @@
 	plan := h.zonePlan("saraburi", true)
 	plan.Needs = []*wire.NeedLine{{Service: "cooper-assist", Needed: 15, During: 20, After: 20, Reduces: true}}
 	id := h.plan(plan)
-	h.reportGone(agent("b", 1, 1))
+	h.reportEnded(agent("b", 1, 1))
 
 	got := h.decide("may", 2, id)
 	require.Equal(t, wire.DecisionState_DecisionBaseChanged, got.GetState())
--- a/internal/ledger/harness_test.go
+++ b/internal/ledger/harness_test.go
@@ -55,7 +55,7 @@
 	return h.apply(&wire.Command{Kind: &wire.Command_NodeReports{NodeReports: reports}}).GetCount()
 }
 
-func (h *harness) reportGone(node *wire.Node) {
+func (h *harness) reportEnded(node *wire.Node) {
 	h.apply(&wire.Command{Kind: &wire.Command_NodeReports{NodeReports: &wire.NodeReports{
 		Reports: []*wire.NodeReport{{Node: node, Gone: true}},
 	}}})
--- a/internal/ledger/nodes.go
+++ b/internal/ledger/nodes.go
@@ -118,9 +118,9 @@
 	return departed.GetGone() && node.GetIncarnation() == departed.GetIncarnation()
 }
 
-func (l *Ledger) removeNode(index uint64, node *wire.Node, gone bool) bool {
+func (l *Ledger) removeNode(index uint64, node *wire.Node, ended bool) bool {
 	l.records.remove(index, NodePrefix+node.GetID())
-	l.departures.add(l.clock.now(), node, gone)
+	l.departures.add(l.clock.now(), node, ended)
 
 	return true
 }
@@ -169,11 +169,11 @@
 	return true
 }
 
-func (d *departureTable) add(now time.Time, node *wire.Node, gone bool) {
+func (d *departureTable) add(now time.Time, node *wire.Node, ended bool) {
 	d.nodes[node.GetID()] = &wire.DepartedNode{
 		ID:          node.GetID(),
 		Incarnation: node.GetIncarnation(),
-		Gone:        gone,
+		Gone:        ended,
 		Leaving:     node.GetLeaving(),
 		Report:      node.GetReport(),
 		AtMillis:    toMillis(now),
--- a/internal/ledger/nodes_test.go
+++ b/internal/ledger/nodes_test.go
@@ -65,7 +65,7 @@
 
 	h := newHarness(t, ledger.DefaultLimits())
 	h.report(agent("ended", 2, 1), agent("cut-off", 2, 1))
-	h.reportGone(agent("ended", 2, 1))
+	h.reportEnded(agent("ended", 2, 1))
 	h.expire(&wire.NodeName{ID: "cut-off", Incarnation: 2})
 	h.restart(ledger.DefaultLimits())
 	require.Nil(t, h.node("ended"))
@@ -119,7 +119,7 @@
 
 	h.report(agent("a", 1, 2))
 	require.NotNil(t, h.ledger.Records().Get("Stop/a"))
-	h.reportGone(agent("a", 1, 3))
+	h.reportEnded(agent("a", 1, 3))
 	require.NotNil(t, h.ledger.Records().Get("Stop/a"))
 	h.report(agent("a", 2, 1))
 	require.Nil(t, h.ledger.Records().Get("Stop/a"))
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,9 +34,10 @@
 	LearnerTimeout time.Duration
 }
 
-// DefaultSettings returns the settings for a set that tolerates lost failed members.
-func DefaultSettings(lost int) Settings {
-	return Settings{Voters: 2*lost + 1, VoterTimeout: 4 * time.Second, LearnerTimeout: 30 * time.Second}
+// DefaultSettings returns the settings for a set that tolerates the given number of failed
+// voters.
+func DefaultSettings(toleratedFailures int) Settings {
+	return Settings{Voters: 2*toleratedFailures + 1, VoterTimeout: 4 * time.Second, LearnerTimeout: 30 * time.Second}
 }
 
 // ChangeKind is the kind of a membership change.
--- a/internal/quorum/schedule_test.go
+++ b/internal/quorum/schedule_test.go
@@ -100,7 +100,7 @@
 	case 0:
 		if s.isSafeToLose() {
 			if len(h.founders) == 1 {
-				h.founders = nil // the operators' manual requires this once a group of one has grown
+				h.founders = nil // as operators configure it once a group of one has grown
 			}
 
 			s.mayLackQuorum = s.mayLackQuorum || s.isChangeInProgress()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -63,7 +63,7 @@
 type Agent struct {
 	// AnnounceAddress is the loopback address to which the target announces itself.
 	AnnounceAddress netip.AddrPort
-	// CreditLifetime is the key CreditLife.
+	// CreditLifetime (key CreditLife) is how long a credit is valid.
 	CreditLifetime time.Duration
 	// AnnounceTimeout (key AnnounceLimit) is the time without an announcement after which
 	// the target counts as down.
--- a/internal/view/follower.go
+++ b/internal/view/follower.go
@@ -453,12 +453,12 @@
 		return changed
 	}
 
-	places := make([]shares.Node, 0, len(out.GetRoster()))
+	nodes := make([]shares.Node, 0, len(out.GetRoster()))
 	for _, e := range out.GetRoster() {
-		places = append(places, shares.Node{ID: e.GetID(), Zone: e.GetZone()})
+		nodes = append(nodes, shares.Node{ID: e.GetID(), Zone: e.GetZone()})
 	}
 
-	f.rostersBySource[control] = places
+	f.rostersBySource[control] = nodes
 
 	return true
 }
@@ -467,8 +467,8 @@
 func (f *Follower) mergedRoster() []shares.Node {
 	all := make(map[string]shares.Node)
 
-	for _, places := range f.rostersBySource {
-		for _, p := range places {
+	for _, nodes := range f.rostersBySource {
+		for _, p := range nodes {
 			all[p.ID] = p
 		}
 	}
