--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -25,8 +25,8 @@
 	version uint64
 	// tombstones holds the versions of the retained removals, and horizon the version
 	// of the latest removal that was dropped. Results and snapshots depend on both, so
-	// both follow from the commands alone; when changes is compacted does not matter
-	// to them.
+	// both must be determined by the commands alone and not by the compaction of
+	// changes.
 	tombstones    map[string]uint64
 	horizon       uint64
 	maxTombstones int
--- a/internal/quorum/bootstrap.go
+++ b/internal/quorum/bootstrap.go
@@ -62,9 +62,9 @@
 	c.reply(m, 0, HelloAnswer{Members: c.currentMembers()})
 }
 
-// handleHelloAnswer handles the answer of another founder. If the answering member's group
-// lists this ID with another creation ID, this replica's disk was lost: it must not vote
-// until it has been removed and added again as a learner.
+// handleHelloAnswer handles the answer of another founder. If the founder belongs
+// to a group that does not list this ID with this creation ID, this replica's disk was
+// lost: it must not vote until it has been removed and added again as a learner.
 func (c *Core) handleHelloAnswer(m Message, body HelloAnswer) {
 	if c.bootstrap == nil {
 		c.stopIfRemoved(body)
