--- a/internal/control/polltracker.go
+++ b/internal/control/polltracker.go
@@ -23,9 +23,8 @@
 	load         *wire.NodeLoad
 }
 
-// pollRecordTTL is how long the last poll of a process is kept after the process left the
-// directory. It exceeds any freshness lease, so every process that may still act is
-// reported.
+// pollRecordTTL is how long the last poll of a process that is not in the directory is kept.
+// It exceeds any freshness lease, so every process that may still act is reported.
 const pollRecordTTL = time.Minute
 
 // pollTracker tracks which processes polled this VM and which of their reports have to be
