--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -277,8 +277,9 @@
 	return e.retry(now, &err)
 }
 
-// finishAnswerLost ends an exchange whose attempt the agent has no record of, for example
-// because the agent restarted.
+// finishAnswerLost ends an exchange if the agent cannot determine the outcome of the
+// attempt, because it restarted, has evicted the record, or lost its connection to the
+// target.
 func (e *Exchange) finishAnswerLost() Action {
 	err := &verdict.Error{Verdict: verdict.MayHaveRun, Cause: verdict.CauseKeyLost}
 
@@ -310,7 +311,8 @@
 }
 
 // finishMayHaveRun ends an exchange with err, but with the verdict MayHaveRun, because
-// an attempt ran in part or may have run.
+// an attempt ran in part or may have run. An answer of which the caller has received a
+// part must never end as if it were complete.
 func (e *Exchange) finishMayHaveRun(err *verdict.Error) Action {
 	final := *err
 	final.Verdict = verdict.MayHaveRun
--- a/internal/fairness/settings.go
+++ b/internal/fairness/settings.go
@@ -24,8 +24,8 @@
 	// ZeroCapacityGrace is how long a capacity of 0 is assumed to be temporary (2 s).
 	// After that all waiting and new items are refused.
 	ZeroCapacityGrace time.Duration
-	// MinRetryAfter and MaxRetryAfter bound the retry delay of a refused caller (200
-	// ms, 30 s).
+	// MinRetryAfter and MaxRetryAfter bound the retry delay of a refused caller
+	// (200 ms, 30 s).
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -52,8 +52,8 @@
 	Shares    []Share
 }
 
-// Pick returns the service for a request, drawn by weight. n is a random number in [0,
-// 1).
+// Pick returns the service for a request, drawn by weight. n is a random number in
+// [0, 1).
 func (r *Route) Pick(n float64) string {
 	total := uint64(0)
 	for _, s := range r.Shares {
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -137,8 +137,8 @@
 
 // Capacity is how many requests this entry may have in flight at a service's targets.
 type Capacity struct {
-	// Slots is the number of requests in flight, and of those that may be sent in
-	// addition to targets that accept new requests, with or without a credit.
+	// Slots is InFlight plus the number of further requests that may be sent to targets
+	// that accept new ones. A warm target needs no credit to count.
 	Slots    int
 	InFlight int
 	Targets  int
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -24,7 +24,7 @@
 }
 
 // Reports, credits, failures and configuration changes come in any order. A cold target
-// must get no more than its agent reserved for this entry. A target that is leaving, in
+// must get no more than its agent reserved for this entry. A target that is draining, in
 // a zone that is out, or excluded by the request must get nothing. No slot may leak.
 func TestColdTargetIsNotChosenBeyondItsCredit(t *testing.T) {
 	t.Parallel()
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -69,7 +69,7 @@
 	// ColdTrafficThreshold is the share of the warm capacity in use above which cold
 	// targets get all requests that their credits allow (0.5).
 	ColdTrafficThreshold float64
-	// StopReportTTL is how long an agent's report that it is leaving, or in a zone that
+	// StopReportTTL is how long an agent's report that it is draining, or in a zone that
 	// is out, is used if the configuration does not confirm it (2 s).
 	StopReportTTL time.Duration
 	// DemandTTL is how long a service counts as in demand after a request (10 s).
