--- a/internal/admission/core.go
+++ b/internal/admission/core.go
@@ -106,7 +106,7 @@
 	// The first in-flight count of a boot may be older than the last work sent to the
 	// target, so it cannot show that this work has ended.
 	if inFlightKnown {
-		c.unknown.reconcile(int(a.InFlight), previous, c.runningSince(previous))
+		c.unknown.reconcile(int(a.InFlight), previous, c.runningAdmittedBefore(previous))
 	}
 }
 
@@ -124,8 +124,8 @@
 	c.ramp.reset(now, c.Settings.RampInterval)
 }
 
-// runningSince returns how many of the running attempts were admitted before at.
-func (c *Core) runningSince(at time.Time) int {
+// runningAdmittedBefore returns how many of the running attempts were admitted before at.
+func (c *Core) runningAdmittedBefore(at time.Time) int {
 	n := 0
 
 	for _, a := range c.running {
