--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -36,8 +36,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			a := newFakeAgent(t, "agent-1", answerBooking)
-			f := newFixture(t, bookingService, small, a)
+			a := newFakeAgent(t, "agent-1", answerKeyedRequest)
+			f := newFixture(t, nonIdempotentService, small, a)
 			got := f.post(c.path, c.body, c.headers...)
 			require.Equal(t, c.status, got.status)
 			require.Equal(t, "NotRun", got.verdict)
@@ -66,7 +66,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			f := newFixture(t, bookingService, nil, newFakeAgent(t, "agent-1", answerBooking))
+			f := newFixture(t, nonIdempotentService, nil, newFakeAgent(t, "agent-1", answerKeyedRequest))
 
 			conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.entry.Listener.Addr().String())
 			require.NoError(t, err)
@@ -78,7 +78,7 @@
 			require.NoError(t, err)
 			require.NoError(t, resp.Body.Close())
 			require.Equal(t, c.status, resp.StatusCode)
-			require.Equal(t, 201, f.book("cask-1").status)
+			require.Equal(t, 201, f.postKeyedRequest("cask-1").status)
 		})
 	}
 }
@@ -103,7 +103,7 @@
 func TestIdempotentCalls(t *testing.T) {
 	t.Parallel()
 
-	s := testServices[bookingService]
+	s := testServices[nonIdempotentService]
 	require.True(t, isIdempotent(s, "GET", "/v1/bookings"))
 	require.False(t, isIdempotent(s, "GET", "/v2/bookings"))
 	require.False(t, isIdempotent(s, "POST", "/v1/bookings"))
--- a/internal/entry/connection_test.go
+++ b/internal/entry/connection_test.go
@@ -15,11 +15,11 @@
 func TestCompleteAnswersKeepTheirConnection(t *testing.T) {
 	t.Parallel()
 
-	a := newFakeAgent(t, "agent-1", answerDraft)
+	a := newFakeAgent(t, "agent-1", answerStream)
 
 	var opened atomic.Int64
 
-	f := newFixture(t, draftService, func(e *Entry) {
+	f := newFixture(t, streamService, func(e *Entry) {
 		e.Agents.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
 
@@ -28,7 +28,7 @@
 	}, a)
 
 	for range 4 {
-		require.Equal(t, 200, f.draft().status)
+		require.Equal(t, 200, f.postStreamRequest().status)
 	}
 
 	// One connection for requests, and one for a credit requested at the same time.
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -181,13 +181,13 @@
 }
 
 const (
-	draftService   = "assist"
-	bookingService = "desk"
+	streamService        = "assist"
+	nonIdempotentService = "desk"
 )
 
 var testServices = map[string]*wire.Service{
-	draftService:   {Name: draftService, IdempotentCalls: []string{"POST /v1/drafts"}, Resumable: true},
-	bookingService: {Name: bookingService, IdempotentCalls: []string{"GET /v1/*"}},
+	streamService:        {Name: streamService, IdempotentCalls: []string{"POST /v1/drafts"}, Resumable: true},
+	nonIdempotentService: {Name: nonIdempotentService, IdempotentCalls: []string{"GET /v1/*"}},
 }
 
 // newFixture starts an entry whose targets are agents, all of the given service.
@@ -297,20 +297,20 @@
 	}
 }
 
-func (f *fixture) book(key string) callerResult {
+func (f *fixture) postKeyedRequest(key string) callerResult {
 	f.t.Helper()
 
-	return f.post(bookingService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
+	return f.post(nonIdempotentService+"/v1/bookings", `{"Slot":"kiln-2"}`, HeaderKey, key)
 }
 
-func (f *fixture) draft() callerResult {
+func (f *fixture) postStreamRequest() callerResult {
 	f.t.Helper()
 
-	return f.post(draftService+"/v1/drafts", `{"Prompt":"stave 4"}`)
+	return f.post(streamService+"/v1/drafts", `{"Prompt":"stave 4"}`)
 }
 
-// draftEvents returns the events with the IDs first to last.
-func draftEvents(first, last int) string {
+// streamEvents returns the events with the IDs first to last.
+func streamEvents(first, last int) string {
 	var b strings.Builder
 	for n := first; n <= last; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: word%d\n\n", n, n)
--- a/internal/entry/booking_fault_test.go
+++ b/internal/entry/keyed_request_fault_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleygate/parsleygate/pkg/verdict"
 )
 
-func answerBooking(_ *fakeAgent, s *answerWriter) {
+func answerKeyedRequest(_ *fakeAgent, s *answerWriter) {
 	s.head(http.StatusCreated, "application/json")
 	s.data("booked")
 	s.end()
@@ -49,7 +49,7 @@
 		sends int
 	}{
 		{
-			name: "complete answer", behaviours: []behaviour{answerBooking},
+			name: "complete answer", behaviours: []behaviour{answerKeyedRequest},
 			want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 1,
 		},
 		{
@@ -66,7 +66,7 @@
 			askResponses: []*wire.AskResponse{attemptRunning, attemptRunning, attemptRan}, want: callerResult{status: 201, verdict: "Ran", body: "kept"}, sends: 1,
 		},
 		{
-			name: "request never arrived, attempt closed", behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.breakConnection() }, answerBooking},
+			name: "request never arrived, attempt closed", behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) { s.breakConnection() }, answerKeyedRequest},
 			askResponses: []*wire.AskResponse{attemptClosed}, want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
 		},
 		{
@@ -107,7 +107,7 @@
 			askResponses: []*wire.AskResponse{attemptRanAnswerDropped}, want: callerResult{status: 502, verdict: "Ran", cause: "AnswerLost"}, sends: 1,
 		},
 		{
-			name: "refused as not run, then accepted", behaviours: []behaviour{refuseWith(verdict.NotRun, verdict.CauseOverload), answerBooking},
+			name: "refused as not run, then accepted", behaviours: []behaviour{refuseWith(verdict.NotRun, verdict.CauseOverload), answerKeyedRequest},
 			want: callerResult{status: 201, verdict: "Ran", body: "booked"}, sends: 2,
 		},
 		{
@@ -123,15 +123,15 @@
 			// The two agents share one script, so that a retry finds a target.
 			agent := newFakeAgent(t, "agent-1", c.behaviours...)
 			agent.askResponses = c.askResponses
-			f := newFixture(t, bookingService, c.change, agent, agent.sibling(t, "agent-2"))
+			f := newFixture(t, nonIdempotentService, c.change, agent, agent.sibling(t, "agent-2"))
 
-			first := f.book("cask-17")
+			first := f.postKeyedRequest("cask-17")
 			require.NotEmpty(t, first.keyWindow)
 
 			first.keyWindow = ""
 			require.Equal(t, c.want, first)
 
-			resent := f.book("cask-17")
+			resent := f.postKeyedRequest("cask-17")
 			require.Equal(t, c.want.body, resent.body)
 			require.NotEqual(t, "NotRun", resent.verdict)
 			require.Len(t, agent.received(), c.sends)
@@ -144,14 +144,14 @@
 func TestReusedKeyWithAnotherBodyIsRefused(t *testing.T) {
 	t.Parallel()
 
-	a := newFakeAgent(t, "agent-1", answerBooking)
-	f := newFixture(t, bookingService, nil, a)
+	a := newFakeAgent(t, "agent-1", answerKeyedRequest)
+	f := newFixture(t, nonIdempotentService, nil, a)
 
-	first := f.book("cask-17")
+	first := f.postKeyedRequest("cask-17")
 	require.Equal(t, 201, first.status)
 	require.NotEmpty(t, first.keyWindow, "response does not name the key window")
 
-	got := f.post(bookingService+"/v1/bookings", `{"Slot":"kiln-3"}`, HeaderKey, "cask-17")
+	got := f.post(nonIdempotentService+"/v1/bookings", `{"Slot":"kiln-3"}`, HeaderKey, "cask-17")
 	require.Equal(t, 422, got.status)
 	require.Equal(t, "KeyConflict", got.cause)
 	require.Len(t, a.received(), 1)
@@ -159,14 +159,14 @@
 
 // The connection breaks after a request without a key was sent, and the agent does not
 // know its outcome. It must not be sent a second time.
-func TestBookingWithoutKeyIsSentOnce(t *testing.T) {
+func TestRequestWithoutKeyIsSentOnce(t *testing.T) {
 	t.Parallel()
 
 	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) { s.breakConnection() })
 	a.askResponses = []*wire.AskResponse{attemptUnknown}
-	f := newFixture(t, bookingService, nil, a)
+	f := newFixture(t, nonIdempotentService, nil, a)
 
-	got := f.post(bookingService+"/v1/bookings", `{}`)
+	got := f.post(nonIdempotentService+"/v1/bookings", `{}`)
 	require.Equal(t, "MayHaveRun", got.verdict)
 	require.Len(t, a.received(), 1)
 }
--- a/internal/entry/draft_fault_test.go
+++ b/internal/entry/stream_fault_test.go
@@ -13,14 +13,14 @@
 
 const eventStream = "text/event-stream"
 
-func answerDraft(_ *fakeAgent, s *answerWriter) {
+func answerStream(_ *fakeAgent, s *answerWriter) {
 	s.head(http.StatusOK, eventStream)
-	s.data(draftEvents(1, 4))
+	s.data(streamEvents(1, 4))
 	s.end()
 }
 
-// resumeDraft continues after the event in the Last-Event-ID header.
-func resumeDraft(_ *fakeAgent, s *answerWriter) {
+// continueStream continues after the event in the Last-Event-ID header.
+func continueStream(_ *fakeAgent, s *answerWriter) {
 	first := 1
 
 	for _, h := range s.request.GetHeaders() {
@@ -30,7 +30,7 @@
 	}
 
 	s.head(http.StatusOK, eventStream)
-	s.data(draftEvents(first, 4))
+	s.data(streamEvents(first, 4))
 	s.end()
 }
 
@@ -39,7 +39,7 @@
 func TestStreamUnderConnectionFaults(t *testing.T) {
 	t.Parallel()
 
-	complete := callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}
+	complete := callerResult{status: 200, verdict: "Ran", body: streamEvents(1, 4)}
 	cases := []struct {
 		name       string
 		behaviours []behaviour
@@ -47,51 +47,51 @@
 		change func(*Entry)
 		want   callerResult
 	}{
-		{name: "complete answer", behaviours: []behaviour{answerDraft}, want: complete},
+		{name: "complete answer", behaviours: []behaviour{answerStream}, want: complete},
 		{
 			name: "unresponsive after two events", want: complete, change: withShortReadTimeout,
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(draftEvents(1, 2))
+				s.data(streamEvents(1, 2))
 				s.stall()
-			}, resumeDraft},
+			}, continueStream},
 		},
 		{
 			name: "connection broken inside the third event", want: complete,
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(draftEvents(1, 2) + "id: 3\ndata: wo")
+				s.data(streamEvents(1, 2) + "id: 3\ndata: wo")
 				s.breakConnection()
-			}, resumeDraft},
+			}, continueStream},
 		},
 		{
 			name: "another request's answer after two events", want: complete,
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(draftEvents(1, 2))
+				s.data(streamEvents(1, 2))
 				s.frame(&wire.Frame{Kind: &wire.Frame_Head{Head: &wire.Head{AttemptID: "other", Status: 200}}})
-			}, resumeDraft},
+			}, continueStream},
 		},
 		{
 			name: "connection broken before the first event", want: complete,
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
 				s.breakConnection()
-			}, resumeDraft},
+			}, continueStream},
 		},
 		{
 			name: "no end frame", want: complete,
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(draftEvents(1, 4))
-			}, resumeDraft},
+				s.data(streamEvents(1, 4))
+			}, continueStream},
 		},
 		{
 			name: "next target returns an error instead of resuming",
-			want: callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 2), cutOff: true},
+			want: callerResult{status: 200, verdict: "Ran", body: streamEvents(1, 2), cutOff: true},
 			behaviours: []behaviour{func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusOK, eventStream)
-				s.data(draftEvents(1, 2))
+				s.data(streamEvents(1, 2))
 				s.breakConnection()
 			}, func(_ *fakeAgent, s *answerWriter) {
 				s.head(http.StatusInternalServerError, "text/plain")
@@ -106,7 +106,7 @@
 				s.head(http.StatusOK, "application/json")
 				s.data("half")
 				s.breakConnection()
-			}, answerDraft},
+			}, answerStream},
 		},
 		{
 			name: "events without IDs, cannot be resumed",
@@ -115,7 +115,7 @@
 				s.head(http.StatusOK, eventStream)
 				s.data("data: one\n\n")
 				s.breakConnection()
-			}, answerDraft},
+			}, answerStream},
 		},
 	}
 
@@ -124,8 +124,8 @@
 			t.Parallel()
 
 			a := newFakeAgent(t, "agent-1", c.behaviours...)
-			f := newFixture(t, draftService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
-			require.Equal(t, c.want, f.draft())
+			f := newFixture(t, streamService, c.change, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+			require.Equal(t, c.want, f.postStreamRequest())
 		})
 	}
 }
@@ -140,12 +140,12 @@
 	refuseStale := refuseWith(verdict.NotRun, verdict.CauseStale)
 	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(draftEvents(1, 2))
+		s.data(streamEvents(1, 2))
 		s.breakConnection()
-	}, refuseStale, refuseStale, refuseStale, refuseStale, refuseStale, resumeDraft)
-	f := newFixture(t, draftService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
+	}, refuseStale, refuseStale, refuseStale, refuseStale, refuseStale, continueStream)
+	f := newFixture(t, streamService, nil, a, a.sibling(t, "agent-2"), a.sibling(t, "agent-3"))
 
-	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: draftEvents(1, 4)}, f.draft())
+	require.Equal(t, callerResult{status: 200, verdict: "Ran", body: streamEvents(1, 4)}, f.postStreamRequest())
 	require.Len(t, a.received(), 7)
 }
 
@@ -157,14 +157,14 @@
 	canceled := make(chan struct{})
 	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(draftEvents(1, 1))
+		s.data(streamEvents(1, 1))
 
 		<-s.r.Context().Done()
 		close(canceled)
 	})
-	f := newFixture(t, draftService, nil, a)
+	f := newFixture(t, streamService, nil, a)
 
-	resp, err := http.Post(f.base+"/"+draftService+"/v1/drafts", "application/json", strings.NewReader("{}"))
+	resp, err := http.Post(f.base+"/"+streamService+"/v1/drafts", "application/json", strings.NewReader("{}"))
 	require.NoError(t, err)
 
 	_, err = resp.Body.Read(make([]byte, 1))
@@ -182,27 +182,27 @@
 	resume := make(chan struct{})
 	a := newFakeAgent(t, "agent-1", func(_ *fakeAgent, s *answerWriter) {
 		s.head(http.StatusOK, eventStream)
-		s.data(draftEvents(1, 2))
+		s.data(streamEvents(1, 2))
 		close(begun)
 		<-resume
-		s.data(draftEvents(3, 4))
+		s.data(streamEvents(3, 4))
 		s.end()
 	})
-	f := newFixture(t, draftService, nil, a)
+	f := newFixture(t, streamService, nil, a)
 	answer := make(chan callerResult, 1)
 
-	go func() { answer <- f.draft() }()
+	go func() { answer <- f.postStreamRequest() }()
 
 	<-begun
 	f.entry.stopping.Store(true)
 
-	refused := f.draft()
+	refused := f.postStreamRequest()
 	require.Equal(t, "NotRun", refused.verdict)
 	require.Equal(t, "Stopping", refused.cause)
 	require.Equal(t, "1", refused.retryAfter)
 
 	f.stop()
 	close(resume)
-	require.Equal(t, draftEvents(1, 4), (<-answer).body)
+	require.Equal(t, streamEvents(1, 4), (<-answer).body)
 	require.NoError(t, <-f.done)
 }
