--- a/internal/agentclient/client_test.go
+++ b/internal/agentclient/client_test.go
@@ -276,7 +276,7 @@
 	require.Nil(t, client.Send(t.Context(), a.address, &wire.Request{AttemptID: ownAttempt}, (&recorder{}).receiver()).Err)
 
 	for range 2 {
-		resp, err := client.Ask(t.Context(), a.address, &wire.AskRequest{AttemptID: ownAttempt})
+		resp, err := client.QueryAttempt(t.Context(), a.address, &wire.AskRequest{AttemptID: ownAttempt})
 		require.NoError(t, err)
 		require.Equal(t, wire.AskState_AskClosed, resp.GetState())
 	}
--- a/internal/agentclient/rpc.go
+++ b/internal/agentclient/rpc.go
@@ -10,10 +10,10 @@
 	"github.com/parsleygate/parsleygate/internal/wire"
 )
 
-// Ask queries the agent at address for the outcome of an attempt. It dials a new
+// QueryAttempt queries the agent at address for the outcome of an attempt. It dials a new
 // connection each time, because the connection that carried the attempt may be dead
 // although new ones work.
-func (c *Client) Ask(ctx context.Context, address netip.AddrPort, req *wire.AskRequest) (*wire.AskResponse, error) {
+func (c *Client) QueryAttempt(ctx context.Context, address netip.AddrPort, req *wire.AskRequest) (*wire.AskResponse, error) {
 	c.init()
 
 	ctx, cancel := context.WithTimeout(ctx, c.ReadTimeout)
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -262,7 +262,7 @@
 
 	// The query may exceed the caller's deadline, bounded by its own short timeout: a
 	// certain verdict is worth more to the caller than a prompt one.
-	r, err := x.entry.Agents.Ask(context.WithoutCancel(ctx), address, &wire.AskRequest{
+	r, err := x.entry.Agents.QueryAttempt(context.WithoutCancel(ctx), address, &wire.AskRequest{
 		AttemptID: a.Holder.GetAttemptID(), Incarnation: a.Holder.GetIncarnation(),
 		CreditExpiresAtTick: a.Holder.GetCreditExpiresAtTick(), Close: true,
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,9 +34,9 @@
 	ID   string
 	Zone string
 	// State returns the state that the control VMs published last.
-	State     func() *view.ClusterState
-	Transport *targetclient.Client
-	Budget    *retries.SharedBudget
+	State        func() *view.ClusterState
+	TargetClient *targetclient.Client
+	Budget       *retries.SharedBudget
 	// StopsAt returns whether this entry is stopping, and when it ends. While it stops, each
 	// answer closes its connection.
 	StopsAt  func() (at time.Time, stopping bool)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -150,7 +150,7 @@
 	p.placed, p.placedAt, p.eventAt = placed, time.Now(), time.Time{}
 	p.readBy = readByNone
 
-	answer, err := p.relay.Transport.Open(ctx, placed.Target.Address, p.targetRequest(placed.Target.ID))
+	answer, err := p.relay.TargetClient.Open(ctx, placed.Target.Address, p.targetRequest(placed.Target.ID))
 	if err != nil {
 		if verdict.Of(err) != verdict.NotRun {
 			p.recordRead(readByTarget)
--- a/internal/role/directentry.go
+++ b/internal/role/directentry.go
@@ -206,8 +206,8 @@
 	}
 	r.relay = &relay.Relay{
 		Dialect: r.Dialect, ID: r.ID, Zone: r.Zone, State: r.follower.State, Budget: r.Budget,
-		Transport: &targetclient.Client{DialTimeout: targetDialTimeout, MaxHeaderBytes: maxTargetHeaderBytes},
-		StopsAt:   r.stopTime, Logger: r.Logs.Logger("relay"),
+		TargetClient: &targetclient.Client{DialTimeout: targetDialTimeout, MaxHeaderBytes: maxTargetHeaderBytes},
+		StopsAt:      r.stopTime, Logger: r.Logs.Logger("relay"),
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 
